--- a/src/graphs/index.ts
+++ b/src/graphs/index.ts
@@ -10,10 +10,36 @@
 export { type Limits, limitsOf, planLimits } from "./run/retry.js";
 export { TRIGGER_RULES, type TriggerRule } from "./run/rules.js";
 export { distinctJobs } from "./run/spec.js";
-export { type FinalState, isFinal } from "./run/states.js";
+export { FINALS, type FinalState, isFinal } from "./run/states.js";
 export { ownOrder } from "./run/weights.js";
 export { describing } from "./service/describing.js";
 export { graphsWith } from "./service/extension.js";
-export { isRunId, jobIdOf, partsOfJobId } from "./service/records.js";
+export {
+  type Ended,
+  endedKey,
+  graphKey,
+  graphOfKey,
+  type Header,
+  isRunId,
+  jobIdOf,
+  lastRunKey,
+  partKey,
+  partPrefix,
+  partsOfJobId,
+  planKey,
+  readEnded,
+  readHeader,
+  readSegment,
+  readSegments,
+  readUpload,
+  type Segment,
+  segmentKey,
+  segmentPrefix,
+  summaryKey,
+  type Upload,
+  uploadKey,
+  uploadOfKey,
+  writeSegments,
+} from "./service/records.js";
 export { drawingOf, MOST_DRAWN } from "./show/drawing.js";
 export { outline, treeOf } from "./show/outline.js";
--- /dev/null
+++ b/test/stored-forms.test.ts
@@ -0,0 +1,448 @@
+/**
+ * Stored records, their keys, and frames between controllers, compared byte for byte with `test/fixtures/records.txt`
+ * and `test/fixtures/frames.txt`, and read back. Versions of the program that run side by side share these forms, so the
+ * files only grow: a line that is there may not change. The values are typed literals, so that fields can be renamed in
+ * memory; the files hold the names that are stored.
+ */
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { gunzipSync } from "node:zlib";
+import {
+  awaitedKey,
+  awaitsOf,
+  type BlockRecord,
+  blockKey,
+  END_REASONS,
+  type EndRecord,
+  endKey,
+  fullKey,
+  type JobRecord,
+  jobKey,
+  jobOfAwaitedKey,
+  jobOfKey,
+  LEADER_KEY,
+  type MemberRecord,
+  memberKey,
+  memberOfKey,
+  NUMBER_KEY,
+  rangeBytes,
+  rangeKey,
+  rangeOfKey,
+  readBlock,
+  readEnd,
+  readJob,
+  readMember,
+  readRange,
+  readSilence,
+  type SilenceRecord,
+  silenceKey,
+  type TaskRecord,
+  TYPES_KEY,
+  writeRange,
+} from "../src/bookkeeping/records.js";
+import {
+  DEFAULT_STEP,
+  decodePlan,
+  type Ended,
+  encodePlan,
+  endedKey,
+  FINALS,
+  graphKey,
+  graphOfKey,
+  type Header,
+  jobIdOf,
+  lastRunKey,
+  type Plan,
+  partKey,
+  partPrefix,
+  partsOfJobId,
+  planKey,
+  readEnded,
+  readHeader,
+  readSegment,
+  readSegments,
+  readUpload,
+  type Segment,
+  segmentKey,
+  segmentPrefix,
+  summaryKey,
+  type Upload,
+  uploadKey,
+  uploadOfKey,
+  writeSegments,
+} from "../src/graphs/index.js";
+import { encode, type Frame, FrameReader, NEVER } from "../src/mesh/frames.js";
+import { formatJson, parseJson } from "../src/protocol/json.js";
+import type { JobSpec } from "../src/protocol/user.js";
+import { FixtureLines } from "./fixture-lines.js";
+
+const records = new FixtureLines("records.txt");
+const frames = new FixtureLines("frames.txt");
+
+const plainSpec: JobSpec = {
+  id: "wk-plain",
+  jobClass: "web",
+  team: "open",
+  shape: "array",
+  priority: "normal",
+  tasks: 3,
+  demand: { cpu: 1_500, gpu: 0, ram: 4_000 },
+  types: null,
+  zone: null,
+  oneZone: false,
+  spread: false,
+  spot: false,
+  image: "img:1",
+  imageGb: 1.5,
+  estimateS: 60,
+  checkpointS: 0,
+  saveS: 0,
+  deadlineS: null,
+};
+
+const fullSpec: JobSpec = {
+  ...plainSpec,
+  id: "wk-full",
+  shape: "gang",
+  priority: "production",
+  demand: { cpu: 2_000, gpu: 1_000, ram: 0 },
+  types: ["big", "small"],
+  zone: "east",
+  oneZone: true,
+  spread: true,
+  spot: true,
+  image: 'img: \u00e9\u{1f600}"\\',
+  checkpointS: 30,
+  saveS: 2.5,
+  deadlineS: 600,
+  awaits: ["wk-a", "wk-b"],
+  origin: { graph: "dr-1", place: 7 },
+};
+
+const withSpec = (spec: JobSpec): JobRecord => ({ spec, block: 0, cancelled: false });
+
+const jobs: Readonly<Record<string, JobRecord>> = {
+  "job/plain": withSpec(plainSpec),
+  "job/full": {
+    spec: fullSpec,
+    block: 2,
+    cancelled: true,
+    awaited: { digest: "0123456789abcdef01234567", parts: 2 },
+    acceptedMs: 1_773_446_400_123,
+    why: "graph",
+    errors: { "0": 1, "12": 3 },
+  },
+  "job/service": withSpec({ ...plainSpec, id: "wk-service", shape: "service", priority: "high" }),
+  "job/low": withSpec({ ...plainSpec, id: "wk-low", priority: "low" }),
+  "job/awaits": { ...withSpec({ ...plainSpec, awaits: ["wk-a"] }), acceptedMs: 0 },
+  "job/origin": { ...withSpec({ ...plainSpec, origin: { graph: "dr-2", place: 0 } }), errors: {} },
+  "job/noTypes": withSpec({ ...plainSpec, types: [] }),
+  ...Object.fromEntries(END_REASONS.map((why) => [`job/${why}`, { ...withSpec(plainSpec), cancelled: true, why }])),
+};
+
+/** Fields in the orders in which the front door and the notes of steps put them on record the first time. */
+const jobsAsFirstWritten: Readonly<Record<string, JobRecord>> = {
+  "job/accepted with a list of its own": {
+    spec: plainSpec,
+    block: 0,
+    cancelled: false,
+    acceptedMs: 1_773_446_400_123,
+    awaited: { digest: "0123456789abcdef01234567", parts: 2 },
+  },
+  "job/given up": { spec: plainSpec, block: 0, cancelled: true, errors: { "0": 1 }, why: "error" },
+};
+
+const tasks: readonly TaskRecord[] = [
+  { kind: "waiting", attempt: 0 },
+  { kind: "placed", attempt: 1, machine: "n-1" },
+  { kind: "done" },
+  { kind: "waiting", attempt: 12 },
+];
+
+const header: Header = {
+  digest: "0123456789abcdef",
+  request: "00112233445566778899aabbccddeeff",
+  mostRuns: 16,
+  dag: "nightly",
+  owner: "open",
+  block: 0,
+  steps: 3,
+  segment: 64,
+  plan: { text: "H4sI" },
+  acceptedMs: 1_773_446_400_123,
+  aborted: false,
+  timedOut: false,
+  round: 0,
+  clear: null,
+  before: null,
+};
+
+/** Fields in the order in which the run's acceptance puts them on record. */
+const acceptedHeader: Header = {
+  digest: header.digest,
+  request: header.request,
+  dag: header.dag,
+  owner: header.owner,
+  block: header.block,
+  steps: header.steps,
+  mostRuns: header.mostRuns,
+  segment: header.segment,
+  plan: header.plan,
+  acceptedMs: header.acceptedMs,
+  aborted: header.aborted,
+  timedOut: header.timedOut,
+  round: header.round,
+  clear: header.clear,
+  before: header.before,
+};
+
+const fullHeader: Header = {
+  ...header,
+  plan: { chunks: 3 },
+  aborted: true,
+  timedOut: true,
+  round: 2,
+  clear: { steps: [0, 2], downstream: true },
+  before: "dr-0",
+};
+
+/** Compressed bitmaps; their text is not looked into here. */
+const segment: Segment = { finals: { success: "Y2AAAA==", upstream_failed: "YwAA" }, clearings: "Y2AEAA==" };
+const emptySegment: Segment = { finals: {}, clearings: null };
+
+const headers: Readonly<Record<string, Header>> = {
+  "graph/plain": header,
+  "graph/full": fullHeader,
+  "graph/clear": { ...header, clear: { steps: [], downstream: false } },
+};
+const endedRuns: Readonly<Record<string, Ended>> = {
+  "ended/success": { header, phase: "success", counts: { success: 3 }, endedMs: 5, states: segment },
+  "ended/failed": { header: fullHeader, phase: "failed", counts: {}, endedMs: 0, states: null },
+  "ended/withdrawn": { header, phase: "withdrawn", counts: { none: 1 }, endedMs: 1, states: emptySegment },
+};
+const segments: Readonly<Record<string, Segment>> = { "segment/full": segment, "segment/empty": emptySegment };
+const uploads: Readonly<Record<string, Upload>> = {
+  "upload/parts": { parts: 3, have: [0, 2] },
+  "upload/plan": { plan: "0123456789abcdef", chunks: 2 },
+  "upload/both": { parts: 2, have: [0, 1], plan: "0123456789abcdef", chunks: 0 },
+};
+const members: Readonly<Record<string, MemberRecord>> = {
+  "member/plain": { lease: 7, incarnation: "ab-1" },
+  "member/large lease": { lease: 18_446_744_073_709_551_615n, incarnation: "ab-2" },
+};
+const blocks: Readonly<Record<string, BlockRecord>> = {
+  "block/plain": { label: "ctl-0", incarnation: "ab-1", number: 12 },
+};
+const ends: Readonly<Record<string, EndRecord>> = {
+  "end/done": { phase: "done", done: 3 },
+  "end/cancelled": { phase: "cancelled", done: 0 },
+  ...Object.fromEntries(END_REASONS.map((why) => [`end/${why}`, { phase: "cancelled", done: 1, why }] as const)),
+};
+const silences: Readonly<Record<string, SilenceRecord>> = {
+  "silence/none": { number: 1, zones: {} },
+  "silence/two": { number: 12, zones: { east: 1_773_446_400_123, west: 0 } },
+};
+
+interface Form<T> {
+  readonly values: Readonly<Record<string, T>>;
+  readonly write: (value: T) => unknown;
+  readonly read: (stored: unknown) => T;
+}
+
+/** What is stored is the object itself. */
+const asItIs = (value: unknown): unknown => value;
+
+const checkForm = <T>({ values, write, read }: Form<T>): void => {
+  for (const [name, value] of Object.entries(values)) {
+    records.matches(name, formatJson(write(value)));
+    const found = read(parseJson(records.text(name)));
+    assert.deepEqual(found, value, name);
+    records.matches(name, formatJson(write(found)));
+  }
+};
+
+test("records of jobs keep their stored form", () => {
+  checkForm({ values: jobs, write: asItIs, read: readJob });
+});
+
+test("records of jobs keep the order of fields of their first writing", () => {
+  for (const [name, record] of Object.entries(jobsAsFirstWritten)) {
+    records.matches(name, formatJson(asItIs(record)));
+    assert.deepEqual(readJob(parseJson(records.text(name))), record, name);
+  }
+});
+
+test("a job's record that is read and written again has its optional fields in the order of reading", () => {
+  for (const name of Object.keys(jobsAsFirstWritten)) {
+    records.matches(`${name}, written again`, formatJson(asItIs(readJob(parseJson(records.text(name))))));
+  }
+});
+
+test("a specification keeps fields that a newer version has stored, and has none that an older one has left out", () => {
+  for (const name of ["job/newer specification", "job/older specification"]) {
+    records.matches(name, formatJson(asItIs(readJob(parseJson(records.text(name))))));
+  }
+  // Of the record's own fields, only those that are known are written again.
+  const newer = readJob(parseJson(records.text("job/newer record")));
+  records.matches("job/newer record, written again", formatJson(asItIs(newer)));
+});
+
+test("records of task ranges keep their stored form", () => {
+  for (const [name, range] of Object.entries({ "range/all": tasks, "range/none": [] })) {
+    records.matches(name, formatJson(writeRange(range)));
+    assert.deepEqual(readRange(parseJson(records.text(name))), range);
+  }
+  assert.equal(rangeBytes(tasks), 26);
+});
+
+test("records of members, leases, ends and unreachable zones keep their stored form", () => {
+  checkForm({ values: members, write: asItIs, read: readMember });
+  checkForm({ values: blocks, write: asItIs, read: readBlock });
+  checkForm({ values: ends, write: asItIs, read: readEnd });
+  checkForm({ values: silences, write: asItIs, read: readSilence });
+});
+
+test("a list of awaited jobs in parts is read in their order", () => {
+  const record: JobRecord = { ...withSpec(plainSpec), awaited: { digest: "d", parts: 2 } };
+  const entries = new Map(
+    [0, 1].map((part) => [
+      awaitedKey(plainSpec.id, "d", part),
+      { value: parseJson(records.text(`awaited part/${part}`)) },
+    ]),
+  );
+  assert.deepEqual(awaitsOf(record, entries), ["wk-a", "wk-b", "wk-c"]);
+});
+
+test("records of graph runs keep their stored form", () => {
+  checkForm({ values: headers, write: asItIs, read: readHeader });
+  checkForm({ values: endedRuns, write: asItIs, read: readEnded });
+  checkForm({ values: segments, write: asItIs, read: readSegment });
+  checkForm({ values: uploads, write: asItIs, read: readUpload });
+});
+
+test("a run's header keeps the order of fields of its acceptance", () => {
+  records.matches("graph/as accepted", formatJson(asItIs(acceptedHeader)));
+  assert.deepEqual(readHeader(parseJson(records.text("graph/as accepted"))), header);
+});
+
+// What a compressor gives may differ from version to version of it: the fixture is read, and what is written is read back.
+test("saved states of steps are read from their bitmaps", () => {
+  const saved = readSegments(64, [readSegment(parseJson(records.text("segment/all states")))]);
+  const finals = FINALS.map((state, at) => [at * 3, state] as const);
+  assert.deepEqual(
+    [...saved.finals].sort(([a], [b]) => a - b),
+    finals,
+  );
+  assert.deepEqual([...saved.clearings], [[4, 2]]);
+  const [written] = writeSegments(64, 64, finals, new Map([[4, 2]]));
+  assert.deepEqual(readSegments(64, [written]), saved);
+});
+
+const plan: Plan = {
+  dagId: "nightly",
+  description: "each night",
+  owner: "open",
+  tags: ["a"],
+  ds: "2026-03-14",
+  maxActiveTasks: 8,
+  maxActiveRuns: 2,
+  timeoutS: 3_600,
+  jobs: [{ jobclass: "web", guessS: 5 }],
+  steps: [
+    { ...DEFAULT_STEP, id: "first", job: 0 },
+    {
+      id: "second",
+      kind: "branch",
+      upstream: [0],
+      rule: "all_done",
+      retry: { retries: 2, delayS: 5, exponential: true, maxDelayS: 60 },
+      timeoutS: 10,
+      pool: "p",
+      weight: 3,
+      weightRule: "upstream",
+      dependsOnPast: true,
+      setup: true,
+      cuts: [2],
+      cutsAll: true,
+      job: null,
+    },
+    { ...DEFAULT_STEP, id: "third", upstream: [0, 1], kind: "empty" },
+  ],
+};
+
+test("a plan keeps its stored form and its digest", () => {
+  assert.deepEqual(decodePlan(records.text("plan/text")), plan);
+  const { text, digest } = encodePlan(plan);
+  records.matches("plan/digest", digest);
+  assert.deepEqual(decodePlan(text), plan);
+  records.matches("plan/json", gunzipSync(Buffer.from(text, "base64")).toString("utf8"));
+});
+
+test("keys keep their form and are read back", () => {
+  const keys: Readonly<Record<string, string>> = {
+    "key/leader": LEADER_KEY,
+    "key/number": NUMBER_KEY,
+    "key/types": TYPES_KEY,
+    "key/member": memberKey("ctl-0"),
+    "key/block": blockKey(0),
+    "key/job": jobKey("wk-1"),
+    "key/range": rangeKey("wk-1", 12),
+    "key/full": fullKey(0),
+    "key/silence": silenceKey(0),
+    "key/awaited": awaitedKey("wk-1", "d", 3),
+    "key/end": endKey("wk-1"),
+    "key/graph": graphKey("dr-1"),
+    "key/summary": summaryKey("dr-1"),
+    "key/ended run": endedKey("dr-1"),
+    "key/plan": planKey("dr-1", "d", 4),
+    "key/segments": segmentPrefix("dr-1"),
+    "key/segment": segmentKey("dr-1", 5),
+    "key/parts": partPrefix("dr-1"),
+    "key/part": partKey("dr-1", 6, 7),
+    "key/last run": lastRunKey("open", "nightly"),
+    "key/upload": uploadKey("dr-1"),
+    "key/job of a step": jobIdOf("dr-1", "0123456789abcdef", 40, 2),
+  };
+  for (const [name, key] of Object.entries(keys)) records.matches(name, key);
+  assert.equal(memberOfKey(records.text("key/member")), "ctl-0");
+  assert.equal(jobOfKey(records.text("key/job")), "wk-1");
+  assert.deepEqual(rangeOfKey(records.text("key/range")), { id: "wk-1", range: 12 });
+  assert.equal(jobOfAwaitedKey(records.text("key/awaited")), "wk-1");
+  assert.equal(graphOfKey(records.text("key/graph")), "dr-1");
+  assert.equal(uploadOfKey(records.text("key/upload")), "dr-1");
+  assert.deepEqual(partsOfJobId(records.text("key/job of a step")), { step: 40, attempt: 2 });
+});
+
+const request = { method: "POST", target: "/orders?a=b", body: '{"baton":1}' };
+const meshFrames: Readonly<Record<string, Frame>> = {
+  hello: { type: "hello", label: "ctl-0", incarnation: "ab-\u00e9" },
+  beat: { type: "beat", beat: { sequence: 5, level: 3, stateAgeMs: 250, cloudAgeMs: NEVER, deaf: true } },
+  "beat/zero": { type: "beat", beat: { sequence: 0, level: 0, stateAgeMs: 0, cloudAgeMs: 0, deaf: false } },
+  ask: { type: "ask", id: 9, address: "10.0.0.1:80", timeoutMs: 2_000, request },
+  "ask/self": { type: "ask", id: 0, address: "", timeoutMs: 1, request: { method: "GET", target: "/up", body: "" } },
+  "told/answer": { type: "told", id: 9, outcome: { kind: "answer", status: 200, body: "{}", retryAfterS: null } },
+  "told/retry": { type: "told", id: 9, outcome: { kind: "answer", status: 503, body: "", retryAfterS: 5 } },
+  "told/unsent": { type: "told", id: 9, outcome: { kind: "unsent" } },
+  "told/lost": { type: "told", id: 4_294_967_295, outcome: { kind: "lost" } },
+};
+
+test("frames between controllers keep their form and are read back", () => {
+  for (const [name, frame] of Object.entries(meshFrames)) {
+    frames.matches(name, encode(frame).toString("hex"));
+    const [read] = new FrameReader().push(Buffer.from(frames.text(name), "hex"));
+    assert.deepEqual(read, frame, name);
+    assert.ok(read !== undefined);
+    frames.matches(name, encode(read).toString("hex"));
+  }
+});
+
+test("a frame of an unknown type is skipped and bytes behind the known fields are ignored", () => {
+  const text = [frames.text("unknown type"), frames.text("longer hello"), frames.text("beat")].join("");
+  const read = new FrameReader().push(Buffer.from(text, "hex"));
+  assert.deepEqual(read, [meshFrames.hello, meshFrames.beat]);
+});
+
+test("every fixture of records and frames is compared", () => {
+  records.allUsed();
+  frames.allUsed();
+});
--- /dev/null
+++ b/test/wire-forms.test.ts
@@ -0,0 +1,294 @@
+/**
+ * Messages of users, workers, cloud and key-value store, compared byte for byte with `test/fixtures/messages.txt`: what
+ * is sent, and what is read from given bytes. The other side of each is not part of this program, so no line of that
+ * file may change. The values are typed literals, so that fields can be renamed in memory.
+ */
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { Store } from "../src/bookkeeping/store.js";
+import { Cloud } from "../src/coordination/cloud.js";
+import type { ListedMachine, MachineType } from "../src/protocol/cloud.js";
+import { type Fields, formatJson, parseJson } from "../src/protocol/json.js";
+import type { Change, Entry, Write } from "../src/protocol/state.js";
+import {
+  demandOf,
+  type JobPhase,
+  type JobShape,
+  type JobSpec,
+  PRIORITIES,
+  phaseAnswer,
+  readSubmission,
+  statusAnswer,
+  submissionOf,
+} from "../src/protocol/user.js";
+import {
+  type Command,
+  commandRequest,
+  type Report,
+  readReportText,
+  redirectAnswer,
+  reportAnswer,
+  type TaskReport,
+} from "../src/protocol/worker.js";
+import { type Clock, type Micros, ms, seconds } from "../src/transport/clock.js";
+import type { HttpClient } from "../src/transport/http.js";
+import type { Log } from "../src/transport/log.js";
+import { FixtureLines } from "./fixture-lines.js";
+
+const messages = new FixtureLines("messages.txt");
+
+const clock: Clock = { now: () => 0 as Micros, after: () => ({ cancel: () => undefined }) };
+const log: Log = { error: () => undefined, info: () => undefined, debug: () => undefined };
+
+/** Compares each request with the fixture of this name and answers with the bytes of the fixture beside it. */
+const scripted = (name: string, status = 200): HttpClient => {
+  let count = 0;
+  return {
+    call: async (address, { method, target, body }) => {
+      count += 1;
+      messages.matches(`${name}/request ${count}`, `${address} ${method} ${target} ${body}`);
+      return { kind: "answer", status, body: messages.text(`${name}/answer ${count}`), retryAfterS: null };
+    },
+  };
+};
+
+const BUDGET = { requestsPerS: 1_000, writesPerS: 1_000, writesPerTransaction: 10 };
+const storeFor = (name: string, status?: number): Store =>
+  new Store(scripted(name, status), "state:1", clock, log, BUDGET, () => 0);
+const cloudFor = (name: string, status?: number): Cloud =>
+  new Cloud(scripted(name, status), "cloud:1", clock, log, 100);
+
+const LARGE = 18_446_744_073_709_551_615n;
+
+test("reads of the key-value store keep their form", async () => {
+  const entry: Entry = { key: "c/job/wk-1", value: { a: [1, null], b: "x" }, version: LARGE };
+  assert.deepEqual(await storeFor("store/get").get("c/job/wk-1"), { kind: "ok", value: entry });
+  const second: Entry = { key: "c/leader", value: null, version: 3 };
+  assert.deepEqual(await storeFor("store/list").list("c/"), {
+    kind: "ok",
+    value: { entries: [entry, second], revision: 7 },
+  });
+  assert.deepEqual(await storeFor("store/page").page("c/", "c/a", 20), {
+    kind: "ok",
+    value: { entries: [entry], more: true, revision: 7 },
+  });
+  const changes: readonly Change[] = [
+    { kind: "put", key: "c/a", value: { x: 1 }, version: 8 },
+    { kind: "delete", key: "c/b", version: LARGE },
+  ];
+  assert.deepEqual(await storeFor("store/watch").watch("c/", 7, seconds(5)), {
+    kind: "ok",
+    value: { changes, revision: 9 },
+  });
+  assert.deepEqual(await storeFor("store/watch without changes").watch("c/", LARGE, ms(1)), {
+    kind: "ok",
+    value: { changes: [], revision: 9 },
+  });
+});
+
+test("transactions of the key-value store keep their form", async () => {
+  const writes: readonly Write[] = [
+    { kind: "put", key: "c/a", value: { x: 1 } },
+    { kind: "put", key: "c/b", value: [], lease: LARGE },
+    { kind: "delete", key: "c/c" },
+  ];
+  const conditions = new Map<string, number | bigint>([
+    ["c/a", 0],
+    ["c/b", LARGE],
+  ]);
+  assert.deepEqual(await storeFor("store/transaction").commit(conditions, writes), { kind: "ok", version: 10 });
+  assert.deepEqual(await storeFor("store/empty transaction").commit(new Map(), []), { kind: "ok", version: 10 });
+  assert.deepEqual(await storeFor("store/conflict", 409).commit(conditions, writes), {
+    kind: "conflict",
+    keys: ["c/a"],
+  });
+  assert.deepEqual(await storeFor("store/no lease", 400).commit(conditions, writes), { kind: "refused" });
+  assert.deepEqual(await storeFor("store/too large", 400).commit(conditions, writes), { kind: "too large" });
+});
+
+test("leases of the key-value store keep their form", async () => {
+  assert.deepEqual(await storeFor("store/grant").grant(seconds(20)), { kind: "ok", value: LARGE });
+  assert.deepEqual(await storeFor("store/renew").touch(LARGE), { kind: "ok", value: true });
+  assert.deepEqual(await storeFor("store/end").end(5), { kind: "ok", value: true });
+});
+
+test("messages of the cloud keep their form", async () => {
+  const types: readonly MachineType[] = [
+    {
+      name: "big",
+      capacity: { cpu: 16_000, gpu: 2_000, ram: 64_500 },
+      cacheGb: 60,
+      fetchGbPerS: 1,
+      price: 1,
+      spotPrice: 0.4,
+      bootS: 15,
+      zones: ["east", "west"],
+    },
+    {
+      name: "small",
+      capacity: { cpu: 500, gpu: 0, ram: 1_000 },
+      cacheGb: 5,
+      fetchGbPerS: 0.5,
+      price: 0.25,
+      spotPrice: 0.25,
+      bootS: 10,
+      zones: [],
+    },
+  ];
+  const catalog = await cloudFor("cloud/types").types();
+  assert.ok(catalog.kind === "ok");
+  assert.deepEqual(catalog.value.types, types);
+  // Put on record as it came.
+  messages.matches("cloud/types/answer 1", formatJson(catalog.value.raw));
+  const machine: ListedMachine = {
+    name: "n-1",
+    address: "10.0.0.1:80",
+    type: "big",
+    zone: "east",
+    spot: true,
+    state: "running",
+    ageS: 12.5,
+  };
+  const machines: readonly ListedMachine[] = [
+    machine,
+    { ...machine, name: "n-2", address: null, spot: false, state: "booting", ageS: 0 },
+    { ...machine, name: "n-3", address: null, spot: false, state: "failed", ageS: 1 },
+  ];
+  assert.deepEqual(await cloudFor("cloud/list").list(), { kind: "ok", value: machines });
+  const rented = await cloudFor("cloud/rent").rent("ask-1", "big", "east", true, 2);
+  assert.deepEqual(rented, { kind: "ok", value: ["n-4", "n-5"] });
+  const refused = await cloudFor("cloud/no capacity", 503).rent("ask-2", "small", "west", false, 1);
+  assert.deepEqual(refused, { kind: "refused" });
+  assert.deepEqual(await cloudFor("cloud/delete").delete(["n-1", "n-2"]), { kind: "ok", value: true });
+});
+
+const plainSpec: JobSpec = {
+  id: "wk-1",
+  jobClass: "web",
+  team: "open",
+  shape: "array",
+  priority: "normal",
+  tasks: 3,
+  demand: demandOf(1.5, 0, 4),
+  types: null,
+  zone: null,
+  oneZone: false,
+  spread: false,
+  spot: false,
+  image: "img:1",
+  imageGb: 1.5,
+  estimateS: 60,
+  checkpointS: 0,
+  saveS: 0,
+  deadlineS: null,
+};
+const shapes: readonly JobShape[] = ["array", "gang", "service"];
+const specs: Readonly<Record<string, JobSpec>> = {
+  "user/plain": plainSpec,
+  "user/full": {
+    ...plainSpec,
+    demand: demandOf(2, 1, 0.5),
+    types: ["big", "small"],
+    zone: "east",
+    oneZone: true,
+    spread: true,
+    spot: true,
+    checkpointS: 30,
+    saveS: 2.5,
+    deadlineS: 600,
+    awaits: ["wk-a", "wk-b"],
+  },
+  ...Object.fromEntries(shapes.map((shape) => [`user/${shape}`, { ...plainSpec, shape }] as const)),
+  ...Object.fromEntries(PRIORITIES.map((priority) => [`user/${priority}`, { ...plainSpec, priority }] as const)),
+};
+
+test("submissions of users keep their form and are read back", () => {
+  for (const [name, spec] of Object.entries(specs)) {
+    messages.matches(name, formatJson(submissionOf(spec)));
+    assert.deepEqual(readSubmission(parseJson(messages.text(name))), spec, name);
+  }
+  assert.deepEqual(readSubmission(parseJson(messages.text("user/fewest fields"))), plainSpec);
+});
+
+test("answers to users keep their form", () => {
+  const phases: readonly JobPhase[] = ["queued", "running", "done", "cancelled"];
+  for (const phase of phases) messages.matches(`phase/${phase}`, formatJson(phaseAnswer("wk-1", phase)));
+  messages.matches("status/running", formatJson(statusAnswer("wk-1", "running", 1, 2)));
+  const awaits = Array.from({ length: 21 }, (_, at) => `wk-${at}`);
+  messages.matches("status/awaits", formatJson(statusAnswer("wk-1", "queued", 0, 0, awaits)));
+});
+
+const report: Report = {
+  machine: "n-1",
+  address: "10.0.0.1:80",
+  type: "big",
+  zone: "east",
+  spot: false,
+  session: 5,
+  sequence: 6,
+  token: 0,
+  noticeS: null,
+  tasks: [],
+  listing: null,
+  same: false,
+};
+const running: TaskReport = { task: "wk-1/0", attempt: 1, state: "running", reason: null };
+const reportedTasks: readonly TaskReport[] = [
+  running,
+  { ...running, attempt: LARGE, state: "fetching" },
+  { ...running, state: "waiting" },
+  { ...running, state: "saving" },
+  { ...running, state: "exited", reason: "done" },
+  { ...running, state: "exited", reason: "stopped" },
+  { ...running, state: "exited", reason: "stopped" },
+  { ...running, state: "exited", reason: "stopped" },
+  { ...running, state: "exited", reason: "error" },
+  { ...running, state: "exited", reason: "no_room" },
+  { ...running, state: "exited", reason: "busy" },
+  { ...running, state: "exited", reason: "unknown" },
+  // A state that is not known counts as running, a cause that is not known as an error.
+  running,
+  { ...running, state: "exited", reason: "error" },
+];
+
+test("workers' heartbeats are read from their form", () => {
+  const none = (): null => null;
+  assert.deepEqual(readReportText(messages.text("report/fewest fields"), none), report);
+  const text = messages.text("report/full");
+  const listing = text.slice(text.indexOf(',"shards":['));
+  const full: Report = {
+    ...report,
+    spot: true,
+    session: LARGE,
+    sequence: 9_007_199_254_740_993n,
+    token: 7,
+    noticeS: 12.5,
+    tasks: reportedTasks,
+    listing,
+  };
+  assert.deepEqual(readReportText(text, none), full);
+  assert.deepEqual(
+    readReportText(text, (machine) => (machine === "n-1" ? listing : null)),
+    { ...full, tasks: [], same: true },
+  );
+});
+
+test("messages to workers keep their form", () => {
+  const commands: readonly Command[] = [
+    { op: "start", task: "wk-1/0", attempt: 1 },
+    { op: "stop", task: "wk-1/1", attempt: LARGE, graceS: 2.5 },
+    { op: "forget", task: "wk-1/2", attempt: 0 },
+  ];
+  const sent: Readonly<Record<string, Fields>> = {
+    "worker/answer": reportAnswer(LARGE, commands),
+    "worker/answer without commands": reportAnswer(0, []),
+    "worker/commands": commandRequest(7, LARGE, commands),
+    "worker/redirect": redirectAnswer("10.0.0.1:8080"),
+    "worker/redirect to nobody": redirectAnswer(null),
+  };
+  for (const [name, message] of Object.entries(sent)) messages.matches(name, formatJson(message));
+});
+
+test("every fixture of messages is compared", () => {
+  messages.allUsed();
+});
