--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -2,10 +2,8 @@
 import { test } from "node:test";
 import { S } from "../src/model/index.js";
 import { Random } from "./random.js";
-import { Cluster, plainJob, randomJob, SMALL } from "./sim/cluster.js";
-import { MEETING } from "./sim/meetings.js";
-import { LOWER, next, rollout } from "./sim/rollout.js";
-import { badNight, partialCuts, trouble } from "./sim/troubles.js";
+import { Cluster, plainJob } from "./sim/cluster.js";
+import { BUSY, LONGEST_TROUBLE, randomDay } from "./sim/random-day.js";
 
 /** Many more are run by hand: RAINRIDGE_SEEDS=1000 (docs/results.md). */
 const SEEDS = Number(process.env.RAINRIDGE_SEEDS ?? 24);
@@ -17,88 +15,12 @@
 /** Refusals of the holder, late transactions, slow answers, held-up commands and the like, a day at most. */
 const MEETINGS = Number(process.env.RAINRIDGE_MET ?? 3);
 
-/** No trouble lasts for longer than this. */
-const LONGEST_TROUBLE = 65 * S;
-
 /** Chains of jobs, a day at most; half of the days begin with the version before them and lower the limits in the end. */
 const CHAINS = Number(process.env.RAINRIDGE_CHAINS ?? 5);
 
-/** Jobs that await some of those before them, of other chains as well; some are called off, some come last of all. */
-const chained = (cluster: Cluster, random: Random, from: number, until: number): void => {
-  const ids: string[] = [];
-  for (let number = random.int(0, CHAINS); number > 0; number -= 1) {
-    let at = random.int(from, until);
-    for (let stage = random.int(1, 6); stage > 0; stage -= 1) {
-      const ref = `wk-5${String(number).padStart(2, "0")}${String(stage).padStart(3, "0")}`;
-      const before = ids.filter(() => random.chance(0.3)).slice(-4);
-      const own = ids.at(-1);
-      const awaits = [...new Set(own === undefined ? before : [...before, own])];
-      const rank = random.pick(["high", "best_effort"] as const);
-      const fields = {
-        rank,
-        shards: random.int(1, 4),
-        cpus: 1,
-        sizeGb: 0.2,
-        awaits,
-        dueS: random.chance(0.3) ? 90 : null,
-      };
-      ids.push(ref);
-      const owner = random.chance(0.3) ? "capped" : "open";
-      const runUs = random.int(2, 12) * S;
-      const submit = (): void => {
-        const accepted = new Set(cluster.checker.accepted());
-        if (awaits.every((id) => accepted.has(id))) cluster.submit(plainJob(ref, { ...fields, owner }), { runUs });
-        // Not for ever: one that it needs may never have been accepted.
-        else if (cluster.world.now < until + 60 * S) cluster.world.after(S / 2, submit);
-      };
-      cluster.world.at(at, submit);
-      if (random.chance(0.15)) cluster.world.at(at + random.int(0, 40 * S), () => cluster.users.cancelIfAccepted(ref));
-      at += random.int(0, 20 * S);
-    }
-  }
-};
-
 const day = async (seed: number): Promise<void> => {
-  // Every third day on such controllers.
-  const mesh = seed % 2 === 0;
-  const chains = new Random(seed + 4_000);
-  const rolls = CHAINS > 0 && chains.chance(0.5);
-  const cluster = new Cluster(seed, { mesh }, rolls ? next : undefined, seed % 3 === 0 ? SMALL : undefined);
-  if (rolls) {
-    const { upgrade } = rollout(seed, mesh, next, cluster);
-    const turns = [0, 1, 2].map((at) => (8 + chains.int(0, 30) + at * chains.int(1, 12)) * S);
-    for (const [at, turn] of turns.entries()) cluster.world.at(turn, () => upgrade(at));
-    cluster.world.at(chains.int(75, 140) * S, () => cluster.state.lower(LOWER));
-    chained(cluster, chains, Math.max(...turns) + 5 * S, 140 * S);
-  } else chained(cluster, chains, 5 * S, 140 * S);
-  const random = new Random(seed + 1_000);
-  const busy = 150 * S;
-  for (let number = 0; number < 26; number += 1) {
-    const job = randomJob(random, number);
-    const at = number < 6 ? 2 * S : random.int(2 * S, busy);
-    cluster.world.at(at, () => cluster.submit(job, { runUs: job.shape === "daemon" ? null : random.int(3, 30) * S }));
-    const given = random.chance(0.2);
-    if (given) cluster.world.at(at + random.int(0, 40 * S), () => cluster.users.cancel(job.ref));
-  }
-  for (let number = 0; number < 8; number += 1)
-    cluster.world.at(random.int(0, busy), () => cluster.users.askOnce("wk-900000"));
-  for (let number = random.int(3, 7); number > 0; number -= 1) {
-    cluster.world.at(random.int(10 * S, busy), () => trouble(cluster, random));
-  }
-  // With connections between controllers, cuts that leave some links up come on top of everything else.
-  for (let number = mesh ? random.int(1, 4) : 0; number > 0; number -= 1) {
-    cluster.world.at(random.int(10 * S, busy), () => partialCuts(cluster, random));
-  }
-  // One-way loss, late copies, lone holders and instant returns over all of that, each from a sequence of its own.
-  const nights = new Random(seed + 2_000);
-  for (let number = nights.int(0, NIGHTS); number > 0; number -= 1) {
-    cluster.world.at(nights.int(10 * S, busy), () => badNight(cluster, nights));
-  }
-  const meetings = new Random(seed + 3_000);
-  for (let number = meetings.int(0, MEETINGS); number > 0; number -= 1) {
-    cluster.world.at(meetings.int(10 * S, busy), () => meetings.pick(Object.values(MEETING))(cluster));
-  }
-  await cluster.run(busy);
+  const cluster = randomDay(seed, { chains: CHAINS, badNights: NIGHTS, meetings: MEETINGS });
+  await cluster.run(BUSY);
   await cluster.run(LONGEST_TROUBLE);
   cluster.checker.calmFrom = cluster.world.now;
   await cluster.run(400 * S - LONGEST_TROUBLE);
