--- a/src/model/index.ts
+++ b/src/model/index.ts
@@ -22,7 +22,7 @@
   type TeamSpec,
   type TypeSpec,
 } from "./site-spec.js";
-export { StateService } from "./state-service.js";
+export { type KeyChange, StateService } from "./state-service.js";
 export { type Behaviour, jobOf, Truth } from "./truth.js";
 export { type Hearing, type Odd, PLAIN_USERS, type Quirks, type Submission, Users } from "./users.js";
 export { both, type EndCause, type HostInfo, nobody, type Witness } from "./witness.js";
--- a/src/model/state-service.ts
+++ b/src/model/state-service.ts
@@ -9,6 +9,14 @@
   hold: number | null;
 }
 
+/** A key as it is after a change. */
+export interface KeyChange {
+  readonly key: string;
+  /** Undefined where the key was removed. */
+  readonly value: unknown;
+  readonly revision: number;
+}
+
 type Logged = { set: string; value: unknown; stamp: number } | { remove: string; stamp: number };
 
 interface Transaction {
@@ -41,6 +49,8 @@
   onApplied: (keys: readonly string[]) => void = () => undefined;
   /** Told of each transaction that was carried out, or whose conditions failed, at once. */
   onTransaction: (body: string) => void = () => undefined;
+  /** Told of each change of a key, removals by lease expiry included, in order. */
+  onChange: ((change: KeyChange) => void) | null = null;
   /** Share of transactions that are carried out, now or seconds later, without an answer. */
   unanswered = 0;
   /** How late those are carried out, at least and at most; null: half of them at once, the others up to 20 s late. */
@@ -98,7 +108,7 @@
   put(key: string, value: unknown): void {
     this.epoch += 1;
     this.items.set(key, { value, stamp: this.epoch, hold: null });
-    this.log.push({ set: key, value, stamp: this.epoch });
+    this.recordSet(key, value);
     this.wake();
   }
 
@@ -129,6 +139,12 @@
   private remove(key: string): void {
     if (!this.items.delete(key)) return;
     this.log.push({ remove: key, stamp: this.epoch });
+    this.onChange?.({ key, value: undefined, revision: this.epoch });
+  }
+
+  private recordSet(key: string, value: unknown): void {
+    this.log.push({ set: key, value, stamp: this.epoch });
+    this.onChange?.({ key, value, revision: this.epoch });
   }
 
   private wake(): void {
@@ -210,7 +226,7 @@
     for (const write of writes) {
       if ("set" in write) {
         this.items.set(write.set, { value: write.value, stamp: this.epoch, hold: write.hold ?? null });
-        this.log.push({ set: write.set, value: write.value, stamp: this.epoch });
+        this.recordSet(write.set, write.value);
       } else this.remove(write.remove);
     }
     this.wake();
--- a/src/model/wires.ts
+++ b/src/model/wires.ts
@@ -37,6 +37,7 @@
 
   private send(data: Buffer): void {
     const { world } = this.hub;
+    this.hub.onSend?.(this.from, this.to, data);
     const arrive = (): void => {
       const cut = this.hub.network.cutFor(this.from, this.to);
       if (cut?.mode === "reset") {
@@ -82,6 +83,8 @@
   private readonly listeners = new Map<string, { readonly clock: HostClock; readonly onWire: (wire: Wire) => void }>();
   private readonly ends = new Set<End>();
   refusedUntil = 0;
+  /** Told of the bytes that a controller sends to another over an established connection. */
+  onSend: ((from: string, to: string, data: Buffer) => void) | null = null;
 
   constructor(
     readonly world: World,
