--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -1,3 +1,4 @@
+import { jobSpecForm } from "../protocol/job-spec-form.js";
 import {
   asArray,
   asObject,
@@ -8,6 +9,7 @@
   readWhole,
   type Whole,
 } from "../protocol/json.js";
+import { RecordForm } from "../protocol/record-form.js";
 import type { JobSpec } from "../protocol/user.js";
 
 /**
@@ -65,12 +67,18 @@
   readonly number: number;
 }
 
+/** Where a list of awaited jobs lies that is too long for its job's record. */
+export interface AwaitedList {
+  readonly digest: string;
+  readonly parts: number;
+}
+
 export interface JobRecord {
   readonly spec: JobSpec;
   readonly block: number;
   readonly cancelled: boolean;
   /** Where the list of awaited jobs lies, if it is not in the specification. */
-  readonly awaited?: { readonly digest: string; readonly parts: number };
+  readonly awaited?: AwaitedList;
   /** Time of day in milliseconds at which it was accepted, where that is known. */
   readonly acceptedMs?: number;
   /** Where it was not its user who cancelled it. */
@@ -135,21 +143,41 @@
     return { kind: "placed", attempt, machine };
   });
 
-const whyOf = (fields: Fields): { readonly why?: EndReason } => {
-  const why = END_REASONS.find((reason) => reason === fields.why);
-  return why === undefined ? {} : { why };
-};
+/** Undefined where there is none, or one that is not known here. */
+const readReason = (fields: Fields): EndReason | undefined => END_REASONS.find((reason) => reason === fields.why);
+
+const memberForm = new RecordForm<MemberRecord>({ lease: "lease", incarnation: "incarnation" });
+const blockForm = new RecordForm<BlockRecord>({ label: "label", incarnation: "incarnation", number: "number" });
+const silenceForm = new RecordForm<SilenceRecord>({ number: "number", zones: "zones" });
+const endForm = new RecordForm<EndRecord>({ phase: "phase", done: "done", why: "why" });
+const awaitedListForm = new RecordForm<AwaitedList>({ digest: "digest", parts: "parts" });
+const jobForm = new RecordForm<JobRecord>({
+  spec: { name: "spec", form: jobSpecForm },
+  block: "block",
+  cancelled: "cancelled",
+  awaited: { name: "awaited", form: awaitedListForm },
+  acceptedMs: "acceptedMs",
+  why: "why",
+  errors: "errors",
+});
+
+export const writeMember = (record: MemberRecord): Fields => memberForm.encode(record);
+export const writeBlock = (record: BlockRecord): Fields => blockForm.encode(record);
+export const writeSilence = (record: SilenceRecord): Fields => silenceForm.encode(record);
+export const writeEnd = (record: EndRecord): Fields => endForm.encode(record);
+export const writeJob = (record: JobRecord): Fields => jobForm.encode(record);
 
 // Written by this program alone and never edited elsewhere, so its inner shape is taken as it is.
 export const readJob = (value: unknown): JobRecord => {
   const fields = asObject(value, "job record");
+  const reason = readReason(fields);
   return {
-    spec: asObject(fields.spec, "spec") as unknown as JobSpec,
+    spec: jobSpecForm.decode(asObject(fields.spec, "spec")),
     block: readAmount(fields, "block"),
     cancelled: fields.cancelled === true,
-    ...(fields.awaited === undefined ? {} : { awaited: fields.awaited as NonNullable<JobRecord["awaited"]> }),
+    ...(fields.awaited === undefined ? {} : { awaited: awaitedListForm.decode(fields.awaited) }),
     ...(typeof fields.acceptedMs === "number" ? { acceptedMs: fields.acceptedMs } : {}),
-    ...whyOf(fields),
+    ...(reason === undefined ? {} : { why: reason }),
     ...(fields.errors === undefined ? {} : { errors: fields.errors as Readonly<Record<string, number>> }),
   };
 };
@@ -195,5 +223,6 @@
 export const readEnd = (value: unknown): EndRecord => {
   const fields = asObject(value, "end");
   const phase = readString(fields, "phase") === "done" ? "done" : "cancelled";
-  return { phase, done: readAmount(fields, "done"), ...whyOf(fields) };
+  const reason = readReason(fields);
+  return { phase, done: readAmount(fields, "done"), ...(reason === undefined ? {} : { why: reason }) };
 };
--- a/src/coordination/awaited.ts
+++ b/src/coordination/awaited.ts
@@ -7,6 +7,7 @@
   jobKey,
   jobOfKey,
   readJob,
+  writeJob,
 } from "../bookkeeping/records.js";
 import { formatJson, type Whole } from "../protocol/json.js";
 import type { Change } from "../protocol/state.js";
@@ -132,7 +133,7 @@
   /** The record as it fits: a list that is too long for it is written first, in parts. Null: not to be had now. */
   async prepare(record: JobRecord, most: number): Promise<Prepared | null> {
     const { awaits, ...rest } = record.spec;
-    if (awaits === undefined || formatJson(record).length <= most) return { record, conditions: new Map() };
+    if (awaits === undefined || formatJson(writeJob(record)).length <= most) return { record, conditions: new Map() };
     const parts = partsOf(awaits, most);
     const digest = createHash("sha256").update(awaits.join(" ")).digest("hex").slice(0, 24);
     const conditions = new Map<string, Whole>();
--- a/src/coordination/front-door.ts
+++ b/src/coordination/front-door.ts
@@ -10,9 +10,11 @@
   readEnd,
   readJob,
   readRange,
+  writeJob,
 } from "../bookkeeping/records.js";
 import { gapFor } from "../bookkeeping/view.js";
 import type { MachineType } from "../protocol/cloud.js";
+import { jobSpecForm } from "../protocol/job-spec-form.js";
 import { formatJson, Malformed, parseJson } from "../protocol/json.js";
 import type { Entry } from "../protocol/state.js";
 import { isJobId, type JobPhase, type JobSpec, phaseAnswer, readSubmission, statusAnswer } from "../protocol/user.js";
@@ -51,7 +53,9 @@
  * that where it might have gone and what it awaited is not needed.
  */
 const shrunk = (record: JobRecord, most: number): JobRecord =>
-  formatJson(record).length <= most ? record : { ...record, spec: { ...withoutAwaits(record.spec), types: null } };
+  formatJson(writeJob(record)).length <= most
+    ? record
+    : { ...record, spec: { ...withoutAwaits(record.spec), types: null } };
 
 type Found =
   | { readonly kind: "current"; readonly entry: Entry }
@@ -173,15 +177,15 @@
       return this.unlessAccepted(spec.id, answer(422, { error: `awaits: ${checked.id} was never accepted` }));
     }
     if (checked.kind === "unknown") return comeBack("state service unavailable");
-    const acceptedMs = wall === null ? {} : { acceptedMs: Math.round(wall()) };
+    const acceptance: Partial<JobRecord> = wall === null ? {} : { acceptedMs: Math.round(wall()) };
     // What awaits a job that was called off is accepted all the same, and called off with it.
-    const record: JobRecord = { spec, block: homeBlock(spec.team), cancelled: checked.withdrawn, ...acceptedMs };
+    const record: JobRecord = { spec, block: homeBlock(spec.team), cancelled: checked.withdrawn, ...acceptance };
     const prepared = await this.awaited.prepare(record, this.services.committer.valueBytes);
     if (prepared === null) return comeBack("state service unavailable");
     const key = jobKey(spec.id);
     const result = await committer.propose(
       new Map([...prepared.conditions, [key, 0], [endKey(spec.id), 0]]),
-      [{ kind: "put", key, value: prepared.record }],
+      [{ kind: "put", key, value: writeJob(prepared.record) }],
       "user",
     );
     switch (result.kind) {
@@ -210,7 +214,8 @@
     if (never !== null) return answer(422, { error: never });
     // The state service would refuse the record however often it is sent.
     const most = this.services.committer.valueBytes;
-    const tooLarge = body.length > most / 2 && formatJson(withoutAwaits(spec)).length + RECORD_BYTES > most;
+    const tooLarge =
+      body.length > most / 2 && formatJson(jobSpecForm.encode(withoutAwaits(spec))).length + RECORD_BYTES > most;
     return tooLarge ? answer(400, { error: "job: too large" }) : null;
   }
 
@@ -323,7 +328,7 @@
       const value = shrunk({ ...record, cancelled: true }, this.services.committer.valueBytes);
       const result = await committer.propose(
         new Map([[entry.key, entry.version]]),
-        [{ kind: "put", key: entry.key, value }],
+        [{ kind: "put", key: entry.key, value: writeJob(value) }],
         "cancel",
       );
       if (result.kind === "ok") return answer(200, phaseAnswer(id, "cancelled"));
--- a/src/coordination/membership.ts
+++ b/src/coordination/membership.ts
@@ -8,6 +8,8 @@
   NUMBER_KEY,
   readBlock,
   readMember,
+  writeBlock,
+  writeMember,
 } from "../bookkeeping/records.js";
 import type { Whole } from "../protocol/json.js";
 import type { Entry, Write } from "../protocol/state.js";
@@ -97,7 +99,7 @@
     const sent = this.clock.now();
     const lease = await store.grant(this.ttl);
     if (lease.kind !== "ok") return;
-    const value = { lease: lease.value, incarnation: this.incarnation };
+    const value = writeMember({ lease: lease.value, incarnation: this.incarnation });
     const written = await store.commit(new Map([[key, 0]]), [{ kind: "put", key, value, lease: lease.value }]);
     if (written.kind !== "ok") return;
     this.grant = { lease: lease.value, renewed: sent };
@@ -224,7 +226,7 @@
       const record: BlockRecord = { label: memberOfKey(member.key) ?? "", incarnation, number };
       const writes: Write[] = [
         { kind: "put", key: NUMBER_KEY, value: { number } },
-        { kind: "put", key, value: record, lease },
+        { kind: "put", key, value: writeBlock(record), lease },
       ];
       const result = await store.commit(
         new Map([
--- a/src/coordination/recorder.ts
+++ b/src/coordination/recorder.ts
@@ -7,6 +7,7 @@
   rangeKey,
   readRange,
   type TaskRecord,
+  writeEnd,
   writeRange,
 } from "../bookkeeping/records.js";
 import { confirmed, sameRecord } from "../bookkeeping/tasks.js";
@@ -227,10 +228,10 @@
     const here = written.slice(0, Math.max(0, context.committer.mostWrites - 2));
     const last = endKey(job.spec.id);
     const conditions = this.conditions(job).set(last, 0);
-    const why = done || job.why === null ? {} : { why: job.why };
-    const record: EndRecord = { phase: done ? "done" : "cancelled", done: job.done, ...why };
+    const reason: Partial<EndRecord> = done || job.why === null ? {} : { why: job.why };
+    const record: EndRecord = { phase: done ? "done" : "cancelled", done: job.done, ...reason };
     const writes: Write[] = [
-      { kind: "put", key: last, value: record },
+      { kind: "put", key: last, value: writeEnd(record) },
       { kind: "delete", key: jobKey(job.spec.id) },
     ];
     // Ranges without a job tell nothing: they may go later, as long as they do not pile up.
--- a/src/coordination/silence-record.ts
+++ b/src/coordination/silence-record.ts
@@ -1,5 +1,5 @@
 import type { Machine } from "../bookkeeping/picture.js";
-import { readSilence, type SilenceRecord, silenceKey } from "../bookkeeping/records.js";
+import { readSilence, type SilenceRecord, silenceKey, writeSilence } from "../bookkeeping/records.js";
 import type { Whole } from "../protocol/json.js";
 import type { Write } from "../protocol/state.js";
 import { type Micros, seconds } from "../transport/clock.js";
@@ -119,7 +119,7 @@
     ]);
     // Never deleted: what is not there has version 0 again, and an earlier write without an answer, applied late under
     // that condition, put a zone on record that was being answered. A write of no zones moves the version on.
-    const write: Write = { kind: "put", key: this.key, value: this.record(wanted) };
+    const write: Write = { kind: "put", key: this.key, value: writeSilence(this.record(wanted)) };
     committer
       .propose(conditions, [write], "cancel")
       .then(async (result) => {
--- a/src/graphs/index.ts
+++ b/src/graphs/index.ts
@@ -39,7 +39,11 @@
   type Upload,
   uploadKey,
   uploadOfKey,
+  writeEnded,
+  writeHeader,
+  writeSegment,
   writeSegments,
+  writeUpload,
 } from "./service/records.js";
 export { drawingOf, MOST_DRAWN } from "./show/drawing.js";
 export { outline, treeOf } from "./show/outline.js";
--- a/src/graphs/run/plan.ts
+++ b/src/graphs/run/plan.ts
@@ -2,6 +2,7 @@
 import { sha256 } from "@noble/hashes/sha2.js";
 import { bytesToHex } from "@noble/hashes/utils.js";
 import type { Fields } from "../../protocol/json.js";
+import { RecordForm } from "../../protocol/record-form.js";
 import type { TriggerRule } from "./rules.js";
 
 export const WEIGHT_RULES = ["downstream", "upstream", "absolute"] as const;
@@ -84,9 +85,53 @@
 const slim = (step: Step): Partial<Step> =>
   Object.fromEntries(Object.entries(step).filter(([name, value]) => !same(value, DEFAULT_STEP[name as keyof Step])));
 
+const retryForm = new RecordForm<Retry>({
+  retries: "retries",
+  delayS: "delayS",
+  exponential: "exponential",
+  maxDelayS: "maxDelayS",
+});
+
+const stepForm = new RecordForm<Step>({
+  id: "id",
+  kind: "kind",
+  upstream: "upstream",
+  rule: "rule",
+  retry: { name: "retry", form: retryForm },
+  timeoutS: "timeoutS",
+  pool: "pool",
+  weight: "weight",
+  weightRule: "weightRule",
+  dependsOnPast: "dependsOnPast",
+  setup: "setup",
+  cuts: "cuts",
+  cutsAll: "cutsAll",
+  job: "job",
+});
+
+/** Of steps, what differs from the defaults is stored. */
+const planForm = new RecordForm<Plan>({
+  dagId: "dagId",
+  description: "description",
+  owner: "owner",
+  tags: "tags",
+  ds: "ds",
+  maxActiveTasks: "maxActiveTasks",
+  maxActiveRuns: "maxActiveRuns",
+  timeoutS: "timeoutS",
+  jobs: "jobs",
+  steps: {
+    name: "steps",
+    form: {
+      encode: (step) => stepForm.encode(slim(step)),
+      decode: (stored) => ({ ...DEFAULT_STEP, ...stepForm.decode(stored) }),
+    },
+  },
+});
+
 /** As text for the state service, with the digest that tells two definitions apart. */
 export const encodePlan = (plan: Plan): { readonly text: string; readonly digest: string } => {
-  const json = JSON.stringify({ ...plan, steps: plan.steps.map(slim) });
+  const json = JSON.stringify(planForm.encode(plan));
   const digest = bytesToHex(sha256(Buffer.from(json, "utf8"))).slice(0, 16);
   return { text: gzipSync(json, { level: 6 }).toString("base64"), digest };
 };
@@ -94,8 +139,7 @@
 /** Throws where the text is not one that `encodePlan` made. */
 export const decodePlan = (text: string): Plan => {
   const json = gunzipSync(Buffer.from(text, "base64"), { maxOutputLength: MOST_TEXT }).toString("utf8");
-  const plan = JSON.parse(json) as Omit<Plan, "steps"> & { readonly steps: readonly Partial<Step>[] };
-  return { ...plan, steps: plan.steps.map((step) => ({ ...DEFAULT_STEP, ...step })) };
+  return planForm.decode(JSON.parse(json));
 };
 
 /** Numbers of each step's direct downstream steps. */
--- a/src/graphs/service/door.ts
+++ b/src/graphs/service/door.ts
@@ -2,6 +2,7 @@
 import type { Services } from "../../coordination/context.js";
 import { neverRuns } from "../../coordination/decisions/eligibility.js";
 import type { MachineType } from "../../protocol/cloud.js";
+import { jobSpecForm } from "../../protocol/job-spec-form.js";
 import { asArray, Malformed, parseJson, type Whole } from "../../protocol/json.js";
 import type { Write } from "../../protocol/state.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
@@ -46,10 +47,14 @@
   readEnded,
   readHeader,
   readSegments,
+  readUpload,
   segmentSize,
   segmentWrites,
   summaryKey,
+  type Upload,
   uploadKey,
+  writeHeader,
+  writeUpload,
 } from "./records.js";
 import { LARGE_RUN } from "./run-writes.js";
 
@@ -163,7 +168,7 @@
   private neverRuns(plan: Plan): string | null {
     for (const [step, spec] of distinctJobs(plan)) {
       // Beside the specification a record holds the id, the graph's and counts of failures.
-      if (JSON.stringify(spec).length + 400 > this.services.settings.state.valueBytes) {
+      if (JSON.stringify(jobSpecForm.encode(spec)).length + 400 > this.services.settings.state.valueBytes) {
         return `step ${step.id}: its job is too large for a record`;
       }
       const never = neverRuns(spec, this.services.settings, this.types);
@@ -211,8 +216,12 @@
     };
     // What the marker says of parts stays: should this end here, the last part comes again.
     const marked = this.services.view.entries.get(uploadKey(id));
-    const mark = { ...(marked?.value as object | undefined), plan: digest, chunks };
-    const marker: Write = { kind: "put", key: uploadKey(id), value: mark };
+    const uploaded: Upload = marked === undefined ? {} : readUpload(marked.value);
+    const marker: Write = {
+      kind: "put",
+      key: uploadKey(id),
+      value: writeUpload({ ...uploaded, plan: digest, chunks }),
+    };
     const unchanged = new Map([[uploadKey(id), marked?.version ?? 0]]);
     for (let at = 0; at < chunks; at += 1) {
       const value = text.slice(at * chunk, (at + 1) * chunk);
@@ -224,7 +233,7 @@
       // Chunks are cleared away under their marker: as long as it is this one, none has been.
       if (first) conditions.set(uploadKey(id), put.version);
     }
-    writes.push({ kind: "put", key: graphKey(id), value: header });
+    writes.push({ kind: "put", key: graphKey(id), value: writeHeader(header) });
     const result = await committer.propose(conditions, writes, "user");
     if (result.kind === "ok") return answer(201, { ref: id, phase: "pending" });
     if (result.kind !== "conflict") return comeBack("state service unavailable");
@@ -349,7 +358,7 @@
       const value: Header = { ...found.header, aborted: true, clear: null };
       const result = await committer.propose(
         new Map([[graphKey(id), found.version]]),
-        [{ kind: "put", key: graphKey(id), value }],
+        [{ kind: "put", key: graphKey(id), value: writeHeader(value) }],
         "cancel",
       );
       if (result.kind === "ok") return answer(200, { ref: id, phase: "withdrawn" });
@@ -393,7 +402,7 @@
     const value: Header = { ...header, clear };
     const result = await this.services.committer.propose(
       new Map([[graphKey(id), version]]),
-      [{ kind: "put", key: graphKey(id), value }],
+      [{ kind: "put", key: graphKey(id), value: writeHeader(value) }],
       "user",
     );
     if (result.kind === "ok") return answer(200, { ref: id, phase: "running" });
@@ -422,7 +431,7 @@
       ]),
       [
         { kind: "delete", key: endedKey(id) },
-        { kind: "put", key: graphKey(id), value: next },
+        { kind: "put", key: graphKey(id), value: writeHeader(next) },
         ...segmentWrites(id, segments),
       ],
       "user",
--- a/src/graphs/service/job-notes.ts
+++ b/src/graphs/service/job-notes.ts
@@ -1,4 +1,4 @@
-import { type EndReason, type JobRecord, jobKey, readJob } from "../../bookkeeping/records.js";
+import { type EndReason, type JobRecord, jobKey, readJob, writeJob } from "../../bookkeeping/records.js";
 import type { BlockContext } from "../../coordination/context.js";
 import { ms } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
@@ -86,7 +86,11 @@
       [entry.key, entry.version],
     ]);
     const urgency = why === null ? "note" : "cancel";
-    const result = await committer.propose(conditions, [{ kind: "put", key: entry.key, value }], urgency);
+    const result = await committer.propose(
+      conditions,
+      [{ kind: "put", key: entry.key, value: writeJob(value) }],
+      urgency,
+    );
     await view.sync();
     return result.kind === "ok" && wish.errors === errors && wish.why === why;
   }
--- a/src/graphs/service/parts.ts
+++ b/src/graphs/service/parts.ts
@@ -7,7 +7,17 @@
 import type { Part, Submission } from "../description/requests.js";
 import { type Absent, answer, BUSY_S, comeBack, digestOf, type Found, MOST_BACKLOG, refuse, TRIES } from "./answers.js";
 import { describing } from "./describing.js";
-import { endedKey, graphKey, isRunId, partKey, partPrefix, readUpload, uploadKey } from "./records.js";
+import {
+  endedKey,
+  graphKey,
+  isRunId,
+  partKey,
+  partPrefix,
+  readUpload,
+  type Upload,
+  uploadKey,
+  writeUpload,
+} from "./records.js";
 
 /** Of a part in one transaction. */
 const MOST_PACKED = 48 * 1_024;
@@ -70,7 +80,7 @@
     const { committer, store, view } = this.services;
     const key = uploadKey(id);
     const entry = view.entries.get(key);
-    const marker = entry === undefined ? { parts } : readUpload(entry.value);
+    const marker: Upload = entry === undefined ? { parts } : readUpload(entry.value);
     const have = marker.have ?? [];
     if (marker.parts !== parts)
       return refuse(409, `${id} is under way in ${marker.parts ?? "no"} parts: choose a new id`);
@@ -80,7 +90,7 @@
       if ((known.value.value as { readonly digest?: string }).digest === digestOf(text)) return have.length;
       return refuse(409, `part ${part} of ${id} is there with other content: choose a new id`);
     }
-    const write: Write = { kind: "put", key, value: { parts, have: [...have, part] } };
+    const write: Write = { kind: "put", key, value: writeUpload({ parts, have: [...have, part] }) };
     // Once it has become a run the mark is gone: a part come late must not bring it back.
     const conditions = new Map<string, Whole>([
       [key, entry?.version ?? 0],
--- a/src/graphs/service/records.ts
+++ b/src/graphs/service/records.ts
@@ -4,6 +4,7 @@
 import { TypedFastBitSet } from "typedfastbitset";
 import type { EndRecord } from "../../bookkeeping/records.js";
 import { asArray, asObject, type Fields, orNull, readAmount, readString } from "../../protocol/json.js";
+import { RecordForm, type ValueForm } from "../../protocol/record-form.js";
 import type { Write } from "../../protocol/state.js";
 import type { Outcome } from "../run/dag-run.js";
 import { FINALS, type FinalState } from "../run/states.js";
@@ -142,7 +143,7 @@
     set.add(at % size);
     segment?.set(state, set);
   }
-  return sets.map((states, segment) => {
+  return sets.map((states, segment): Segment => {
     const bytes = new Uint8Array(size);
     let cleared = false;
     for (const [at, clearing] of clearings) {
@@ -179,7 +180,7 @@
 };
 
 export const segmentWrites = (id: string, segments: readonly Segment[]): readonly Write[] =>
-  segments.map((value, at) => ({ kind: "put", key: segmentKey(id, at), value }));
+  segments.map((segment, at) => ({ kind: "put", key: segmentKey(id, at), value: writeSegment(segment) }));
 
 export interface Saved {
   readonly finals: Map<number, FinalState>;
@@ -219,8 +220,11 @@
   readonly chunks?: number;
 }
 
+const uploadForm = new RecordForm<Upload>({ parts: "parts", have: "have", plan: "plan", chunks: "chunks" });
+
 // Written by this program alone.
-export const readUpload = (value: unknown): Upload => asObject(value, "upload") as Upload;
+export const readUpload = (value: unknown): Upload => uploadForm.decode(asObject(value, "upload"));
+export const writeUpload = (upload: Upload): Fields => uploadForm.encode(upload);
 
 const readPlace = (value: unknown): PlanPlace => {
   const fields = asObject(value, "plan");
@@ -232,6 +236,31 @@
   return { steps: asArray(clear.steps, "steps").map(Number), downstream: clear.downstream === true };
 };
 
+const planPlaceForm: ValueForm<PlanPlace> = {
+  encode: (place) => ("text" in place ? { text: place.text } : { chunks: place.chunks }),
+  decode: readPlace,
+};
+const clearForm = new RecordForm<Clear>({ steps: "steps", downstream: "downstream" });
+const headerForm = new RecordForm<Header>({
+  digest: "digest",
+  request: "request",
+  dag: "dag",
+  owner: "owner",
+  block: "block",
+  steps: "steps",
+  mostRuns: "mostRuns",
+  segment: "segment",
+  plan: { name: "plan", form: planPlaceForm },
+  acceptedMs: "acceptedMs",
+  aborted: "aborted",
+  timedOut: "timedOut",
+  round: "round",
+  clear: { name: "clear", form: clearForm },
+  before: "before",
+});
+
+export const writeHeader = (header: Header): Fields => headerForm.encode(header);
+
 export const readHeader = (value: unknown): Header => {
   const fields = asObject(value, "graph");
   return {
@@ -254,7 +283,20 @@
 };
 
 // Written by this program alone, so the inner shape of segments and counts is taken as it is.
-export const readSegment = (value: unknown): Segment => asObject(value, "segment") as unknown as Segment;
+const segmentForm = new RecordForm<Segment>({ finals: "finals", clearings: "clearings" });
+
+export const readSegment = (value: unknown): Segment => segmentForm.decode(asObject(value, "segment"));
+export const writeSegment = (segment: Segment): Fields => segmentForm.encode(segment);
+
+const endedForm = new RecordForm<Ended>({
+  header: { name: "header", form: headerForm },
+  phase: "phase",
+  counts: "counts",
+  endedMs: "endedMs",
+  states: { name: "states", form: segmentForm },
+});
+
+export const writeEnded = (ended: Ended): Fields => endedForm.encode(ended);
 
 export const readEnded = (value: unknown): Ended => {
   const fields = asObject(value, "ended");
--- a/src/graphs/service/run-writes.ts
+++ b/src/graphs/service/run-writes.ts
@@ -10,6 +10,7 @@
 import {
   type Clear,
   clearedSegments,
+  type Ended,
   endedKey,
   graphKey,
   type Header,
@@ -17,6 +18,8 @@
   type Segment,
   segmentWrites,
   summaryKey,
+  writeEnded,
+  writeHeader,
   writeSegments,
 } from "./records.js";
 
@@ -29,7 +32,7 @@
 
 /** What the writes of runs need of whoever takes the runs forward. */
 export interface RunsAround {
-  /** The header is on record like this; the view may not have it yet. */
+  /** The header is on record in this stored form; the view may not have it yet. */
   readonly seen: (id: string, value: unknown, version: Whole) => void;
   readonly drop: (id: string) => void;
   /** Something may be to be done for the run, if it is still there. */
@@ -70,9 +73,9 @@
       const [only] = segments;
       const one = segments.length === 1 && only !== undefined;
       if (!one && !(await this.writeSegments(run, segments))) return;
-      const value = { header, phase, counts, endedMs: this.nowMs(), states: one ? only : null };
+      const ended: Ended = { header, phase, counts, endedMs: this.nowMs(), states: one ? only : null };
       const writes: Write[] = [
-        { kind: "put", key: endedKey(run.id), value },
+        { kind: "put", key: endedKey(run.id), value: writeEnded(ended) },
         { kind: "delete", key: graphKey(run.id) },
       ];
       if (run.summed !== "") writes.push({ kind: "delete", key: summaryKey(run.id) });
@@ -120,7 +123,8 @@
       const cleared = closure(engine.plan, clear.steps, clear.downstream);
       const round = Math.min(MOST_CLEARINGS, header.round + 1);
       const segments = clearedSegments(header, engine.finals(), run.loaded.saved.clearings, cleared, round);
-      const value: Header = { ...header, round, clear: null };
+      const next: Header = { ...header, round, clear: null };
+      const value = writeHeader(next);
       const writes: readonly Write[] = [
         ...segmentWrites(run.id, segments),
         { kind: "put", key: graphKey(run.id), value },
@@ -147,7 +151,8 @@
       now > 0 && header.acceptedMs > 0 ? now - header.acceptedMs : (this.context.clock.now() - run.seenAt) / 1_000;
     if (passed < timeoutS * 1_000) return;
     run.writing = true;
-    const value: Header = { ...header, timedOut: true };
+    const next: Header = { ...header, timedOut: true };
+    const value = writeHeader(next);
     const write: Write = { kind: "put", key: graphKey(run.id), value };
     void this.guard(
       this.context.committer.propose(this.conditions(run), [write], "cancel").then((written) => {
--- a/src/graphs/service/runner.ts
+++ b/src/graphs/service/runner.ts
@@ -1,4 +1,13 @@
-import { endKey, homeBlock, type JobRecord, jobKey, jobOfKey, readEnd, readJob } from "../../bookkeeping/records.js";
+import {
+  endKey,
+  homeBlock,
+  type JobRecord,
+  jobKey,
+  jobOfKey,
+  readEnd,
+  readJob,
+  writeJob,
+} from "../../bookkeeping/records.js";
 import type { BlockContext } from "../../coordination/context.js";
 import type { BlockDoors, Holding } from "../../coordination/extension.js";
 import type { Whole } from "../../protocol/json.js";
@@ -436,7 +445,7 @@
     run.starting.add(step);
     this.pools.take(run, step);
     this.inFlight += 1;
-    const result = await committer.propose(conditions, [{ kind: "put", key: jobKey(job), value }]);
+    const result = await committer.propose(conditions, [{ kind: "put", key: jobKey(job), value: writeJob(value) }]);
     this.inFlight -= 1;
     if (run.engine !== engine || this.stopped) return;
     if (result.kind !== "lost") run.starting.delete(step);
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -38,7 +38,12 @@
   silenceKey,
   type TaskRecord,
   TYPES_KEY,
+  writeBlock,
+  writeEnd,
+  writeJob,
+  writeMember,
   writeRange,
+  writeSilence,
 } from "../src/bookkeeping/records.js";
 import {
   DEFAULT_STEP,
@@ -69,7 +74,11 @@
   type Upload,
   uploadKey,
   uploadOfKey,
+  writeEnded,
+  writeHeader,
+  writeSegment,
   writeSegments,
+  writeUpload,
 } from "../src/graphs/index.js";
 import { encode, type Frame, FrameReader, NEVER } from "../src/mesh/frames.js";
 import { formatJson, parseJson } from "../src/protocol/json.js";
@@ -137,7 +146,9 @@
   "job/awaits": { ...withSpec({ ...plainSpec, awaits: ["wk-a"] }), acceptedMs: 0 },
   "job/origin": { ...withSpec({ ...plainSpec, origin: { graph: "dr-2", place: 0 } }), errors: {} },
   "job/noTypes": withSpec({ ...plainSpec, types: [] }),
-  ...Object.fromEntries(END_REASONS.map((why) => [`job/${why}`, { ...withSpec(plainSpec), cancelled: true, why }])),
+  ...Object.fromEntries(
+    END_REASONS.map((why): [string, JobRecord] => [`job/${why}`, { ...withSpec(plainSpec), cancelled: true, why }]),
+  ),
 };
 
 /** Fields in the orders in which the front door and the notes of steps put them on record the first time. */
@@ -236,7 +247,9 @@
 const ends: Readonly<Record<string, EndRecord>> = {
   "end/done": { phase: "done", done: 3 },
   "end/cancelled": { phase: "cancelled", done: 0 },
-  ...Object.fromEntries(END_REASONS.map((why) => [`end/${why}`, { phase: "cancelled", done: 1, why }] as const)),
+  ...Object.fromEntries(
+    END_REASONS.map((why): [string, EndRecord] => [`end/${why}`, { phase: "cancelled", done: 1, why }]),
+  ),
 };
 const silences: Readonly<Record<string, SilenceRecord>> = {
   "silence/none": { number: 1, zones: {} },
@@ -249,9 +262,6 @@
   readonly read: (stored: unknown) => T;
 }
 
-/** What is stored is the object itself. */
-const asItIs = (value: unknown): unknown => value;
-
 const checkForm = <T>({ values, write, read }: Form<T>): void => {
   for (const [name, value] of Object.entries(values)) {
     records.matches(name, formatJson(write(value)));
@@ -262,29 +272,29 @@
 };
 
 test("records of jobs keep their stored form", () => {
-  checkForm({ values: jobs, write: asItIs, read: readJob });
+  checkForm({ values: jobs, write: writeJob, read: readJob });
 });
 
 test("records of jobs keep the order of fields of their first writing", () => {
   for (const [name, record] of Object.entries(jobsAsFirstWritten)) {
-    records.matches(name, formatJson(asItIs(record)));
+    records.matches(name, formatJson(writeJob(record)));
     assert.deepEqual(readJob(parseJson(records.text(name))), record, name);
   }
 });
 
 test("a job's record that is read and written again has its optional fields in the order of reading", () => {
   for (const name of Object.keys(jobsAsFirstWritten)) {
-    records.matches(`${name}, written again`, formatJson(asItIs(readJob(parseJson(records.text(name))))));
+    records.matches(`${name}, written again`, formatJson(writeJob(readJob(parseJson(records.text(name))))));
   }
 });
 
 test("a specification keeps fields that a newer version has stored, and has none that an older one has left out", () => {
   for (const name of ["job/newer specification", "job/older specification"]) {
-    records.matches(name, formatJson(asItIs(readJob(parseJson(records.text(name))))));
+    records.matches(name, formatJson(writeJob(readJob(parseJson(records.text(name))))));
   }
   // Of the record's own fields, only those that are known are written again.
   const newer = readJob(parseJson(records.text("job/newer record")));
-  records.matches("job/newer record, written again", formatJson(asItIs(newer)));
+  records.matches("job/newer record, written again", formatJson(writeJob(newer)));
 });
 
 test("records of task ranges keep their stored form", () => {
@@ -296,10 +306,10 @@
 });
 
 test("records of members, leases, ends and unreachable zones keep their stored form", () => {
-  checkForm({ values: members, write: asItIs, read: readMember });
-  checkForm({ values: blocks, write: asItIs, read: readBlock });
-  checkForm({ values: ends, write: asItIs, read: readEnd });
-  checkForm({ values: silences, write: asItIs, read: readSilence });
+  checkForm({ values: members, write: writeMember, read: readMember });
+  checkForm({ values: blocks, write: writeBlock, read: readBlock });
+  checkForm({ values: ends, write: writeEnd, read: readEnd });
+  checkForm({ values: silences, write: writeSilence, read: readSilence });
 });
 
 test("a list of awaited jobs in parts is read in their order", () => {
@@ -314,14 +324,14 @@
 });
 
 test("records of graph runs keep their stored form", () => {
-  checkForm({ values: headers, write: asItIs, read: readHeader });
-  checkForm({ values: endedRuns, write: asItIs, read: readEnded });
-  checkForm({ values: segments, write: asItIs, read: readSegment });
-  checkForm({ values: uploads, write: asItIs, read: readUpload });
+  checkForm({ values: headers, write: writeHeader, read: readHeader });
+  checkForm({ values: endedRuns, write: writeEnded, read: readEnded });
+  checkForm({ values: segments, write: writeSegment, read: readSegment });
+  checkForm({ values: uploads, write: writeUpload, read: readUpload });
 });
 
 test("a run's header keeps the order of fields of its acceptance", () => {
-  records.matches("graph/as accepted", formatJson(asItIs(acceptedHeader)));
+  records.matches("graph/as accepted", formatJson(writeHeader(acceptedHeader)));
   assert.deepEqual(readHeader(parseJson(records.text("graph/as accepted"))), header);
 });
 
--- a/test/wire-forms.test.ts
+++ b/test/wire-forms.test.ts
@@ -198,8 +198,10 @@
     deadlineS: 600,
     awaits: ["wk-a", "wk-b"],
   },
-  ...Object.fromEntries(shapes.map((shape) => [`user/${shape}`, { ...plainSpec, shape }] as const)),
-  ...Object.fromEntries(PRIORITIES.map((priority) => [`user/${priority}`, { ...plainSpec, priority }] as const)),
+  ...Object.fromEntries(shapes.map((shape): [string, JobSpec] => [`user/${shape}`, { ...plainSpec, shape }])),
+  ...Object.fromEntries(
+    PRIORITIES.map((priority): [string, JobSpec] => [`user/${priority}`, { ...plainSpec, priority }]),
+  ),
 };
 
 test("submissions of users keep their form and are read back", () => {
