--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -7,6 +7,7 @@
 import { FOLLOW_SHARE, gapFor, SYNC_SHARE, View } from "../bookkeeping/view.js";
 import { type MachineType, readTypes } from "../protocol/cloud.js";
 import { formatJson, Malformed } from "../protocol/json.js";
+import { type LinkTable, linksAnswer } from "../protocol/links.js";
 import { type Report, readReportText, redirectAnswer, reportAnswer } from "../protocol/worker.js";
 import type { Options } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
@@ -54,7 +55,7 @@
   heardWorker(address: string): void;
   heardThrough(address: string, peer: string): void;
   carryReport(holder: string, request: Request): Promise<Response | null>;
-  table(): object;
+  table(): LinkTable;
   readonly deafChangedAt: Micros | null;
 }
 
@@ -187,7 +188,7 @@
     }
     if (request.target === "/links") {
       const machines = [...this.stewards.values()].map(({ standing }) => standing);
-      return { status: 200, body: formatJson({ ...(this.mesh?.table() ?? {}), machines: machines[0] ?? null }) };
+      return { status: 200, body: formatJson(linksAnswer(this.mesh?.table() ?? null, machines[0] ?? null)) };
     }
     return this.extension?.handle(request) ?? this.frontDoor.handle(request);
   }
--- a/src/coordination/steward.ts
+++ b/src/coordination/steward.ts
@@ -3,6 +3,7 @@
 import type { Job, Machine } from "../bookkeeping/picture.js";
 import { TYPES_KEY } from "../bookkeeping/records.js";
 import type { MachineType } from "../protocol/cloud.js";
+import type { MachineLinks } from "../protocol/links.js";
 import type { Change } from "../protocol/state.js";
 import type { Command, Report } from "../protocol/worker.js";
 import { type Micros, ms, seconds, type Timer } from "../transport/clock.js";
@@ -24,7 +25,7 @@
 import { Rental } from "./rental.js";
 import { Rounds } from "./rounds.js";
 import { Silences } from "./silence-record.js";
-import { type MachineTroubles, Watch } from "./watch.js";
+import { Watch } from "./watch.js";
 
 const TICK = ms(250);
 const REPORT: Origin = { kind: "report" };
@@ -218,7 +219,7 @@
   }
 
   /** How things stand with the machines, for people; `roomKeptFor`: the job for which room that comes free is kept. */
-  get standing(): MachineTroubles & { readonly mayAct: boolean; readonly roomKeptFor: string | null } {
+  get standing(): MachineLinks {
     return { ...this.watch.troubles(), mayAct: this.lease.valid(), roomKeptFor: this.rounds.keepsFor };
   }
 
--- /dev/null
+++ b/src/protocol/links.ts
@@ -0,0 +1,44 @@
+import type { Fields } from "./json.js";
+import { RecordForm } from "./record-form.js";
+
+/** Links of one controller as it sees them, in words for operators. */
+export interface LinkTable {
+  readonly state: string;
+  readonly cloud: string;
+  readonly workers: string;
+  /** By label of the other controllers. */
+  readonly siblings: Readonly<Record<string, string>>;
+}
+
+/** Machines of the controller that holds them: how many are up, and the names of those in trouble. */
+export interface MachineLinks {
+  readonly up: number;
+  readonly heardNotReached: readonly string[];
+  readonly silent: readonly string[];
+  readonly zonesCut: readonly string[];
+  readonly mayAct: boolean;
+  /** Job for which capacity is reserved; null: none. */
+  readonly roomKeptFor: string | null;
+}
+
+const linkTableForm = new RecordForm<LinkTable>({
+  state: "state",
+  cloud: "cloud",
+  workers: "workers",
+  siblings: "siblings",
+});
+
+const machineLinksForm = new RecordForm<MachineLinks>({
+  up: "up",
+  heardNotReached: "heardNotReached",
+  silent: "silent",
+  zonesCut: "zonesCut",
+  mayAct: "mayAct",
+  roomKeptFor: "roomKeptFor",
+});
+
+/** Answer to `/links`. Without a mesh there is no table; `machines` is null where none are held. */
+export const linksAnswer = (table: LinkTable | null, machines: MachineLinks | null): Fields => ({
+  ...(table === null ? {} : linkTableForm.encode(table)),
+  machines: machines === null ? null : machineLinksForm.encode(machines),
+});
--- a/test/wire-forms.test.ts
+++ b/test/wire-forms.test.ts
@@ -9,6 +9,7 @@
 import { Cloud } from "../src/coordination/cloud.js";
 import type { ListedMachine, MachineType } from "../src/protocol/cloud.js";
 import { type Fields, formatJson, parseJson } from "../src/protocol/json.js";
+import { type LinkTable, linksAnswer, type MachineLinks } from "../src/protocol/links.js";
 import type { Change, Entry, Write } from "../src/protocol/state.js";
 import {
   demandOf,
@@ -291,6 +292,26 @@
   for (const [name, message] of Object.entries(sent)) messages.matches(name, formatJson(message));
 });
 
+test("answers to operators about links keep their form", () => {
+  const table: LinkTable = {
+    state: "reached",
+    cloud: "not asked yet",
+    workers: "heard",
+    siblings: { "ctl-1": "reached" },
+  };
+  const machines: MachineLinks = {
+    up: 7,
+    heardNotReached: ["n-1"],
+    silent: ["n-2"],
+    zonesCut: ["east"],
+    mayAct: true,
+    roomKeptFor: "wk-1",
+  };
+  messages.matches("links/held", formatJson(linksAnswer(table, machines)));
+  messages.matches("links/not held", formatJson(linksAnswer(table, null)));
+  messages.matches("links/without a mesh", formatJson(linksAnswer(null, { ...machines, roomKeptFor: null })));
+});
+
 test("every fixture of messages is compared", () => {
   messages.allUsed();
 });
