--- a/src/bookkeeping/block.ts
+++ b/src/bookkeeping/block.ts
@@ -1,105 +1,105 @@
 import type { MachineType } from "../protocol/cloud.js";
-import type { Whole } from "../protocol/json.js";
-import { type JobSpec, rankOf } from "../protocol/user.js";
+import type { Uint64 } from "../protocol/json.js";
+import { type JobSpec, priorityRank } from "../protocol/user.js";
 import type { Team } from "../settings/settings.js";
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
-import { newMachine, rememberImage, tally } from "./machines.js";
-import type { Job, Machine, Range, Task } from "./picture.js";
-import { rangeBytes, readRange, type TaskRecord } from "./records.js";
+import { addTaskUsage, newMachine, rememberImage } from "./machines.js";
+import type { Job, Machine, Task, TaskRange } from "./picture.js";
+import { decodeTaskRange, type TaskRecord, taskRangeBytes } from "./records.js";
 
 /**
  * Nothing speaks against it. Not the present time: ranges come into being in the midst of a round, and by the time that
  * the round began with, a task of this very moment was not to start yet. It waited for the next round, a second later
  * where little happens.
  */
-const ANY_TIME = 0 as Micros;
+const NO_EARLIEST_START = 0 as Micros;
 
 /** All that the holder of a block knows: its jobs, machines and team ledgers. Forgotten with the lease. */
-export class Block {
+export class ShardState {
   readonly jobs = new Map<string, Job>();
   readonly machines = new Map<string, Machine>();
   /** Machines deleted by this holder: the cloud's lists go on naming them for a while. */
-  readonly deleted = new Set<string>();
+  readonly deletedMachines = new Set<string>();
   /** A range's value may not be larger; follows what the state service takes. */
-  recordBytes = Number.POSITIVE_INFINITY;
-  private readonly used = new Map<string, { cpu: number; gpu: number }>();
+  maxRecordBytes = Number.POSITIVE_INFINITY;
+  private readonly usageByTeam = new Map<string, { cpu: number; gpu: number }>();
 
   constructor(
     private readonly clock: Clock,
-    private readonly rangeSize: number,
+    private readonly tasksPerRange: number,
     private readonly teams: ReadonlyMap<string, Team>,
-    readonly types: () => ReadonlyMap<string, MachineType>,
+    readonly machineTypes: () => ReadonlyMap<string, MachineType>,
   ) {}
 
-  addJob(spec: JobSpec, version: Whole, cancelled: boolean): Job {
+  addJob(spec: JobSpec, version: Uint64, cancelled: boolean): Job {
     const due = spec.deadlineS === null ? null : ((this.clock.now() + seconds(spec.deadlineS)) as Micros);
     const job: Job = {
       spec,
       version,
       cancelled,
-      why: null,
+      cancellationReason: null,
       ranges: [],
-      waiting: new Set(),
-      placed: new Set(),
-      done: 0,
-      running: 0,
-      entitled: false,
-      begun: false,
-      lifted: false,
-      seenAt: this.clock.now(),
-      blocked: false,
-      rank: rankOf(spec.priority),
-      ownDue: due,
-      dueAt: due,
-      awaited: null,
-      ending: false,
-      failedOn: new Set(),
-      onTrial: false,
-      longestFailed: ANY_TIME,
-      retryAfter: ANY_TIME,
-      failures: 0,
+      waitingTasks: new Set(),
+      placedTasks: new Set(),
+      completedTasks: 0,
+      runningTasks: 0,
+      withinGuarantee: false,
+      started: false,
+      boosted: false,
+      waitingSince: this.clock.now(),
+      awaitingDependencies: false,
+      effectiveRank: priorityRank(spec.priority),
+      ownDeadline: due,
+      effectiveDeadline: due,
+      dependencyList: null,
+      outcomePending: false,
+      failedMachines: new Set(),
+      onProbation: false,
+      longestFailedRun: NO_EARLIEST_START,
+      retryAfter: NO_EARLIEST_START,
+      failedProbes: 0,
     };
     this.jobs.set(spec.id, job);
     return job;
   }
 
   /** Ranges come into being one after the other, when the earlier ones have no waiting task left. */
-  openRange(job: Job): boolean {
-    const first = job.ranges.length * this.rangeSize;
+  createNextTaskRange(job: Job): boolean {
+    const first = job.ranges.length * this.tasksPerRange;
     if (first >= job.spec.tasks) return false;
-    this.makeRange(job, 0, null);
+    this.createTaskRange(job, 0, null);
     return true;
   }
 
   /** `lostBelow`: start commands under lower tokens may still be under way for what is on record. */
-  restoreRange(job: Job, index: number, version: Whole, value: unknown, lostBelow: number): void {
-    while (job.ranges.length < index) this.makeRange(job, 0, null);
-    const records = readRange(value);
-    const range = this.makeRange(job, version, records);
-    job.begun ||= records.some((record) => record.kind === "done" || record.attempt > 0);
+  restoreTaskRange(job: Job, index: number, version: Uint64, value: unknown, lostBelow: number): void {
+    while (job.ranges.length < index) this.createTaskRange(job, 0, null);
+    const records = decodeTaskRange(value);
+    const range = this.createTaskRange(job, version, records);
+    job.started ||= records.some((record) => record.kind === "done" || record.attempt > 0);
     for (const task of range.tasks) {
-      const record = task.durable;
+      const record = task.recorded;
       if (record.kind !== "placed") continue;
-      this.occupy(task, this.machine(record.machine));
-      task.launch = { kind: "unsure", token: lostBelow };
+      this.assignTask(task, this.machineByName(record.machine));
+      task.startCommand = { kind: "unsure", token: lostBelow };
     }
   }
 
-  private makeRange(job: Job, version: Whole, records: readonly TaskRecord[] | null): Range {
-    const first = job.ranges.length * this.rangeSize;
+  private createTaskRange(job: Job, version: Uint64, records: readonly TaskRecord[] | null): TaskRange {
+    const first = job.ranges.length * this.tasksPerRange;
     const tasks: Task[] = [];
-    const range: Range = {
+    const range: TaskRange = {
       job,
       index: job.ranges.length,
       tasks,
       version,
       writing: false,
       dirty: false,
-      marked: null,
-      due: null,
+      placementPendingSince: null,
+      writeDueAt: null,
     };
     job.ranges.push(range);
-    const count = Math.min(this.rangeSize, job.spec.tasks - first);
+    const count = Math.min(this.tasksPerRange, job.spec.tasks - first);
     for (let at = 0; at < count; at += 1) {
       const record = records?.[at] ?? { kind: "waiting", attempt: 0 };
       const task: Task = {
@@ -107,27 +107,27 @@
         range,
         index: first + at,
         name: `${job.spec.id}/${first + at}`,
-        durable: record,
-        want: record,
-        on: null,
-        launch: { kind: "none" },
+        recorded: record,
+        desired: record,
+        machine: null,
+        startCommand: { kind: "none" },
         state: null,
         runningSince: null,
-        stop: null,
-        notBefore: ANY_TIME,
-        failures: 0,
+        stopRequest: null,
+        earliestStart: NO_EARLIEST_START,
+        failureCount: 0,
         waitingSince: this.clock.now(),
-        preemptAfter: ANY_TIME,
+        nextPreemptionSearch: NO_EARLIEST_START,
       };
       tasks.push(task);
-      if (record.kind === "done") job.done += 1;
-      if (record.kind === "waiting") job.waiting.add(task);
+      if (record.kind === "done") job.completedTasks += 1;
+      if (record.kind === "waiting") job.waitingTasks.add(task);
     }
     return range;
   }
 
   /** A machine known by name only, from a record, is filled in by its report or the cloud's list. */
-  machine(name: string): Machine {
+  machineByName(name: string): Machine {
     const known = this.machines.get(name);
     if (known !== undefined) return known;
     const machine = newMachine(name, "", null, "", false, this.clock.now());
@@ -135,64 +135,64 @@
     return machine;
   }
 
-  occupy(task: Task, machine: Machine): void {
-    task.on = machine;
+  assignTask(task: Task, machine: Machine): void {
+    task.machine = machine;
     machine.tasks.add(task);
-    tally(machine, task.job.spec, 1);
-    task.job.placed.add(task);
-    task.job.waiting.delete(task);
-    this.account(task, 1);
+    addTaskUsage(machine, task.job.spec, 1);
+    task.job.placedTasks.add(task);
+    task.job.waitingTasks.delete(task);
+    this.addTeamUsage(task, 1);
   }
 
   /** Only on proof that the task is not on the machine and that no command can bring it there. */
-  vacate(task: Task): void {
-    const machine = task.on;
+  releaseTask(task: Task): void {
+    const machine = task.machine;
     if (machine === null) return;
     machine.tasks.delete(task);
-    tally(machine, task.job.spec, -1);
+    addTaskUsage(machine, task.job.spec, -1);
     if (machine.tasks.size === 0) machine.idleSince = this.clock.now();
-    task.on = null;
-    task.launch = { kind: "none" };
-    this.reported(task, null);
+    task.machine = null;
+    task.startCommand = { kind: "none" };
+    this.setReportedState(task, null);
     task.runningSince = null;
-    task.stop = null;
-    task.job.placed.delete(task);
-    if (task.want.kind !== "done") {
-      task.job.waiting.add(task);
+    task.stopRequest = null;
+    task.job.placedTasks.delete(task);
+    if (task.desired.kind !== "done") {
+      task.job.waitingTasks.add(task);
       task.waitingSince = this.clock.now();
     }
-    this.account(task, -1);
+    this.addTeamUsage(task, -1);
   }
 
   /** The state in which its worker has last shown the task; null: none. */
-  reported(task: Task, state: Task["state"]): void {
+  setReportedState(task: Task, state: Task["state"]): void {
     const { job } = task;
-    if (task.state === "running") job.running -= 1;
-    if (state === "running") job.running += 1;
+    if (task.state === "running") job.runningTasks -= 1;
+    if (state === "running") job.runningTasks += 1;
     task.state = state;
   }
 
   /** Would its range's value still be small enough with the task on that machine? */
-  fitsRecord({ range, want }: Task, machine: string): boolean {
-    const attempt = (want.kind === "done" ? 0 : want.attempt) + 1;
+  fitsInRecord({ range, desired }: Task, machine: string): boolean {
+    const attempt = (desired.kind === "done" ? 0 : desired.attempt) + 1;
     const placed = range.tasks.length * (machine.length + String(attempt).length + 8) + 8;
-    if (placed <= this.recordBytes) return true;
-    const one = rangeBytes([{ kind: "placed", attempt, machine }]);
-    return rangeBytes(range.tasks.map((task) => task.want)) + one <= this.recordBytes;
+    if (placed <= this.maxRecordBytes) return true;
+    const one = taskRangeBytes([{ kind: "placed", attempt, machine }]);
+    return taskRangeBytes(range.tasks.map((task) => task.desired)) + one <= this.maxRecordBytes;
   }
 
-  remember(machine: Machine, task: Task): void {
+  rememberImageOf(machine: Machine, task: Task): void {
     rememberImage(machine, task.job.spec.image, task.job.spec.imageGb);
   }
 
-  teamUse(team: string): { readonly cpu: number; readonly gpu: number } {
-    return this.used.get(team) ?? { cpu: 0, gpu: 0 };
+  teamUsage(team: string): { readonly cpu: number; readonly gpu: number } {
+    return this.usageByTeam.get(team) ?? { cpu: 0, gpu: 0 };
   }
 
   withinLimit(spec: JobSpec, tasks = 1): boolean {
     const limit = this.teams.get(spec.team)?.limit;
     if (limit === undefined) return true;
-    const used = this.teamUse(spec.team);
+    const used = this.teamUsage(spec.team);
     return (
       (limit.cpu === null || used.cpu + spec.demand.cpu * tasks <= limit.cpu) &&
       (limit.gpu === null || used.gpu + spec.demand.gpu * tasks <= limit.gpu)
@@ -202,13 +202,13 @@
   withinGuarantee(spec: JobSpec): boolean {
     const guaranteed = this.teams.get(spec.team)?.guaranteed;
     if (guaranteed === undefined) return false;
-    const used = this.teamUse(spec.team);
+    const used = this.teamUsage(spec.team);
     return used.cpu + spec.demand.cpu <= guaranteed.cpu && used.gpu + spec.demand.gpu <= guaranteed.gpu;
   }
 
-  private account(task: Task, sign: 1 | -1): void {
+  private addTeamUsage(task: Task, sign: 1 | -1): void {
     const { team, demand } = task.job.spec;
-    const used = this.used.get(team) ?? { cpu: 0, gpu: 0 };
-    this.used.set(team, { cpu: used.cpu + sign * demand.cpu, gpu: used.gpu + sign * demand.gpu });
+    const used = this.usageByTeam.get(team) ?? { cpu: 0, gpu: 0 };
+    this.usageByTeam.set(team, { cpu: used.cpu + sign * demand.cpu, gpu: used.gpu + sign * demand.gpu });
   }
 }
--- a/src/bookkeeping/chains.ts
+++ b/src/bookkeeping/chains.ts
@@ -1,12 +1,12 @@
 /** What became of a job that others await. */
-export type Ended = "done" | "cancelled";
+export type TerminalPhase = "done" | "cancelled";
 
 interface Node {
-  readonly awaits: readonly string[];
+  readonly dependencies: readonly string[];
   /** Called off by its own record. */
-  cancelled: boolean;
+  cancelledItself: boolean;
   /** Called off by its own record or by that of a job that it needs, directly or through others. */
-  withdrawn: boolean;
+  cancelled: boolean;
 }
 
 /**
@@ -14,121 +14,121 @@
  * `e/` as they are looked up. Nothing of it is stored, and nothing that is told from it is ever taken back: a cancellation stays on
  * record, first with the job and then as its last word, and so does a last word. Iterative throughout, since chains are deep.
  */
-export class Chains {
-  private readonly nodes = new Map<string, Node>();
+export class DependencyGraph {
+  private readonly jobs = new Map<string, Node>();
   /** By awaited job, whether or not it is current: the current jobs that await it. */
-  private readonly children = new Map<string, Set<string>>();
+  private readonly dependents = new Map<string, Set<string>>();
   /** Last words of awaited jobs, as long as somebody current awaits them. */
-  private readonly ends = new Map<string, Ended>();
+  private readonly terminalPhases = new Map<string, TerminalPhase>();
   /** Awaited jobs that are not current, and of which the last word has not been read. */
-  private readonly open = new Set<string>();
+  private readonly unresolvedIds = new Set<string>();
   /** Told of each job that turns out to be withdrawn with one that it needs. */
-  onWithdrawn: (id: string) => void = () => undefined;
+  onCancelledByDependency: (id: string) => void = () => undefined;
   /** Told of each job of which the last awaited one has turned out to be done. */
-  onMayBegin: (id: string) => void = () => undefined;
+  onReady: (id: string) => void = () => undefined;
 
   /** Every current job: one that awaits nothing may come to be awaited, and its cancellation passed on. */
-  put(id: string, awaits: readonly string[], cancelled: boolean): void {
-    const known = this.nodes.get(id);
+  upsert(id: string, awaits: readonly string[], cancelled: boolean): void {
+    const known = this.jobs.get(id);
     if (known === undefined) {
       const unique = [...new Set(awaits)];
-      this.nodes.set(id, { awaits: unique, cancelled, withdrawn: false });
-      this.open.delete(id);
+      this.jobs.set(id, { dependencies: unique, cancelledItself: cancelled, cancelled: false });
+      this.unresolvedIds.delete(id);
       for (const parent of unique) {
-        const siblings = this.children.get(parent);
-        if (siblings === undefined) this.children.set(parent, new Set([id]));
+        const siblings = this.dependents.get(parent);
+        if (siblings === undefined) this.dependents.set(parent, new Set([id]));
         else siblings.add(id);
-        if (!this.nodes.has(parent) && !this.ends.has(parent)) this.open.add(parent);
+        if (!this.jobs.has(parent) && !this.terminalPhases.has(parent)) this.unresolvedIds.add(parent);
       }
-    } else known.cancelled ||= cancelled;
-    const node = this.nodes.get(id);
-    if (node === undefined || node.withdrawn) return;
-    const called = node.cancelled || node.awaits.some((parent) => this.calledOff(parent));
-    if (called) this.withdraw(id);
+    } else known.cancelledItself ||= cancelled;
+    const node = this.jobs.get(id);
+    if (node === undefined || node.cancelled) return;
+    const called = node.cancelledItself || node.dependencies.some((parent) => this.isDependencyCancelled(parent));
+    if (called) this.cancelWithDependents(id);
   }
 
   /** No longer current: its last word is below `e/`. */
   remove(id: string): void {
-    const node = this.nodes.get(id);
+    const node = this.jobs.get(id);
     if (node === undefined) return;
-    this.nodes.delete(id);
-    for (const parent of node.awaits) {
-      const siblings = this.children.get(parent);
+    this.jobs.delete(id);
+    for (const parent of node.dependencies) {
+      const siblings = this.dependents.get(parent);
       siblings?.delete(id);
       if (siblings?.size !== 0) continue;
-      this.children.delete(parent);
-      this.ends.delete(parent);
-      this.open.delete(parent);
+      this.dependents.delete(parent);
+      this.terminalPhases.delete(parent);
+      this.unresolvedIds.delete(parent);
     }
-    if (this.children.has(id) && !this.ends.has(id)) this.open.add(id);
+    if (this.dependents.has(id) && !this.terminalPhases.has(id)) this.unresolvedIds.add(id);
   }
 
   /** The job's last word has been read, or has been confirmed by whoever wrote it. */
-  learn(id: string, end: Ended): void {
-    const children = this.children.get(id);
-    if (children === undefined || this.ends.has(id)) return;
-    this.ends.set(id, end);
-    this.open.delete(id);
+  recordTerminalPhase(id: string, end: TerminalPhase): void {
+    const children = this.dependents.get(id);
+    if (children === undefined || this.terminalPhases.has(id)) return;
+    this.terminalPhases.set(id, end);
+    this.unresolvedIds.delete(id);
     for (const child of [...children]) {
-      if (end === "cancelled") this.withdraw(child);
-      else if (this.mayBegin(child)) this.onMayBegin(child);
+      if (end === "cancelled") this.cancelWithDependents(child);
+      else if (this.isReady(child)) this.onReady(child);
     }
   }
 
-  private calledOff(id: string): boolean {
-    return this.ends.get(id) === "cancelled" || this.nodes.get(id)?.withdrawn === true;
+  private isDependencyCancelled(id: string): boolean {
+    return this.terminalPhases.get(id) === "cancelled" || this.jobs.get(id)?.cancelled === true;
   }
 
-  private withdraw(from: string): void {
+  private cancelWithDependents(from: string): void {
     const stack = [from];
     for (let id = stack.pop(); id !== undefined; id = stack.pop()) {
-      const node = this.nodes.get(id);
-      if (node === undefined || node.withdrawn) continue;
-      node.withdrawn = true;
-      if (!node.cancelled) this.onWithdrawn(id);
-      for (const child of this.children.get(id) ?? []) stack.push(child);
+      const node = this.jobs.get(id);
+      if (node === undefined || node.cancelled) continue;
+      node.cancelled = true;
+      if (!node.cancelledItself) this.onCancelledByDependency(id);
+      for (const child of this.dependents.get(id) ?? []) stack.push(child);
     }
   }
 
   /** Needs, directly or through others, a job that is cancelled; or is cancelled itself. */
-  isWithdrawn(id: string): boolean {
-    return this.nodes.get(id)?.withdrawn === true;
+  isCancelled(id: string): boolean {
+    return this.jobs.get(id)?.cancelled === true;
   }
 
   /** All that it awaits is on record as done. */
-  mayBegin(id: string): boolean {
-    const node = this.nodes.get(id);
-    return node?.awaits.every((parent) => this.ends.get(parent) === "done") ?? false;
+  isReady(id: string): boolean {
+    const node = this.jobs.get(id);
+    return node?.dependencies.every((parent) => this.terminalPhases.get(parent) === "done") ?? false;
   }
 
   /** Jobs that it awaits, and the current ones that await it. */
-  awaitsOf(id: string): readonly string[] {
-    return this.nodes.get(id)?.awaits ?? [];
+  dependenciesOf(id: string): readonly string[] {
+    return this.jobs.get(id)?.dependencies ?? [];
   }
 
-  childrenOf(id: string): ReadonlySet<string> {
-    return this.children.get(id) ?? NONE;
+  dependentsOf(id: string): ReadonlySet<string> {
+    return this.dependents.get(id) ?? NO_DEPENDENTS;
   }
 
   /** Of what it awaits, that which is not known to be done yet. */
-  waitsFor(id: string): readonly string[] {
-    return this.awaitsOf(id).filter((parent) => this.ends.get(parent) !== "done");
+  unmetDependencies(id: string): readonly string[] {
+    return this.dependenciesOf(id).filter((parent) => this.terminalPhases.get(parent) !== "done");
   }
 
   /** Awaited jobs whose last word has to be read, so that all else here follows. */
-  questions(): readonly string[] {
-    return [...this.open];
+  unresolved(): readonly string[] {
+    return [...this.unresolvedIds];
   }
 
   /** Of those, the ones on which the job's own state rests, directly or through current ones. */
-  questionsOf(id: string): readonly string[] {
-    if (this.open.size === 0) return [];
+  unresolvedFor(id: string): readonly string[] {
+    if (this.unresolvedIds.size === 0) return [];
     const found = new Set<string>();
     const seen = new Set([id]);
     const stack = [id];
     for (let next = stack.pop(); next !== undefined; next = stack.pop()) {
-      for (const parent of this.awaitsOf(next)) {
-        if (this.open.has(parent)) found.add(parent);
+      for (const parent of this.dependenciesOf(next)) {
+        if (this.unresolvedIds.has(parent)) found.add(parent);
         if (seen.has(parent)) continue;
         seen.add(parent);
         stack.push(parent);
@@ -138,4 +138,4 @@
   }
 }
 
-const NONE: ReadonlySet<string> = new Set();
+const NO_DEPENDENTS: ReadonlySet<string> = new Set();
--- a/src/bookkeeping/committer.ts
+++ b/src/bookkeeping/committer.ts
@@ -1,8 +1,8 @@
-import { formatJson, type Whole } from "../protocol/json.js";
-import type { Write } from "../protocol/state.js";
+import { formatJson, type Uint64 } from "../protocol/json.js";
+import type { WriteOperation } from "../protocol/state.js";
 import { type Clock, type Micros, ms, seconds } from "../transport/clock.js";
 import { RateLimit } from "../transport/rate-limit.js";
-import type { Committed, Store } from "./store.js";
+import type { KeyValueStore, TransactionResult } from "./store.js";
 
 /**
  * In the order in which the write budget is spent: cancellations, which nothing may keep waiting; what else a user
@@ -11,10 +11,10 @@
  * first: with thousands of machines there were several times as many of them as writes, and starts waited for seconds.
  * Urgent starts shared one with all others: a swarm of a guest's single tasks kept them waiting for 2.3 s in the mean.
  */
-export const URGENCIES = ["cancel", "user", "prompt", "work", "note", "upkeep"] as const;
-export type Urgency = (typeof URGENCIES)[number];
+export const WRITE_PRIORITIES = ["cancel", "user", "prompt", "work", "note", "upkeep"] as const;
+export type WritePriority = (typeof WRITE_PRIORITIES)[number];
 
-const byUrgency = <T>(make: () => T): Record<Urgency, T> => ({
+const forEachPriority = <T>(make: () => T): Record<WritePriority, T> => ({
   cancel: make(),
   user: make(),
   prompt: make(),
@@ -27,51 +27,51 @@
  * What has waited for longer than this has a turn of its own, so that no urgency starves behind those before it.
  * Cancellations and users' writes come first anyway.
  */
-const OVERDUE: ReadonlyMap<Urgency, Micros> = new Map([
+const OVERDUE_AFTER: ReadonlyMap<WritePriority, Micros> = new Map([
   ["prompt", seconds(1)],
   ["work", seconds(10)],
   ["note", seconds(30)],
   ["upkeep", seconds(60)],
 ]);
-const TURNS = [...OVERDUE.keys()];
+const TURN_ORDER = [...OVERDUE_AFTER.keys()];
 /** One transaction in so many begins with what is overdue. */
-const TURN = 3;
+const TURN_INTERVAL = 3;
 
 /** What becomes of a proposal; a busy state service is waited for here. */
-export type Settled = Exclude<Committed, { readonly kind: "busy" }>;
+export type SubmissionResult = Exclude<TransactionResult, { readonly kind: "busy" }>;
 
-interface Proposal {
-  readonly urgency: Urgency;
-  readonly conditions: ReadonlyMap<string, Whole>;
+interface PendingTransaction {
+  readonly priority: WritePriority;
+  readonly conditions: ReadonlyMap<string, Uint64>;
   /** Known before the writes are: they are made when the proposal leaves, so that they are up to date. */
   readonly keys: readonly string[];
-  readonly build: () => readonly Write[];
-  readonly resolve: (result: Settled) => void;
-  readonly since: Micros;
-  tries: number;
+  readonly buildWrites: () => readonly WriteOperation[];
+  readonly resolve: (result: SubmissionResult) => void;
+  readonly queuedAt: Micros;
+  attempts: number;
 }
 
-interface Batch {
-  readonly proposals: Proposal[];
-  readonly conditions: Map<string, Whole>;
-  readonly written: Set<string>;
-  readonly writes: Write[];
+interface TransactionBatch {
+  readonly pending: PendingTransaction[];
+  readonly conditions: Map<string, Uint64>;
+  readonly writtenKeys: Set<string>;
+  readonly writes: WriteOperation[];
   bytes: number;
 }
 
 /** No limit on values is taken to be below this: what is smaller was refused for something else. */
-const LEAST_VALUE = 512;
+const MIN_VALUE_BYTES = 512;
 const MAX_IN_FLIGHT = 2;
 /** So often a limit that was passed is waited for before whoever proposed is told. */
-const MAX_TRIES = 8;
-const MAX_BYTES = 48 * 1_024;
+const MAX_ATTEMPTS = 8;
+const MAX_BATCH_BYTES = 48 * 1_024;
 /** Users' writes leave this share of a transaction to what else is waiting: accepted work must get going, too. */
-const USER_SHARE = 0.75;
-const PROMPT_SHARE = 0.9;
+const USER_WRITE_SHARE = 0.75;
+const URGENT_WRITE_SHARE = 0.9;
 /** Of a second's writes. */
-const RESERVED = 0.5;
+const RESERVED_SHARE = 0.5;
 
-const sizeOf = (writes: readonly Write[]): number =>
+const encodedSize = (writes: readonly WriteOperation[]): number =>
   JSON.stringify(writes, (_, value: unknown) => (typeof value === "bigint" ? value.toString() : value)).length;
 
 /**
@@ -79,139 +79,158 @@
  * proposals that share a transaction do not share a fate: those whose conditions fail are taken out and the
  * others sent again.
  */
-export class Committer {
-  private readonly queues: Readonly<Record<Urgency, Proposal[]>> = byUrgency(() => []);
+export class TransactionBatcher {
+  private readonly queues: Readonly<Record<WritePriority, PendingTransaction[]>> = forEachPriority(() => []);
   private readonly budget: RateLimit;
   private inFlight = 0;
-  private sent = byUrgency(() => 0);
-  private batches = 0;
+  private sentWrites = forEachPriority(() => 0);
+  private batchCount = 0;
   private lastTurn = 0;
-  private armed = false;
+  private flushScheduled = false;
   /** So large a value, and so many writes at once, may be: as told, and less where the state service has refused as much. */
-  valueBytes: number;
-  mostWrites: number;
+  maxValueBytes: number;
+  maxWritesPerTransaction: number;
 
   constructor(
-    private readonly store: Store,
+    private readonly store: KeyValueStore,
     private readonly clock: Clock,
     private readonly random: () => number,
   ) {
     this.budget = new RateLimit(clock, store.budget.writesPerS);
-    this.valueBytes = store.budget.valueBytes ?? Number.POSITIVE_INFINITY;
-    this.mostWrites = store.budget.writesPerTransaction;
+    this.maxValueBytes = store.budget.valueBytes ?? Number.POSITIVE_INFINITY;
+    this.maxWritesPerTransaction = store.budget.writesPerTransaction;
   }
 
   /** Writes a second that this process may send at present. */
-  get rate(): number {
+  get writesPerSecond(): number {
     return this.budget.current;
   }
 
   /** Writes a second that this process may send where others leave it room. */
-  get fullRate(): number {
+  get fullWritesPerSecond(): number {
     return this.store.budget.writesPerS;
   }
 
   /** For the log: changes sent by urgency since this was last asked, what waits, and the rate at present. */
-  summary(): { readonly sent: Readonly<Record<Urgency, number>>; readonly waiting: number; readonly perS: number } {
-    const { sent } = this;
-    this.sent = byUrgency(() => 0);
-    const waiting = URGENCIES.reduce((sum, urgency) => sum + this.queues[urgency].length, 0);
-    return { sent, waiting, perS: Math.round(this.budget.current * 10) / 10 };
+  takeSummary(): {
+    readonly sent: Readonly<Record<WritePriority, number>>;
+    readonly pendingCount: number;
+    readonly perS: number;
+  } {
+    const { sentWrites } = this;
+    this.sentWrites = forEachPriority(() => 0);
+    const waiting = WRITE_PRIORITIES.reduce((sum, urgency) => sum + this.queues[urgency].length, 0);
+    return { sent: sentWrites, pendingCount: waiting, perS: Math.round(this.budget.current * 10) / 10 };
   }
 
   /** How long a user's write proposed now is likely to wait for the write budget. */
-  get backlog(): Micros {
-    const count = this.queues.user.reduce((sum, proposal) => sum + proposal.keys.length, 1);
+  get userWriteDelay(): Micros {
+    const count = this.queues.user.reduce((sum, transaction) => sum + transaction.keys.length, 1);
     return ((count / this.budget.current) * 1_000_000) as Micros;
   }
 
-  propose(
-    conditions: ReadonlyMap<string, Whole>,
-    writes: readonly Write[],
-    urgency: Urgency = "work",
-  ): Promise<Settled> {
+  submit(
+    conditions: ReadonlyMap<string, Uint64>,
+    writes: readonly WriteOperation[],
+    urgency: WritePriority = "work",
+  ): Promise<SubmissionResult> {
     const keys = writes.map((write) => write.key);
-    return this.proposeLater(conditions, keys, () => writes, urgency);
+    return this.submitDeferred(conditions, keys, () => writes, urgency);
   }
 
   /** What was proposed as a note of this key and still waits is now waited for. */
-  hurry(key: string, urgency: "prompt" | "work"): void {
+  promote(key: string, urgency: "prompt" | "work"): void {
     const at = this.queues.note.findIndex(({ keys }) => keys.includes(key));
     if (at < 0) return;
     const since = this.clock.now();
-    this.queues[urgency].push(...this.queues.note.splice(at, 1).map((proposal) => ({ ...proposal, urgency, since })));
-    this.arm(ms(2));
+    this.queues[urgency].push(
+      ...this.queues.note.splice(at, 1).map((transaction) => ({ ...transaction, priority: urgency, queuedAt: since })),
+    );
+    this.scheduleFlush(ms(2));
   }
 
   /** A note of this key that still waits is not wanted any more: it is answered as refused, and never sent. */
-  withdraw(key: string): void {
+  cancelPending(key: string): void {
     const at = this.queues.note.findIndex(({ keys }) => keys.includes(key));
     if (at < 0) return;
     for (const { resolve } of this.queues.note.splice(at, 1)) resolve({ kind: "refused" });
   }
 
   /** Proposals of this urgency that wait. */
-  waiting(urgency: Urgency): number {
+  waiting(urgency: WritePriority): number {
     return this.queues[urgency].length;
   }
 
   /** `build` is called when the proposal leaves; it must write these keys and no others. */
-  proposeLater(
-    conditions: ReadonlyMap<string, Whole>,
+  submitDeferred(
+    conditions: ReadonlyMap<string, Uint64>,
     keys: readonly string[],
-    build: () => readonly Write[],
-    urgency: Urgency,
-  ): Promise<Settled> {
+    build: () => readonly WriteOperation[],
+    urgency: WritePriority,
+  ): Promise<SubmissionResult> {
     return new Promise((resolve) => {
       const since = this.clock.now();
-      this.queues[urgency].push({ urgency, conditions, keys, build, resolve, since, tries: 0 });
+      this.queues[urgency].push({
+        priority: urgency,
+        conditions,
+        keys,
+        buildWrites: build,
+        resolve,
+        queuedAt: since,
+        attempts: 0,
+      });
       // A moment's delay lets what one event causes travel together.
-      this.arm(ms(2));
+      this.scheduleFlush(ms(2));
     });
   }
 
   /** Whose turn it is to begin a transaction; null: nothing waits. */
-  private first(): Proposal | null {
-    const turn = this.queues.cancel.length === 0 && this.batches % TURN === 0;
+  private nextTransaction(): PendingTransaction | null {
+    const turn = this.queues.cancel.length === 0 && this.batchCount % TURN_INTERVAL === 0;
     const overdue = turn ? this.nextOverdue() : null;
     if (overdue !== null) return overdue;
-    for (const urgency of URGENCIES) {
-      const proposal = this.queues[urgency][0];
-      if (proposal !== undefined) return proposal;
+    for (const urgency of WRITE_PRIORITIES) {
+      const transaction = this.queues[urgency][0];
+      if (transaction !== undefined) return transaction;
     }
     return null;
   }
 
   /** Of the urgencies with something overdue, each in its turn: the worst of them alone would keep the others out again. */
-  private nextOverdue(): Proposal | null {
+  private nextOverdue(): PendingTransaction | null {
     const now = this.clock.now();
-    for (let step = 1; step <= TURNS.length; step += 1) {
-      const urgency = TURNS[(this.lastTurn + step) % TURNS.length] ?? "work";
-      const proposal = this.queues[urgency][0];
-      if (proposal !== undefined && now - proposal.since > (OVERDUE.get(urgency) ?? 0)) return proposal;
+    for (let step = 1; step <= TURN_ORDER.length; step += 1) {
+      const urgency = TURN_ORDER[(this.lastTurn + step) % TURN_ORDER.length] ?? "work";
+      const transaction = this.queues[urgency][0];
+      if (transaction !== undefined && now - transaction.queuedAt > (OVERDUE_AFTER.get(urgency) ?? 0))
+        return transaction;
     }
     return null;
   }
 
-  private arm(delay: Micros): void {
-    if (this.armed) return;
-    this.armed = true;
+  private scheduleFlush(delay: Micros): void {
+    if (this.flushScheduled) return;
+    this.flushScheduled = true;
     this.clock.after(delay, () => {
-      this.armed = false;
+      this.flushScheduled = false;
       this.flush();
     });
   }
 
   private flush(): void {
-    for (let first = this.first(); first !== null && this.inFlight < MAX_IN_FLIGHT; first = this.first()) {
+    for (
+      let first = this.nextTransaction();
+      first !== null && this.inFlight < MAX_IN_FLIGHT;
+      first = this.nextTransaction()
+    ) {
       const wait = this.budget.waitFor(first.keys.length + this.reserveFor(first));
       if (wait > 0) {
-        this.arm(wait);
+        this.scheduleFlush(wait);
         return;
       }
-      if (this.batches % TURN === 0) this.lastTurn = Math.max(0, TURNS.indexOf(first.urgency));
-      const batch = this.takeBatch(first.urgency);
-      this.batches += 1;
+      if (this.batchCount % TURN_INTERVAL === 0) this.lastTurn = Math.max(0, TURN_ORDER.indexOf(first.priority));
+      const batch = this.takeBatch(first.priority);
+      this.batchCount += 1;
       this.inFlight += 1;
       void this.send(batch).finally(() => {
         this.inFlight -= 1;
@@ -220,17 +239,23 @@
     }
   }
 
-  private takeBatch(beginWith: Urgency): Batch {
-    const batch: Batch = { proposals: [], conditions: new Map(), written: new Set(), writes: [], bytes: 0 };
-    const most = Math.min(this.mostWrites, this.budget.available());
+  private takeBatch(beginWith: WritePriority): TransactionBatch {
+    const batch: TransactionBatch = {
+      pending: [],
+      conditions: new Map(),
+      writtenKeys: new Set(),
+      writes: [],
+      bytes: 0,
+    };
+    const most = Math.min(this.maxWritesPerTransaction, this.budget.available());
     const { prompt, work, note, upkeep } = this.queues;
     const others = work.length + note.length + upkeep.length > 0;
-    const notReserved = most - this.budget.current * RESERVED;
+    const notReserved = most - this.budget.current * RESERVED_SHARE;
     // Whose turn it is gets one in any case, and no more than that before the others.
     this.fill(batch, beginWith, 0);
     this.fill(batch, "cancel", most);
-    this.fill(batch, "user", prompt.length > 0 || others ? Math.floor(most * USER_SHARE) : most);
-    this.fill(batch, "prompt", others ? Math.floor(most * PROMPT_SHARE) : most);
+    this.fill(batch, "user", prompt.length > 0 || others ? Math.floor(most * USER_WRITE_SHARE) : most);
+    this.fill(batch, "prompt", others ? Math.floor(most * URGENT_WRITE_SHARE) : most);
     this.fill(batch, "work", most);
     this.fill(batch, "note", notReserved);
     this.fill(batch, "upkeep", notReserved);
@@ -239,69 +264,69 @@
   }
 
   /** What nobody waits for leaves part of the saved-up budget to a wave of starts, until it is overdue. */
-  private reserveFor({ urgency, since }: Proposal): number {
-    if (urgency !== "note" && urgency !== "upkeep") return 0;
-    const overdue = this.clock.now() - since > (OVERDUE.get(urgency) ?? 0);
-    return overdue ? 0 : this.budget.current * RESERVED;
+  private reserveFor({ priority, queuedAt }: PendingTransaction): number {
+    if (priority !== "note" && priority !== "upkeep") return 0;
+    const overdue = this.clock.now() - queuedAt > (OVERDUE_AFTER.get(priority) ?? 0);
+    return overdue ? 0 : this.budget.current * RESERVED_SHARE;
   }
 
-  private fill(batch: Batch, urgency: Urgency, most: number): void {
+  private fill(batch: TransactionBatch, urgency: WritePriority, most: number): void {
     const queue = this.queues[urgency];
     let kept = 0;
     let at = 0;
     for (; at < queue.length; at += 1) {
-      const proposal = queue[at];
-      if (proposal === undefined) break;
-      const empty = batch.proposals.length === 0;
+      const transaction = queue[at];
+      if (transaction === undefined) break;
+      const empty = batch.pending.length === 0;
       const fits =
         empty ||
-        (batch.writes.length + proposal.keys.length <= most &&
-          batch.conditions.size + proposal.conditions.size <= this.mostWrites * 4 &&
-          batch.bytes <= MAX_BYTES);
+        (batch.writes.length + transaction.keys.length <= most &&
+          batch.conditions.size + transaction.conditions.size <= this.maxWritesPerTransaction * 4 &&
+          batch.bytes <= MAX_BATCH_BYTES);
       if (!fits) break;
-      if (!empty && this.clashes(batch, proposal)) {
-        queue[kept] = proposal;
+      if (!empty && this.conflictsWith(batch, transaction)) {
+        queue[kept] = transaction;
         kept += 1;
         continue;
       }
-      const writes = proposal.build();
-      batch.proposals.push(proposal);
+      const writes = transaction.buildWrites();
+      batch.pending.push(transaction);
       batch.writes.push(...writes);
-      this.sent[urgency] += writes.length;
-      batch.bytes += sizeOf(writes);
-      for (const [key, version] of proposal.conditions) batch.conditions.set(key, version);
-      for (const key of proposal.keys) batch.written.add(key);
+      this.sentWrites[urgency] += writes.length;
+      batch.bytes += encodedSize(writes);
+      for (const [key, version] of transaction.conditions) batch.conditions.set(key, version);
+      for (const key of transaction.keys) batch.writtenKeys.add(key);
     }
     queue.splice(kept, at - kept);
   }
 
-  private clashes(batch: Batch, proposal: Proposal): boolean {
-    for (const [key, version] of proposal.conditions) {
-      if (batch.written.has(key)) return true;
+  private conflictsWith(batch: TransactionBatch, transaction: PendingTransaction): boolean {
+    for (const [key, version] of transaction.conditions) {
+      if (batch.writtenKeys.has(key)) return true;
       if (batch.conditions.has(key) && batch.conditions.get(key) !== version) return true;
     }
-    return proposal.keys.some((key) => batch.written.has(key) || batch.conditions.has(key));
+    return transaction.keys.some((key) => batch.writtenKeys.has(key) || batch.conditions.has(key));
   }
 
-  private async send(batch: Batch): Promise<void> {
-    const result = await this.store.commit(batch.conditions, batch.writes);
+  private async send(batch: TransactionBatch): Promise<void> {
+    const result = await this.store.transact(batch.conditions, batch.writes);
     switch (result.kind) {
       case "busy":
         this.budget.pause(ms(20 + 80 * this.random()));
-        this.again(batch.proposals.filter((proposal) => this.retries(proposal)));
+        this.requeue(batch.pending.filter((transaction) => this.mayRetry(transaction)));
         return;
       case "conflict": {
         const failed = new Set(result.keys);
-        const hit = batch.proposals.filter(({ conditions }) => [...conditions.keys()].some((key) => failed.has(key)));
-        for (const proposal of hit.length > 0 ? hit : batch.proposals) proposal.resolve(result);
-        if (hit.length > 0) this.again(batch.proposals.filter((proposal) => !hit.includes(proposal)));
+        const hit = batch.pending.filter(({ conditions }) => [...conditions.keys()].some((key) => failed.has(key)));
+        for (const proposal of hit.length > 0 ? hit : batch.pending) proposal.resolve(result);
+        if (hit.length > 0) this.requeue(batch.pending.filter((transaction) => !hit.includes(transaction)));
         return;
       }
       case "too large":
-        if (batch.proposals.length > 1) {
+        if (batch.pending.length > 1) {
           // Each by itself, or in smaller company: which of them it is shows then.
-          this.mostWrites = Math.max(1, Math.floor(batch.writes.length / 2));
-          this.again(batch.proposals);
+          this.maxWritesPerTransaction = Math.max(1, Math.floor(batch.writes.length / 2));
+          this.requeue(batch.pending);
           return;
         }
         this.learnLimits(batch.writes);
@@ -313,27 +338,27 @@
       case "ok":
       case "lost":
     }
-    for (const proposal of batch.proposals) proposal.resolve(result);
+    for (const proposal of batch.pending) proposal.resolve(result);
   }
 
   /** The same is never sent again as it is: whoever proposed it finds lower limits here. */
-  private learnLimits(writes: readonly Write[]): void {
-    if (writes.length > 1) this.mostWrites = Math.min(this.mostWrites, writes.length - 1);
+  private learnLimits(writes: readonly WriteOperation[]): void {
+    if (writes.length > 1) this.maxWritesPerTransaction = Math.min(this.maxWritesPerTransaction, writes.length - 1);
     const sizes = writes.map((write) => (write.kind === "put" ? formatJson(write.value).length : 0));
     const largest = Math.max(0, ...sizes);
-    if (largest >= LEAST_VALUE) this.valueBytes = Math.min(this.valueBytes, largest - 1);
+    if (largest >= MIN_VALUE_BYTES) this.maxValueBytes = Math.min(this.maxValueBytes, largest - 1);
   }
 
-  private retries(proposal: Proposal): boolean {
-    proposal.tries += 1;
-    if (proposal.tries <= MAX_TRIES) return true;
-    proposal.resolve({ kind: "refused" });
+  private mayRetry(transaction: PendingTransaction): boolean {
+    transaction.attempts += 1;
+    if (transaction.attempts <= MAX_ATTEMPTS) return true;
+    transaction.resolve({ kind: "refused" });
     return false;
   }
 
-  private again(proposals: readonly Proposal[]): void {
-    for (const urgency of URGENCIES) {
-      this.queues[urgency].unshift(...proposals.filter((proposal) => proposal.urgency === urgency));
+  private requeue(proposals: readonly PendingTransaction[]): void {
+    for (const urgency of WRITE_PRIORITIES) {
+      this.queues[urgency].unshift(...proposals.filter((transaction) => transaction.priority === urgency));
     }
   }
 }
--- a/src/bookkeeping/events.ts
+++ b/src/bookkeeping/events.ts
@@ -1,7 +1,7 @@
 import type { JobSpec } from "../protocol/user.js";
 import type { Micros } from "../transport/clock.js";
 
-interface MachineFacts {
+interface MachineEventFields {
   readonly machine: string;
   readonly type: string;
   readonly zone: string;
@@ -9,14 +9,14 @@
 }
 
 /** What the holder of a block sees happen, for whoever keeps it: a trace, or the log. Times by its steady clock. */
-export type SiteEvent =
+export type ClusterEvent =
   | { readonly kind: "job seen"; readonly spec: JobSpec }
   | { readonly kind: "job cancelled"; readonly job: string }
   /** The job was submitted because those before it had ended, so long ago. */
   | { readonly kind: "job follows"; readonly job: string; readonly after: readonly string[]; readonly pause: Micros }
   | { readonly kind: "task done"; readonly job: string; readonly index: number; readonly ran: Micros }
-  | ({ readonly kind: "machine up" | "machine deleted" | "machine failed" | "machine faulty" } & MachineFacts)
-  | ({ readonly kind: "machine notice" | "machine silent"; readonly span: Micros } & MachineFacts)
+  | ({ readonly kind: "machine up" | "machine deleted" | "machine failed" | "machine faulty" } & MachineEventFields)
+  | ({ readonly kind: "machine notice" | "machine silent"; readonly span: Micros } & MachineEventFields)
   | {
       readonly kind: "refused";
       readonly type: string;
@@ -28,11 +28,11 @@
   | { readonly kind: "state away" | "cloud away"; readonly span: Micros };
 
 /** Must not throw and must return at once; null where nobody listens, so that nothing is made up for nobody. */
-export type Sink = ((event: SiteEvent) => void) | null;
+export type ClusterEventListener = ((event: ClusterEvent) => void) | null;
 
-export const factsOf = (machine: {
+export const eventFieldsOf = (machine: {
   readonly name: string;
   readonly typeName: string;
   readonly zone: string;
   readonly spot: boolean;
-}): MachineFacts => ({ machine: machine.name, type: machine.typeName, zone: machine.zone, spot: machine.spot });
+}): MachineEventFields => ({ machine: machine.name, type: machine.typeName, zone: machine.zone, spot: machine.spot });
--- a/src/bookkeeping/machines.ts
+++ b/src/bookkeeping/machines.ts
@@ -18,70 +18,76 @@
   spot,
   address: null,
   state: "booting",
-  rentedAt: now,
-  session: null,
-  sequence: 0,
-  seenToken: 0,
-  timely: false,
-  anewToken: 0,
-  learntAt: now,
-  unprovenSince: null,
-  doubtedAt: 0 as Micros,
-  doubts: 0,
-  reach: { unanswered: 0, asked: null, unseen: 0, toldAt: null, answeredAt: 0 as Micros },
-  unreachedSince: null,
-  fence: 0,
-  staleSession: null,
-  lastHeard: now,
-  leaseBase: now,
-  leaseOver: false,
+  provisionedAt: now,
+  incarnation: null,
+  heartbeatSequence: 0,
+  highestToken: 0,
+  verified: false,
+  counterResetToken: 0,
+  countersLearnedAt: now,
+  unverifiedSince: null,
+  suspectedAt: 0 as Micros,
+  suspectHeartbeats: 0,
+  reachability: {
+    consecutiveTimeouts: 0,
+    probeToken: null,
+    heartbeatsWithoutProbe: 0,
+    probeSentAt: null,
+    lastResponseAt: 0 as Micros,
+  },
+  unreachableSince: null,
+  fencingSequence: 0,
+  expiredIncarnation: null,
+  lastHeartbeatAt: now,
+  leaseRenewedAt: now,
+  leaseExpired: false,
   tasks: new Set(),
-  used: { cpu: 0, gpu: 0, ram: 0 },
-  replicas: 0,
-  pinned: new Map(),
-  listing: null,
-  strays: new Map(),
-  exited: new Map(),
-  images: new Map(),
-  noticeUntil: null,
-  drain: null,
-  failures: new Map(),
-  avoidUntil: 0 as Micros,
+  usedResources: { cpu: 0, gpu: 0, ram: 0 },
+  replicaCount: 0,
+  imagesInUse: new Map(),
+  knownTaskList: null,
+  unexpectedTasks: new Map(),
+  exitedTasks: new Map(),
+  cachedImages: new Map(),
+  reclaimAt: null,
+  drainReason: null,
+  recentFailures: new Map(),
+  quarantinedUntil: 0 as Micros,
   idleSince: now,
-  commanding: false,
-  commandAfter: 0 as Micros,
-  launchFence: 0,
-  forgotAt: 0 as Micros,
+  commandInFlight: false,
+  nextCommandAt: 0 as Micros,
+  startFencingSequence: 0,
+  forgetSentAt: 0 as Micros,
   deleting: false,
-  probed: 0 as Micros,
+  probedAt: 0 as Micros,
 });
 
 /** Keeps the sums over a machine's tasks when one comes (1) or goes (-1); walking all tasks each time was dear. */
-export const tally = (machine: Machine, spec: JobSpec, sign: 1 | -1): void => {
-  const { used } = machine;
+export const addTaskUsage = (machine: Machine, spec: JobSpec, sign: 1 | -1): void => {
+  const { usedResources } = machine;
   const { demand } = spec;
-  machine.listing = null;
-  machine.used = {
-    cpu: used.cpu + sign * demand.cpu,
-    gpu: used.gpu + sign * demand.gpu,
-    ram: used.ram + sign * demand.ram,
+  machine.knownTaskList = null;
+  machine.usedResources = {
+    cpu: usedResources.cpu + sign * demand.cpu,
+    gpu: usedResources.gpu + sign * demand.gpu,
+    ram: usedResources.ram + sign * demand.ram,
   };
-  if (spec.shape === "service") machine.replicas += sign;
-  const users = (machine.pinned.get(spec.image) ?? 0) + sign;
-  if (users > 0) machine.pinned.set(spec.image, users);
-  else machine.pinned.delete(spec.image);
+  if (spec.shape === "service") machine.replicaCount += sign;
+  const users = (machine.imagesInUse.get(spec.image) ?? 0) + sign;
+  if (users > 0) machine.imagesInUse.set(spec.image, users);
+  else machine.imagesInUse.delete(spec.image);
 };
 
 /** The worker keeps the most recently used images; what no longer fits has been dropped. */
 export const rememberImage = (machine: Machine, image: string, gb: number): void => {
-  machine.images.delete(image);
-  machine.images.set(image, gb);
+  machine.cachedImages.delete(image);
+  machine.cachedImages.set(image, gb);
   const limit = machine.type?.cacheGb ?? Number.POSITIVE_INFINITY;
   let sum = 0;
-  for (const size of machine.images.values()) sum += size;
-  for (const [name, size] of machine.images) {
+  for (const size of machine.cachedImages.values()) sum += size;
+  for (const [name, size] of machine.cachedImages) {
     if (sum <= limit) break;
-    machine.images.delete(name);
+    machine.cachedImages.delete(name);
     sum -= size;
   }
 };
--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -1,107 +1,109 @@
-import { jobSpecForm } from "../protocol/job-spec-form.js";
+import { jobSpecCodec } from "../protocol/job-spec-form.js";
 import {
   asArray,
   asObject,
-  type Fields,
-  Malformed,
-  readAmount,
+  type JsonObject,
+  MalformedMessageError,
+  readNonNegative,
   readString,
-  readWhole,
-  type Whole,
+  readUint64,
+  type Uint64,
 } from "../protocol/json.js";
-import { RecordForm } from "../protocol/record-form.js";
+import { RecordCodec } from "../protocol/record-form.js";
 import type { JobSpec } from "../protocol/user.js";
 
 /**
  * Keys. All that is still going on lies below `c/`, so that a start-up list and the watch do not grow with the
  * jobs that ever ended; those have their last word below `e/`, one key a job, for ever.
  */
-export const CURRENT = "c/";
+export const CURRENT_PREFIX = "c/";
 /**
  * Blocks of machines that are leased separately. One holds all of a deployment of some tens of machines: cut in
  * three, the room kept standing for the next job would be needed three times over.
  */
-export const BLOCKS = 1;
+export const SHARD_COUNT = 1;
 
 /** One home for a team, so that one ledger keeps its limit; one for a machine, so that one holder commands it. */
-export const homeBlock = (name: string): number => {
+export const shardOf = (name: string): number => {
   let hash = 0;
   for (const char of name) hash = (hash * 31 + char.charCodeAt(0)) % 1_000_003;
-  return hash % BLOCKS;
+  return hash % SHARD_COUNT;
 };
-export const LEADER_KEY = "c/leader";
-export const NUMBER_KEY = "c/number";
-export const TYPES_KEY = "c/types";
+export const CLUSTER_LEADER_KEY = "c/leader";
+export const SHARD_EPOCH_KEY = "c/number";
+export const MACHINE_TYPES_KEY = "c/types";
 export const memberKey = (label: string): string => `c/member/${label}`;
-export const blockKey = (block: number): string => `c/block/${block}`;
+export const shardKey = (shard: number): string => `c/block/${shard}`;
 export const jobKey = (id: string): string => `c/job/${id}`;
-export const rangeKey = (id: string, range: number): string => `c/range/${id}/${range}`;
+export const taskRangeKey = (id: string, range: number): string => `c/range/${id}/${range}`;
 /** There while the block's holder can take nothing more; all controllers accept for it, so all have to know. */
-export const fullKey = (block: number): string => `c/full/${block}`;
+export const backpressureKey = (shard: number): string => `c/full/${shard}`;
 /** Zones in which nobody has been answered for a while, and since when (`SilenceRecord`). */
-export const silenceKey = (block: number): string => `c/silence/${block}`;
+export const unreachableZonesKey = (shard: number): string => `c/silence/${shard}`;
 /** Part of a list of awaited jobs that is too long for its job's own record. The digest is the list's: nothing else is ever there. */
-export const awaitedKey = (id: string, digest: string, part: number): string => `c/awaits/${id}/${digest}/${part}`;
-export const endKey = (id: string): string => `e/${id}`;
+export const dependencyListKey = (id: string, digest: string, part: number): string =>
+  `c/awaits/${id}/${digest}/${part}`;
+export const outcomeKey = (id: string): string => `e/${id}`;
 
-const after = (prefix: string, key: string): string | null =>
+const withoutPrefix = (prefix: string, key: string): string | null =>
   key.startsWith(prefix) ? key.slice(prefix.length) : null;
-export const jobOfKey = (key: string): string | null => after("c/job/", key);
-export const jobOfAwaitedKey = (key: string): string | null => after("c/awaits/", key)?.split("/")[0] ?? null;
-export const memberOfKey = (key: string): string | null => after("c/member/", key);
-export const rangeOfKey = (key: string): { id: string; range: number } | null => {
-  const rest = after("c/range/", key);
+export const jobOfKey = (key: string): string | null => withoutPrefix("c/job/", key);
+export const jobOfDependencyListKey = (key: string): string | null =>
+  withoutPrefix("c/awaits/", key)?.split("/")[0] ?? null;
+export const memberOfKey = (key: string): string | null => withoutPrefix("c/member/", key);
+export const taskRangeOfKey = (key: string): { id: string; range: number } | null => {
+  const rest = withoutPrefix("c/range/", key);
   if (rest === null) return null;
   const slash = rest.lastIndexOf("/");
   return { id: rest.slice(0, slash), range: Number(rest.slice(slash + 1)) };
 };
 
 export interface MemberRecord {
-  readonly lease: Whole;
+  readonly leaseId: Uint64;
   readonly incarnation: string;
 }
 
-export interface BlockRecord {
+export interface ShardRecord {
   readonly label: string;
   readonly incarnation: string;
-  readonly number: number;
+  readonly epoch: number;
 }
 
 /** Where a list of awaited jobs lies that is too long for its job's record. */
-export interface AwaitedList {
+export interface DependencyListLocation {
   readonly digest: string;
   readonly parts: number;
 }
 
 export interface JobRecord {
   readonly spec: JobSpec;
-  readonly block: number;
+  readonly shard: number;
   readonly cancelled: boolean;
   /** Where the list of awaited jobs lies, if it is not in the specification. */
-  readonly awaited?: AwaitedList;
+  readonly dependencyList?: DependencyListLocation;
   /** Time of day in milliseconds at which it was accepted, where that is known. */
   readonly acceptedMs?: number;
   /** Where it was not its user who cancelled it. */
-  readonly why?: EndReason;
+  readonly cancellationReason?: CancellationReason;
   /** By task, failures that count against the attempt that this job is; kept for jobs of graphs only. */
-  readonly errors?: Readonly<Record<string, number>>;
+  readonly failuresByTask?: Readonly<Record<string, number>>;
 }
 
 /** `error`, `timeout`: the attempt was given up. `graph`: withdrawn with what it is part of. `cleared`: to be redone. */
-export const END_REASONS = ["error", "timeout", "graph", "cleared"] as const;
-export type EndReason = (typeof END_REASONS)[number];
+export const CANCELLATION_REASONS = ["error", "timeout", "graph", "cleared"] as const;
+export type CancellationReason = (typeof CANCELLATION_REASONS)[number];
 
-export interface EndRecord {
+export interface OutcomeRecord {
   readonly phase: "done" | "cancelled";
-  readonly done: number;
-  readonly why?: EndReason;
+  readonly completedTasks: number;
+  readonly cancellationReason?: CancellationReason;
 }
 
 /** By zone, the time of day (milliseconds) after which no worker there was answered. */
-export interface SilenceRecord {
+export interface UnreachableZonesRecord {
   /** The block's number under which this was written. */
-  readonly number: number;
-  readonly zones: Readonly<Record<string, number>>;
+  readonly epoch: number;
+  readonly unansweredSinceMs: Readonly<Record<string, number>>;
 }
 
 /** What is durable of one task. `attempt` is the last one used; a machine means that it may be there. */
@@ -110,7 +112,7 @@
   | { readonly kind: "placed"; readonly attempt: number; readonly machine: string }
   | { readonly kind: "done" };
 
-const writeTask = (task: TaskRecord): unknown => {
+const encodeTask = (task: TaskRecord): unknown => {
   switch (task.kind) {
     case "waiting":
       return task.attempt;
@@ -122,7 +124,7 @@
 };
 
 /** Bytes of a range's value as sent. */
-export const rangeBytes = (records: readonly TaskRecord[]): number => {
+export const taskRangeBytes = (records: readonly TaskRecord[]): number => {
   let bytes = 8;
   for (const record of records) {
     if (record.kind === "done") bytes += 3;
@@ -132,97 +134,107 @@
   return bytes;
 };
 
-export const writeRange = (tasks: readonly TaskRecord[]): unknown => ({ t: tasks.map(writeTask) });
+export const encodeTaskRange = (tasks: readonly TaskRecord[]): unknown => ({ t: tasks.map(encodeTask) });
 
-export const readRange = (value: unknown): readonly TaskRecord[] =>
+export const decodeTaskRange = (value: unknown): readonly TaskRecord[] =>
   asArray(asObject(value, "range").t, "t").map((entry): TaskRecord => {
     if (entry === -1) return { kind: "done" };
     if (typeof entry === "number") return { kind: "waiting", attempt: entry };
     const [attempt, machine] = asArray(entry, "task");
-    if (typeof attempt !== "number" || typeof machine !== "string") throw new Malformed("task record");
+    if (typeof attempt !== "number" || typeof machine !== "string") throw new MalformedMessageError("task record");
     return { kind: "placed", attempt, machine };
   });
 
 /** Undefined where there is none, or one that is not known here. */
-const readReason = (fields: Fields): EndReason | undefined => END_REASONS.find((reason) => reason === fields.why);
-
-const memberForm = new RecordForm<MemberRecord>({ lease: "lease", incarnation: "incarnation" });
-const blockForm = new RecordForm<BlockRecord>({ label: "label", incarnation: "incarnation", number: "number" });
-const silenceForm = new RecordForm<SilenceRecord>({ number: "number", zones: "zones" });
-const endForm = new RecordForm<EndRecord>({ phase: "phase", done: "done", why: "why" });
-const awaitedListForm = new RecordForm<AwaitedList>({ digest: "digest", parts: "parts" });
-const jobForm = new RecordForm<JobRecord>({
-  spec: { name: "spec", form: jobSpecForm },
-  block: "block",
+const decodeCancellationReason = (fields: JsonObject): CancellationReason | undefined =>
+  CANCELLATION_REASONS.find((reason) => reason === fields.why);
+
+const memberCodec = new RecordCodec<MemberRecord>({ leaseId: "lease", incarnation: "incarnation" });
+const shardCodec = new RecordCodec<ShardRecord>({ label: "label", incarnation: "incarnation", epoch: "number" });
+const unreachableZonesCodec = new RecordCodec<UnreachableZonesRecord>({ epoch: "number", unansweredSinceMs: "zones" });
+const outcomeCodec = new RecordCodec<OutcomeRecord>({
+  phase: "phase",
+  completedTasks: "done",
+  cancellationReason: "why",
+});
+const dependencyListCodec = new RecordCodec<DependencyListLocation>({ digest: "digest", parts: "parts" });
+const jobCodec = new RecordCodec<JobRecord>({
+  spec: { name: "spec", form: jobSpecCodec },
+  shard: "block",
   cancelled: "cancelled",
-  awaited: { name: "awaited", form: awaitedListForm },
+  dependencyList: { name: "awaited", form: dependencyListCodec },
   acceptedMs: "acceptedMs",
-  why: "why",
-  errors: "errors",
+  cancellationReason: "why",
+  failuresByTask: "errors",
 });
 
-export const writeMember = (record: MemberRecord): Fields => memberForm.encode(record);
-export const writeBlock = (record: BlockRecord): Fields => blockForm.encode(record);
-export const writeSilence = (record: SilenceRecord): Fields => silenceForm.encode(record);
-export const writeEnd = (record: EndRecord): Fields => endForm.encode(record);
-export const writeJob = (record: JobRecord): Fields => jobForm.encode(record);
+export const encodeMemberRecord = (record: MemberRecord): JsonObject => memberCodec.encode(record);
+export const encodeShardRecord = (record: ShardRecord): JsonObject => shardCodec.encode(record);
+export const encodeUnreachableZones = (record: UnreachableZonesRecord): JsonObject =>
+  unreachableZonesCodec.encode(record);
+export const encodeOutcomeRecord = (record: OutcomeRecord): JsonObject => outcomeCodec.encode(record);
+export const encodeJobRecord = (record: JobRecord): JsonObject => jobCodec.encode(record);
 
 // Written by this program alone and never edited elsewhere, so its inner shape is taken as it is.
-export const readJob = (value: unknown): JobRecord => {
+export const decodeJobRecord = (value: unknown): JobRecord => {
   const fields = asObject(value, "job record");
-  const reason = readReason(fields);
+  const reason = decodeCancellationReason(fields);
   return {
-    spec: jobSpecForm.decode(asObject(fields.spec, "spec")),
-    block: readAmount(fields, "block"),
+    spec: jobSpecCodec.decode(asObject(fields.spec, "spec")),
+    shard: readNonNegative(fields, "block"),
     cancelled: fields.cancelled === true,
-    ...(fields.awaited === undefined ? {} : { awaited: awaitedListForm.decode(fields.awaited) }),
+    ...(fields.awaited === undefined ? {} : { dependencyList: dependencyListCodec.decode(fields.awaited) }),
     ...(typeof fields.acceptedMs === "number" ? { acceptedMs: fields.acceptedMs } : {}),
-    ...(reason === undefined ? {} : { why: reason }),
-    ...(fields.errors === undefined ? {} : { errors: fields.errors as Readonly<Record<string, number>> }),
+    ...(reason === undefined ? {} : { cancellationReason: reason }),
+    ...(fields.errors === undefined ? {} : { failuresByTask: fields.errors as Readonly<Record<string, number>> }),
   };
 };
 
 /** The jobs that it awaits, wherever its list lies; null while a part of it is not in the view. */
-export const awaitsOf = (
-  { spec, awaited }: JobRecord,
+export const recordedDependencies = (
+  { spec, dependencyList }: JobRecord,
   entries: ReadonlyMap<string, { readonly value: unknown }>,
 ): readonly string[] | null => {
-  if (awaited === undefined) return spec.awaits ?? [];
+  if (dependencyList === undefined) return spec.dependencies ?? [];
   const ids: string[] = [];
-  for (let part = 0; part < awaited.parts; part += 1) {
-    const entry = entries.get(awaitedKey(spec.id, awaited.digest, part));
+  for (let part = 0; part < dependencyList.parts; part += 1) {
+    const entry = entries.get(dependencyListKey(spec.id, dependencyList.digest, part));
     if (entry === undefined) return null;
     for (const id of asArray(entry.value, "awaited")) if (typeof id === "string") ids.push(id);
   }
   return ids;
 };
 
-export const readMember = (value: unknown): MemberRecord => {
+export const decodeMemberRecord = (value: unknown): MemberRecord => {
   const fields = asObject(value, "member");
-  return { lease: readWhole(fields, "lease"), incarnation: readString(fields, "incarnation") };
+  return { leaseId: readUint64(fields, "lease"), incarnation: readString(fields, "incarnation") };
 };
 
-export const readBlock = (value: unknown): BlockRecord => {
+export const decodeShardRecord = (value: unknown): ShardRecord => {
   const fields = asObject(value, "block");
   return {
     label: readString(fields, "label"),
     incarnation: readString(fields, "incarnation"),
-    number: readAmount(fields, "number"),
+    epoch: readNonNegative(fields, "number"),
   };
 };
 
-export const readSilence = (value: unknown): SilenceRecord => {
+export const decodeUnreachableZones = (value: unknown): UnreachableZonesRecord => {
   const fields = asObject(value, "silence");
   const zones = asObject(fields.zones, "zones");
   return {
-    number: readAmount(fields, "number"),
-    zones: Object.fromEntries(Object.keys(zones).map((zone) => [zone, readAmount(zones, zone)])),
+    epoch: readNonNegative(fields, "number"),
+    unansweredSinceMs: Object.fromEntries(Object.keys(zones).map((zone) => [zone, readNonNegative(zones, zone)])),
   };
 };
 
-export const readEnd = (value: unknown): EndRecord => {
+export const decodeOutcomeRecord = (value: unknown): OutcomeRecord => {
   const fields = asObject(value, "end");
   const phase = readString(fields, "phase") === "done" ? "done" : "cancelled";
-  const reason = readReason(fields);
-  return { phase, done: readAmount(fields, "done"), ...(reason === undefined ? {} : { why: reason }) };
+  const reason = decodeCancellationReason(fields);
+  return {
+    phase,
+    completedTasks: readNonNegative(fields, "done"),
+    ...(reason === undefined ? {} : { cancellationReason: reason }),
+  };
 };
--- a/src/bookkeeping/store.ts
+++ b/src/bookkeeping/store.ts
@@ -1,26 +1,28 @@
-import { formatJson, Malformed, parseJson, type Whole } from "../protocol/json.js";
+import { formatJson, MalformedMessageError, parseJson, type Uint64 } from "../protocol/json.js";
 import {
   type Change,
+  decodeChanges,
+  decodeEntry,
+  decodeEntryPage,
+  decodeFailedKeys,
+  decodeLeaseId,
+  decodeRevision,
   type Entry,
-  readChanges,
-  readEntries,
-  readEntry,
-  readFailed,
-  readLease,
-  readRevision,
-  transactionRequest,
-  type Write,
+  encodeTransaction,
+  type WriteOperation,
 } from "../protocol/state.js";
 import { type Clock, type Micros, ms, sleep } from "../transport/clock.js";
-import type { HttpClient, Outcome } from "../transport/http.js";
+import type { HttpClient, HttpOutcome } from "../transport/http.js";
 import type { Log } from "../transport/log.js";
 import { RateLimit } from "../transport/rate-limit.js";
 
 /** `refused`: surely not executed. `lost`: may have been, or may yet be. `missing`: no such key or lease. */
-export type Reply<T> = { readonly kind: "ok"; readonly value: T } | { readonly kind: "refused" | "lost" | "missing" };
+export type StoreResult<T> =
+  | { readonly kind: "ok"; readonly value: T }
+  | { readonly kind: "refused" | "lost" | "missing" };
 
-export type Committed =
-  | { readonly kind: "ok"; readonly version: Whole }
+export type TransactionResult =
+  | { readonly kind: "ok"; readonly version: Uint64 }
   | { readonly kind: "conflict"; readonly keys: readonly string[] }
   /** Surely not executed, and never will be as it is: a value or the whole is larger than the state service takes by now. */
   | { readonly kind: "too large" }
@@ -35,10 +37,10 @@
   readonly valueBytes?: number;
 }
 
-const TIMEOUT = ms(2_000);
+const REQUEST_TIMEOUT = ms(2_000);
 
 /** Client of the state service. Tells apart what was not executed from what may have been. */
-export class Store {
+export class KeyValueStore {
   private readonly requests: RateLimit;
 
   constructor(
@@ -52,15 +54,15 @@
     this.requests = new RateLimit(clock, budget.requestsPerS);
   }
 
-  async get(key: string): Promise<Reply<Entry>> {
-    await this.pace();
-    return this.read(await this.call("GET", `/kv/${key}`, null), readEntry);
+  async get(key: string): Promise<StoreResult<Entry>> {
+    await this.waitForBudget();
+    return this.decode(await this.request("GET", `/kv/${key}`, null), decodeEntry);
   }
 
   /** Every entry below the prefix, and a revision from which a watch misses nothing. */
-  async list(prefix: string): Promise<Reply<{ entries: readonly Entry[]; revision: Whole }>> {
+  async list(prefix: string): Promise<StoreResult<{ entries: readonly Entry[]; revision: Uint64 }>> {
     const entries: Entry[] = [];
-    let revision: Whole | null = null;
+    let revision: Uint64 | null = null;
     for (let from = ""; ; ) {
       const page = await this.page(prefix, from, 500);
       if (page.kind !== "ok") return page;
@@ -78,17 +80,20 @@
     prefix: string,
     from: string,
     count: number,
-  ): Promise<Reply<{ entries: readonly Entry[]; more: boolean; revision: Whole }>> {
-    await this.pace();
+  ): Promise<StoreResult<{ entries: readonly Entry[]; more: boolean; revision: Uint64 }>> {
+    await this.waitForBudget();
     const query = `/kv?under=${prefix}${from === "" ? "" : `&from=${from}`}&page=${count}`;
-    return this.read(await this.call("GET", query, null), readEntries);
+    return this.decode(await this.request("GET", query, null), decodeEntryPage);
   }
 
-  async commit(conditions: ReadonlyMap<string, Whole>, writes: readonly Write[]): Promise<Committed> {
+  async transact(
+    conditions: ReadonlyMap<string, Uint64>,
+    writes: readonly WriteOperation[],
+  ): Promise<TransactionResult> {
     this.requests.take(1);
-    const outcome = await this.call("POST", "/txn", transactionRequest(conditions, writes));
+    const outcome = await this.request("POST", "/txn", encodeTransaction(conditions, writes));
     if (outcome.kind === "answer" && outcome.status === 409) {
-      const failed = this.read({ ...outcome, status: 200 }, readFailed);
+      const failed = this.decode({ ...outcome, status: 200 }, decodeFailedKeys);
       return failed.kind === "ok" ? { kind: "conflict", keys: failed.value } : { kind: "lost" };
     }
     if (outcome.kind === "answer" && outcome.status === 400) {
@@ -98,59 +103,64 @@
       return { kind: "too large" };
     }
     if (outcome.kind === "answer" && outcome.status === 429) return { kind: "busy" };
-    const reply = this.read(outcome, readRevision);
+    const reply = this.decode(outcome, decodeRevision);
     if (reply.kind === "ok") return { kind: "ok", version: reply.value };
     return { kind: reply.kind === "missing" ? "refused" : reply.kind };
   }
 
-  async grant(ttl: Micros): Promise<Reply<Whole>> {
-    await this.pace();
-    return this.read(await this.call("POST", "/grants", { ttlMs: Math.floor(ttl / 1_000) }), readLease);
+  async grantLease(ttl: Micros): Promise<StoreResult<Uint64>> {
+    await this.waitForBudget();
+    return this.decode(await this.request("POST", "/grants", { ttlMs: Math.floor(ttl / 1_000) }), decodeLeaseId);
   }
 
   /** Not paced by the budget: a renewal kept waiting costs more than a request too many. */
-  async touch(lease: Whole): Promise<Reply<true>> {
+  async renewLease(lease: Uint64): Promise<StoreResult<true>> {
     this.requests.take(1);
-    return this.read(await this.call("POST", `/grants/${lease}/touch`, {}), () => true as const);
+    return this.decode(await this.request("POST", `/grants/${lease}/touch`, {}), () => true as const);
   }
 
-  async end(lease: Whole): Promise<Reply<true>> {
-    await this.pace();
-    return this.read(await this.call("DELETE", `/grants/${lease}`, null), () => true as const);
+  async revokeLease(lease: Uint64): Promise<StoreResult<true>> {
+    await this.waitForBudget();
+    return this.decode(await this.request("DELETE", `/grants/${lease}`, null), () => true as const);
   }
 
   /** `missing` when `from` is too old. */
   async watch(
     prefix: string,
-    from: Whole,
+    from: Uint64,
     wait: Micros,
-  ): Promise<Reply<{ changes: readonly Change[]; revision: Whole }>> {
-    await this.pace();
+  ): Promise<StoreResult<{ changes: readonly Change[]; revision: Uint64 }>> {
+    await this.waitForBudget();
     const query = `/watch?under=${prefix}&from=${from}&waitMs=${Math.floor(wait / 1_000)}`;
-    const outcome = await this.call("GET", query, null, (wait + TIMEOUT) as Micros);
+    const outcome = await this.request("GET", query, null, (wait + REQUEST_TIMEOUT) as Micros);
     if (outcome.kind === "answer" && outcome.status === 410) return { kind: "missing" };
-    return this.read(outcome, readChanges);
+    return this.decode(outcome, decodeChanges);
   }
 
-  private async pace(): Promise<void> {
+  private async waitForBudget(): Promise<void> {
     for (let wait = this.requests.waitFor(1); wait > 0; wait = this.requests.waitFor(1)) await sleep(this.clock, wait);
     this.requests.take(1);
   }
 
-  private async call(method: string, target: string, body: unknown, timeout = TIMEOUT): Promise<Outcome> {
+  private async request(
+    method: string,
+    target: string,
+    body: unknown,
+    timeout = REQUEST_TIMEOUT,
+  ): Promise<HttpOutcome> {
     const text = body === null ? "" : formatJson(body);
     const outcome = await this.http.call(this.address, { method, target, body: text }, timeout);
     if (outcome.kind === "answer" && outcome.status === 429) this.requests.pause(ms(50 + 150 * this.random()));
     return outcome;
   }
 
-  private read<T>(outcome: Outcome, parse: (body: unknown) => T): Reply<T> {
+  private decode<T>(outcome: HttpOutcome, parse: (body: unknown) => T): StoreResult<T> {
     if (outcome.kind === "unsent") return { kind: "refused" };
     if (outcome.kind === "lost") return { kind: "lost" };
     if (outcome.status === 404) return { kind: "missing" };
     if (outcome.status === 429 || outcome.status === 503) return { kind: "refused" };
     try {
-      if (outcome.status !== 200) throw new Malformed(`status ${outcome.status}`);
+      if (outcome.status !== 200) throw new MalformedMessageError(`status ${outcome.status}`);
       return { kind: "ok", value: parse(parseJson(outcome.body)) };
     } catch (error) {
       this.log.error("malformed answer of the state service", { error: String(error) });
--- a/src/bookkeeping/view.ts
+++ b/src/bookkeeping/view.ts
@@ -1,41 +1,41 @@
-import type { Whole } from "../protocol/json.js";
+import type { Uint64 } from "../protocol/json.js";
 import type { Change, Entry } from "../protocol/state.js";
 import { type Clock, type Micros, ms, seconds, sleep } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
-import type { Store } from "./store.js";
+import type { KeyValueStore } from "./store.js";
 
 /** Short, so that an idle watch still proves every second or so that nothing has been missed. */
-const WAIT = ms(1_000);
+const WATCH_TIMEOUT = ms(1_000);
 /** All controllers together spend these shares of the state service's requests on following and on questions. */
-export const FOLLOW_SHARE = 0.3;
-export const SYNC_SHARE = 0.25;
-const MIN_GAP = ms(15);
+export const WATCH_REQUEST_SHARE = 0.3;
+export const SYNC_REQUEST_SHARE = 0.25;
+const MIN_REQUEST_INTERVAL = ms(15);
 
 /** Between two requests of one controller, so that all of them keep to the share. */
-export const gapFor = (share: number, requestsPerS: number, controllers: number): Micros =>
-  Math.max(MIN_GAP, seconds(controllers / (share * requestsPerS))) as Micros;
+export const requestInterval = (share: number, requestsPerS: number, controllers: number): Micros =>
+  Math.max(MIN_REQUEST_INTERVAL, seconds(controllers / (share * requestsPerS))) as Micros;
 
 /** This process's copy of all that is current below one prefix, fed by a watch. */
-export class View {
+export class WatchCache {
   readonly entries = new Map<string, Entry>();
-  private revision: Whole | null = null;
+  private revision: Uint64 | null = null;
   private readonly listeners: ((change: Change) => void)[] = [];
-  private readonly before: ((change: Change) => void)[] = [];
-  private running: Promise<boolean> | null = null;
-  private queued: Promise<boolean> | null = null;
+  private readonly firstListeners: ((change: Change) => void)[] = [];
+  private syncInFlight: Promise<boolean> | null = null;
+  private syncQueued: Promise<boolean> | null = null;
   private syncedAt: Micros = 0 as Micros;
   /** Everything changed up to this moment is known here. */
-  freshAt: Micros | null = null;
+  freshAsOf: Micros | null = null;
 
   constructor(
-    private readonly store: Store,
+    private readonly store: KeyValueStore,
     private readonly prefix: string,
     private readonly clock: Clock,
     private readonly log: Log,
-    private readonly followGap: Micros,
-    private readonly syncGap: Micros,
+    private readonly watchInterval: Micros,
+    private readonly syncInterval: Micros,
     /** So many times as long is to be waited between questions now. */
-    private readonly slower: () => number = () => 1,
+    private readonly syncSlowdown: () => number = () => 1,
   ) {}
 
   get loaded(): boolean {
@@ -50,19 +50,19 @@
    * For what others conclude from: told of all that has come together before any other listener is told of the first of it. A
    * holder that took its block in the midst of a list found jobs there of which the chains had not heard yet, and never began them.
    */
-  onChangeBefore(listener: (change: Change) => void): void {
-    this.before.push(listener);
+  onChangeFirst(listener: (change: Change) => void): void {
+    this.firstListeners.push(listener);
   }
 
-  async follow(): Promise<never> {
+  async run(): Promise<never> {
     for (;;) {
       const sent = this.clock.now();
       if (this.revision === null) await this.load();
       else {
-        const good = await this.catchUp(this.revision, WAIT);
+        const good = await this.catchUp(this.revision, WATCH_TIMEOUT);
         if (!good) await sleep(this.clock, ms(150));
       }
-      const gap = sent + this.followGap - this.clock.now();
+      const gap = sent + this.watchInterval - this.clock.now();
       if (gap > 0) await sleep(this.clock, gap as Micros);
     }
   }
@@ -72,24 +72,24 @@
    * the next request; the one under way may have been sent too early for them.
    */
   sync(): Promise<boolean> {
-    if (this.queued !== null) return this.queued;
-    const before = this.running ?? Promise.resolve(true);
+    if (this.syncQueued !== null) return this.syncQueued;
+    const before = this.syncInFlight ?? Promise.resolve(true);
     const next = before
       .then(() => {
         // Hundreds of polls a second share few requests: without a pause they took the whole budget.
-        const gap = this.syncedAt + this.syncGap * this.slower() - this.clock.now();
+        const gap = this.syncedAt + this.syncInterval * this.syncSlowdown() - this.clock.now();
         return gap > 0 ? sleep(this.clock, gap as Micros) : undefined;
       })
       .then(() => {
         this.syncedAt = this.clock.now();
-        this.queued = null;
-        this.running = next;
+        this.syncQueued = null;
+        this.syncInFlight = next;
         return this.revision === null ? false : this.catchUp(this.revision, 0 as Micros);
       })
       .finally(() => {
-        if (this.running === next) this.running = null;
+        if (this.syncInFlight === next) this.syncInFlight = null;
       });
-    this.queued = next;
+    this.syncQueued = next;
     return next;
   }
 
@@ -110,13 +110,13 @@
     }
     // All of it before anybody is told: a list comes in the order of the keys, and who takes a block over on
     // seeing its key needs the ranges that were written before.
-    for (const change of changes) this.keep(change);
-    this.freshAt = sent;
-    this.tell(changes);
+    for (const change of changes) this.apply(change);
+    this.freshAsOf = sent;
+    this.notify(changes);
     this.log.info("state read", { entries: this.entries.size });
   }
 
-  private async catchUp(from: Whole, wait: Micros): Promise<boolean> {
+  private async catchUp(from: Uint64, wait: Micros): Promise<boolean> {
     const sent = this.clock.now();
     const reply = await this.store.watch(this.prefix, from, wait);
     if (reply.kind === "missing") {
@@ -130,19 +130,19 @@
     // Two requests overlap; what the other one brought must not be undone by an older change.
     const changes = reply.value.changes.filter(({ version }) => version > known);
     if (reply.value.revision > known) this.revision = reply.value.revision;
-    this.freshAt = Math.max(this.freshAt ?? 0, sent) as Micros;
-    for (const change of changes) this.keep(change);
-    this.tell(changes);
+    this.freshAsOf = Math.max(this.freshAsOf ?? 0, sent) as Micros;
+    for (const change of changes) this.apply(change);
+    this.notify(changes);
     return true;
   }
 
-  private keep(change: Change): void {
+  private apply(change: Change): void {
     if (change.kind === "put") this.entries.set(change.key, change);
     else this.entries.delete(change.key);
   }
 
-  private tell(changes: readonly Change[]): void {
-    for (const change of changes) for (const listener of this.before) listener(change);
+  private notify(changes: readonly Change[]): void {
+    for (const change of changes) for (const listener of this.firstListeners) listener(change);
     for (const change of changes) for (const listener of this.listeners) listener(change);
   }
 }
--- a/src/commands/graph-limits.ts
+++ b/src/commands/graph-limits.ts
@@ -1,18 +1,18 @@
 import { readFileSync } from "node:fs";
 import { neverRuns } from "../coordination/decisions/eligibility.js";
 import type { Plan } from "../graphs/index.js";
-import { type MachineType, readTypes } from "../protocol/cloud.js";
-import { Malformed, parseJson } from "../protocol/json.js";
+import { decodeMachineTypes, type MachineType } from "../protocol/cloud.js";
+import { MalformedMessageError, parseJson } from "../protocol/json.js";
 import { CommandError } from "./cli.js";
 import { graphs } from "./graph-files.js";
 import { load } from "./serving.js";
 
 const typesIn = (file: string): ReadonlyMap<string, MachineType> => {
   try {
-    return new Map(readTypes(parseJson(readFileSync(file, "utf8"))).map((type) => [type.name, type]));
+    return new Map(decodeMachineTypes(parseJson(readFileSync(file, "utf8"))).map((type) => [type.name, type]));
   } catch (error) {
     if (
-      !(error instanceof Malformed || error instanceof SyntaxError) &&
+      !(error instanceof MalformedMessageError || error instanceof SyntaxError) &&
       (error as NodeJS.ErrnoException).code === undefined
     )
       throw error;
@@ -39,7 +39,7 @@
 
 /** Stands for whatever machines there are, so that only the teams' limits speak. */
 const roomyType = (name: string, zones: readonly string[]): MachineType | null =>
-  readTypes({
+  decodeMachineTypes({
     flavors: [
       {
         sku: name,
--- a/src/commands/serving.ts
+++ b/src/commands/serving.ts
@@ -1,9 +1,9 @@
 import { randomBytes } from "node:crypto";
 import { getHeapStatistics } from "node:v8";
-import type { Sink } from "../bookkeeping/events.js";
-import { Cloud } from "../coordination/cloud.js";
-import { Controller, type MakeMesh } from "../coordination/controller.js";
-import type { Load } from "../coordination/overload.js";
+import type { ClusterEventListener } from "../bookkeeping/events.js";
+import { CloudClient } from "../coordination/cloud.js";
+import { Controller, type MeshFactory } from "../coordination/controller.js";
+import type { ProcessLoad } from "../coordination/overload.js";
 import { shareConnections } from "../settings/connections.js";
 import { loadOptions } from "../settings/options.js";
 import { loadSettings, SettingsError } from "../settings/settings.js";
@@ -39,7 +39,12 @@
 };
 
 /** Who is told what happens: a trace in a folder, the log at its most detailed, both, or, as a rule, nobody. */
-const sinkFor = async ({ settings, options }: Loaded, clock: Clock, log: Log, http: HttpClient): Promise<Sink> => {
+const sinkFor = async (
+  { settings, options }: Loaded,
+  clock: Clock,
+  log: Log,
+  http: HttpClient,
+): Promise<ClusterEventListener> => {
   const debug = isDebug(process.env.LOG_LEVEL);
   if (options.record === null) return debug ? (event) => log.debug("seen", { event }) : null;
   // Loaded only where it is switched on.
@@ -47,7 +52,7 @@
   const began = new Date().toISOString();
   let header: ReturnType<typeof headerOf> | null = null;
   const learn = async (): Promise<void> => {
-    const reply = await new Cloud(http, settings.cloudAddress, clock, log, 1).types();
+    const reply = await new CloudClient(http, settings.cloudAddress, clock, log, 1).listMachineTypes();
     if (reply.kind === "ok") header = headerOf(siteOf(settings, reply.value.types), "recorded", began);
     else clock.after(seconds(5), () => void learn());
   };
@@ -60,7 +65,7 @@
 };
 
 /** Shares of the limits that this process takes up; memory is looked at once a second. */
-const loadOf = ({ quota }: Loaded["settings"], clock: Clock, connections: () => number): (() => Load) => {
+const loadOf = ({ quota }: Loaded["settings"], clock: Clock, connections: () => number): (() => ProcessLoad) => {
   let memory = 0;
   let readAt = Number.NEGATIVE_INFINITY;
   return () => {
@@ -81,7 +86,7 @@
   clock: Clock,
   log: Log,
   http: HttpClient,
-): Promise<MakeMesh> => {
+): Promise<MeshFactory> => {
   const { meshWith, NetWires } = await import("../mesh/index.js");
   const wires = new NetWires(settings.meshListen, log);
   return meshWith({ settings, incarnation, clock, log, http, random: Math.random, wires });
@@ -98,13 +103,13 @@
   const connections = shareConnections(settings.quota.maxConnections);
   // A thousand machines report here, and idle connections to all of them as well would pass the limit.
   const http = new NetHttpClient(clock, connections.idle);
-  const sink = await sinkFor({ settings, options }, clock, log, http);
+  const eventListener = await sinkFor({ settings, options }, clock, log, http);
   const load = loadOf(settings, clock, () => server.connections + http.connections);
   // Loaded only where it is switched on.
   const extension = options.graphs === null ? null : (await import("../graphs/index.js")).graphsWith(options.graphs);
   const incarnation = randomBytes(8).toString("hex");
   const mesh = options.mesh ? await meshOf(settings, incarnation, clock, log, http) : null;
-  const outside = { clock, log, http, random: Math.random, sink, load, wall: Date.now, extension, mesh };
+  const outside = { clock, log, http, random: Math.random, eventListener, load, wallClock: Date.now, extension, mesh };
   const controller = new Controller(outside, settings, options, incarnation);
   const server: HttpServer = new HttpServer(
     clock,
--- a/src/commands/whatif-traces.ts
+++ b/src/commands/whatif-traces.ts
@@ -95,12 +95,18 @@
 
 /** The machine types, asked of the site's cloud. */
 const catalogue = async (address: string) => {
-  const [{ NetHttpClient }, { Cloud }, { systemClock }] = await Promise.all([
+  const [{ NetHttpClient }, { CloudClient }, { systemClock }] = await Promise.all([
     import("../transport/http-client.js"),
     import("../coordination/cloud.js"),
     import("../transport/clock.js"),
   ]);
-  const reply = await new Cloud(new NetHttpClient(systemClock, 1), address, systemClock, quietLog, 1).types();
+  const reply = await new CloudClient(
+    new NetHttpClient(systemClock, 1),
+    address,
+    systemClock,
+    quietLog,
+    1,
+  ).listMachineTypes();
   if (reply.kind !== "ok") throw new CommandError(`${address}: the cloud does not tell its machine types`);
   return reply.value.types;
 };
--- a/src/coordination/awaited.ts
+++ b/src/coordination/awaited.ts
@@ -1,15 +1,15 @@
 import { createHash } from "node:crypto";
 import {
-  awaitedKey,
-  awaitsOf,
-  type EndRecord,
+  decodeJobRecord,
+  dependencyListKey,
+  encodeJobRecord,
   type JobRecord,
   jobKey,
   jobOfKey,
-  readJob,
-  writeJob,
+  type OutcomeRecord,
+  recordedDependencies,
 } from "../bookkeeping/records.js";
-import { formatJson, type Whole } from "../protocol/json.js";
+import { formatJson, type Uint64 } from "../protocol/json.js";
 import type { Change } from "../protocol/state.js";
 import type { JobSpec } from "../protocol/user.js";
 import { ms, sleep } from "../transport/clock.js";
@@ -17,93 +17,95 @@
 import type { Services } from "./context.js";
 
 /** Last words looked up at once: more are kept waiting here than in the queue that all questions share. */
-const AT_ONCE = 48;
-const PAUSE = ms(200);
+const MAX_CONCURRENT_READS = 48;
+const RESOLVE_INTERVAL = ms(200);
 /** What it rests on may end while it is read. */
-const SETTLE_TRIES = 4;
+const MAX_RESOLVE_ATTEMPTS = 4;
 /** What a part's value holds beside its ids. */
-const PART_BYTES = 16;
+const PART_OVERHEAD_BYTES = 16;
 
 /** A job's last word on record; `never`: neither current nor ended. */
-export type LastWord = { readonly kind: "ended"; readonly end: EndRecord } | { readonly kind: "never" | "unknown" };
+export type TerminalState =
+  | { readonly kind: "ended"; readonly end: OutcomeRecord }
+  | { readonly kind: "never" | "unknown" };
 
 /** What is to be said of a list of awaited jobs. `withdrawn`: one of them is, for good. */
-export type Checked =
-  | { readonly kind: "fine"; readonly withdrawn: boolean }
+export type DependencyCheck =
+  | { readonly kind: "fine"; readonly cancelled: boolean }
   | { readonly kind: "never"; readonly id: string }
   | { readonly kind: "unknown" };
 
 /** A record that fits, and what has to be as it was when its transaction is carried out. */
-export interface Prepared {
+export interface PreparedRecord {
   readonly record: JobRecord;
-  readonly conditions: ReadonlyMap<string, Whole>;
+  readonly conditions: ReadonlyMap<string, Uint64>;
 }
 
 /** Reads what the chains of current jobs rest on, at every controller, and puts long lists of awaited jobs on record. */
-export class Awaited {
+export class DependencyResolver {
   /** Named by a current job, and neither current nor ended. */
-  private readonly nowhere = new Set<string>();
+  private readonly neverSubmitted = new Set<string>();
 
   constructor(
     private readonly services: Services,
-    private readonly lastWord: (id: string) => Promise<LastWord>,
+    private readonly readTerminalState: (id: string) => Promise<TerminalState>,
   ) {}
 
   /** What is current has changed. */
-  changed(change: Change): void {
-    const { chains, view, log } = this.services;
+  onChange(change: Change): void {
+    const { dependencies, cache, log } = this.services;
     const id = jobOfKey(change.key);
     if (id === null) return;
     if (change.kind === "delete") {
-      chains.remove(id);
+      dependencies.remove(id);
       return;
     }
-    const record = readJob(change.value);
-    const awaits = awaitsOf(record, view.entries);
+    const record = decodeJobRecord(change.value);
+    const awaits = recordedDependencies(record, cache.entries);
     // Its parts are written before it and removed after it.
     if (awaits === null) log.error("list of awaited jobs incomplete", { job: id });
-    chains.put(id, awaits ?? [id], record.cancelled);
+    dependencies.upsert(id, awaits ?? [id], record.cancelled);
   }
 
   /** Reads the last words on which the present state rests, for as long as the process lives. */
-  async follow(): Promise<never> {
-    const { chains, clock, log } = this.services;
+  async run(): Promise<never> {
+    const { dependencies, clock, log } = this.services;
     for (;;) {
       try {
-        const questions = chains.questions();
-        for (const id of this.nowhere) if (!questions.includes(id)) this.nowhere.delete(id);
-        await this.read(questions.filter((id) => !this.nowhere.has(id)));
+        const questions = dependencies.unresolved();
+        for (const id of this.neverSubmitted) if (!questions.includes(id)) this.neverSubmitted.delete(id);
+        await this.readTerminalStates(questions.filter((id) => !this.neverSubmitted.has(id)));
       } catch (error) {
         log.error("reading last words failed", { error: describeError(error) });
       }
-      await sleep(clock, PAUSE);
+      await sleep(clock, RESOLVE_INTERVAL);
     }
   }
 
   /** Once resolved to true, all on which the job's state rests has been read; false: it can't be told now. */
-  async settle(id: string): Promise<boolean> {
-    const { chains } = this.services;
-    for (let tries = 0; tries < SETTLE_TRIES; tries += 1) {
-      const questions = chains.questionsOf(id).filter((other) => !this.nowhere.has(other));
+  async resolve(id: string): Promise<boolean> {
+    const { dependencies } = this.services;
+    for (let tries = 0; tries < MAX_RESOLVE_ATTEMPTS; tries += 1) {
+      const questions = dependencies.unresolvedFor(id).filter((other) => !this.neverSubmitted.has(other));
       if (questions.length === 0) return true;
-      if (!(await this.read(questions))) return false;
+      if (!(await this.readTerminalStates(questions))) return false;
     }
     return false;
   }
 
-  private async read(ids: readonly string[]): Promise<boolean> {
-    const { chains, view } = this.services;
+  private async readTerminalStates(ids: readonly string[]): Promise<boolean> {
+    const { dependencies, cache } = this.services;
     let all = true;
-    for (let from = 0; from < ids.length; from += AT_ONCE) {
+    for (let from = 0; from < ids.length; from += MAX_CONCURRENT_READS) {
       await Promise.all(
-        ids.slice(from, from + AT_ONCE).map(async (id) => {
-          const word = await this.lastWord(id);
-          if (word.kind === "ended") chains.learn(id, word.end.phase);
-          else if (view.entries.has(jobKey(id))) return;
-          else if (word.kind === "unknown") all = false;
+        ids.slice(from, from + MAX_CONCURRENT_READS).map(async (id) => {
+          const terminalState = await this.readTerminalState(id);
+          if (terminalState.kind === "ended") dependencies.recordTerminalPhase(id, terminalState.end.phase);
+          else if (cache.entries.has(jobKey(id))) return;
+          else if (terminalState.kind === "unknown") all = false;
           // Accepted jobs never vanish: an older version, which ignores the field, has taken a list that names what nobody
           // submitted. Whatever awaits it waits for ever, and its questions are answered all the same.
-          else this.nowhere.add(id);
+          else this.neverSubmitted.add(id);
         }),
       );
     }
@@ -111,47 +113,51 @@
   }
 
   /** May a job that awaits these be accepted? Rests on reads that left after the question came. */
-  async check(awaits: readonly string[]): Promise<Checked> {
-    const { view } = this.services;
-    if (awaits.length === 0) return { kind: "fine", withdrawn: false };
-    if (!(await view.sync())) return { kind: "unknown" };
-    const others = awaits.filter((id) => !view.entries.has(jobKey(id)));
+  async check(awaits: readonly string[]): Promise<DependencyCheck> {
+    const { cache } = this.services;
+    if (awaits.length === 0) return { kind: "fine", cancelled: false };
+    if (!(await cache.sync())) return { kind: "unknown" };
+    const others = awaits.filter((id) => !cache.entries.has(jobKey(id)));
     let withdrawn = false;
-    for (let from = 0; from < others.length; from += AT_ONCE) {
-      const batch = others.slice(from, from + AT_ONCE);
-      const words = await Promise.all(batch.map((id) => this.lastWord(id)));
-      for (const [at, word] of words.entries()) {
+    for (let from = 0; from < others.length; from += MAX_CONCURRENT_READS) {
+      const batch = others.slice(from, from + MAX_CONCURRENT_READS);
+      const words = await Promise.all(batch.map((id) => this.readTerminalState(id)));
+      for (const [at, terminalState] of words.entries()) {
         const id = batch[at] ?? "";
-        if (word.kind === "ended") withdrawn ||= word.end.phase === "cancelled";
-        else if (view.entries.has(jobKey(id))) continue;
-        else return word.kind === "never" ? { kind: "never", id } : { kind: "unknown" };
+        if (terminalState.kind === "ended") withdrawn ||= terminalState.end.phase === "cancelled";
+        else if (cache.entries.has(jobKey(id))) continue;
+        else return terminalState.kind === "never" ? { kind: "never", id } : { kind: "unknown" };
       }
     }
-    return { kind: "fine", withdrawn };
+    return { kind: "fine", cancelled: withdrawn };
   }
 
   /** The record as it fits: a list that is too long for it is written first, in parts. Null: not to be had now. */
-  async prepare(record: JobRecord, most: number): Promise<Prepared | null> {
-    const { awaits, ...rest } = record.spec;
-    if (awaits === undefined || formatJson(writeJob(record)).length <= most) return { record, conditions: new Map() };
-    const parts = partsOf(awaits, most);
-    const digest = createHash("sha256").update(awaits.join(" ")).digest("hex").slice(0, 24);
-    const conditions = new Map<string, Whole>();
+  async prepareRecord(record: JobRecord, most: number): Promise<PreparedRecord | null> {
+    const { dependencies, ...rest } = record.spec;
+    if (dependencies === undefined || formatJson(encodeJobRecord(record)).length <= most)
+      return { record, conditions: new Map() };
+    const parts = splitIntoParts(dependencies, most);
+    const digest = createHash("sha256").update(dependencies.join(" ")).digest("hex").slice(0, 24);
+    const conditions = new Map<string, Uint64>();
     for (const [part, ids] of parts.entries()) {
-      const key = awaitedKey(rest.id, digest, part);
+      const key = dependencyListKey(rest.id, digest, part);
       const version = await this.writePart(key, ids);
       if (version === null) return null;
       conditions.set(key, version);
     }
     // As many as a transaction may have beside the job's own two.
-    const kept = [...conditions].slice(0, Math.max(0, this.services.committer.mostWrites * 4 - 2));
-    return { record: { ...record, spec: rest, awaited: { digest, parts: parts.length } }, conditions: new Map(kept) };
+    const kept = [...conditions].slice(0, Math.max(0, this.services.transactions.maxWritesPerTransaction * 4 - 2));
+    return {
+      record: { ...record, spec: rest, dependencyList: { digest, parts: parts.length } },
+      conditions: new Map(kept),
+    };
   }
 
   /** The key holds the list's digest: whatever is there already is the same. */
-  private async writePart(key: string, ids: readonly string[]): Promise<Whole | null> {
-    const { committer, store } = this.services;
-    const result = await committer.propose(new Map([[key, 0]]), [{ kind: "put", key, value: ids }], "user");
+  private async writePart(key: string, ids: readonly string[]): Promise<Uint64 | null> {
+    const { transactions, store } = this.services;
+    const result = await transactions.submit(new Map([[key, 0]]), [{ kind: "put", key, value: ids }], "user");
     if (result.kind === "ok") return result.version;
     if (result.kind !== "conflict") return null;
     const there = await store.get(key);
@@ -159,14 +165,14 @@
   }
 }
 
-const partsOf = (awaits: readonly string[], most: number): readonly (readonly string[])[] => {
+const splitIntoParts = (awaits: readonly string[], most: number): readonly (readonly string[])[] => {
   const parts: string[][] = [];
   let bytes = Number.POSITIVE_INFINITY;
   for (const id of awaits) {
     const more = id.length + 3;
     if (bytes + more > most) {
       parts.push([]);
-      bytes = PART_BYTES;
+      bytes = PART_OVERHEAD_BYTES;
     }
     parts.at(-1)?.push(id);
     bytes += more;
@@ -175,7 +181,7 @@
 };
 
 /** For the size of the record by itself. */
-export const withoutAwaits = (spec: JobSpec): Omit<JobSpec, "awaits"> => {
-  const { awaits: _, ...rest } = spec;
+export const withoutDependencies = (spec: JobSpec): Omit<JobSpec, "dependencies"> => {
+  const { dependencies: _, ...rest } = spec;
   return rest;
 };
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -1,159 +1,177 @@
-import { Chains } from "../bookkeeping/chains.js";
-import { Committer } from "../bookkeeping/committer.js";
-import type { Sink } from "../bookkeeping/events.js";
+import { DependencyGraph } from "../bookkeeping/chains.js";
+import { TransactionBatcher } from "../bookkeeping/committer.js";
+import type { ClusterEventListener } from "../bookkeeping/events.js";
 import type { Job } from "../bookkeeping/picture.js";
-import { CURRENT, homeBlock, TYPES_KEY } from "../bookkeeping/records.js";
-import { Store } from "../bookkeeping/store.js";
-import { FOLLOW_SHARE, gapFor, SYNC_SHARE, View } from "../bookkeeping/view.js";
-import { type MachineType, readTypes } from "../protocol/cloud.js";
-import { formatJson, Malformed } from "../protocol/json.js";
+import { CURRENT_PREFIX, MACHINE_TYPES_KEY, shardOf } from "../bookkeeping/records.js";
+import { KeyValueStore } from "../bookkeeping/store.js";
+import { requestInterval, SYNC_REQUEST_SHARE, WATCH_REQUEST_SHARE, WatchCache } from "../bookkeeping/view.js";
+import { decodeMachineTypes, type MachineType } from "../protocol/cloud.js";
+import { formatJson, MalformedMessageError } from "../protocol/json.js";
 import { type LinkTable, linksAnswer } from "../protocol/links.js";
-import { type Report, readReportText, redirectAnswer, reportAnswer } from "../protocol/worker.js";
+import { decodeHeartbeatText, encodeHeartbeatResponse, encodeRedirect, type Heartbeat } from "../protocol/worker.js";
 import type { Options } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
 import { type Clock, type Micros, seconds, sleep } from "../transport/clock.js";
 import type { HttpClient, Request, Response } from "../transport/http.js";
 import { describeError, type Log } from "../transport/log.js";
-import { Cloud } from "./cloud.js";
-import type { BlockLease, Services } from "./context.js";
-import type { Extension, MakeExtension } from "./extension.js";
-import { FrontDoor } from "./front-door.js";
+import { CloudClient } from "./cloud.js";
+import type { Services, ShardLease } from "./context.js";
+import type { Extension, ExtensionFactory } from "./extension.js";
+import { JobApi } from "./front-door.js";
 import { Membership } from "./membership.js";
-import { LEVELS, type LoadSource, Overload } from "./overload.js";
-import { Steward } from "./steward.js";
+import { LOAD_LEVELS, LoadShedder, type LoadSource } from "./overload.js";
+import { ShardLeader } from "./steward.js";
 
 /**
  * Both limits of the state service are shared by all controllers, whose shares of the work differ: nearly all writes
  * are the holder's, which with less than this had its starts wait while a third of the budget was left.
  */
-const SHARE = 0.7;
+const REQUEST_SHARE = 0.7;
 const WRITE_SHARE = 0.85;
 
-export interface Outside {
+export interface ControllerEnvironment {
   readonly clock: Clock;
   readonly log: Log;
   readonly http: HttpClient;
   readonly random: () => number;
   /** Told what happens on the site, where this controller holds it. */
-  readonly sink?: Sink;
+  readonly eventListener?: ClusterEventListener;
   /** Time of day in milliseconds, true within the bound of the settings. */
-  readonly wall?: () => number;
+  readonly wallClock?: () => number;
   /** How near this process is to its limits, where that can be read. */
   readonly load?: LoadSource;
   /** Told how many machines and tasks each round and plan looked at. */
-  readonly spent?: (looks: number) => void;
+  readonly onInspected?: (looks: number) => void;
   /** What makes jobs of its own, where that is switched on. */
-  readonly extension?: MakeExtension | null;
+  readonly extension?: ExtensionFactory | null;
   /** Connections to the other controllers, where these are switched on. */
-  readonly mesh?: MakeMesh | null;
+  readonly mesh?: MeshFactory | null;
 }
 
 /** What the controller makes use of where it has a mesh. */
 export interface MeshPort {
   readonly client: HttpClient;
   start(): void;
-  heardWorker(address: string): void;
-  heardThrough(address: string, peer: string): void;
-  carryReport(holder: string, request: Request): Promise<Response | null>;
+  workerHeard(address: string): void;
+  workerHeardThrough(address: string, peer: string): void;
+  relayHeartbeat(leader: string, request: Request): Promise<Response | null>;
   table(): LinkTable;
-  readonly deafChangedAt: Micros | null;
+  readonly workerPathChangedAt: Micros | null;
 }
 
-export interface MeshAround {
+export interface MeshHost {
   readonly level: () => number;
-  readonly holding: () => { readonly machines: number; readonly since: Micros } | null;
-  readonly report: (request: Request, through: string) => Promise<Response>;
+  readonly leadership: () => { readonly machines: number; readonly since: Micros } | null;
+  readonly handleHeartbeat: (request: Request, through: string) => Promise<Response>;
 }
 
-export type MakeMesh = (around: MeshAround) => MeshPort;
+export type MeshFactory = (dependencies: MeshHost) => MeshPort;
 
 /** One controller: what `main` and the simulated clusters of the tests both start. */
 export class Controller {
   private readonly services: Services;
-  private readonly types = new Map<string, MachineType>();
-  private readonly cloud: Cloud;
+  private readonly machineTypes = new Map<string, MachineType>();
+  private readonly cloud: CloudClient;
   private readonly membership: Membership;
-  private readonly frontDoor: FrontDoor;
-  private readonly stewards = new Map<number, Steward>();
+  private readonly jobApi: JobApi;
+  private readonly shardLeaders = new Map<number, ShardLeader>();
   private readonly extension: Extension | null;
   private readonly mesh: MeshPort | null;
 
-  constructor(outside: Outside, settings: Settings, options: Options, incarnation: string) {
+  constructor(outside: ControllerEnvironment, settings: Settings, options: Options, incarnation: string) {
     const { clock, log, random } = outside;
     this.mesh =
       outside.mesh?.({
-        level: () => LEVELS.indexOf(this.services.overload.level),
-        holding: () => this.heldMachines(),
-        report: async (request, through) => this.hello(request.body, through),
+        level: () => LOAD_LEVELS.indexOf(this.services.loadShedder.level),
+        leadership: () => this.leadership(),
+        handleHeartbeat: async (request, through) => this.handleHeartbeat(request.body, through),
       }) ?? null;
     const http = this.mesh?.client ?? outside.http;
-    const store = new Store(
+    const store = new KeyValueStore(
       http,
-      settings.stateAddress,
+      settings.storeAddress,
       clock,
       log,
       {
-        requestsPerS: settings.state.rps * SHARE,
-        writesPerS: settings.state.writeRps * WRITE_SHARE,
-        writesPerTransaction: settings.state.transactionWrites,
-        valueBytes: settings.state.valueBytes,
+        requestsPerS: settings.store.requestsPerS * REQUEST_SHARE,
+        writesPerS: settings.store.writesPerS * WRITE_SHARE,
+        writesPerTransaction: settings.store.transactionWrites,
+        valueBytes: settings.store.valueBytes,
       },
       random,
     );
-    const overload = new Overload(clock, log, outside.load ?? null);
-    const { rps } = settings.state;
-    const view = new View(
+    const loadShedder = new LoadShedder(clock, log, outside.load ?? null);
+    const { requestsPerS } = settings.store;
+    const cache = new WatchCache(
       store,
-      CURRENT,
+      CURRENT_PREFIX,
       clock,
       log,
-      gapFor(FOLLOW_SHARE, rps, settings.controllers),
-      gapFor(SYNC_SHARE, rps, settings.controllers),
+      requestInterval(WATCH_REQUEST_SHARE, requestsPerS, settings.controllers),
+      requestInterval(SYNC_REQUEST_SHARE, requestsPerS, settings.controllers),
       // Polls may lag by seconds: under load they share longer intervals.
-      () => (overload.atLeast("coarse") ? 5 : overload.atLeast("lean") ? 2 : 1),
+      () => (loadShedder.atLeast("coarse") ? 5 : loadShedder.atLeast("lean") ? 2 : 1),
     );
-    const committer = new Committer(store, clock, random);
-    const sink = outside.sink ?? null;
-    const spent = outside.spent ?? null;
-    const wall = outside.wall ?? null;
-    const own = { clock, log, http, random, wall, deafChangedAt: () => this.mesh?.deafChangedAt ?? null };
-    const chains = new Chains();
-    this.services = { ...own, settings, options, store, committer, view, chains, sink, overload, spent };
-    this.cloud = new Cloud(http, settings.cloudAddress, clock, log, settings.cloud.rps * 0.8);
-    this.extension = outside.extension?.(this.services, this.types) ?? null;
+    const transactions = new TransactionBatcher(store, clock, random);
+    const eventListener = outside.eventListener ?? null;
+    const onInspected = outside.onInspected ?? null;
+    const wallClock = outside.wallClock ?? null;
+    const own = {
+      clock,
+      log,
+      http,
+      random,
+      wallClock,
+      workerPathChangedAt: () => this.mesh?.workerPathChangedAt ?? null,
+    };
+    const dependencies = new DependencyGraph();
+    this.services = {
+      ...own,
+      settings,
+      options,
+      store,
+      transactions,
+      cache,
+      dependencies,
+      eventListener,
+      loadShedder,
+      onInspected,
+    };
+    this.cloud = new CloudClient(http, settings.cloudAddress, clock, log, settings.cloud.requestsPerS * 0.8);
+    this.extension = outside.extension?.(this.services, this.machineTypes) ?? null;
     this.membership = new Membership(this.services, incarnation, {
-      taken: (lease) => this.take(lease),
-      dropped: (block) => this.drop(block),
+      shardAcquired: (lease) => this.acquireShard(lease),
+      shardReleased: (shard) => this.releaseShard(shard),
     });
-    this.frontDoor = new FrontDoor(this.services, this.types, {
-      running: (id) => {
-        for (const steward of this.stewards.values()) {
-          const counts = steward.running(id);
+    this.jobApi = new JobApi(this.services, this.machineTypes, {
+      taskCounts: (id) => {
+        for (const leader of this.shardLeaders.values()) {
+          const counts = leader.taskCounts(id);
           if (counts !== null) return counts;
         }
         return null;
       },
-      holds: () => this.stewards.size > 0,
-      withdrawn: (spec) => chains.isWithdrawn(spec.id) || this.extension?.withdrawn(spec) === true,
+      isLeader: () => this.shardLeaders.size > 0,
+      isWithdrawn: (spec) => dependencies.isCancelled(spec.id) || this.extension?.isWithdrawn(spec) === true,
     });
-    chains.onWithdrawn = (id) => {
-      for (const steward of this.stewards.values()) steward.withdrawn(id);
+    dependencies.onCancelledByDependency = (id) => {
+      for (const leader of this.shardLeaders.values()) leader.cancelByDependency(id);
     };
-    chains.onMayBegin = (id) => {
-      for (const steward of this.stewards.values()) steward.mayBegin(id);
+    dependencies.onReady = (id) => {
+      for (const leader of this.shardLeaders.values()) leader.jobReady(id);
     };
-    view.onChangeBefore((change) => this.frontDoor.awaited.changed(change));
-    view.onChange((change) => {
-      if (change.key === TYPES_KEY && change.kind === "put") this.learnTypes(change.value);
-      for (const steward of this.stewards.values()) steward.changed(change);
+    cache.onChangeFirst((change) => this.jobApi.dependencyResolver.onChange(change));
+    cache.onChange((change) => {
+      if (change.key === MACHINE_TYPES_KEY && change.kind === "put") this.learnMachineTypes(change.value);
+      for (const leader of this.shardLeaders.values()) leader.onChange(change);
     });
   }
 
   /** Of the blocks held here, what is kept in memory. */
-  get holding(): { readonly machines: number; readonly tasks: number } {
+  get leadershipSize(): { readonly machines: number; readonly tasks: number } {
     const sum = { machines: 0, tasks: 0 };
-    for (const steward of this.stewards.values()) {
-      const { machines, tasks } = steward.size;
+    for (const leader of this.shardLeaders.values()) {
+      const { machines, tasks } = leader.size;
       sum.machines += machines;
       sum.tasks += tasks;
     }
@@ -161,121 +179,124 @@
   }
 
   /** A job of a block held here, as far as its place in the order goes. */
-  jobAt(id: string): Pick<Job, "rank" | "dueAt" | "blocked"> | null {
-    for (const steward of this.stewards.values()) {
-      const job = steward.jobAt(id);
+  findJob(id: string): Pick<Job, "effectiveRank" | "effectiveDeadline" | "awaitingDependencies"> | null {
+    for (const leader of this.shardLeaders.values()) {
+      const job = leader.findJob(id);
       if (job !== null) return job;
     }
     return null;
   }
 
   start(): void {
-    const { view, log } = this.services;
+    const { cache, log } = this.services;
     const keep = (name: string, work: Promise<unknown>): void => {
       work.catch((error: unknown) => log.error("loop ended", { name, error: describeError(error) }));
     };
     this.mesh?.start();
-    keep("view", view.follow());
+    keep("view", cache.run());
     keep("membership", this.membership.run());
-    keep("types", this.fetchTypes());
-    keep("last words", this.frontDoor.awaited.follow());
+    keep("types", this.fetchMachineTypes());
+    keep("last words", this.jobApi.dependencyResolver.run());
   }
 
   async handle(request: Request): Promise<Response> {
     if (request.target === "/hello") {
       if (request.method !== "POST") return { status: 405, body: "{}" };
-      return (await this.carried(request)) ?? this.hello(request.body, null);
+      return (await this.relayToLeader(request)) ?? this.handleHeartbeat(request.body, null);
     }
     if (request.target === "/links") {
-      const machines = [...this.stewards.values()].map(({ standing }) => standing);
+      const machines = [...this.shardLeaders.values()].map(({ fleetHealth }) => fleetHealth);
       return { status: 200, body: formatJson(linksAnswer(this.mesh?.table() ?? null, machines[0] ?? null)) };
     }
-    return this.extension?.handle(request) ?? this.frontDoor.handle(request);
+    return this.extension?.handle(request) ?? this.jobApi.handle(request);
   }
 
   /** The holder hears no worker itself, but can be reached from here: it answers through us. */
-  private async carried(request: Request): Promise<Response | null> {
-    if (this.mesh === null || this.stewards.size > 0) return null;
+  private async relayToLeader(request: Request): Promise<Response | null> {
+    if (this.mesh === null || this.shardLeaders.size > 0) return null;
     // There is one block; with several, the machine's name tells whose it is.
-    const holder = this.membership.holder(0);
-    if (holder === null || holder === this.services.settings.label) return null;
-    return this.mesh.carryReport(holder, request);
+    const leader = this.membership.leaderOf(0);
+    if (leader === null || leader === this.services.settings.label) return null;
+    return this.mesh.relayHeartbeat(leader, request);
   }
 
-  private heldMachines(): { machines: number; since: Micros } | null {
-    if (this.stewards.size === 0) return null;
+  private leadership(): { machines: number; since: Micros } | null {
+    if (this.shardLeaders.size === 0) return null;
     let machines = 0;
     let since = 0 as Micros;
-    for (const { upMachines, takenAt } of this.stewards.values()) {
+    for (const { upMachines, acquiredAt } of this.shardLeaders.values()) {
       machines += upMachines;
-      since = Math.max(since, takenAt) as Micros;
+      since = Math.max(since, acquiredAt) as Micros;
     }
     return { machines, since };
   }
 
   /** `through`: the sibling that it came to; null: it came here. */
-  private hello(body: string, through: string | null): Response {
-    let report: Report;
+  private handleHeartbeat(body: string, through: string | null): Response {
+    let heartbeat: Heartbeat;
     try {
-      report = readReportText(body, (machine) => this.stewards.get(homeBlock(machine))?.listingOf(machine) ?? null);
+      heartbeat = decodeHeartbeatText(
+        body,
+        (machine) => this.shardLeaders.get(shardOf(machine))?.knownTaskListOf(machine) ?? null,
+      );
     } catch (error) {
-      if (error instanceof Malformed || error instanceof SyntaxError) {
+      if (error instanceof MalformedMessageError || error instanceof SyntaxError) {
         this.services.log.error("malformed report", { error: error.message });
         return { status: 400, body: '{"error":"malformed report"}' };
       }
       throw error;
     }
-    const block = homeBlock(report.machine);
-    const steward = this.stewards.get(block);
-    if (steward === undefined) {
-      const holder = this.membership.holder(block);
+    const shard = shardOf(heartbeat.machine);
+    const leader = this.shardLeaders.get(shard);
+    if (leader === undefined) {
+      const holder = this.membership.leaderOf(shard);
       const elsewhere = holder === this.services.settings.label ? null : holder;
-      return { status: 421, body: formatJson(redirectAnswer(elsewhere)) };
+      return { status: 421, body: formatJson(encodeRedirect(elsewhere)) };
     }
-    if (through === null) this.mesh?.heardWorker(report.address);
-    else this.mesh?.heardThrough(report.address, through);
-    const answer = steward.report(report);
+    if (through === null) this.mesh?.workerHeard(heartbeat.address);
+    else this.mesh?.workerHeardThrough(heartbeat.address, through);
+    const answer = leader.handleHeartbeat(heartbeat);
     if (answer === null) return { status: 503, body: "{}" };
-    return { status: 200, body: formatJson(reportAnswer(answer.token, answer.commands)) };
+    return { status: 200, body: formatJson(encodeHeartbeatResponse(answer.token, answer.commands)) };
   }
 
-  private take(lease: BlockLease): void {
+  private acquireShard(lease: ShardLease): void {
     const { membership } = this;
-    const steward = new Steward(
+    const leader = new ShardLeader(
       this.services,
       lease,
       this.cloud,
-      this.types,
-      () => membership.drop(lease.block),
+      this.machineTypes,
+      () => membership.release(lease.shard),
       () => membership.resign(),
-      () => membership.handOver(),
+      () => membership.transferLeadership(),
       this.extension,
     );
-    this.stewards.set(lease.block, steward);
+    this.shardLeaders.set(lease.shard, leader);
   }
 
-  private drop(block: number): void {
-    this.services.log.info("block dropped", { block });
-    this.stewards.get(block)?.stop();
-    this.stewards.delete(block);
+  private releaseShard(shard: number): void {
+    this.services.log.info("block dropped", { block: shard });
+    this.shardLeaders.get(shard)?.stop();
+    this.shardLeaders.delete(shard);
   }
 
-  private learnTypes(raw: unknown): void {
+  private learnMachineTypes(raw: unknown): void {
     try {
-      const types = readTypes(raw);
-      if (this.types.size === 0) for (const type of types) this.types.set(type.name, type);
+      const types = decodeMachineTypes(raw);
+      if (this.machineTypes.size === 0) for (const type of types) this.machineTypes.set(type.name, type);
     } catch (error) {
       this.services.log.error("malformed types on record", { error: String(error) });
     }
   }
 
-  private async fetchTypes(): Promise<void> {
-    const { clock, view } = this.services;
+  private async fetchMachineTypes(): Promise<void> {
+    const { clock, cache } = this.services;
     // The record spares the cloud a question at every restart.
-    while (!view.loaded) await sleep(clock, seconds(0.05));
-    while (this.types.size === 0) {
-      const reply = await this.cloud.types();
-      if (reply.kind === "ok") this.learnTypes(reply.value.raw);
+    while (!cache.loaded) await sleep(clock, seconds(0.05));
+    while (this.machineTypes.size === 0) {
+      const reply = await this.cloud.listMachineTypes();
+      if (reply.kind === "ok") this.learnMachineTypes(reply.value.raw);
       else await sleep(clock, seconds(1 + this.services.random()));
     }
   }
--- a/src/coordination/decisions/drain.ts
+++ b/src/coordination/decisions/drain.ts
@@ -3,25 +3,25 @@
 import { type Micros, seconds } from "../../transport/clock.js";
 
 /** Of the time left, so much may be counted on: estimates are often wrong by half. */
-const TRUST = 0.7;
+const ESTIMATE_TRUST = 0.7;
 
-export type DrainAction =
+export type EvictionAction =
   /** No start of it has left or can arrive: it need not be stopped. */
   | { readonly kind: "gone"; readonly task: Task }
   | { readonly kind: "stop"; readonly task: Task; readonly graceS: number };
 
 /** What is to leave a machine that is to be empty: tasks that will not end by themselves in time. */
-export function* decideDrain(machine: Machine, now: Micros): Generator<DrainAction> {
-  const notice = machine.noticeUntil;
+export function* decideEvictions(machine: Machine, now: Micros): Generator<EvictionAction> {
+  const notice = machine.reclaimAt;
   for (const task of [...machine.tasks]) {
     // Told to stop before it was ever started.
-    if (task.stop !== null && task.launch.kind === "none") yield { kind: "gone", task };
+    if (task.stopRequest !== null && task.startCommand.kind === "none") yield { kind: "gone", task };
   }
   // A faulty machine fails what it starts; what runs there already is left alone.
-  if (notice === null && machine.drain !== "returning") return;
+  if (notice === null && machine.drainReason !== "returning") return;
   for (const task of [...machine.tasks]) {
-    if (task.stop !== null) continue;
-    if (task.launch.kind === "none") {
+    if (task.stopRequest !== null) continue;
+    if (task.startCommand.kind === "none") {
       yield { kind: "gone", task };
       continue;
     }
@@ -29,9 +29,9 @@
     const { spec } = task.job;
     const left = notice === null ? Number.POSITIVE_INFINITY : notice - now;
     const ran = task.runningSince === null ? 0 : now - task.runningSince;
-    const endsInTime = spec.shape !== "service" && seconds(spec.estimateS) - ran < left * TRUST;
+    const endsInTime = spec.shape !== "service" && seconds(spec.estimatedRunS) - ran < left * ESTIMATE_TRUST;
     if (endsInTime) continue;
-    const saves = spec.checkpointS > 0 && seconds(spec.saveS) <= left;
-    yield { kind: "stop", task, graceS: saves ? Math.ceil(spec.saveS) : 0 };
+    const saves = spec.checkpointIntervalS > 0 && seconds(spec.checkpointDurationS) <= left;
+    yield { kind: "stop", task, graceS: saves ? Math.ceil(spec.checkpointDurationS) : 0 };
   }
 }
--- a/src/coordination/decisions/eligibility.ts
+++ b/src/coordination/decisions/eligibility.ts
@@ -3,8 +3,8 @@
 import type { JobSpec } from "../../protocol/user.js";
 import type { Settings } from "../../settings/settings.js";
 import { fits } from "../placement/bfgp.js";
-import type { Picture } from "./picture.js";
-import { isReached } from "./reach.js";
+import type { SchedulerSnapshot } from "./picture.js";
+import { isReachable } from "./reach.js";
 
 /** May the job use such a machine at all? */
 export const allows = (spec: JobSpec, typeName: string, zone: string, spot: boolean): boolean =>
@@ -15,8 +15,8 @@
 /** Zones of the job's tasks, wherever one may be; a machine known by name only has the zone "". */
 export const zoneCounts = (job: Job): Map<string, number> => {
   const counts = new Map<string, number>();
-  for (const task of job.placed) {
-    const zone = task.on?.zone ?? "";
+  for (const task of job.placedTasks) {
+    const zone = task.machine?.zone ?? "";
     counts.set(zone, (counts.get(zone) ?? 0) + 1);
   }
   return counts;
@@ -25,7 +25,7 @@
 /** Given where the job's other tasks may be, can one more go to this zone? */
 export const zoneAllowed = (spec: JobSpec, counts: ReadonlyMap<string, number>, zone: string): boolean => {
   const unknown = counts.get("") ?? 0;
-  if (spec.oneZone && [...counts].some(([other, count]) => count > 0 && other !== zone)) return false;
+  if (spec.singleZone && [...counts].some(([other, count]) => count > 0 && other !== zone)) return false;
   return !spec.spread || (counts.get(zone) ?? 0) + unknown < Math.ceil(spec.tasks / 2);
 };
 
@@ -42,25 +42,27 @@
   | "not reached"
   | "not heard under our token";
 
-export const unready = (machine: Machine, picture: Picture): Unready | null => {
-  const { now, silentAfter, firstToken } = picture;
+export const unready = (machine: Machine, snapshot: SchedulerSnapshot): Unready | null => {
+  const { now, heartbeatTimeout, firstFencingToken } = snapshot;
   if (machine.type === null) return "type unknown";
   if (machine.state !== "up") return "booting";
-  if (machine.drain !== null || machine.deleting) return "draining";
-  if (machine.noticeUntil !== null) return "notice";
-  if (machine.leaseOver) return "lease over";
-  if (machine.strays.size > 0) return "strays";
-  if (machine.avoidUntil > now) return "avoided";
-  if (now - machine.lastHeard > silentAfter) return "silent";
-  if (!isReached(machine.reach)) return "not reached";
-  return machine.seenToken < firstToken || machine.anewToken !== 0 ? "not heard under our token" : null;
+  if (machine.drainReason !== null || machine.deleting) return "draining";
+  if (machine.reclaimAt !== null) return "notice";
+  if (machine.leaseExpired) return "lease over";
+  if (machine.unexpectedTasks.size > 0) return "strays";
+  if (machine.quarantinedUntil > now) return "avoided";
+  if (now - machine.lastHeartbeatAt > heartbeatTimeout) return "silent";
+  if (!isReachable(machine.reachability)) return "not reached";
+  return machine.highestToken < firstFencingToken || machine.counterResetToken !== 0
+    ? "not heard under our token"
+    : null;
 };
 
 /** Machines that can take tasks now. */
-export function* readyMachines(picture: Picture): Generator<readonly [Machine, MachineType]> {
-  for (const machine of picture.block.machines.values()) {
+export function* readyMachines(snapshot: SchedulerSnapshot): Generator<readonly [Machine, MachineType]> {
+  for (const machine of snapshot.shard.machines.values()) {
     const { type } = machine;
-    if (type !== null && unready(machine, picture) === null) yield [machine, type];
+    if (type !== null && unready(machine, snapshot) === null) yield [machine, type];
   }
 }
 
--- a/src/coordination/decisions/evidence.ts
+++ b/src/coordination/decisions/evidence.ts
@@ -1,28 +1,28 @@
-import type { Whole } from "../../protocol/json.js";
+import type { Uint64 } from "../../protocol/json.js";
 import type { Micros } from "../../transport/clock.js";
 
 /** What is known of a worker, by its own counters. */
-export interface Known {
-  readonly session: Whole | null;
-  readonly sequence: Whole;
+export interface WorkerCounters {
+  readonly incarnation: Uint64 | null;
+  readonly heartbeatSequence: Uint64;
   /** Highest token that it has shown. */
-  readonly seenToken: Whole;
+  readonly highestToken: Uint64;
   /** Its lease in this session is surely over. */
-  readonly staleSession: Whole | null;
+  readonly expiredIncarnation: Uint64 | null;
   /** When this was learnt. */
-  readonly learntAt: Micros;
+  readonly countersLearnedAt: Micros;
   /** What is known was surely written since this holder began. */
-  readonly timely: boolean;
+  readonly verified: boolean;
 }
 
-export interface Said {
-  readonly session: Whole;
-  readonly sequence: Whole;
-  readonly token: Whole;
+export interface HeartbeatCounters {
+  readonly incarnation: Uint64;
+  readonly sequence: Uint64;
+  readonly token: Uint64;
 }
 
 /** A report may be a late copy; an answer to a question of our own was written after the question left. */
-export type Origin = { readonly kind: "report" } | { readonly kind: "answer"; readonly askedAt: Micros };
+export type HeartbeatSource = { readonly kind: "report" } | { readonly kind: "answer"; readonly askedAt: Micros };
 
 /**
  * What may follow from a worker's message (docs/evidence.md):
@@ -32,29 +32,34 @@
  * older tokens may still arrive, so that what is missing in its list is not gone. `turned`: timely, and its earlier session
  * is over with all tasks and commands of it. `news`: timely, and only commands under our own tokens can still arrive.
  */
-export type Evidence = "old" | "doubtful" | "unproven" | "anew" | "timely" | "turned" | "news";
+export type HeartbeatFreshness = "old" | "doubtful" | "unproven" | "anew" | "timely" | "turned" | "news";
 
 /** Sessions first, then ticks: negative where `said` was written before what is known. */
-const order = (known: Known, said: Said): number => {
-  if (known.session === null) return 1;
-  if (said.session !== known.session) return said.session < known.session ? -1 : 1;
-  if (said.sequence === known.sequence) return 0;
-  return said.sequence < known.sequence ? -1 : 1;
+const compareCounters = (known: WorkerCounters, heartbeat: HeartbeatCounters): number => {
+  if (known.incarnation === null) return 1;
+  if (heartbeat.incarnation !== known.incarnation) return heartbeat.incarnation < known.incarnation ? -1 : 1;
+  if (heartbeat.sequence === known.heartbeatSequence) return 0;
+  return heartbeat.sequence < known.heartbeatSequence ? -1 : 1;
 };
 
 /** `needed`: the least token that only this holder can have given, since the worker's counters last began. */
-export const weigh = (known: Known, said: Said, origin: Origin, needed: Whole): Evidence => {
-  const over = known.staleSession !== null && said.session <= known.staleSession;
-  const place = order(known, said);
+export const classifyHeartbeat = (
+  known: WorkerCounters,
+  heartbeat: HeartbeatCounters,
+  source: HeartbeatSource,
+  needed: Uint64,
+): HeartbeatFreshness => {
+  const over = known.expiredIncarnation !== null && heartbeat.incarnation <= known.expiredIncarnation;
+  const place = compareCounters(known, heartbeat);
   // Neither ticks nor tokens ever go down in one life of a worker.
-  if (over || place <= 0 || said.token < known.seenToken) {
-    if (origin.kind === "report") return place === 0 && said.token === known.seenToken ? "old" : "doubtful";
-    return origin.askedAt >= known.learntAt ? "anew" : "old";
+  if (over || place <= 0 || heartbeat.token < known.highestToken) {
+    if (source.kind === "report") return place === 0 && heartbeat.token === known.highestToken ? "old" : "doubtful";
+    return source.askedAt >= known.countersLearnedAt ? "anew" : "old";
   }
-  const ours = said.token >= needed;
-  if (!known.timely && origin.kind === "report" && !ours) return "unproven";
+  const ours = heartbeat.token >= needed;
+  if (!known.verified && source.kind === "report" && !ours) return "unproven";
   // Whoever is known to have been in an earlier session in our time has had no command of anybody else's since.
-  if (known.timely && known.session !== null && said.session > known.session) return "turned";
+  if (known.verified && known.incarnation !== null && heartbeat.incarnation > known.incarnation) return "turned";
   return ours ? "news" : "timely";
 };
 
@@ -63,5 +68,8 @@
  * lower token: shown ours, a worker that has begun anew would look like the one before, with the commands to that still
  * about.
  */
-export const maybeOvertaken = (known: Known & { readonly leaseOver: boolean }, said: Said): boolean =>
-  !known.leaseOver && said.session === known.session && said.token >= known.seenToken;
+export const mayBeOvertaken = (
+  known: WorkerCounters & { readonly leaseExpired: boolean },
+  heartbeat: HeartbeatCounters,
+): boolean =>
+  !known.leaseExpired && heartbeat.incarnation === known.incarnation && heartbeat.token >= known.highestToken;
--- a/src/coordination/decisions/picture.ts
+++ b/src/coordination/decisions/picture.ts
@@ -1,29 +1,29 @@
-import type { Block } from "../../bookkeeping/block.js";
+import type { ShardState } from "../../bookkeeping/block.js";
 import type { Options } from "../../settings/options.js";
 import type { Settings } from "../../settings/settings.js";
 import type { Micros } from "../../transport/clock.js";
-import type { Work } from "../placement/ranking.js";
+import type { InspectionCounter } from "../placement/ranking.js";
 
 /**
  * What decisions are made from. They change nothing in it: what is to happen comes out as actions with their reasons,
  * each of which is carried out before the next one is asked for, so that it counts for what follows. The controller's
  * loops carry them out through records and commands, the fast model of what-if at once.
  */
-export interface Picture {
+export interface SchedulerSnapshot {
   readonly now: Micros;
-  readonly block: Block;
+  readonly shard: ShardState;
   readonly settings: Pick<Settings, "teams" | "objectives">;
   readonly options: Options;
   /** A machine not heard for so long gets nothing new. */
-  readonly silentAfter: number;
+  readonly heartbeatTimeout: number;
   /** A worker that has not seen this token is not known well enough. */
-  readonly firstToken: number;
+  readonly firstFencingToken: number;
   /** Teams' guarantees are together more than the room there is: they are served by turns, not fought for. */
-  readonly guaranteesShort: boolean;
+  readonly guaranteesOvercommitted: boolean;
   /** So many looks for something to stop a round may take. */
-  readonly searches: number;
+  readonly maxPreemptionSearches: number;
   /** So many more ranges may come to wait for their placements to be on record: of urgent work, and of other work. */
-  readonly records: Readonly<Record<"prompt" | "work", number>>;
+  readonly recordBudget: Readonly<Record<"prompt" | "work", number>>;
   /** Counts what is looked at. */
-  readonly work: Work;
+  readonly inspection: InspectionCounter;
 }
--- a/src/coordination/decisions/promptness.ts
+++ b/src/coordination/decisions/promptness.ts
@@ -4,12 +4,12 @@
 import { type Micros, seconds } from "../../transport/clock.js";
 
 /** Classes expected to start within this time are in a hurry, whatever their rank. */
-const HURRY = seconds(30);
+const URGENT_START = seconds(30);
 /** Of the time in which a class is expected to start, so much may pass before it costs others more than it gains. */
-export const PATIENCE_SHARE = 0.5;
+export const MAX_QUEUE_SHARE = 0.5;
 
 /** The shortest time in which the class's tasks, or its team's guaranteed ones, are expected to start; else null. */
-export const startWithin = (
+export const startDeadline = (
   spec: JobSpec,
   { objectives, teams }: Pick<Settings, "objectives" | "teams">,
 ): Micros | null => {
@@ -24,26 +24,26 @@
 };
 
 /** So long the class's tasks may wait for what comes free by itself. */
-export const patienceOf = (spec: JobSpec, settings: Pick<Settings, "objectives" | "teams">): number =>
-  (startWithin(spec, settings) ?? 0) * PATIENCE_SHARE;
+export const maxQueueTime = (spec: JobSpec, settings: Pick<Settings, "objectives" | "teams">): number =>
+  (startDeadline(spec, settings) ?? 0) * MAX_QUEUE_SHARE;
 
-const HIGH = 1;
+const HIGH_RANK = 1;
 
 /**
  * Work whose starts and ends go before others' where the state service's writes are short: of the upper ranks, within a
  * guarantee, or of a class that is to start within moments.
  */
-const isPrompt = (
-  { spec, entitled, rank }: Pick<Job, "spec" | "entitled" | "rank">,
+const isUrgent = (
+  { spec, withinGuarantee, effectiveRank }: Pick<Job, "spec" | "withinGuarantee" | "effectiveRank">,
   settings: Pick<Settings, "objectives" | "teams">,
 ): boolean => {
-  if (entitled || rank <= HIGH) return true;
-  const within = startWithin(spec, settings);
-  return within !== null && within <= HURRY;
+  if (withinGuarantee || effectiveRank <= HIGH_RANK) return true;
+  const within = startDeadline(spec, settings);
+  return within !== null && within <= URGENT_START;
 };
 
 /** In which of the committer's queues the job's starts and ends wait. */
-export const laneOf = (
-  job: Pick<Job, "spec" | "entitled" | "rank">,
+export const writePriorityOf = (
+  job: Pick<Job, "spec" | "withinGuarantee" | "effectiveRank">,
   settings: Pick<Settings, "objectives" | "teams">,
-): "prompt" | "work" => (isPrompt(job, settings) ? "prompt" : "work");
+): "prompt" | "work" => (isUrgent(job, settings) ? "prompt" : "work");
--- a/src/coordination/decisions/reach.ts
+++ b/src/coordination/decisions/reach.ts
@@ -1,61 +1,67 @@
-import type { Reach } from "../../bookkeeping/picture.js";
-import type { Whole } from "../../protocol/json.js";
+import type { Reachability } from "../../bookkeeping/picture.js";
+import type { Uint64 } from "../../protocol/json.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 
 /** One may get lost on any network. */
-const TOO_MANY = 2;
+const MAX_MISSES = 2;
 
-export const commandsReach = ({ unanswered }: Reach): boolean => unanswered < TOO_MANY;
-export const answersReach = ({ unseen }: Reach): boolean => unseen < TOO_MANY;
+export const commandsArrive = ({ consecutiveTimeouts }: Reachability): boolean => consecutiveTimeouts < MAX_MISSES;
+export const responsesArrive = ({ heartbeatsWithoutProbe }: Reachability): boolean =>
+  heartbeatsWithoutProbe < MAX_MISSES;
 /** Room is only where commands get to and where leases are renewed. */
-export const isReached = (reach: Reach): boolean => commandsReach(reach) && answersReach(reach);
+export const isReachable = (reachability: Reachability): boolean =>
+  commandsArrive(reachability) && responsesArrive(reachability);
 /** Nothing gets there: one report without an effect of the answer before is enough, where commands fail as well. */
-export const isDeaf = (reach: Reach): boolean => !commandsReach(reach) && reach.unseen > 0;
+export const isOneWay = (reachability: Reachability): boolean =>
+  !commandsArrive(reachability) && reachability.heartbeatsWithoutProbe > 0;
 
 /** An answer that was on its way when the question left may get there a little later. */
-const ON_ITS_WAY = seconds(0.7);
-const RECENT = seconds(2.5);
+const RESPONSE_IN_FLIGHT = seconds(0.7);
+const RECENT_RESPONSE = seconds(2.5);
 
 /** A question or command has been answered. */
-export const heardBack = (reach: Reach, now: Micros): void => {
+export const recordResponse = (reachability: Reachability, now: Micros): void => {
   // Whatever was missed while nothing got there says nothing of now: machines were given up for it once a cut was over.
-  if (!commandsReach(reach)) {
-    reach.unseen = 0;
-    reach.toldAt = null;
+  if (!commandsArrive(reachability)) {
+    reachability.heartbeatsWithoutProbe = 0;
+    reachability.probeSentAt = null;
   }
-  reach.unanswered = 0;
-  reach.answeredAt = now;
+  reachability.consecutiveTimeouts = 0;
+  reachability.lastResponseAt = now;
 };
 
 /** An answer to a question that left at `askedAt`: where it does not show what an earlier answer to a report told, that was lost. */
-export const questionCame = (reach: Reach, token: Whole, askedAt: Micros): void => {
-  if (reach.asked === null || reach.toldAt === null) return;
-  if (token >= reach.asked) seen(reach);
+export const recordStatusReply = (reachability: Reachability, token: Uint64, askedAt: Micros): void => {
+  if (reachability.probeToken === null || reachability.probeSentAt === null) return;
+  if (token >= reachability.probeToken) confirmProbe(reachability);
   // Of an answer of long before it says nothing: that may have been lost in a cut that is over.
-  else if (askedAt - reach.toldAt > ON_ITS_WAY && askedAt - reach.toldAt < RECENT)
-    reach.unseen = Math.max(reach.unseen, TOO_MANY);
+  else if (
+    askedAt - reachability.probeSentAt > RESPONSE_IN_FLIGHT &&
+    askedAt - reachability.probeSentAt < RECENT_RESPONSE
+  )
+    reachability.heartbeatsWithoutProbe = Math.max(reachability.heartbeatsWithoutProbe, MAX_MISSES);
 };
 
-const seen = (reach: Reach): void => {
-  reach.asked = null;
-  reach.toldAt = null;
-  reach.unseen = 0;
+const confirmProbe = (reachability: Reachability): void => {
+  reachability.probeToken = null;
+  reachability.probeSentAt = null;
+  reachability.heartbeatsWithoutProbe = 0;
 };
 
-export const gotNothing = (reach: Reach): void => {
-  reach.unanswered += 1;
+export const recordTimeout = (reachability: Reachability): void => {
+  reachability.consecutiveTimeouts += 1;
 };
 
 /**
  * A report newer than all before. `skipped`: messages between it and the one before that never came here, mostly because
  * the worker had no answer here and tried elsewhere. Returns whether the next answers are to carry a token of their own.
  */
-export const reportCame = (reach: Reach, token: Whole, skipped: boolean): boolean => {
-  if (reach.asked === null) return skipped || reach.unanswered > 0;
-  if (token >= reach.asked) {
-    seen(reach);
-    return reach.unanswered > 0;
+export const recordHeartbeat = (reachability: Reachability, token: Uint64, skipped: boolean): boolean => {
+  if (reachability.probeToken === null) return skipped || reachability.consecutiveTimeouts > 0;
+  if (token >= reachability.probeToken) {
+    confirmProbe(reachability);
+    return reachability.consecutiveTimeouts > 0;
   }
-  if (reach.toldAt !== null) reach.unseen += 1;
+  if (reachability.probeSentAt !== null) reachability.heartbeatsWithoutProbe += 1;
   return true;
 };
--- a/src/coordination/decisions/run.ts
+++ b/src/coordination/decisions/run.ts
@@ -2,15 +2,15 @@
 import { fits } from "../placement/bfgp.js";
 import { Ranking } from "../placement/ranking.js";
 import { allows, zoneAllowed } from "./eligibility.js";
-import type { Candidate, Floor } from "./floor.js";
-import type { Picture } from "./picture.js";
-import { mayFill } from "./reservation.js";
+import type { Candidate, CandidateIndex } from "./floor.js";
+import type { SchedulerSnapshot } from "./picture.js";
+import { mayBackfill } from "./reservation.js";
 
 /** One of the narrowings of S_i that are tried in turn. */
 interface Narrowing {
   readonly spot: boolean;
   readonly broad: boolean;
-  readonly staying: boolean;
+  readonly withReplicas: boolean;
 }
 
 /**
@@ -19,33 +19,34 @@
  * long; filling those first lets the others empty and go back.
  */
 const NARROWINGS: readonly Narrowing[] = [
-  { spot: true, broad: true, staying: false },
-  { spot: true, broad: false, staying: false },
-  { spot: false, broad: true, staying: true },
-  { spot: false, broad: true, staying: false },
-  { spot: false, broad: false, staying: false },
+  { spot: true, broad: true, withReplicas: false },
+  { spot: true, broad: false, withReplicas: false },
+  { spot: false, broad: true, withReplicas: true },
+  { spot: false, broad: true, withReplicas: false },
+  { spot: false, broad: false, withReplicas: false },
 ];
 
 /** Places a run of one job's tasks, one after the other. */
-export interface Run {
-  next(): Candidate | null;
+export interface TaskPlacer {
+  nextCandidate(): Candidate | null;
   /** The task is on the server that `next` gave. */
-  taken(server: Candidate): void;
+  confirm(candidate: Candidate): void;
 }
 
-export const startRun = (
-  { options, work, now }: Pick<Picture, "options" | "work" | "now">,
+export const createTaskPlacer = (
+  { options, inspection, now }: Pick<SchedulerSnapshot, "options" | "inspection" | "now">,
   job: Job,
-  floor: Floor,
+  candidateIndex: CandidateIndex,
   counts: Map<string, number>,
-): Run => {
-  const { spec, failedOn } = job;
+): TaskPlacer => {
+  const { spec, failedMachines } = job;
   const { kappa } = options;
-  const bound = spec.spread || spec.oneZone;
-  const usable = floor.pools.filter((pool) => allows(spec, pool.typeName, pool.zone, pool.spot));
-  const failed = ({ machine }: Candidate): boolean => machine.failures.has(spec.id) || failedOn.has(machine.name);
+  const bound = spec.spread || spec.singleZone;
+  const usable = candidateIndex.pools.filter((pool) => allows(spec, pool.typeName, pool.zone, pool.spot));
+  const failed = ({ machine }: Candidate): boolean =>
+    machine.recentFailures.has(spec.id) || failedMachines.has(machine.name);
   // Not where it has just failed, if there is anywhere else: a faulty machine is often the fullest one.
-  const choosy = usable.some(({ roomy }) => roomy.some((s) => !failed(s) && fits(spec.demand, s.free)));
+  const choosy = usable.some(({ candidates }) => candidates.some((s) => !failed(s) && fits(spec.demand, s.free)));
   const open = (): string =>
     usable
       .filter((pool) => zoneAllowed(spec, counts, pool.zone))
@@ -59,24 +60,24 @@
     let total = 0;
     for (const pool of usable) {
       if (narrowing.spot && !pool.spot) continue;
-      if (narrowing.broad && !floor.broad.has(pool.zone)) continue;
+      if (narrowing.broad && !candidateIndex.broadZones.has(pool.zone)) continue;
       if (bound && !zoneAllowed(spec, counts, pool.zone)) continue;
-      total += narrowing.staying ? pool.staying : pool.total;
-      for (const server of pool.roomy) {
-        if (narrowing.staying && server.machine.replicas === 0) continue;
-        if (!mayFill(floor.reservation, job, server.machine, now)) continue;
-        if (choosy && failed(server)) total -= 1;
-        else servers.push(server);
+      total += narrowing.withReplicas ? pool.withReplicas : pool.total;
+      for (const candidate of pool.candidates) {
+        if (narrowing.withReplicas && candidate.machine.replicaCount === 0) continue;
+        if (!mayBackfill(candidateIndex.reservation, job, candidate.machine, now)) continue;
+        if (choosy && failed(candidate)) total -= 1;
+        else servers.push(candidate);
       }
     }
-    return new Ranking(spec, servers, total, kappa, work);
+    return new Ranking(spec, servers, total, kappa, inspection);
   };
   const restart = (): void => {
     at = spec.spot ? 0 : 2;
     ranking = null;
   };
   return {
-    next: () => {
+    nextCandidate: () => {
       if (bound) {
         const now = open();
         if (now !== zones) restart();
@@ -84,22 +85,22 @@
       }
       for (let narrowing = NARROWINGS[at]; narrowing !== undefined; narrowing = NARROWINGS[at]) {
         ranking ??= build(narrowing);
-        const server = ranking.choose();
-        if (server !== null) return server;
+        const candidate = ranking.choose();
+        if (candidate !== null) return candidate;
         ranking = null;
         at += 1;
       }
       return null;
     },
-    taken: (server) => {
-      ranking?.taken();
-      const { machine } = server;
+    confirm: (candidate) => {
+      ranking?.confirmChoice();
+      const { machine } = candidate;
       counts.set(machine.zone, Math.floor(counts.get(machine.zone) ?? 0) + 1);
-      if (spec.shape !== "service" || machine.replicas !== 1) return;
+      if (spec.shape !== "service" || machine.replicaCount !== 1) return;
       const pool = usable.find(
         ({ typeName, zone, spot }) => typeName === machine.typeName && zone === machine.zone && spot === machine.spot,
       );
-      if (pool !== undefined) pool.staying += 1;
+      if (pool !== undefined) pool.withReplicas += 1;
       // It now belongs to those that are filled first.
       restart();
     },
--- a/src/coordination/decisions/served.ts
+++ b/src/coordination/decisions/served.ts
@@ -2,25 +2,25 @@
 import type { Job } from "../../bookkeeping/picture.js";
 import type { JobSpec } from "../../protocol/user.js";
 import { seconds } from "../../transport/clock.js";
-import type { Picture } from "./picture.js";
-import { cpuToBegin, hasBegun } from "./reservation.js";
+import type { SchedulerSnapshot } from "./picture.js";
+import { cpuToStart, hasStarted } from "./reservation.js";
 
 /** Fewer than this of a class's or team's jobs begun: then those that have waited longest go first for a while. */
-const TARGET = 0.6;
+const MIN_STARTED_SHARE = 0.6;
 /** Whoever has waited for less has not been kept out yet. */
-const LIFT_AFTER = seconds(20);
+const MIN_BOOST_WAIT = seconds(20);
 /** Of all room, what jobs may take that go first for this reason; bounds what it costs everybody else. */
-const LIFT_SHARE = 0.1;
+const BOOST_SHARE = 0.1;
 
 /** Whoever has not begun by then goes first, however others fare; four minutes are promised. */
-export const LATEST = seconds(120);
+export const START_BOUND = seconds(120);
 /** A class's largest jobs are those as large as the largest tenth of so many recent ones, by all the CPUs asked for. */
-const LARGEST_FROM = 0.9;
+const LARGEST_QUANTILE = 0.9;
 const REMEMBERED_SIZES = 200;
 const FEWEST_SIZES = 5;
 
 /** How large the jobs of a class are. */
-class Sizes {
+class JobSizes {
   private readonly known = new WeakSet<Job>();
   private readonly recent: number[] = [];
   private edge = Number.POSITIVE_INFINITY;
@@ -30,7 +30,7 @@
     this.known.add(job);
     this.recent.push(size);
     if (this.recent.length > REMEMBERED_SIZES) this.recent.shift();
-    if (this.recent.length >= FEWEST_SIZES) this.edge = quantile(this.recent, LARGEST_FROM);
+    if (this.recent.length >= FEWEST_SIZES) this.edge = quantile(this.recent, LARGEST_QUANTILE);
   }
 
   isLargest(size: number): boolean {
@@ -41,13 +41,13 @@
 const sizeOf = ({ demand, tasks }: JobSpec): number => Math.max(1, demand.cpu) * tasks;
 
 /** How many jobs of each class, each team and of each class's largest have had a task placed since this holder took the block. */
-export class Served {
-  private readonly begun = new Map<string, number>();
-  private readonly sizes = new Map<string, Sizes>();
+export class StartHistory {
+  private readonly startedCounts = new Map<string, number>();
+  private readonly sizes = new Map<string, JobSizes>();
 
   private groupsOf(job: Job): readonly string[] {
     const { spec } = job;
-    const sizes = this.sizes.get(spec.jobClass) ?? new Sizes();
+    const sizes = this.sizes.get(spec.jobClass) ?? new JobSizes();
     this.sizes.set(spec.jobClass, sizes);
     sizes.learn(job, sizeOf(spec));
     const groups = [`class ${spec.jobClass}`, `team ${spec.team}`];
@@ -55,15 +55,15 @@
     return groups;
   }
 
-  isStarving(job: Job, starving: ReadonlySet<string>): boolean {
-    return this.groupsOf(job).some((group) => starving.has(group));
+  isStarving(job: Job, starvedGroups: ReadonlySet<string>): boolean {
+    return this.groupsOf(job).some((group) => starvedGroups.has(group));
   }
 
   /** A task of the job is placed. */
-  placed(job: Job): void {
-    if (job.begun) return;
-    job.begun = true;
-    for (const group of this.groupsOf(job)) this.begun.set(group, (this.begun.get(group) ?? 0) + 1);
+  jobStarted(job: Job): void {
+    if (job.started) return;
+    job.started = true;
+    for (const group of this.groupsOf(job)) this.startedCounts.set(group, (this.startedCounts.get(group) ?? 0) + 1);
   }
 
   /** Groups of which too few jobs have begun, given those that wait for their first task. */
@@ -72,15 +72,15 @@
     for (const job of waiting) for (const group of this.groupsOf(job)) counts.set(group, (counts.get(group) ?? 0) + 1);
     const starving = new Set<string>();
     for (const [group, count] of counts) {
-      const begun = this.begun.get(group) ?? 0;
-      if (begun < TARGET * (begun + count)) starving.add(group);
+      const begun = this.startedCounts.get(group) ?? 0;
+      if (begun < MIN_STARTED_SHARE * (begun + count)) starving.add(group);
     }
     return starving;
   }
 }
 
 /** Jobs that go before all others in this round, the longest waiting first, and the room left to them. */
-export interface Lifted {
+export interface BoostedJobs {
   readonly jobs: readonly Job[];
   /** Thousandths of CPUs. */
   left: number;
@@ -92,20 +92,26 @@
  * as long as all such work together keeps to a small share of the room; it is not stopped for a higher rank either. The
  * rules are not concerned: nothing is stopped for it. `room`: thousandths of CPUs on all machines.
  */
-export const liftStarved = (picture: Picture, served: Served, waiting: readonly Job[], room: number): Lifted => {
-  const { block, now } = picture;
-  const unbegun = waiting.filter((job) => !job.begun || (now - job.seenAt > LATEST && !hasBegun(job)));
-  const late = unbegun.filter(({ seenAt, onTrial }) => !onTrial && now - seenAt > LIFT_AFTER);
+export const boostStarvedJobs = (
+  snapshot: SchedulerSnapshot,
+  served: StartHistory,
+  waiting: readonly Job[],
+  room: number,
+): BoostedJobs => {
+  const { shard, now } = snapshot;
+  const unbegun = waiting.filter((job) => !job.started || (now - job.waitingSince > START_BOUND && !hasStarted(job)));
+  const late = unbegun.filter(({ waitingSince, onProbation }) => !onProbation && now - waitingSince > MIN_BOOST_WAIT);
   if (late.length > 0) {
     const starving = served.starving(unbegun);
-    for (const job of late) job.lifted ||= now - job.seenAt > LATEST || served.isStarving(job, starving);
+    for (const job of late) job.boosted ||= now - job.waitingSince > START_BOUND || served.isStarving(job, starving);
   }
-  const jobs = waiting.filter(({ lifted }) => lifted);
+  const jobs = waiting.filter(({ boosted }) => boosted);
   if (jobs.length === 0) return { jobs, left: 0 };
   let used = 0;
-  for (const { lifted, placed, spec } of block.jobs.values()) if (lifted) used += placed.size * spec.demand.cpu;
-  jobs.sort((a, b) => a.seenAt - b.seenAt);
+  for (const { boosted: lifted, placedTasks, spec } of shard.jobs.values())
+    if (lifted) used += placedTasks.size * spec.demand.cpu;
+  jobs.sort((a, b) => a.waitingSince - b.waitingSince);
   // One of them may take more than the share by itself, and must get its turn all the same.
-  const first = used === 0 && jobs[0] !== undefined ? cpuToBegin(jobs[0].spec) : 0;
-  return { jobs, left: Math.max(first, room * LIFT_SHARE - used) };
+  const first = used === 0 && jobs[0] !== undefined ? cpuToStart(jobs[0].spec) : 0;
+  return { jobs, left: Math.max(first, room * BOOST_SHARE - used) };
 };
--- a/src/coordination/decisions/shares.ts
+++ b/src/coordination/decisions/shares.ts
@@ -1,15 +1,15 @@
 import type { Task } from "../../bookkeeping/picture.js";
 import { attemptOf } from "../../bookkeeping/tasks.js";
-import type { Picture } from "./picture.js";
+import type { SchedulerSnapshot } from "./picture.js";
 
 /**
  * A task that was started so often is not stopped for others any more. Attempts are on record, so the bound holds
  * across handovers; starts that failed count, too, which errs on the side of leaving work alone.
  */
-export const MOST_ATTEMPTS = 3;
+export const MAX_ATTEMPTS = 3;
 
 /** Takes tasks into a set as long as their teams keep their guarantees without all of them. */
-export interface Tally {
+export interface VictimTally {
   take(task: Task): boolean;
 }
 
@@ -27,44 +27,44 @@
  * By each team's present use alone, as before, one team's stopped tasks were at once within its guarantee again and
  * stopped the other's (test/preemption.test.ts).
  */
-export class Shares {
+export class GuaranteeUsage {
   /** What each team has told to stop, and is not to be counted on for anything. */
-  private readonly stopping = new Map<string, { cpu: number; gpu: number }>();
+  private readonly stoppingByTeam = new Map<string, { cpu: number; gpu: number }>();
   private counted = false;
 
   /** What entitled jobs have not completed yet. */
   readonly claimed: number;
 
-  constructor(private readonly picture: Picture) {
-    this.claimed = entitle(picture);
+  constructor(private readonly picture: SchedulerSnapshot) {
+    this.claimed = markEntitledJobs(picture);
   }
 
   /** May this task be stopped for somebody's guarantee, so that its own team keeps what it is guaranteed? */
-  sparable(task: Task): boolean {
-    return this.spares(task, { cpu: 0, gpu: 0 });
+  isSparable(task: Task): boolean {
+    return this.keepsGuaranteeWithout(task, { cpu: 0, gpu: 0 });
   }
 
   /** For a set of tasks that are to be stopped together. */
-  tally(): Tally {
+  tally(): VictimTally {
     const taken = new Map<string, { cpu: number; gpu: number }>();
     return {
       take: (task) => {
         const { team, demand } = task.job.spec;
         const before = taken.get(team) ?? { cpu: 0, gpu: 0 };
-        if (!this.spares(task, before)) return false;
+        if (!this.keepsGuaranteeWithout(task, before)) return false;
         taken.set(team, { cpu: before.cpu + demand.cpu, gpu: before.gpu + demand.gpu });
         return true;
       },
     };
   }
 
-  private spares(task: Task, also: Amounts): boolean {
-    const { block, settings } = this.picture;
+  private keepsGuaranteeWithout(task: Task, also: Amounts): boolean {
+    const { shard, settings } = this.picture;
     const { team, demand } = task.job.spec;
-    if (task.job.entitled) return false;
+    if (task.job.withinGuarantee) return false;
     const guaranteed = settings.teams.get(team)?.guaranteed;
     if (guaranteed === undefined) return true;
-    const used = block.teamUse(team);
+    const used = shard.teamUsage(team);
     const stopping = this.stoppingOf(team);
     return fitsIn(guaranteed, {
       cpu: used.cpu - stopping.cpu - also.cpu - demand.cpu,
@@ -73,30 +73,30 @@
   }
 
   /** The task has been told to stop, or is about to be. */
-  stopped(task: Task): void {
+  taskStopped(task: Task): void {
     const { team, demand } = task.job.spec;
     const known = this.stoppingOf(team);
-    this.stopping.set(team, { cpu: known.cpu + demand.cpu, gpu: known.gpu + demand.gpu });
+    this.stoppingByTeam.set(team, { cpu: known.cpu + demand.cpu, gpu: known.gpu + demand.gpu });
   }
 
   /** Started too often to be stopped once more; `grace`: attempts beyond the usual bound, for what loses no work. */
-  settled(task: Task, grace = 0): boolean {
-    return attemptOf(task.want) >= MOST_ATTEMPTS + grace;
+  startedTooOften(task: Task, grace = 0): boolean {
+    return attemptOf(task.desired) >= MAX_ATTEMPTS + grace;
   }
 
   private stoppingOf(team: string): { cpu: number; gpu: number } {
     if (!this.counted) {
       this.counted = true;
       // Walks all that is placed, so only in a round that looks for something to stop.
-      for (const { placed, spec } of this.picture.block.jobs.values()) {
-        for (const { stop } of placed) {
-          if (stop === null) continue;
-          const known = this.stopping.get(spec.team) ?? { cpu: 0, gpu: 0 };
-          this.stopping.set(spec.team, { cpu: known.cpu + spec.demand.cpu, gpu: known.gpu + spec.demand.gpu });
+      for (const { placedTasks, spec } of this.picture.shard.jobs.values()) {
+        for (const { stopRequest } of placedTasks) {
+          if (stopRequest === null) continue;
+          const known = this.stoppingByTeam.get(spec.team) ?? { cpu: 0, gpu: 0 };
+          this.stoppingByTeam.set(spec.team, { cpu: known.cpu + spec.demand.cpu, gpu: known.gpu + spec.demand.gpu });
         }
       }
     }
-    return this.stopping.get(team) ?? { cpu: 0, gpu: 0 };
+    return this.stoppingByTeam.get(team) ?? { cpu: 0, gpu: 0 };
   }
 }
 
@@ -104,12 +104,12 @@
  * Marks the jobs that have come to fit within their teams' guarantees; a mark once given stays. Returns the thousandths
  * of CPUs that marked jobs have not completed yet.
  */
-const entitle = ({ block, settings }: Picture): number => {
+const markEntitledJobs = ({ shard, settings }: SchedulerSnapshot): number => {
   let claimed = 0;
   const left = new Map<string, { cpu: number; gpu: number }>();
   // Jobs are kept in the order in which they were accepted.
-  for (const job of block.jobs.values()) {
-    if (job.cancelled || job.ending || job.blocked) continue;
+  for (const job of shard.jobs.values()) {
+    if (job.cancelled || job.outcomePending || job.awaitingDependencies) continue;
     const { team, tasks, demand } = job.spec;
     let share = left.get(team);
     if (share === undefined) {
@@ -117,11 +117,13 @@
       share = { cpu: guaranteed?.cpu ?? 0, gpu: guaranteed?.gpu ?? 0 };
       left.set(team, share);
     }
-    job.entitled ||= fitsIn({ cpu: demand.cpu * tasks, gpu: demand.gpu * tasks }, share);
+    job.withinGuarantee ||= fitsIn({ cpu: demand.cpu * tasks, gpu: demand.gpu * tasks }, share);
     // What earlier jobs still want is spoken for even where it exceeds the guarantee: then nothing later fits either.
     // A job that fails wherever it is started wants no more than its next trial: the rest is left to the team's others.
-    const unfinished = job.onTrial ? Math.min(1, tasks - job.done) : Math.max(0, tasks - job.done);
-    if (job.entitled) claimed += demand.cpu * unfinished;
+    const unfinished = job.onProbation
+      ? Math.min(1, tasks - job.completedTasks)
+      : Math.max(0, tasks - job.completedTasks);
+    if (job.withinGuarantee) claimed += demand.cpu * unfinished;
     share.cpu -= demand.cpu * unfinished;
     share.gpu -= demand.gpu * unfinished;
   }
--- a/src/coordination/decisions/trial.ts
+++ b/src/coordination/decisions/trial.ts
@@ -2,28 +2,28 @@
 import { type Micros, seconds } from "../../transport/clock.js";
 
 /** A task that ran so long has got over its earlier failures. */
-export const RUNS_WELL = seconds(10);
+export const STABLE_RUN_TIME = seconds(10);
 /** Failures older than this say nothing about the machine any more. */
-const FAILURE_MEMORY = seconds(90);
+const FAILURE_RETENTION = seconds(90);
 /** Failing on so many machines without a success, the job is the likelier culprit. */
-const MACHINES_OF_A_BAD_JOB = 2;
+const MAX_FAILED_MACHINES = 2;
 /** To have run well is to have run so many times as long as what failed. */
-const LONGER = 2;
-const KEPT_OFF = seconds(20);
-const TRIAL_FIRST = seconds(1);
-const TRIAL_MOST = seconds(30);
+const STABLE_RUN_FACTOR = 2;
+const QUARANTINE_TIME = seconds(20);
+const MIN_PROBATION_DELAY = seconds(1);
+const MAX_PROBATION_DELAY = seconds(30);
 
 /** What a failure says. `undecided`: the machine is kept free of new work for a moment, until more is known. */
-export type Verdict = "undecided" | "machine" | "job";
+export type FailureCause = "undecided" | "machine" | "job";
 
-const ranFor = (task: Task, now: Micros): number => (task.runningSince === null ? 0 : now - task.runningSince);
+const runTime = (task: Task, now: Micros): number => (task.runningSince === null ? 0 : now - task.runningSince);
 
 /** Does the job do well elsewhere, so that its failures speak against the machines they happen on? */
-const doesWell = (job: Job, than: number, elsewhere: Machine | null, now: Micros): boolean => {
-  if (job.done > 0) return true;
-  const least = Math.max(RUNS_WELL, LONGER * than);
-  for (const task of job.placed) {
-    if (task.on !== elsewhere && task.state === "running" && ranFor(task, now) >= least) return true;
+const isStableElsewhere = (job: Job, than: number, elsewhere: Machine | null, now: Micros): boolean => {
+  if (job.completedTasks > 0) return true;
+  const least = Math.max(STABLE_RUN_TIME, STABLE_RUN_FACTOR * than);
+  for (const task of job.placedTasks) {
+    if (task.machine !== elsewhere && task.state === "running" && runTime(task, now) >= least) return true;
   }
   return false;
 };
@@ -34,64 +34,67 @@
  * against a machine as long as it has not done well anywhere. Counted by task, each array with a mistake had the first
  * two machines that it came to returned as faulty, with room for others' work on them (test/trial.test.ts).
  */
-export const takeFailure = (
+export const attributeFailure = (
   task: Task,
   machine: Machine,
   jobs: ReadonlyMap<string, Job>,
   machines: ReadonlyMap<string, Machine>,
   now: Micros,
-): Verdict => {
+): FailureCause => {
   const { job } = task;
   const { id } = job.spec;
-  const ran = ranFor(task, now);
-  job.longestFailed = Math.max(job.longestFailed, ran) as Micros;
-  job.failedOn.add(machine.name);
-  const sound = doesWell(job, ran, machine, now);
-  if (!sound && (job.onTrial || job.failedOn.size >= MACHINES_OF_A_BAD_JOB)) {
-    suspect(job, machines, now);
+  const ran = runTime(task, now);
+  job.longestFailedRun = Math.max(job.longestFailedRun, ran) as Micros;
+  job.failedMachines.add(machine.name);
+  const sound = isStableElsewhere(job, ran, machine, now);
+  if (!sound && (job.onProbation || job.failedMachines.size >= MAX_FAILED_MACHINES)) {
+    putOnProbation(job, machines, now);
     return "job";
   }
-  for (const [other, { at }] of machine.failures) if (now - at > FAILURE_MEMORY) machine.failures.delete(other);
-  const known = machine.failures.get(id);
+  for (const [other, { at }] of machine.recentFailures)
+    if (now - at > FAILURE_RETENTION) machine.recentFailures.delete(other);
+  const known = machine.recentFailures.get(id);
   const count = known === undefined ? 1 : known.at === now ? known.count : known.count + 1;
-  machine.failures.set(id, { at: now, count });
-  machine.avoidUntil = Math.max(machine.avoidUntil, now + KEPT_OFF) as Micros;
-  const soundThere = [...machine.failures.keys()].some((other) => {
+  machine.recentFailures.set(id, { at: now, count });
+  machine.quarantinedUntil = Math.max(machine.quarantinedUntil, now + QUARANTINE_TIME) as Micros;
+  const soundThere = [...machine.recentFailures.keys()].some((other) => {
     const failed = jobs.get(other);
-    return failed !== undefined && !failed.onTrial && doesWell(failed, failed.longestFailed, machine, now);
+    return (
+      failed !== undefined && !failed.onProbation && isStableElsewhere(failed, failed.longestFailedRun, machine, now)
+    );
   });
   // A machine full of long-lived replicas may only ever get to see a single new job.
-  const faulty = (machine.failures.size >= 2 && soundThere) || count >= (sound ? 2 : 3);
+  const faulty = (machine.recentFailures.size >= 2 && soundThere) || count >= (sound ? 2 : 3);
   return faulty ? "machine" : "undecided";
 };
 
 /** From now on one task at a time is tried, each time after a longer pause; no machine is blamed for the job. */
-const suspect = (job: Job, machines: ReadonlyMap<string, Machine>, now: Micros): void => {
+const putOnProbation = (job: Job, machines: ReadonlyMap<string, Machine>, now: Micros): void => {
   // The rest of a wave that was under way already is no new trial.
-  if (!job.onTrial || now >= job.retryAfter) {
-    job.failures += 1;
-    const pause = Math.min(TRIAL_MOST, TRIAL_FIRST * 2 ** Math.min(20, job.failures - 1));
+  if (!job.onProbation || now >= job.retryAfter) {
+    job.failedProbes += 1;
+    const pause = Math.min(MAX_PROBATION_DELAY, MIN_PROBATION_DELAY * 2 ** Math.min(20, job.failedProbes - 1));
     job.retryAfter = (now + pause) as Micros;
   }
-  job.onTrial = true;
-  for (const name of job.failedOn) {
+  job.onProbation = true;
+  for (const name of job.failedMachines) {
     const machine = machines.get(name);
-    if (machine === undefined || !machine.failures.delete(job.spec.id)) continue;
-    if (machine.failures.size === 0) machine.avoidUntil = now;
+    if (machine === undefined || !machine.recentFailures.delete(job.spec.id)) continue;
+    if (machine.recentFailures.size === 0) machine.quarantinedUntil = now;
   }
 };
 
 /** A task of the job has completed: whatever failed before, it is not the job. */
-export const acquit = (job: Job): void => {
-  job.failures = 0;
-  job.failedOn.clear();
-  job.onTrial = false;
-  job.longestFailed = 0 as Micros;
+export const clearSuspicion = (job: Job): void => {
+  job.failedProbes = 0;
+  job.failedMachines.clear();
+  job.onProbation = false;
+  job.longestFailedRun = 0 as Micros;
 };
 
 /** So many tasks of the job may be placed now, as far as its own failures go. */
-export const mayTry = (job: Job, now: Micros): number => {
-  if (!job.onTrial || job.spec.shape === "gang") return Number.POSITIVE_INFINITY;
-  if (doesWell(job, job.longestFailed, null, now)) return Number.POSITIVE_INFINITY;
-  return Math.max(0, 1 - job.placed.size);
+export const allowedStarts = (job: Job, now: Micros): number => {
+  if (!job.onProbation || job.spec.shape === "gang") return Number.POSITIVE_INFINITY;
+  if (isStableElsewhere(job, job.longestFailedRun, null, now)) return Number.POSITIVE_INFINITY;
+  return Math.max(0, 1 - job.placedTasks.size);
 };
--- a/src/coordination/extension.ts
+++ b/src/coordination/extension.ts
@@ -1,26 +1,26 @@
-import type { EndRecord } from "../bookkeeping/records.js";
+import type { OutcomeRecord } from "../bookkeeping/records.js";
 import type { MachineType } from "../protocol/cloud.js";
 import type { Change } from "../protocol/state.js";
 import type { JobSpec } from "../protocol/user.js";
 import type { ExitReason } from "../protocol/worker.js";
 import type { Request, Response } from "../transport/http.js";
-import type { BlockContext, Services } from "./context.js";
+import type { Services, ShardContext } from "./context.js";
 
 /** What an extension does while this controller holds a block. Must not throw; nothing of it is waited for. */
-export interface Holding {
+export interface ShardExtension {
   /** Anything current has changed; called after the kernel has taken it in. */
-  changed(change: Change): void;
+  onChange(change: Change): void;
   /** The job's last word is on record. */
-  ended(spec: JobSpec, end: EndRecord): void;
+  onJobEnded(spec: JobSpec, end: OutcomeRecord): void;
   /** One of the job's tasks ended badly; it will be tried again unless somebody withdraws the job. */
-  failed(spec: JobSpec, index: number, reason: ExitReason): void;
+  onTaskFailed(spec: JobSpec, index: number, reason: ExitReason): void;
   stop(): void;
 }
 
 /** What the kernel lets an extension do with a block, beside writing through the committer. */
-export interface BlockDoors {
+export interface ShardControls {
   /** Stops every open job that `withdrawn` now speaks of: its word is on record, with no write for each job. */
-  sweepWithdrawn(ids: Iterable<string>): void;
+  cancelWithdrawnJobs(ids: Iterable<string>): void;
 }
 
 /**
@@ -30,9 +30,9 @@
 export interface Extension {
   /** Null: not one of its paths. */
   handle(request: Request): Promise<Response> | null;
-  take(context: BlockContext, doors: BlockDoors): Holding;
+  acquireShard(context: ShardContext, doors: ShardControls): ShardExtension;
   /** By what is in this controller's view. */
-  withdrawn(spec: JobSpec): boolean;
+  isWithdrawn(spec: JobSpec): boolean;
 }
 
-export type MakeExtension = (services: Services, types: ReadonlyMap<string, MachineType>) => Extension;
+export type ExtensionFactory = (services: Services, types: ReadonlyMap<string, MachineType>) => Extension;
--- a/src/coordination/front-door.ts
+++ b/src/coordination/front-door.ts
@@ -1,48 +1,48 @@
 import {
-  type EndRecord,
-  endKey,
-  fullKey,
-  homeBlock,
+  backpressureKey,
+  decodeJobRecord,
+  decodeOutcomeRecord,
+  decodeTaskRange,
+  encodeJobRecord,
   type JobRecord,
   jobKey,
   memberOfKey,
-  rangeKey,
-  readEnd,
-  readJob,
-  readRange,
-  writeJob,
+  type OutcomeRecord,
+  outcomeKey,
+  shardOf,
+  taskRangeKey,
 } from "../bookkeeping/records.js";
-import { gapFor } from "../bookkeeping/view.js";
+import { requestInterval } from "../bookkeeping/view.js";
 import type { MachineType } from "../protocol/cloud.js";
-import { jobSpecForm } from "../protocol/job-spec-form.js";
-import { formatJson, Malformed, parseJson } from "../protocol/json.js";
+import { jobSpecCodec } from "../protocol/job-spec-form.js";
+import { formatJson, MalformedMessageError, parseJson } from "../protocol/json.js";
 import type { Entry } from "../protocol/state.js";
-import { isJobId, type JobPhase, type JobSpec, phaseAnswer, readSubmission, statusAnswer } from "../protocol/user.js";
+import { decodeSubmission, encodePhase, encodeStatus, isJobId, type JobPhase, type JobSpec } from "../protocol/user.js";
 import { type Micros, ms, seconds } from "../transport/clock.js";
 import type { Request, Response } from "../transport/http.js";
-import { Awaited, type LastWord, withoutAwaits } from "./awaited.js";
+import { DependencyResolver, type TerminalState, withoutDependencies } from "./awaited.js";
 import type { Services } from "./context.js";
 import { neverRuns } from "./decisions/eligibility.js";
-import { Lookups } from "./lookups.js";
+import { OutcomeReader } from "./lookups.js";
 
-const REMEMBERED_ENDS = 5_000;
+const MAX_REMEMBERED_OUTCOMES = 5_000;
 /** A view older than this cannot be counted on for answers: say so to the load balancer. */
-const STALE = seconds(4);
+const MAX_CACHE_AGE = seconds(4);
 /** Beyond this wait for the write budget a submission is better told to come back. */
-const MAX_BACKLOG = ms(1_500);
+const MAX_USER_WRITE_DELAY = ms(1_500);
 /** What a job's record holds beside its specification. */
-const RECORD_BYTES = 160;
-const CANCEL_TRIES = 4;
+const RECORD_OVERHEAD_BYTES = 160;
+const MAX_CANCEL_ATTEMPTS = 4;
 /** Users give up after a minute in all, so nobody is told to stay away for long. */
-const MOST_WAIT = seconds(10);
-const OVERLOAD_WAIT_S = 5;
-const FULL_GAP = seconds(5);
-const MOST_CLASSES = 64;
+const MAX_RETRY_AFTER = seconds(10);
+const OVERLOAD_RETRY_AFTER_S = 5;
+const PRESSURE_ADMISSION_INTERVAL = seconds(5);
+const MAX_TRACKED_CLASSES = 64;
 /** Of the state service's requests, all controllers together spend this share on looking up what has ended. */
 const LOOKUP_SHARE = 0.15;
 
-const answer = (status: number, body: unknown): Response => ({ status, body: formatJson(body) });
-const comeBack = (why: string, inS = 1): Response => ({
+const jsonResponse = (status: number, body: unknown): Response => ({ status, body: formatJson(body) });
+const retryLater = (why: string, inS = 1): Response => ({
   status: 503,
   body: formatJson({ error: why }),
   retryAfterS: inS,
@@ -52,77 +52,80 @@
  * Written under a higher limit, a record may be too large to be written again. Nothing of a cancelled job is placed any more, so
  * that where it might have gone and what it awaited is not needed.
  */
-const shrunk = (record: JobRecord, most: number): JobRecord =>
-  formatJson(writeJob(record)).length <= most
+const shrinkToFit = (record: JobRecord, most: number): JobRecord =>
+  formatJson(encodeJobRecord(record)).length <= most
     ? record
-    : { ...record, spec: { ...withoutAwaits(record.spec), types: null } };
+    : { ...record, spec: { ...withoutDependencies(record.spec), types: null } };
 
-type Found =
+type JobLookup =
   | { readonly kind: "current"; readonly entry: Entry }
-  | { readonly kind: "ended"; readonly end: EndRecord }
+  | { readonly kind: "ended"; readonly end: OutcomeRecord }
   | { readonly kind: "never" }
   | { readonly kind: "unknown" };
 
 /** What this controller holds, as far as users' questions go. */
-export interface Holder {
-  readonly running: (id: string) => { done: number; running: number } | null;
+export interface LocalShards {
+  readonly taskCounts: (id: string) => { done: number; running: number } | null;
   /** Does this controller act for a block, so that workers report here? */
-  readonly holds: () => boolean;
+  readonly isLeader: () => boolean;
   /** Withdrawn with what it is part of, though its own record does not say so. */
-  readonly withdrawn: (spec: JobSpec) => boolean;
+  readonly isWithdrawn: (spec: JobSpec) => boolean;
 }
 
 /** The users' interface, the same at every controller. */
-export class FrontDoor {
-  private readonly ends = new Map<string, EndRecord>();
+export class JobApi {
+  private readonly recentOutcomes = new Map<string, OutcomeRecord>();
   /** Of ranges as they stand in the view; gone with the entry itself. */
-  private readonly counts = new WeakMap<Entry, { readonly done: number; readonly running: number }>();
-  private readonly lookups: Lookups;
+  private readonly countsByEntry = new WeakMap<Entry, { readonly done: number; readonly running: number }>();
+  private readonly outcomeReader: OutcomeReader;
   /** What the chains of jobs rest on. */
-  readonly awaited: Awaited;
+  readonly dependencyResolver: DependencyResolver;
   /** By class, when a job of it was last taken although there was room for none. */
-  private readonly takenFull = new Map<string, Micros>();
+  private readonly admittedUnderPressure = new Map<string, Micros>();
   /** Up to when those turned away have been told to come back. */
-  private promisedUntil = 0;
+  private lastRetrySlot = 0;
 
   constructor(
     private readonly services: Services,
     private readonly types: ReadonlyMap<string, MachineType>,
-    private readonly holder: Holder,
+    private readonly localShards: LocalShards,
   ) {
     const { store, clock, log, settings } = services;
-    const gap = gapFor(LOOKUP_SHARE, settings.state.rps, settings.controllers);
-    this.lookups = new Lookups(store, clock, log, gap, (id, entry) => this.remember(id, readEnd(entry.value)));
-    this.awaited = new Awaited(services, (id) => this.lastWord(id));
+    const gap = requestInterval(LOOKUP_SHARE, settings.store.requestsPerS, settings.controllers);
+    this.outcomeReader = new OutcomeReader(store, clock, log, gap, (id, entry) =>
+      this.rememberOutcome(id, decodeOutcomeRecord(entry.value)),
+    );
+    this.dependencyResolver = new DependencyResolver(services, (id) => this.readTerminalState(id));
   }
 
   async handle(request: Request): Promise<Response> {
     const path = request.target.split("?")[0] ?? "";
-    if (path === "/up") return request.method === "GET" ? this.up() : answer(405, { error: "use GET" });
+    if (path === "/up") return request.method === "GET" ? this.health() : jsonResponse(405, { error: "use GET" });
     if (path === "/v2/runs") {
-      return request.method === "POST" ? this.submit(request.body) : answer(405, { error: "use POST" });
+      return request.method === "POST" ? this.submit(request.body) : jsonResponse(405, { error: "use POST" });
     }
     const match = /^\/v2\/runs\/([^/]+)(\/abort)?$/.exec(path);
     const id = match?.[1];
-    if (id === undefined) return answer(404, { error: "no such path" });
+    if (id === undefined) return jsonResponse(404, { error: "no such path" });
     const wanted = match?.[2] === undefined ? "GET" : "POST";
-    if (request.method !== wanted) return answer(405, { error: `use ${wanted}` });
-    if (!isJobId(id)) return answer(404, { error: "no such job" });
+    if (request.method !== wanted) return jsonResponse(405, { error: `use ${wanted}` });
+    if (!isJobId(id)) return jsonResponse(404, { error: "no such job" });
     return wanted === "GET" ? this.status(id) : this.cancel(id);
   }
 
-  private up(): Response {
-    const { view, clock, overload } = this.services;
+  private health(): Response {
+    const { cache, clock, loadShedder } = this.services;
     // Workers can only be answered here, users anywhere: they are sent to the others while there are any.
-    if (overload.atLeast("coarse") && this.holder.holds() && this.others()) return comeBack("busy with workers");
-    const fresh = view.freshAt !== null && clock.now() - view.freshAt < STALE;
-    return fresh && this.types.size > 0 ? answer(200, { up: true }) : comeBack("not ready");
+    if (loadShedder.atLeast("coarse") && this.localShards.isLeader() && this.hasPeers())
+      return retryLater("busy with workers");
+    const fresh = cache.freshAsOf !== null && clock.now() - cache.freshAsOf < MAX_CACHE_AGE;
+    return fresh && this.types.size > 0 ? jsonResponse(200, { up: true }) : retryLater("not ready");
   }
 
   /** Are there controllers beside this one? */
-  private others(): boolean {
-    const { view, settings } = this.services;
-    for (const key of view.entries.keys()) {
+  private hasPeers(): boolean {
+    const { cache, settings } = this.services;
+    for (const key of cache.entries.keys()) {
       const label = memberOfKey(key);
       if (label !== null && label !== settings.label) return true;
     }
@@ -133,77 +136,82 @@
    * When to come back, for what cannot be taken now: one after the other as fast as writes are possible, so that those
    * turned away do not all come back every second, to be turned away again.
    */
-  private appointment(): Response {
-    const { clock, settings, committer } = this.services;
+  private assignRetrySlot(): Response {
+    const { clock, settings, transactions } = this.services;
     const now = clock.now();
     // The rate that there is once this wave is over, not the one that it has been cut to: with that, those turned away
     // in the first seconds were told to come back so late that a third of the writes went unused meanwhile.
-    const perSecond = Math.max(1, committer.fullRate / settings.controllers);
-    this.promisedUntil = Math.max(now + seconds(1), this.promisedUntil + seconds(1) / perSecond);
-    const wait = Math.min(this.promisedUntil - now, MOST_WAIT);
-    this.promisedUntil = now + wait;
-    return comeBack("busy", Math.ceil(wait / 1_000_000));
+    const perSecond = Math.max(1, transactions.fullWritesPerSecond / settings.controllers);
+    this.lastRetrySlot = Math.max(now + seconds(1), this.lastRetrySlot + seconds(1) / perSecond);
+    const wait = Math.min(this.lastRetrySlot - now, MAX_RETRY_AFTER);
+    this.lastRetrySlot = now + wait;
+    return retryLater("busy", Math.ceil(wait / 1_000_000));
   }
 
   /** Where nothing more can be taken, one job of each class every few seconds still is: else a class could come away with none. */
-  private takenAllTheSame(jobClass: string): boolean {
+  private admitUnderPressure(jobClass: string): boolean {
     const now = this.services.clock.now();
     // Too many classes to tell apart: those that come last share one turn.
-    const key = this.takenFull.has(jobClass) || this.takenFull.size < MOST_CLASSES ? jobClass : "";
-    const last = this.takenFull.get(key);
-    if (last !== undefined && now - last < FULL_GAP) return false;
-    this.takenFull.set(key, now);
+    const key =
+      this.admittedUnderPressure.has(jobClass) || this.admittedUnderPressure.size < MAX_TRACKED_CLASSES ? jobClass : "";
+    const last = this.admittedUnderPressure.get(key);
+    if (last !== undefined && now - last < PRESSURE_ADMISSION_INTERVAL) return false;
+    this.admittedUnderPressure.set(key, now);
     return true;
   }
 
   private async submit(body: string): Promise<Response> {
-    const { committer, view, overload, wall } = this.services;
+    const { transactions, cache, loadShedder, wallClock } = this.services;
     let spec: JobSpec;
     try {
-      spec = readSubmission(parseJson(body));
+      spec = decodeSubmission(parseJson(body));
     } catch (error) {
-      if (error instanceof Malformed || error instanceof SyntaxError) return answer(400, { error: error.message });
+      if (error instanceof MalformedMessageError || error instanceof SyntaxError)
+        return jsonResponse(400, { error: error.message });
       throw error;
     }
-    if (!view.loaded || this.types.size === 0) return comeBack("machine types unknown");
-    if (view.entries.has(jobKey(spec.id)) || this.ends.has(spec.id)) return this.status(spec.id);
-    const refusal = this.refusal(spec, body);
-    if (refusal !== null) return this.unlessAccepted(spec.id, refusal);
-    const full = overload.atLeast("full") || view.entries.has(fullKey(homeBlock(spec.team)));
-    if (full && !this.takenAllTheSame(spec.jobClass)) return comeBack("overloaded", OVERLOAD_WAIT_S);
-    if (committer.backlog > MAX_BACKLOG) return this.appointment();
-    const checked = await this.awaited.check(spec.awaits ?? []);
+    if (!cache.loaded || this.types.size === 0) return retryLater("machine types unknown");
+    if (cache.entries.has(jobKey(spec.id)) || this.recentOutcomes.has(spec.id)) return this.status(spec.id);
+    const permanentRefusal = this.refusal(spec, body);
+    if (permanentRefusal !== null) return this.refuseUnlessAccepted(spec.id, permanentRefusal);
+    const full = loadShedder.atLeast("full") || cache.entries.has(backpressureKey(shardOf(spec.team)));
+    if (full && !this.admitUnderPressure(spec.jobClass)) return retryLater("overloaded", OVERLOAD_RETRY_AFTER_S);
+    if (transactions.userWriteDelay > MAX_USER_WRITE_DELAY) return this.assignRetrySlot();
+    const checked = await this.dependencyResolver.check(spec.dependencies ?? []);
     if (checked.kind === "never") {
-      return this.unlessAccepted(spec.id, answer(422, { error: `awaits: ${checked.id} was never accepted` }));
+      return this.refuseUnlessAccepted(
+        spec.id,
+        jsonResponse(422, { error: `awaits: ${checked.id} was never accepted` }),
+      );
     }
-    if (checked.kind === "unknown") return comeBack("state service unavailable");
-    const acceptance: Partial<JobRecord> = wall === null ? {} : { acceptedMs: Math.round(wall()) };
+    if (checked.kind === "unknown") return retryLater("state service unavailable");
+    const acceptance: Partial<JobRecord> = wallClock === null ? {} : { acceptedMs: Math.round(wallClock()) };
     // What awaits a job that was called off is accepted all the same, and called off with it.
-    const record: JobRecord = { spec, block: homeBlock(spec.team), cancelled: checked.withdrawn, ...acceptance };
-    const prepared = await this.awaited.prepare(record, this.services.committer.valueBytes);
-    if (prepared === null) return comeBack("state service unavailable");
+    const record: JobRecord = { spec, shard: shardOf(spec.team), cancelled: checked.cancelled, ...acceptance };
+    const prepared = await this.dependencyResolver.prepareRecord(record, this.services.transactions.maxValueBytes);
+    if (prepared === null) return retryLater("state service unavailable");
     const key = jobKey(spec.id);
-    const result = await committer.propose(
-      new Map([...prepared.conditions, [key, 0], [endKey(spec.id), 0]]),
-      [{ kind: "put", key, value: writeJob(prepared.record) }],
+    const result = await transactions.submit(
+      new Map([...prepared.conditions, [key, 0], [outcomeKey(spec.id), 0]]),
+      [{ kind: "put", key, value: encodeJobRecord(prepared.record) }],
       "user",
     );
     switch (result.kind) {
       case "ok":
-        return answer(201, phaseAnswer(spec.id, "queued"));
+        return jsonResponse(201, encodePhase(spec.id, "queued"));
       case "conflict":
         return this.status(spec.id);
       case "too large":
-        return answer(400, { error: "job: too large" });
+        return jsonResponse(400, { error: "job: too large" });
       case "refused":
       case "lost":
-        return comeBack("state service unavailable");
+        return retryLater("state service unavailable");
     }
   }
 
   /** What was accepted once, perhaps under other machine types, is never refused, and may have ended long ago. */
-  private async unlessAccepted(id: string, refusal: Response): Promise<Response> {
-    const found = await this.find(id);
+  private async refuseUnlessAccepted(id: string, refusal: Response): Promise<Response> {
+    const found = await this.findJob(id);
     return found.kind === "never" ? refusal : this.status(id, found);
   }
 
@@ -211,85 +219,87 @@
   private refusal(spec: JobSpec, body: string): Response | null {
     const { settings } = this.services;
     const never = neverRuns(spec, settings, this.types);
-    if (never !== null) return answer(422, { error: never });
+    if (never !== null) return jsonResponse(422, { error: never });
     // The state service would refuse the record however often it is sent.
-    const most = this.services.committer.valueBytes;
+    const most = this.services.transactions.maxValueBytes;
     const tooLarge =
-      body.length > most / 2 && formatJson(jobSpecForm.encode(withoutAwaits(spec))).length + RECORD_BYTES > most;
-    return tooLarge ? answer(400, { error: "job: too large" }) : null;
+      body.length > most / 2 &&
+      formatJson(jobSpecCodec.encode(withoutDependencies(spec))).length + RECORD_OVERHEAD_BYTES > most;
+    return tooLarge ? jsonResponse(400, { error: "job: too large" }) : null;
   }
 
   /** A last word, or that there is none: nothing of what is current is looked at. */
-  private async lastWord(id: string): Promise<LastWord> {
-    const known = this.ends.get(id);
+  private async readTerminalState(id: string): Promise<TerminalState> {
+    const known = this.recentOutcomes.get(id);
     if (known !== undefined) return { kind: "ended", end: known };
-    const reply = await this.lookups.find(id);
-    if (reply.kind === "ok") return { kind: "ended", end: readEnd(reply.value.value) };
+    const reply = await this.outcomeReader.find(id);
+    if (reply.kind === "ok") return { kind: "ended", end: decodeOutcomeRecord(reply.value.value) };
     return { kind: reply.kind === "missing" ? "never" : "unknown" };
   }
 
   /** No older than the question: what any controller has told anybody before is known to the answer. */
-  private async find(id: string): Promise<Found> {
-    const { view } = this.services;
-    const known = this.ends.get(id);
+  private async findJob(id: string): Promise<JobLookup> {
+    const { cache } = this.services;
+    const known = this.recentOutcomes.get(id);
     if (known !== undefined) return { kind: "ended", end: known };
-    if (!(await view.sync())) return { kind: "unknown" };
-    const entry = view.entries.get(jobKey(id));
+    if (!(await cache.sync())) return { kind: "unknown" };
+    const entry = cache.entries.get(jobKey(id));
     if (entry !== undefined) return { kind: "current", entry };
-    const word = await this.lastWord(id);
-    if (word.kind !== "never") return word;
+    const terminalState = await this.readTerminalState(id);
+    if (terminalState.kind !== "never") return terminalState;
     // Accepted while it was looked up: others may have been told so before this answer gets there.
-    const since = view.entries.get(jobKey(id));
+    const since = cache.entries.get(jobKey(id));
     return since === undefined ? { kind: "never" } : { kind: "current", entry: since };
   }
 
-  private remember(id: string, end: EndRecord): void {
-    this.ends.set(id, end);
-    if (this.ends.size <= REMEMBERED_ENDS) return;
-    const oldest = this.ends.keys().next().value;
-    if (oldest !== undefined) this.ends.delete(oldest);
+  private rememberOutcome(id: string, end: OutcomeRecord): void {
+    this.recentOutcomes.set(id, end);
+    if (this.recentOutcomes.size <= MAX_REMEMBERED_OUTCOMES) return;
+    const oldest = this.recentOutcomes.keys().next().value;
+    if (oldest !== undefined) this.recentOutcomes.delete(oldest);
   }
 
-  private async status(id: string, known?: Found): Promise<Response> {
-    const found = known ?? (await this.find(id));
+  private async status(id: string, known?: JobLookup): Promise<Response> {
+    const found = known ?? (await this.findJob(id));
     // Withdrawn with a job that it needs is told from that one's last word, which has to be read first.
-    const settled = found.kind !== "current" || this.hasBegun(id) || (await this.awaited.settle(id));
-    if (!settled) return comeBack("state service unavailable");
-    if (found.kind !== "current") return this.statusOf(id, found);
-    const entry = this.services.view.entries.get(jobKey(id));
-    return this.statusOf(id, entry === undefined ? await this.find(id) : { kind: "current", entry });
+    const settled = found.kind !== "current" || this.hasStarted(id) || (await this.dependencyResolver.resolve(id));
+    if (!settled) return retryLater("state service unavailable");
+    if (found.kind !== "current") return this.describe(id, found);
+    const entry = this.services.cache.entries.get(jobKey(id));
+    return this.describe(id, entry === undefined ? await this.findJob(id) : { kind: "current", entry });
   }
 
   /** Something of it has been placed: all that it awaits was on record as done. */
-  private hasBegun(id: string): boolean {
-    return this.services.view.entries.has(rangeKey(id, 0));
+  private hasStarted(id: string): boolean {
+    return this.services.cache.entries.has(taskRangeKey(id, 0));
   }
 
-  private statusOf(id: string, found: Found): Response {
+  private describe(id: string, found: JobLookup): Response {
     switch (found.kind) {
       case "unknown":
-        return comeBack("state service unavailable");
+        return retryLater("state service unavailable");
       case "never":
-        return answer(404, { error: "no such job" });
+        return jsonResponse(404, { error: "no such job" });
       case "ended":
-        return answer(200, statusAnswer(id, found.end.phase, found.end.done, 0));
+        return jsonResponse(200, encodeStatus(id, found.end.phase, found.end.completedTasks, 0));
       case "current": {
-        const { spec, ...record } = readJob(found.entry.value);
-        const cancelled = record.cancelled || this.holder.withdrawn(spec);
-        const counts = this.holder.running(id) ?? this.onRecord(spec);
+        const { spec, ...record } = decodeJobRecord(found.entry.value);
+        const cancelled = record.cancelled || this.localShards.isWithdrawn(spec);
+        const counts = this.localShards.taskCounts(id) ?? this.recordedCounts(spec);
         const phase: JobPhase = cancelled ? "cancelled" : counts.running > 0 ? "running" : "queued";
-        const awaits = phase === "queued" && !this.hasBegun(id) ? this.services.chains.waitsFor(id) : [];
-        return answer(200, statusAnswer(id, phase, counts.done, counts.running, awaits));
+        const awaits =
+          phase === "queued" && !this.hasStarted(id) ? this.services.dependencies.unmetDependencies(id) : [];
+        return jsonResponse(200, encodeStatus(id, phase, counts.done, counts.running, awaits));
       }
     }
   }
 
   /** Where the job's block is held elsewhere, what is placed stands for what is running. */
-  private onRecord(spec: JobSpec): { done: number; running: number } {
+  private recordedCounts(spec: JobSpec): { done: number; running: number } {
     let done = 0;
     let running = 0;
     for (let range = 0; ; range += 1) {
-      const entry = this.services.view.entries.get(rangeKey(spec.id, range));
+      const entry = this.services.cache.entries.get(taskRangeKey(spec.id, range));
       if (entry === undefined) return { done, running };
       const counts = this.countsOf(entry);
       done += counts.done;
@@ -299,42 +309,43 @@
 
   /** A range is read once for each of its versions, however often it is asked about. */
   private countsOf(entry: Entry): { readonly done: number; readonly running: number } {
-    const known = this.counts.get(entry);
+    const known = this.countsByEntry.get(entry);
     if (known !== undefined) return known;
     let done = 0;
     let running = 0;
-    for (const task of readRange(entry.value)) {
+    for (const task of decodeTaskRange(entry.value)) {
       if (task.kind === "done") done += 1;
       if (task.kind === "placed") running += 1;
     }
     const counts = { done, running };
-    this.counts.set(entry, counts);
+    this.countsByEntry.set(entry, counts);
     return counts;
   }
 
   private async cancel(id: string): Promise<Response> {
-    const { committer, view } = this.services;
-    for (let tries = 0; tries < CANCEL_TRIES; tries += 1) {
-      const entry = view.entries.get(jobKey(id));
+    const { transactions, cache } = this.services;
+    for (let tries = 0; tries < MAX_CANCEL_ATTEMPTS; tries += 1) {
+      const entry = cache.entries.get(jobKey(id));
       if (entry === undefined) {
-        const found = await this.find(id);
+        const found = await this.findJob(id);
         if (found.kind === "current") continue;
-        if (found.kind === "never") return answer(404, { error: "no such job" });
-        if (found.kind === "unknown") return comeBack("state service unavailable");
-        return answer(200, phaseAnswer(id, found.end.phase));
+        if (found.kind === "never") return jsonResponse(404, { error: "no such job" });
+        if (found.kind === "unknown") return retryLater("state service unavailable");
+        return jsonResponse(200, encodePhase(id, found.end.phase));
       }
-      const record = readJob(entry.value);
-      if (record.cancelled || this.holder.withdrawn(record.spec)) return answer(200, phaseAnswer(id, "cancelled"));
-      const value = shrunk({ ...record, cancelled: true }, this.services.committer.valueBytes);
-      const result = await committer.propose(
+      const record = decodeJobRecord(entry.value);
+      if (record.cancelled || this.localShards.isWithdrawn(record.spec))
+        return jsonResponse(200, encodePhase(id, "cancelled"));
+      const value = shrinkToFit({ ...record, cancelled: true }, this.services.transactions.maxValueBytes);
+      const result = await transactions.submit(
         new Map([[entry.key, entry.version]]),
-        [{ kind: "put", key: entry.key, value: writeJob(value) }],
+        [{ kind: "put", key: entry.key, value: encodeJobRecord(value) }],
         "cancel",
       );
-      if (result.kind === "ok") return answer(200, phaseAnswer(id, "cancelled"));
-      if (result.kind !== "conflict") return comeBack("state service unavailable");
-      if (!(await view.sync())) return comeBack("state service unavailable");
+      if (result.kind === "ok") return jsonResponse(200, encodePhase(id, "cancelled"));
+      if (result.kind !== "conflict") return retryLater("state service unavailable");
+      if (!(await cache.sync())) return retryLater("state service unavailable");
     }
-    return comeBack("busy");
+    return retryLater("busy");
   }
 }
--- a/src/coordination/fullness.ts
+++ b/src/coordination/fullness.ts
@@ -1,23 +1,23 @@
-import { fullKey } from "../bookkeeping/records.js";
-import type { BlockLease, Services } from "./context.js";
+import { backpressureKey } from "../bookkeeping/records.js";
+import type { Services, ShardLease } from "./context.js";
 
 /** Tells the other controllers, by a key, to accept nothing more for a block, or that they may again. */
-export class Fullness {
-  private saying = false;
+export class BackpressureSignal {
+  private publishing = false;
 
   constructor(
-    private readonly services: Pick<Services, "view" | "committer" | "overload">,
-    private readonly lease: BlockLease,
+    private readonly services: Pick<Services, "cache" | "transactions" | "loadShedder">,
+    private readonly lease: ShardLease,
     private readonly guard: (work: Promise<unknown>) => Promise<void>,
   ) {}
 
-  say(): void {
-    const { view, committer, overload } = this.services;
-    const key = fullKey(this.lease.block);
-    const entry = view.entries.get(key);
-    const full = overload.atLeast("full");
-    if (this.saying || full === (entry !== undefined)) return;
-    this.saying = true;
+  publish(): void {
+    const { cache, transactions, loadShedder } = this.services;
+    const key = backpressureKey(this.lease.shard);
+    const entry = cache.entries.get(key);
+    const full = loadShedder.atLeast("full");
+    if (this.publishing || full === (entry !== undefined)) return;
+    this.publishing = true;
     const { key: lease, version } = this.lease;
     const conditions = new Map([
       [lease, version],
@@ -25,9 +25,9 @@
     ]);
     const write = full ? ({ kind: "put", key, value: {} } as const) : ({ kind: "delete", key } as const);
     // Whatever becomes of it, the next tick looks again.
-    const said = committer.propose(conditions, [write], "cancel").then(() => view.sync());
+    const said = transactions.submit(conditions, [write], "cancel").then(() => cache.sync());
     void this.guard(said).then(() => {
-      this.saying = false;
+      this.publishing = false;
     });
   }
 }
