--- a/src/coordination/inquiries.ts
+++ b/src/coordination/inquiries.ts
@@ -1,41 +1,41 @@
 import type { Machine } from "../bookkeeping/picture.js";
-import type { Commander } from "./commander.js";
-import { type BlockLease, firstToken, type Services } from "./context.js";
+import type { CommandDispatcher } from "./commander.js";
+import { firstFencingToken, type Services, type ShardLease } from "./context.js";
 
 /** Machines asked for their state at once after a handover. */
-const MAX_INQUIRIES = 48;
-const MAX_INTRODUCTIONS = 24;
+const MAX_QUERIES = 48;
+const MAX_ANNOUNCEMENTS = 24;
 /** Where the processor is short, the machines' own reports are to be read first. */
-const FEW_INQUIRIES = 6;
+const MAX_QUERIES_UNDER_LOAD = 6;
 
-export interface InquiriesAround extends Pick<Services, "overload"> {
-  readonly lease: BlockLease;
-  readonly commander: Pick<Commander, "inquire" | "send">;
+export interface StatusQueryDependencies extends Pick<Services, "loadShedder"> {
+  readonly lease: ShardLease;
+  readonly commands: Pick<CommandDispatcher, "queryStatus" | "send">;
   readonly stopped: () => boolean;
   readonly guard: (work: Promise<unknown>) => Promise<void>;
   /** Somebody has been asked, and others are still to be. */
-  readonly stillAsking: () => void;
+  readonly onMoreQueued: () => void;
 }
 
 /** Asks workers for their state and shows them our token, so many at once. */
-export class Inquiries {
+export class StatusQueryQueue {
   /** To be asked for their state: those with replicas, those with other work, the rest. */
   private readonly queues: readonly [Set<Machine>, Set<Machine>, Set<Machine>] = [new Set(), new Set(), new Set()];
-  private inquiring = 0;
-  private introducing = 0;
+  private queriesInFlight = 0;
+  private announcementsInFlight = 0;
 
-  constructor(private readonly around: InquiriesAround) {}
+  constructor(private readonly dependencies: StatusQueryDependencies) {}
 
   /** Bounded: a thousand machines asked at once took all sockets and all processor time from what was running. */
-  add(machine: Machine): void {
+  enqueue(machine: Machine): void {
     // Those that may have work on them first: what they ran is either still there or to be placed anew.
     const [withReplicas, withWork, others] = this.queues;
     for (const queue of this.queues) queue.delete(machine);
-    (machine.replicas > 0 ? withReplicas : machine.tasks.size > 0 ? withWork : others).add(machine);
-    this.next();
+    (machine.replicaCount > 0 ? withReplicas : machine.tasks.size > 0 ? withWork : others).add(machine);
+    this.startQueries();
   }
 
-  private take(): Machine | undefined {
+  private dequeue(): Machine | undefined {
     for (const queue of this.queues) {
       for (const machine of queue) {
         queue.delete(machine);
@@ -45,25 +45,25 @@
     return undefined;
   }
 
-  private next(): void {
-    const { overload } = this.around;
-    const most = overload.atLeast("lean") ? FEW_INQUIRIES : MAX_INQUIRIES;
-    while (!this.around.stopped() && this.inquiring < most) {
-      const machine = this.take();
+  private startQueries(): void {
+    const { loadShedder } = this.dependencies;
+    const most = loadShedder.atLeast("lean") ? MAX_QUERIES_UNDER_LOAD : MAX_QUERIES;
+    while (!this.dependencies.stopped() && this.queriesInFlight < most) {
+      const machine = this.dequeue();
       if (machine === undefined) return;
       // Its own report came first, and nothing of it is in doubt.
       if (
-        machine.timely &&
-        machine.seenToken >= firstToken(this.around.lease) &&
-        machine.learntAt > machine.doubtedAt &&
-        machine.reach.asked === null
+        machine.verified &&
+        machine.highestToken >= firstFencingToken(this.dependencies.lease) &&
+        machine.countersLearnedAt > machine.suspectedAt &&
+        machine.reachability.probeToken === null
       )
         continue;
-      this.inquiring += 1;
-      void this.around.guard(this.around.commander.inquire(machine)).then(() => {
-        this.inquiring -= 1;
-        if (this.queues.some((queue) => queue.size > 0)) this.around.stillAsking();
-        this.next();
+      this.queriesInFlight += 1;
+      void this.dependencies.guard(this.dependencies.commands.queryStatus(machine)).then(() => {
+        this.queriesInFlight -= 1;
+        if (this.queues.some((queue) => queue.size > 0)) this.dependencies.onMoreQueued();
+        this.startQueries();
       });
     }
   }
@@ -72,11 +72,11 @@
    * Shows the worker our token at once. Only where that is cheap: the answer to its report does so, too, and it then
    * reports anew by itself within a second.
    */
-  introduce(machine: Machine): void {
-    if (this.introducing >= MAX_INTRODUCTIONS || this.around.overload.atLeast("lean")) return;
-    this.introducing += 1;
-    void this.around.guard(this.around.commander.send(machine, true)).then(() => {
-      this.introducing -= 1;
+  announceFencingToken(machine: Machine): void {
+    if (this.announcementsInFlight >= MAX_ANNOUNCEMENTS || this.dependencies.loadShedder.atLeast("lean")) return;
+    this.announcementsInFlight += 1;
+    void this.dependencies.guard(this.dependencies.commands.send(machine, true)).then(() => {
+      this.announcementsInFlight -= 1;
     });
   }
 }
--- a/src/coordination/jobs-feed.ts
+++ b/src/coordination/jobs-feed.ts
@@ -1,67 +1,80 @@
 import type { Job } from "../bookkeeping/picture.js";
-import { CURRENT, jobKey, jobOfAwaitedKey, jobOfKey, rangeOfKey, readJob } from "../bookkeeping/records.js";
+import {
+  CURRENT_PREFIX,
+  decodeJobRecord,
+  jobKey,
+  jobOfDependencyListKey,
+  jobOfKey,
+  taskRangeOfKey,
+} from "../bookkeeping/records.js";
 import type { Change, Entry } from "../protocol/state.js";
 import { seconds } from "../transport/clock.js";
-import type { Chained } from "./chained.js";
-import { type BlockContext, firstToken } from "./context.js";
+import type { DependencyTracker } from "./chained.js";
+import { firstFencingToken, type ShardContext } from "./context.js";
 import type { Extension } from "./extension.js";
-import type { Observer } from "./observer.js";
-import type { Recorder } from "./recorder.js";
+import type { HeartbeatProcessor } from "./observer.js";
+import type { TaskStateWriter } from "./recorder.js";
 
 /** Nobody who submits waits for longer than a minute, and no transaction is as late as this. */
-const LIST_LEFT = seconds(600);
+const ORPHANED_LIST_AGE = seconds(600);
 
-export interface JobsFeedAround {
-  readonly context: BlockContext;
-  readonly recorder: Pick<Recorder, "finish" | "sweep">;
-  readonly observer: Pick<Observer, "gone">;
-  readonly chained: Pick<Chained, "added">;
+export interface JobWatcherDependencies {
+  readonly context: ShardContext;
+  readonly taskStates: Pick<TaskStateWriter, "finishIfComplete" | "deleteKeys">;
+  readonly heartbeats: Pick<HeartbeatProcessor, "taskGone">;
+  readonly dependencyTracker: Pick<DependencyTracker, "jobAdded">;
   readonly extension: Extension | null;
   /** A round is due at once. */
-  readonly wakeRound: () => void;
+  readonly scheduleRound: () => void;
 }
 
 /** Brings the block's jobs from the records into the picture: all of them at the beginning, then each change. */
-export class JobsFeed {
+export class JobWatcher {
   private restored = false;
 
-  constructor(private readonly around: JobsFeedAround) {}
+  constructor(private readonly dependencies: JobWatcherDependencies) {}
 
   restore(): void {
-    const { view, log } = this.around.context;
-    const { block } = this.around.context;
+    const { cache, log } = this.dependencies.context;
+    const { shard } = this.dependencies.context;
     const ranges: { id: string; range: number; key: string }[] = [];
     const jobs: Entry[] = [];
-    for (const [key, entry] of view.entries) {
+    for (const [key, entry] of cache.entries) {
       if (jobOfKey(key) !== null) jobs.push(entry);
-      const range = rangeOfKey(key);
+      const range = taskRangeOfKey(key);
       if (range !== null) ranges.push({ ...range, key });
     }
     // A list comes in the order of the keys, while guarantees go to whoever was accepted first.
     jobs.sort((a, b) => (a.version < b.version ? -1 : 1));
-    for (const entry of jobs) this.jobChanged({ kind: "put", ...entry });
+    for (const entry of jobs) this.applyJobChange({ kind: "put", ...entry });
     ranges.sort((a, b) => a.range - b.range);
     const orphans: string[] = [];
     for (const { id, range, key } of ranges) {
-      const job = block.jobs.get(id);
-      const entry = view.entries.get(key);
+      const job = shard.jobs.get(id);
+      const entry = cache.entries.get(key);
       if (entry === undefined) continue;
       // Without a job it is a leftover of one that ended.
       if (job === undefined) orphans.push(key);
       else {
-        block.restoreRange(job, range, entry.version, entry.value, firstToken(this.around.context.lease) - 1);
+        shard.restoreTaskRange(
+          job,
+          range,
+          entry.version,
+          entry.value,
+          firstFencingToken(this.dependencies.context.lease) - 1,
+        );
         // Whatever it awaited was on record as done before anything of it was placed.
-        job.blocked = false;
+        job.awaitingDependencies = false;
       }
     }
-    this.around.recorder.sweep(orphans.filter((key) => key.startsWith(CURRENT)));
-    for (const job of block.jobs.values()) this.around.recorder.finish(job);
-    this.dropLists();
+    this.dependencies.taskStates.deleteKeys(orphans.filter((key) => key.startsWith(CURRENT_PREFIX)));
+    for (const job of shard.jobs.values()) this.dependencies.taskStates.finishIfComplete(job);
+    this.deleteOrphanedDependencyLists();
     this.restored = true;
     log.info("block taken", {
-      block: this.around.context.lease.block,
-      number: this.around.context.lease.number,
-      jobs: block.jobs.size,
+      block: this.dependencies.context.lease.shard,
+      number: this.dependencies.context.lease.epoch,
+      jobs: shard.jobs.size,
     });
   }
 
@@ -69,80 +82,80 @@
    * Parts of a list whose job was never accepted, or has ended. An acceptance is conditional on the parts' versions, so that one
    * that comes late can't stand without them; only what has lain there for long is taken, since one may be under way.
    */
-  private dropLists(): void {
-    const { view, clock, committer, lease } = this.around.context;
-    const left = [...view.entries.values()].filter(({ key }) => {
-      const id = jobOfAwaitedKey(key);
-      return id !== null && !view.entries.has(jobKey(id));
+  private deleteOrphanedDependencyLists(): void {
+    const { cache, clock, transactions, lease } = this.dependencies.context;
+    const left = [...cache.entries.values()].filter(({ key }) => {
+      const id = jobOfDependencyListKey(key);
+      return id !== null && !cache.entries.has(jobKey(id));
     });
     if (left.length === 0) return;
-    clock.after(LIST_LEFT, () => {
+    clock.after(ORPHANED_LIST_AGE, () => {
       for (const { key, version } of left) {
-        const id = jobOfAwaitedKey(key) ?? "";
-        if (!lease.valid() || view.entries.get(key)?.version !== version || view.entries.has(jobKey(id))) continue;
+        const id = jobOfDependencyListKey(key) ?? "";
+        if (!lease.isValid() || cache.entries.get(key)?.version !== version || cache.entries.has(jobKey(id))) continue;
         const conditions = new Map([
           [lease.key, lease.version],
           [key, version],
           [jobKey(id), 0],
         ]);
-        void committer.propose(conditions, [{ kind: "delete", key }], "upkeep");
+        void transactions.submit(conditions, [{ kind: "delete", key }], "upkeep");
       }
     });
   }
 
-  changed(change: Change): void {
-    if (jobOfKey(change.key) !== null) this.jobChanged(change);
+  onChange(change: Change): void {
+    if (jobOfKey(change.key) !== null) this.applyJobChange(change);
   }
 
-  sweepWithdrawn(id: string): void {
-    const job = this.around.context.block.jobs.get(id);
-    if (job === undefined || job.cancelled || this.around.extension?.withdrawn(job.spec) !== true) return;
-    job.why = "graph";
-    this.withdraw(job);
+  cancelWithdrawn(id: string): void {
+    const job = this.dependencies.context.shard.jobs.get(id);
+    if (job === undefined || job.cancelled || this.dependencies.extension?.isWithdrawn(job.spec) !== true) return;
+    job.cancellationReason = "graph";
+    this.cancel(job);
   }
 
   /** Needs a job that is cancelled. */
-  withdrawn(id: string): void {
-    const job = this.around.context.block.jobs.get(id);
-    if (job !== undefined && !job.cancelled) this.withdraw(job);
+  cancelByDependency(id: string): void {
+    const job = this.dependencies.context.shard.jobs.get(id);
+    if (job !== undefined && !job.cancelled) this.cancel(job);
   }
 
-  private jobChanged(change: Change): void {
-    const { block } = this.around.context;
+  private applyJobChange(change: Change): void {
+    const { shard } = this.dependencies.context;
     const id = jobOfKey(change.key) ?? "";
     if (change.kind === "delete") return;
-    const record = readJob(change.value);
-    if (record.block !== this.around.context.lease.block) return;
-    const known = block.jobs.get(id);
+    const record = decodeJobRecord(change.value);
+    if (record.shard !== this.dependencies.context.lease.shard) return;
+    const known = shard.jobs.get(id);
     if (known === undefined) {
-      const withdrawn = !record.cancelled && this.around.extension?.withdrawn(record.spec) === true;
-      const called = record.cancelled || withdrawn || this.around.context.chains.isWithdrawn(id);
-      const job = block.addJob(record.spec, change.version, called);
-      job.awaited = record.awaited ?? null;
-      this.around.chained.added(job, record.acceptedMs ?? null);
-      job.why = withdrawn ? "graph" : (record.why ?? null);
+      const withdrawn = !record.cancelled && this.dependencies.extension?.isWithdrawn(record.spec) === true;
+      const called = record.cancelled || withdrawn || this.dependencies.context.dependencies.isCancelled(id);
+      const job = shard.addJob(record.spec, change.version, called);
+      job.dependencyList = record.dependencyList ?? null;
+      this.dependencies.dependencyTracker.jobAdded(job, record.acceptedMs ?? null);
+      job.cancellationReason = withdrawn ? "graph" : (record.cancellationReason ?? null);
       // While this controller was restoring, whoever restores calls `finish` for all; else nobody would.
-      if (job.cancelled && this.restored) this.around.recorder.finish(job);
-      this.around.context.sink?.({ kind: "job seen", spec: record.spec });
-      this.around.wakeRound();
+      if (job.cancelled && this.restored) this.dependencies.taskStates.finishIfComplete(job);
+      this.dependencies.context.eventListener?.({ kind: "job seen", spec: record.spec });
+      this.dependencies.scheduleRound();
       return;
     }
     known.version = change.version;
     if (!record.cancelled || known.cancelled) return;
-    known.why = record.why ?? null;
-    this.withdraw(known);
+    known.cancellationReason = record.cancellationReason ?? null;
+    this.cancel(known);
   }
 
-  private withdraw(known: Job): void {
+  private cancel(known: Job): void {
     const { id } = known.spec;
     known.cancelled = true;
-    this.around.context.log.info("job cancelled", { job: id });
-    this.around.context.sink?.({ kind: "job cancelled", job: id });
-    for (const task of [...known.placed]) {
-      const machine = task.on;
-      if (task.launch.kind === "none") this.around.observer.gone(task);
-      if (machine !== null) this.around.context.wakeCommands(machine);
+    this.dependencies.context.log.info("job cancelled", { job: id });
+    this.dependencies.context.eventListener?.({ kind: "job cancelled", job: id });
+    for (const task of [...known.placedTasks]) {
+      const machine = task.machine;
+      if (task.startCommand.kind === "none") this.dependencies.heartbeats.taskGone(task);
+      if (machine !== null) this.dependencies.context.scheduleCommands(machine);
     }
-    this.around.recorder.finish(known);
+    this.dependencies.taskStates.finishIfComplete(known);
   }
 }
--- a/src/coordination/lookups.ts
+++ b/src/coordination/lookups.ts
@@ -1,23 +1,23 @@
-import { endKey } from "../bookkeeping/records.js";
-import type { Store } from "../bookkeeping/store.js";
+import { outcomeKey } from "../bookkeeping/records.js";
+import type { KeyValueStore } from "../bookkeeping/store.js";
 import type { Entry } from "../protocol/state.js";
 import { type Clock, type Micros, sleep } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
 
 /** Waiting for longer than this, a question had better be asked again: users give up after two seconds anyhow. */
-const LONGEST_QUEUE_S = 30;
+const MAX_QUEUE_DELAY_S = 30;
 /** From so many on, a page of the records is read instead of one at a time. */
-const PAGE_FROM = 8;
-const PAGE = 200;
+const MIN_LOOKUPS_FOR_PAGE = 8;
+const PAGE_SIZE = 200;
 
-export type LookedUp = { readonly kind: "ok"; readonly value: Entry } | { readonly kind: "missing" | "unknown" };
+export type OutcomeLookup = { readonly kind: "ok"; readonly value: Entry } | { readonly kind: "missing" | "unknown" };
 
-interface Waiting {
-  readonly settle: ((found: LookedUp) => void)[];
+interface PendingLookup {
+  readonly resolvers: ((found: OutcomeLookup) => void)[];
 }
 
 /** The key just before this one: a page begins after what it is given. */
-const before = (key: string): string =>
+const keyBefore = (key: string): string =>
   `${key.slice(0, -1)}${String.fromCharCode(key.charCodeAt(key.length - 1) - 1)}~`;
 
 /**
@@ -26,49 +26,49 @@
  * no job is the one that is never answered. One request a question took the whole budget from the view, and with it the
  * holder's right to act.
  */
-export class Lookups {
+export class OutcomeReader {
   /** In the order of asking; none of them has been sent yet, so that whoever asks now may share the answer. */
-  private readonly waiting = new Map<string, Waiting>();
-  private working = false;
+  private readonly waiting = new Map<string, PendingLookup>();
+  private draining = false;
 
   constructor(
-    private readonly store: Pick<Store, "get" | "page">,
+    private readonly store: Pick<KeyValueStore, "get" | "page">,
     private readonly clock: Clock,
     private readonly log: Log,
-    private readonly gap: Micros,
+    private readonly interval: Micros,
     /** What was found, for those who ask later. */
-    private readonly learn: (id: string, entry: Entry) => void,
+    private readonly onFound: (id: string, entry: Entry) => void,
   ) {}
 
   /** `unknown`: neither found nor surely missing; to be asked again. */
-  find(id: string): Promise<LookedUp> {
+  find(id: string): Promise<OutcomeLookup> {
     return new Promise((settle) => {
       const known = this.waiting.get(id);
-      if (known !== undefined) known.settle.push(settle);
-      else if (this.waiting.size >= (LONGEST_QUEUE_S * 1_000_000) / this.gap) {
+      if (known !== undefined) known.resolvers.push(settle);
+      else if (this.waiting.size >= (MAX_QUEUE_DELAY_S * 1_000_000) / this.interval) {
         settle({ kind: "unknown" });
         return;
-      } else this.waiting.set(id, { settle: [settle] });
-      void this.work();
+      } else this.waiting.set(id, { resolvers: [settle] });
+      void this.drain();
     });
   }
 
-  private async work(): Promise<void> {
-    if (this.working) return;
-    this.working = true;
+  private async drain(): Promise<void> {
+    if (this.draining) return;
+    this.draining = true;
     try {
-      for (let first = this.first(); first !== null; first = this.first()) {
+      for (let oldestPending = this.first(); oldestPending !== null; oldestPending = this.first()) {
         const sent = this.clock.now();
-        if (this.waiting.size >= PAGE_FROM) await this.page(first);
-        else await this.one(first);
-        const rest = sent + this.gap - this.clock.now();
+        if (this.waiting.size >= MIN_LOOKUPS_FOR_PAGE) await this.readPage(oldestPending);
+        else await this.readOne(oldestPending);
+        const rest = sent + this.interval - this.clock.now();
         if (rest > 0) await sleep(this.clock, rest as Micros);
       }
     } catch (error) {
       this.log.error("lookup failed", { error: String(error) });
       for (const id of [...this.waiting.keys()]) this.settle(this.take(id), { kind: "unknown" });
     } finally {
-      this.working = false;
+      this.draining = false;
     }
   }
 
@@ -78,29 +78,29 @@
   }
 
   /** No longer to be shared: the request leaves now. */
-  private take(id: string): Waiting {
-    const waiting = this.waiting.get(id) ?? { settle: [] };
+  private take(id: string): PendingLookup {
+    const waiting = this.waiting.get(id) ?? { resolvers: [] };
     this.waiting.delete(id);
     return waiting;
   }
 
-  private settle({ settle }: Waiting, found: LookedUp): void {
-    for (const done of settle) done(found);
+  private settle({ resolvers }: PendingLookup, found: OutcomeLookup): void {
+    for (const done of resolvers) done(found);
   }
 
-  private async one(id: string): Promise<void> {
+  private async readOne(id: string): Promise<void> {
     const waiting = this.take(id);
-    const reply = await this.store.get(endKey(id));
-    if (reply.kind === "ok") this.learn(id, reply.value);
+    const reply = await this.store.get(outcomeKey(id));
+    if (reply.kind === "ok") this.onFound(id, reply.value);
     if (reply.kind === "ok") this.settle(waiting, { kind: "ok", value: reply.value });
     else this.settle(waiting, { kind: reply.kind === "missing" ? "missing" : "unknown" });
   }
 
   /** All that wait and lie within the page are answered by it, also those that it proves missing. */
-  private async page(first: string): Promise<void> {
-    const asked = [...this.waiting.keys()].map((id) => ({ id, key: endKey(id), waiting: this.take(id) }));
-    const from = endKey(first);
-    const reply = await this.store.page(endKey(""), before(from), PAGE);
+  private async readPage(first: string): Promise<void> {
+    const asked = [...this.waiting.keys()].map((id) => ({ id, key: outcomeKey(id), waiting: this.take(id) }));
+    const from = outcomeKey(first);
+    const reply = await this.store.page(outcomeKey(""), keyBefore(from), PAGE_SIZE);
     if (reply.kind !== "ok") {
       for (const { waiting } of asked) this.settle(waiting, { kind: "unknown" });
       return;
@@ -108,11 +108,11 @@
     const { entries, more } = reply.value;
     const found = new Map(entries.map((entry) => [entry.key, entry]));
     const last = entries.at(-1)?.key ?? "";
-    const left: { readonly id: string; readonly waiting: Waiting }[] = [];
+    const left: { readonly id: string; readonly waiting: PendingLookup }[] = [];
     for (const { id, key, waiting } of asked) {
       const entry = found.get(key);
       if (entry !== undefined) {
-        this.learn(id, entry);
+        this.onFound(id, entry);
         this.settle(waiting, { kind: "ok", value: entry });
       } else if (key >= from && (!more || key <= last)) this.settle(waiting, { kind: "missing" });
       else left.push({ id, waiting });
@@ -124,7 +124,7 @@
     for (const [id, waiting] of newcomers) {
       const known = this.waiting.get(id);
       if (known === undefined) this.waiting.set(id, waiting);
-      else known.settle.push(...waiting.settle);
+      else known.resolvers.push(...waiting.resolvers);
     }
   }
 }
--- a/src/coordination/membership.ts
+++ b/src/coordination/membership.ts
@@ -1,41 +1,41 @@
 import {
-  BLOCKS,
-  type BlockRecord,
-  blockKey,
-  LEADER_KEY,
+  CLUSTER_LEADER_KEY,
+  decodeMemberRecord,
+  decodeShardRecord,
+  encodeMemberRecord,
+  encodeShardRecord,
   memberKey,
   memberOfKey,
-  NUMBER_KEY,
-  readBlock,
-  readMember,
-  writeBlock,
-  writeMember,
+  SHARD_COUNT,
+  SHARD_EPOCH_KEY,
+  type ShardRecord,
+  shardKey,
 } from "../bookkeeping/records.js";
-import type { Whole } from "../protocol/json.js";
-import type { Entry, Write } from "../protocol/state.js";
-import { blockLease } from "../settings/settings.js";
+import type { Uint64 } from "../protocol/json.js";
+import type { Entry, WriteOperation } from "../protocol/state.js";
+import { shardLeaseDuration } from "../settings/settings.js";
 import { type Clock, type Micros, ms, seconds, sleep } from "../transport/clock.js";
 import { describeError } from "../transport/log.js";
-import type { BlockLease, Services } from "./context.js";
-import { mayAct } from "./decisions/rights.js";
+import type { Services, ShardLease } from "./context.js";
+import { isLeaseValid } from "./decisions/rights.js";
 
-const RENEWALS = 12;
-const RETRY = ms(100);
+const RENEWALS_PER_LEASE = 12;
+const JOIN_RETRY_DELAY = ms(100);
 /** Time for the others to take over what was given up. */
-const STAND_BACK = seconds(8);
-const LOAD_POLL = ms(10);
+const REJOIN_DELAY = seconds(8);
+const CACHE_POLL_INTERVAL = ms(10);
 /** Steady clocks drift by half a thousandth at most; the rest is for slow timers. */
-const MARGIN = seconds(0.5);
+const LEASE_SAFETY_MARGIN = seconds(0.5);
 
-interface Grant {
-  readonly lease: Whole;
+interface MemberLease {
+  readonly id: Uint64;
   /** When the request was sent that last renewed it. */
-  renewed: Micros;
+  renewedAt: Micros;
 }
 
 export interface MembershipEvents {
-  taken(lease: BlockLease): void;
-  dropped(block: number): void;
+  shardAcquired(lease: ShardLease): void;
+  shardReleased(shard: number): void;
 }
 
 /**
@@ -43,20 +43,20 @@
  * a member, attached to that member's own grant: losing the leader takes nobody's block away.
  */
 export class Membership {
-  private grant: Grant | null = null;
-  private readonly held = new Map<number, BlockLease>();
-  private readonly ttl: Micros;
-  private joinAfter: Micros = 0 as Micros;
-  private acting = false;
-  private actAgain = false;
+  private memberLease: MemberLease | null = null;
+  private readonly heldShards = new Map<number, ShardLease>();
+  private readonly leaseDuration: Micros;
+  private earliestJoin: Micros = 0 as Micros;
+  private leading = false;
+  private leadAgain = false;
 
   constructor(
     private readonly services: Services,
     private readonly incarnation: string,
     private readonly events: MembershipEvents,
   ) {
-    this.ttl = blockLease(services.settings);
-    services.view.onChange(() => this.consider());
+    this.leaseDuration = shardLeaseDuration(services.settings);
+    services.cache.onChange(() => this.reconcileShards());
   }
 
   private get clock(): Clock {
@@ -64,193 +64,203 @@
   }
 
   /** Whose block it is, as far as known; for sending workers there. */
-  holder(block: number): string | null {
-    const entry = this.services.view.entries.get(blockKey(block));
-    return entry === undefined ? null : readBlock(entry.value).label;
+  leaderOf(shard: number): string | null {
+    const entry = this.services.cache.entries.get(shardKey(shard));
+    return entry === undefined ? null : decodeShardRecord(entry.value).label;
   }
 
   async run(): Promise<never> {
     const { log } = this.services;
     for (;;) {
       try {
-        if (this.grant === null && this.clock.now() < this.joinAfter) await sleep(this.clock, RETRY);
-        else if (this.grant === null) await this.join();
-        else await this.renew(this.grant);
-        this.consider();
+        if (this.memberLease === null && this.clock.now() < this.earliestJoin)
+          await sleep(this.clock, JOIN_RETRY_DELAY);
+        else if (this.memberLease === null) await this.join();
+        else await this.renew(this.memberLease);
+        this.reconcileShards();
       } catch (error) {
         log.error("membership step failed", { error: describeError(error) });
       }
-      await sleep(this.clock, this.grant === null ? RETRY : (Math.floor(this.ttl / RENEWALS) as Micros));
+      await sleep(
+        this.clock,
+        this.memberLease === null ? JOIN_RETRY_DELAY : (Math.floor(this.leaseDuration / RENEWALS_PER_LEASE) as Micros),
+      );
     }
   }
 
   private async join(): Promise<void> {
-    const { store, view, settings, log } = this.services;
-    while (!view.loaded) await sleep(this.clock, LOAD_POLL);
+    const { store, cache, settings, log } = this.services;
+    while (!cache.loaded) await sleep(this.clock, CACHE_POLL_INTERVAL);
     const key = memberKey(settings.label);
     const old = await store.get(key);
     if (old.kind !== "ok" && old.kind !== "missing") return;
     if (old.kind === "ok") {
       // Ours, from before a restart: there is one process a label. Ended at once, its blocks come back in
       // seconds; a request of it that is still under way fails on the block's version.
-      const ended = await store.end(readMember(old.value.value).lease);
+      const ended = await store.revokeLease(decodeMemberRecord(old.value.value).leaseId);
       if (ended.kind !== "ok" && ended.kind !== "missing") return;
     }
     const sent = this.clock.now();
-    const lease = await store.grant(this.ttl);
+    const lease = await store.grantLease(this.leaseDuration);
     if (lease.kind !== "ok") return;
-    const value = writeMember({ lease: lease.value, incarnation: this.incarnation });
-    const written = await store.commit(new Map([[key, 0]]), [{ kind: "put", key, value, lease: lease.value }]);
+    const value = encodeMemberRecord({ leaseId: lease.value, incarnation: this.incarnation });
+    const written = await store.transact(new Map([[key, 0]]), [{ kind: "put", key, value, lease: lease.value }]);
     if (written.kind !== "ok") return;
-    this.grant = { lease: lease.value, renewed: sent };
-    log.info("joined", { label: settings.label, leaseMs: this.ttl / 1_000 });
-    await view.sync();
+    this.memberLease = { id: lease.value, renewedAt: sent };
+    log.info("joined", { label: settings.label, leaseMs: this.leaseDuration / 1_000 });
+    await cache.sync();
   }
 
-  private async renew(grant: Grant): Promise<void> {
+  private async renew(memberLease: MemberLease): Promise<void> {
     const sent = this.clock.now();
-    const reply = await this.services.store.touch(grant.lease);
-    if (reply.kind === "ok") grant.renewed = sent;
+    const reply = await this.services.store.renewLease(memberLease.id);
+    if (reply.kind === "ok") memberLease.renewedAt = sent;
     if (reply.kind !== "missing") return;
     this.services.log.info("grant lost");
     this.resign();
   }
 
   /** For a holder that can do nothing with what it holds: lets the others have it before joining again. */
-  async handOver(): Promise<void> {
-    const { grant } = this;
-    if (grant === null) return;
+  async transferLeadership(): Promise<void> {
+    const { memberLease } = this;
+    if (memberLease === null) return;
     this.resign();
-    this.joinAfter = (this.clock.now() + STAND_BACK) as Micros;
-    await this.services.store.end(grant.lease);
+    this.earliestJoin = (this.clock.now() + REJOIN_DELAY) as Micros;
+    await this.services.store.revokeLease(memberLease.id);
   }
 
   /** Gives everything up; joining again ends the old grant, so what was held comes back under fresh numbers. */
   resign(): void {
-    this.grant = null;
-    for (const block of [...this.held.keys()]) this.drop(block);
+    this.memberLease = null;
+    for (const shard of [...this.heldShards.keys()]) this.release(shard);
   }
 
   /** The difference between the blocks on record and the ones acted for. */
-  private consider(): void {
-    const { view, settings } = this.services;
-    const member = view.entries.get(memberKey(settings.label));
+  private reconcileShards(): void {
+    const { cache, settings } = this.services;
+    const member = cache.entries.get(memberKey(settings.label));
     // A join without an answer, carried out late, puts a member on record under a grant that nobody renews: what is
     // leased to that one ends with that grant, while the right would be counted from another's renewals.
-    const renewed = member !== undefined && readMember(member.value).lease === this.grant?.lease;
-    for (let block = 0; block < BLOCKS; block += 1) {
-      const entry = view.entries.get(blockKey(block));
-      const record = entry === undefined ? null : readBlock(entry.value);
+    const renewed = member !== undefined && decodeMemberRecord(member.value).leaseId === this.memberLease?.id;
+    for (let shard = 0; shard < SHARD_COUNT; shard += 1) {
+      const entry = cache.entries.get(shardKey(shard));
+      const record = entry === undefined ? null : decodeShardRecord(entry.value);
       const mine = record !== null && record.incarnation === this.incarnation && renewed;
-      const held = this.held.get(block);
-      if (held !== undefined && (!mine || held.version !== entry?.version)) this.drop(block);
-      if (mine && entry !== undefined && !this.held.has(block)) this.take(block, record, entry, this.grant);
+      const held = this.heldShards.get(shard);
+      if (held !== undefined && (!mine || held.version !== entry?.version)) this.release(shard);
+      if (mine && entry !== undefined && !this.heldShards.has(shard))
+        this.acquire(shard, record, entry, this.memberLease);
     }
     void this.lead();
   }
 
-  private take(block: number, record: BlockRecord, entry: Entry, grant: Grant | null): void {
-    if (grant === null) return;
-    const { view } = this.services;
-    const span = (this.ttl - MARGIN - Math.ceil(this.ttl * 0.001)) as Micros;
-    const lease: BlockLease = {
-      block,
-      number: record.number,
+  private acquire(shard: number, record: ShardRecord, entry: Entry, memberLease: MemberLease | null): void {
+    if (memberLease === null) return;
+    const { cache } = this.services;
+    const span = (this.leaseDuration - LEASE_SAFETY_MARGIN - Math.ceil(this.leaseDuration * 0.001)) as Micros;
+    const lease: ShardLease = {
+      shard,
+      epoch: record.epoch,
       key: entry.key,
       version: entry.version,
-      valid: () =>
-        mayAct(
-          { held: this.held.get(block) === lease, renewed: grant.renewed, viewed: view.freshAt, span },
+      isValid: () =>
+        isLeaseValid(
+          {
+            isHolder: this.heldShards.get(shard) === lease,
+            renewedAt: memberLease.renewedAt,
+            cacheFreshAsOf: cache.freshAsOf,
+            duration: span,
+          },
           this.clock.now(),
         ),
     };
-    this.held.set(block, lease);
-    this.events.taken(lease);
+    this.heldShards.set(shard, lease);
+    this.events.shardAcquired(lease);
   }
 
   /** Also called by the holder itself when a write shows that the block has passed on. */
-  drop(block: number): void {
-    if (this.held.delete(block)) this.events.dropped(block);
+  release(shard: number): void {
+    if (this.heldShards.delete(shard)) this.events.shardReleased(shard);
   }
 
   /** As a leader, lease out what nobody holds; without one, try to become it. */
   private async lead(): Promise<void> {
-    const { view, settings, log } = this.services;
-    if (this.acting) {
+    const { cache, settings, log } = this.services;
+    if (this.leading) {
       // What changes meanwhile must not wait for the next renewal.
-      this.actAgain = true;
+      this.leadAgain = true;
       return;
     }
-    if (this.grant === null || !view.loaded) return;
-    const me = view.entries.get(memberKey(settings.label));
-    if (me === undefined || readMember(me.value).incarnation !== this.incarnation) return;
-    this.acting = true;
-    this.actAgain = false;
+    if (this.memberLease === null || !cache.loaded) return;
+    const me = cache.entries.get(memberKey(settings.label));
+    if (me === undefined || decodeMemberRecord(me.value).incarnation !== this.incarnation) return;
+    this.leading = true;
+    this.leadAgain = false;
     try {
-      const leader = view.entries.get(LEADER_KEY);
-      if (leader === undefined) await this.elect(me, this.grant);
+      const leader = cache.entries.get(CLUSTER_LEADER_KEY);
+      if (leader === undefined) await this.electClusterLeader(me, this.memberLease);
       else if ((leader.value as { incarnation?: unknown }).incarnation === this.incarnation)
-        await this.leaseBlocks(leader);
+        await this.assignShards(leader);
     } catch (error) {
       log.error("leading failed", { error: describeError(error) });
     } finally {
-      this.acting = false;
+      this.leading = false;
     }
-    if (this.actAgain) await this.lead();
+    if (this.leadAgain) await this.lead();
   }
 
-  private async elect(me: Entry, grant: Grant): Promise<void> {
-    const { store, view, settings, log } = this.services;
+  private async electClusterLeader(me: Entry, memberLease: MemberLease): Promise<void> {
+    const { store, cache, settings, log } = this.services;
     const value = { label: settings.label, incarnation: this.incarnation };
-    const result = await store.commit(
+    const result = await store.transact(
       new Map([
-        [LEADER_KEY, 0],
+        [CLUSTER_LEADER_KEY, 0],
         [me.key, me.version],
       ]),
-      [{ kind: "put", key: LEADER_KEY, value, lease: grant.lease }],
+      [{ kind: "put", key: CLUSTER_LEADER_KEY, value, lease: memberLease.id }],
     );
     if (result.kind === "ok") log.info("leader");
-    if (result.kind !== "refused") await view.sync();
+    if (result.kind !== "refused") await cache.sync();
   }
 
-  private async leaseBlocks(leader: Entry): Promise<void> {
-    const { store, view, log } = this.services;
-    for (let block = 0; block < BLOCKS; block += 1) {
-      const key = blockKey(block);
-      if (view.entries.has(key)) continue;
-      const member = this.chooseHolder();
+  private async assignShards(leader: Entry): Promise<void> {
+    const { store, cache, log } = this.services;
+    for (let shard = 0; shard < SHARD_COUNT; shard += 1) {
+      const key = shardKey(shard);
+      if (cache.entries.has(key)) continue;
+      const member = this.chooseShardLeader();
       if (member === null) return;
-      const counter = view.entries.get(NUMBER_KEY);
+      const counter = cache.entries.get(SHARD_EPOCH_KEY);
       const number = Number((counter?.value as { number?: number } | undefined)?.number ?? 0) + 1;
-      const { lease, incarnation } = readMember(member.value);
-      const record: BlockRecord = { label: memberOfKey(member.key) ?? "", incarnation, number };
-      const writes: Write[] = [
-        { kind: "put", key: NUMBER_KEY, value: { number } },
-        { kind: "put", key, value: writeBlock(record), lease },
+      const { leaseId, incarnation } = decodeMemberRecord(member.value);
+      const record: ShardRecord = { label: memberOfKey(member.key) ?? "", incarnation, epoch: number };
+      const writes: WriteOperation[] = [
+        { kind: "put", key: SHARD_EPOCH_KEY, value: { number } },
+        { kind: "put", key, value: encodeShardRecord(record), lease: leaseId },
       ];
-      const result = await store.commit(
+      const result = await store.transact(
         new Map([
           [leader.key, leader.version],
           [member.key, member.version],
-          [NUMBER_KEY, counter?.version ?? 0],
+          [SHARD_EPOCH_KEY, counter?.version ?? 0],
           [key, 0],
         ]),
         writes,
       );
-      if (result.kind === "ok") log.info("block leased", { block, number, holder: record.label });
-      await view.sync();
+      if (result.kind === "ok") log.info("block leased", { block: shard, number, holder: record.label });
+      await cache.sync();
     }
   }
 
   /** The member with the fewest blocks; the leader itself where it is among them. */
-  private chooseHolder(): Entry | null {
-    const { view, settings } = this.services;
+  private chooseShardLeader(): Entry | null {
+    const { cache, settings } = this.services;
     const count = new Map<string, number>();
-    for (let block = 0; block < BLOCKS; block += 1) {
-      const label = this.holder(block);
+    for (let shard = 0; shard < SHARD_COUNT; shard += 1) {
+      const label = this.leaderOf(shard);
       if (label !== null) count.set(label, (count.get(label) ?? 0) + 1);
     }
-    const members = [...view.entries.values()].filter((entry) => memberOfKey(entry.key) !== null);
+    const members = [...cache.entries.values()].filter((entry) => memberOfKey(entry.key) !== null);
     const load = (entry: Entry): number => {
       const label = memberOfKey(entry.key) ?? "";
       return (count.get(label) ?? 0) - (label === settings.label ? 0.5 : 0);
--- a/src/coordination/overload.ts
+++ b/src/coordination/overload.ts
@@ -8,45 +8,45 @@
  * users to the others; `full`: nothing more is accepted or rented. Reports and stops go on at every level: an answer
  * to a report is the cheapest thing that keeps a machine's tasks alive.
  */
-export const LEVELS = ["normal", "lean", "coarse", "full"] as const;
-export type Level = (typeof LEVELS)[number];
+export const LOAD_LEVELS = ["normal", "lean", "coarse", "full"] as const;
+export type LoadLevel = (typeof LOAD_LEVELS)[number];
 
 /** How near a process is to its limits; all but `late` as shares of the limit. */
-export interface Load {
+export interface ProcessLoad {
   readonly memory: number;
   readonly sockets: number;
 }
 
 /** Where the load of this process is read; null where there is nothing to read, as in most simulations. */
-export type LoadSource = (() => Load) | null;
+export type LoadSource = (() => ProcessLoad) | null;
 
-const PERIOD = ms(100);
+const SAMPLE_INTERVAL = ms(100);
 /** Weight of a new delay in the running mean: about the last second and a half counts. */
-const WEIGHT = 0.07;
+const SAMPLE_WEIGHT = 0.07;
 /** Delays beyond this are one standstill, not a load: it must not leave a mark for half a minute. */
-const LONGEST = seconds(2);
-const CALM = seconds(5);
+const MAX_SAMPLE = seconds(2);
+const CALM_TIME = seconds(5);
 /** A level is left below this share of what brought it about. */
-const LEAVE = 0.5;
+const LEAVE_SHARE = 0.5;
 
-interface Bound {
+interface LevelThreshold {
   /** Mean delay of timers: work that waits for the processor. */
-  readonly late: Micros;
+  readonly delay: Micros;
   readonly memory: number;
   readonly sockets: number;
 }
 
-const BOUNDS: readonly Bound[] = [
-  { late: ms(60), memory: 0.8, sockets: 0.97 },
-  { late: ms(180), memory: 0.87, sockets: Number.POSITIVE_INFINITY },
-  { late: ms(800), memory: 0.93, sockets: Number.POSITIVE_INFINITY },
+const LEVEL_THRESHOLDS: readonly LevelThreshold[] = [
+  { delay: ms(60), memory: 0.8, sockets: 0.97 },
+  { delay: ms(180), memory: 0.87, sockets: Number.POSITIVE_INFINITY },
+  { delay: ms(800), memory: 0.93, sockets: Number.POSITIVE_INFINITY },
 ];
 
 /** Tells how much of its load this process can carry. Steps up at once, and down one level after a calm time. */
-export class Overload {
-  private at = 0;
-  private mean = 0;
-  private due: Micros;
+export class LoadShedder {
+  private levelIndex = 0;
+  private meanDelay = 0;
+  private timerDueAt: Micros;
   private calmSince: Micros;
 
   constructor(
@@ -54,54 +54,54 @@
     private readonly log: Log,
     private readonly source: LoadSource,
   ) {
-    this.due = clock.now();
+    this.timerDueAt = clock.now();
     this.calmSince = clock.now();
-    if (source !== null) this.wait();
+    if (source !== null) this.scheduleSample();
   }
 
-  get level(): Level {
-    return LEVELS[this.at] ?? "full";
+  get level(): LoadLevel {
+    return LOAD_LEVELS[this.levelIndex] ?? "full";
   }
 
-  atLeast(level: Level): boolean {
-    return this.at >= LEVELS.indexOf(level);
+  atLeast(level: LoadLevel): boolean {
+    return this.levelIndex >= LOAD_LEVELS.indexOf(level);
   }
 
-  private wait(): void {
-    this.due = (this.clock.now() + PERIOD) as Micros;
-    this.clock.after(PERIOD, () => {
-      this.take((this.clock.now() - this.due) as Micros);
-      this.wait();
+  private scheduleSample(): void {
+    this.timerDueAt = (this.clock.now() + SAMPLE_INTERVAL) as Micros;
+    this.clock.after(SAMPLE_INTERVAL, () => {
+      this.addSample((this.clock.now() - this.timerDueAt) as Micros);
+      this.scheduleSample();
     });
   }
 
   /** `late`: how much later than asked for a timer fired. */
-  private take(late: Micros): void {
+  private addSample(late: Micros): void {
     if (this.source === null) return;
-    this.mean += WEIGHT * (Math.min(late, LONGEST) - this.mean);
+    this.meanDelay += SAMPLE_WEIGHT * (Math.min(late, MAX_SAMPLE) - this.meanDelay);
     const { memory, sockets } = this.source();
-    const over = (bound: Bound, share: number): boolean =>
-      this.mean > bound.late * share ||
+    const over = (bound: LevelThreshold, share: number): boolean =>
+      this.meanDelay > bound.delay * share ||
       memory > 1 - (1 - bound.memory) * (2 - share) ||
       sockets > bound.sockets * (share < 1 ? 0.9 : 1);
     let reached = 0;
-    for (const [index, bound] of BOUNDS.entries()) if (over(bound, 1)) reached = index + 1;
+    for (const [index, bound] of LEVEL_THRESHOLDS.entries()) if (over(bound, 1)) reached = index + 1;
     const now = this.clock.now();
-    if (reached > this.at) {
-      this.move(reached, memory, sockets);
+    if (reached > this.levelIndex) {
+      this.changeLevel(reached, memory, sockets);
       return;
     }
-    const bound = BOUNDS[this.at - 1];
-    if (bound === undefined || over(bound, LEAVE)) this.calmSince = now;
-    else if (now - this.calmSince > CALM) this.move(this.at - 1, memory, sockets);
+    const bound = LEVEL_THRESHOLDS[this.levelIndex - 1];
+    if (bound === undefined || over(bound, LEAVE_SHARE)) this.calmSince = now;
+    else if (now - this.calmSince > CALM_TIME) this.changeLevel(this.levelIndex - 1, memory, sockets);
   }
 
-  private move(to: number, memory: number, sockets: number): void {
-    this.at = to;
+  private changeLevel(to: number, memory: number, sockets: number): void {
+    this.levelIndex = to;
     this.calmSince = this.clock.now();
     this.log.info("load", {
       level: this.level,
-      lateMs: Math.round(this.mean / 1_000),
+      lateMs: Math.round(this.meanDelay / 1_000),
       memory: Math.round(memory * 100) / 100,
       sockets: Math.round(sockets * 100) / 100,
     });
--- a/src/coordination/placement/bfgp.ts
+++ b/src/coordination/placement/bfgp.ts
@@ -2,7 +2,7 @@
  * Best fit greedy placement, energy saving (the paper's BFGP-ES: section IV, Algorithms 1 and 2). Pure: it
  * works on copies handed in by the caller and changes nothing else. docs/design.md tells what differs.
  */
-import type { Demand } from "../../protocol/user.js";
+import type { Resources } from "../../protocol/user.js";
 
 export interface Images {
   has(image: string): boolean;
@@ -11,9 +11,9 @@
 
 export interface Server {
   readonly name: string;
-  readonly capacity: Demand;
+  readonly capacity: Resources;
   /** c_j: what is left. */
-  free: Demand;
+  free: Resources;
   /** b_j */
   busy: boolean;
   readonly images: Images;
@@ -22,18 +22,18 @@
 }
 
 export interface Component {
-  readonly demand: Demand;
+  readonly demand: Resources;
   readonly image: string;
   readonly imageGb: number;
 }
 
 const DIMENSIONS = ["cpu", "gpu", "ram"] as const;
 
-export const fits = (demand: Demand, free: Demand): boolean =>
+export const fits = (demand: Resources, free: Resources): boolean =>
   demand.cpu <= free.cpu && demand.gpu <= free.gpu && demand.ram <= free.ram;
 
 /** So many of them fit one after the other. */
-export const howMany = (demand: Demand, free: Demand): number => {
+export const countThatFit = (demand: Resources, free: Resources): number => {
   let most = Number.POSITIVE_INFINITY;
   for (const dimension of DIMENSIONS) {
     if (demand[dimension] > 0) most = Math.min(most, Math.floor(free[dimension] / demand[dimension]));
@@ -41,11 +41,19 @@
   return Math.max(0, most);
 };
 
-export const plus = (a: Demand, b: Demand): Demand => ({ cpu: a.cpu + b.cpu, gpu: a.gpu + b.gpu, ram: a.ram + b.ram });
-export const minus = (a: Demand, b: Demand): Demand => ({ cpu: a.cpu - b.cpu, gpu: a.gpu - b.gpu, ram: a.ram - b.ram });
+export const addResources = (a: Resources, b: Resources): Resources => ({
+  cpu: a.cpu + b.cpu,
+  gpu: a.gpu + b.gpu,
+  ram: a.ram + b.ram,
+});
+export const subtractResources = (a: Resources, b: Resources): Resources => ({
+  cpu: a.cpu - b.cpu,
+  gpu: a.gpu - b.gpu,
+  ram: a.ram - b.ram,
+});
 
 /** c_j / c̄_j, taken in the dimension that runs out first. */
-export const remaining = (server: Server): number => {
+export const remainingShare = (server: Server): number => {
   let least = 1;
   for (const dimension of DIMENSIONS) {
     const whole = server.capacity[dimension];
@@ -55,7 +63,7 @@
 };
 
 /** max(0, d_i - c_j), summed over the dimensions as shares of the machine. */
-export const overflow = (demand: Demand, server: Server): number => {
+export const overflowShare = (demand: Resources, server: Server): number => {
   let sum = 0;
   for (const dimension of DIMENSIONS) {
     const over = demand[dimension] - server.free[dimension];
@@ -64,17 +72,17 @@
   return sum;
 };
 
-export const missing = (component: Component, server: Server): number =>
+export const fetchSeconds = (component: Component, server: Server): number =>
   server.images.has(component.image) ? 0 : component.imageGb / server.fetchGbPerS;
 
 /** Algorithm 2: the k servers that fit, are busy and are fullest, in this order of weight. */
-export const shortlist = <S extends Server>(demand: Demand, servers: readonly S[], kappa: number): readonly S[] => {
+export const shortlist = <S extends Server>(demand: Resources, servers: readonly S[], kappa: number): readonly S[] => {
   const ranked = servers.map((server, index) => ({
     server,
     index,
     fits: fits(demand, server.free) ? 1 : 0,
     busy: server.busy ? 1 : 0,
-    left: remaining(server),
+    left: remainingShare(server),
   }));
   ranked.sort((a, b) => b.fits - a.fits || b.busy - a.busy || a.left - b.left || a.index - b.index);
   const k = Math.max(1, Math.floor(kappa * servers.length));
@@ -85,8 +93,8 @@
 export const choose = <S extends Server>(component: Component, servers: readonly S[], kappa: number): S | null => {
   let best: { server: S; over: number; cost: number } | null = null;
   for (const server of shortlist(component.demand, servers, kappa)) {
-    const over = overflow(component.demand, server);
-    const cost = missing(component, server);
+    const over = overflowShare(component.demand, server);
+    const cost = fetchSeconds(component, server);
     if (best === null || over < best.over || (over === best.over && cost < best.cost)) best = { server, over, cost };
   }
   return best !== null && best.over === 0 ? best.server : null;
@@ -94,13 +102,13 @@
 
 /** Lines 12 to 14: the server now counts as busy, fuller and holding the image. */
 export const assign = (component: Component, server: Server): void => {
-  server.free = minus(server.free, component.demand);
+  server.free = subtractResources(server.free, component.demand);
   server.busy = true;
   server.images.add(component.image);
 };
 
 /** d_i as one number: the largest share of the reference machine that it takes. */
-export const weight = (demand: Demand, reference: Demand): number => {
+export const relativeSize = (demand: Resources, reference: Resources): number => {
   let most = 0;
   for (const dimension of DIMENSIONS) {
     if (reference[dimension] > 0) most = Math.max(most, demand[dimension] / reference[dimension]);
--- a/src/coordination/rounds.ts
+++ b/src/coordination/rounds.ts
@@ -1,58 +1,58 @@
 import type { Micros } from "../transport/clock.js";
-import { type BlockContext, firstToken } from "./context.js";
-import { summary } from "./decisions/floor.js";
-import type { Picture } from "./decisions/picture.js";
-import { laneOf } from "./decisions/promptness.js";
-import { applyAction, decideRound, newMemory, type RoundAction } from "./decisions/round.js";
-import type { Work } from "./placement/ranking.js";
-import type { Recorder } from "./recorder.js";
+import { firstFencingToken, type ShardContext } from "./context.js";
+import { summarizePools } from "./decisions/floor.js";
+import type { SchedulerSnapshot } from "./decisions/picture.js";
+import { writePriorityOf } from "./decisions/promptness.js";
+import { applyAction, decideRound, newRoundState, type RoundAction } from "./decisions/round.js";
+import type { InspectionCounter } from "./placement/ranking.js";
+import type { TaskStateWriter } from "./recorder.js";
 
 /** Looks for something to stop, a round; fewer where the processor is short. */
-export const SEARCHES = 24;
-const FEW_SEARCHES = 4;
+export const MAX_PREEMPTION_SEARCHES = 24;
+const MAX_PREEMPTION_SEARCHES_UNDER_LOAD = 4;
 /** Placements may wait so long for the state service's writes. */
-const RECORDS_AHEAD_S = 2;
-const MOST_AHEAD_S = 8;
+const MIN_RECORDS_AHEAD_S = 2;
+const MAX_RECORDS_AHEAD_S = 8;
 /** Of what may be placed ahead of its records, what is not urgent keeps at least this. */
-const OTHERS_SHARE = 0.2;
+const NON_URGENT_SHARE = 0.2;
 
 /** Carries out what placement rounds decide, through records and commands. */
-export class Rounds {
-  readonly work: Work = { visited: 0 };
-  private readonly memory = newMemory();
-  private told = 0;
-  private ranAt: Micros;
+export class Scheduler {
+  readonly inspection: InspectionCounter = { count: 0 };
+  private readonly roundState = newRoundState();
+  private reportedInspections = 0;
+  private lastRoundAt: Micros;
 
   constructor(
-    private readonly context: BlockContext,
-    private readonly recorder: Recorder,
+    private readonly context: ShardContext,
+    private readonly taskStates: TaskStateWriter,
   ) {
-    this.ranAt = context.clock.now();
+    this.lastRoundAt = context.clock.now();
   }
 
   /**
    * What is known now, for decisions. `records`: only a round uses it, and it takes a walk over all jobs, so plans do without.
    */
-  picture(records: Picture["records"] = { prompt: 0, work: 0 }): Picture {
-    const { block, clock, settings, options, lease, overload } = this.context;
+  snapshot(records: SchedulerSnapshot["recordBudget"] = { prompt: 0, work: 0 }): SchedulerSnapshot {
+    const { shard, clock, settings, options, lease, loadShedder } = this.context;
     return {
       now: clock.now(),
-      block,
+      shard,
       settings,
       options,
-      silentAfter: settings.workers.report * options.silentReports,
-      firstToken: firstToken(lease),
-      searches: overload.atLeast("lean") ? FEW_SEARCHES : SEARCHES,
-      records,
-      guaranteesShort: this.memory.guaranteesShort,
-      work: this.work,
+      heartbeatTimeout: settings.workers.heartbeatInterval * options.silentReports,
+      firstFencingToken: firstFencingToken(lease),
+      maxPreemptionSearches: loadShedder.atLeast("lean") ? MAX_PREEMPTION_SEARCHES_UNDER_LOAD : MAX_PREEMPTION_SEARCHES,
+      recordBudget: records,
+      guaranteesOvercommitted: this.roundState.guaranteesOvercommitted,
+      inspection: this.inspection,
     };
   }
 
   /** Until well into the next round, whenever that will be: else writes would be left unused between slow rounds. */
-  private aheadS(): number {
-    const since = (this.context.clock.now() - this.ranAt) / 1_000_000;
-    return Math.min(MOST_AHEAD_S, Math.max(RECORDS_AHEAD_S, 1.5 * since));
+  private recordsAheadS(): number {
+    const since = (this.context.clock.now() - this.lastRoundAt) / 1_000_000;
+    return Math.min(MAX_RECORDS_AHEAD_S, Math.max(MIN_RECORDS_AHEAD_S, 1.5 * since));
   }
 
   /**
@@ -60,53 +60,53 @@
    * since its writes go first; all else keeps a share of its own, so that it goes on however much is urgent. Ends of
    * jobs wait in the same queues, and must not keep all starts out.
    */
-  private recordsLeft(): Picture["records"] {
+  private recordBudget(): SchedulerSnapshot["recordBudget"] {
     const waiting = { prompt: 0, work: 0 };
-    for (const job of this.context.block.jobs.values()) {
-      if (job.cancelled || job.ending) continue;
-      const lane = laneOf(job, this.context.settings);
-      for (const { marked } of job.ranges) if (marked !== null) waiting[lane] += 1;
+    for (const job of this.context.shard.jobs.values()) {
+      if (job.cancelled || job.outcomePending) continue;
+      const lane = writePriorityOf(job, this.context.settings);
+      for (const { placementPendingSince } of job.ranges) if (placementPendingSince !== null) waiting[lane] += 1;
     }
-    const ahead = this.context.committer.rate * this.aheadS();
+    const ahead = this.context.transactions.writesPerSecond * this.recordsAheadS();
     const left = { prompt: ahead - waiting.prompt, work: ahead - waiting.prompt - waiting.work };
     return {
       prompt: Math.floor(left.prompt),
-      work: Math.floor(Math.max(left.work, ahead * OTHERS_SHARE - waiting.work)),
+      work: Math.floor(Math.max(left.work, ahead * NON_URGENT_SHARE - waiting.work)),
     };
   }
 
   /** For the log: what each pool holds, and what waits. */
-  summary(): ReturnType<typeof summary> {
-    return summary(this.picture());
+  summarize(): ReturnType<typeof summarizePools> {
+    return summarizePools(this.snapshot());
   }
 
   /** The job for which room that comes free is kept, if there is one. */
-  get keepsFor(): string | null {
-    return this.memory.reservation?.job.spec.id ?? null;
+  get reservedForJob(): string | null {
+    return this.roundState.reservation?.job.spec.id ?? null;
   }
 
-  run(): void {
-    if (!this.context.lease.valid()) return;
-    this.context.block.recordBytes = this.context.committer.valueBytes;
-    const picture = this.picture(this.recordsLeft());
-    this.ranAt = picture.now;
-    for (const action of decideRound(picture, this.memory)) this.carryOut(action);
-    this.settleWork();
+  runRound(): void {
+    if (!this.context.lease.isValid()) return;
+    this.context.shard.maxRecordBytes = this.context.transactions.maxValueBytes;
+    const snapshot = this.snapshot(this.recordBudget());
+    this.lastRoundAt = snapshot.now;
+    for (const action of decideRound(snapshot, this.roundState)) this.execute(action);
+    this.reportInspections();
   }
 
   /** Tells of what has been looked at since it was last told. */
-  settleWork(): void {
-    this.context.spent?.(this.work.visited - this.told);
-    this.told = this.work.visited;
+  reportInspections(): void {
+    this.context.onInspected?.(this.inspection.count - this.reportedInspections);
+    this.reportedInspections = this.inspection.count;
   }
 
-  private carryOut(action: RoundAction): void {
+  private execute(action: RoundAction): void {
     const { context } = this;
-    const { block, log } = context;
-    applyAction(block, action);
+    const { shard, log } = context;
+    applyAction(shard, action);
     switch (action.kind) {
       case "place":
-        this.recorder.mark(action.task.range);
+        this.taskStates.recordPlacement(action.task.range);
         return;
       case "stop": {
         const { by, machine, victims } = action;
@@ -116,11 +116,11 @@
           victims: victims.map(({ task }) => task.name),
           reasons: victims.map(({ reason }) => reason),
         });
-        this.context.wakeCommands(machine);
+        this.context.scheduleCommands(machine);
         return;
       }
       case "dissolve":
-        for (const { on } of action.job.placed) if (on !== null) this.context.wakeCommands(on);
+        for (const { machine: on } of action.job.placedTasks) if (on !== null) this.context.scheduleCommands(on);
         return;
       case "guarantees":
         log.info(action.short ? "guarantees exceed the room" : "guarantees fit again", {
@@ -132,7 +132,7 @@
         const { job, machines, until } = action.reservation;
         log.info("room kept", {
           job: job.spec.id,
-          waitedS: Math.round((context.clock.now() - job.seenAt) / 1_000_000),
+          waitedS: Math.round((context.clock.now() - job.waitingSince) / 1_000_000),
           machines: machines.size === 0 ? "its team's limit" : [...machines.keys()].slice(0, 5).map(({ name }) => name),
           atMostS: Math.round((until - context.clock.now()) / 1_000_000),
         });
--- a/src/coordination/silence-record.ts
+++ b/src/coordination/silence-record.ts
@@ -1,14 +1,19 @@
 import type { Machine } from "../bookkeeping/picture.js";
-import { readSilence, type SilenceRecord, silenceKey, writeSilence } from "../bookkeeping/records.js";
-import type { Whole } from "../protocol/json.js";
-import type { Write } from "../protocol/state.js";
+import {
+  decodeUnreachableZones,
+  encodeUnreachableZones,
+  type UnreachableZonesRecord,
+  unreachableZonesKey,
+} from "../bookkeeping/records.js";
+import type { Uint64 } from "../protocol/json.js";
+import type { WriteOperation } from "../protocol/state.js";
 import { type Micros, seconds } from "../transport/clock.js";
-import type { BlockLease, Services } from "./context.js";
+import type { Services, ShardLease } from "./context.js";
 
 /** Beyond the bound on both clocks' errors: for rounding, and for what the steady clocks drift meanwhile. */
-const MARGIN_US = 50_000;
+const CLOCK_MARGIN = 50_000;
 /** A zone in which somebody was heard is not put on record for so long. */
-const HEARD_FOR = seconds(10);
+const RECENTLY_HEARD = seconds(10);
 
 /**
  * Keeps on record since when nobody in a zone has been answered, so that the next holder need not wait a whole lease
@@ -22,117 +27,124 @@
  * holder takes the zone as on record from its first moment. `since` is time of day, which every controller knows
  * within the bound of the settings; both errors are added to it.
  */
-export class Silences {
+export class UnreachableZones {
   /** Zones that the record may name. */
-  private readonly held = new Set<string>();
-  private readonly inherited = new Map<string, Micros>();
-  private readonly heardAt = new Map<string, Micros>();
-  private wanted: ReadonlySet<string> = new Set();
-  private version: Whole;
+  private readonly recordedZones = new Set<string>();
+  private readonly inheritedSince = new Map<string, Micros>();
+  private readonly lastHeardAt = new Map<string, Micros>();
+  private desiredZones: ReadonlySet<string> = new Set();
+  private version: Uint64;
   private writing = false;
-  private renew = false;
-  private readonly began: Micros;
+  private mustRewrite = false;
+  private readonly startedAt: Micros;
 
   constructor(
     private readonly services: Services,
-    private readonly lease: BlockLease,
+    private readonly lease: ShardLease,
     private readonly machines: () => Iterable<Machine>,
   ) {
-    const { view, wall, clock, settings } = services;
-    this.began = clock.now();
-    const entry = view.entries.get(this.key);
+    const { cache, wallClock, clock, settings } = services;
+    this.startedAt = clock.now();
+    const entry = cache.entries.get(this.key);
     this.version = entry?.version ?? 0;
     if (entry === undefined) return;
-    const { number, zones } = readSilence(entry.value);
+    const { epoch, unansweredSinceMs } = decodeUnreachableZones(entry.value);
     // Believed only from the holder just before: one in between may have answered and, of an older version, not known
     // the record, as in a rolling update.
-    if (number !== lease.number - 1) return;
-    for (const [zone, sinceMs] of Object.entries(zones)) {
+    if (epoch !== lease.epoch - 1) return;
+    for (const [zone, sinceMs] of Object.entries(unansweredSinceMs)) {
       if (zone === "") continue;
-      this.held.add(zone);
-      if (wall === null) continue;
-      const ago = (wall() - sinceMs) * 1_000 - 2 * settings.clockError - MARGIN_US;
-      this.inherited.set(zone, (clock.now() - Math.max(0, ago)) as Micros);
+      this.recordedZones.add(zone);
+      if (wallClock === null) continue;
+      const ago = (wallClock() - sinceMs) * 1_000 - 2 * settings.maxClockError - CLOCK_MARGIN;
+      this.inheritedSince.set(zone, (clock.now() - Math.max(0, ago)) as Micros);
     }
-    this.wanted = new Set(this.held);
+    this.desiredZones = new Set(this.recordedZones);
     // To be believed in turn, it has to stand under our own number.
-    this.renew = this.held.size > 0;
-    this.work();
+    this.mustRewrite = this.recordedZones.size > 0;
+    this.writeChanges();
   }
 
   private get key(): string {
-    return silenceKey(this.lease.block);
+    return unreachableZonesKey(this.lease.shard);
   }
 
   /** What the holder before left on record. */
   get inheritedZones(): ReadonlySet<string> {
-    return new Set(this.inherited.keys());
+    return new Set(this.inheritedSince.keys());
   }
 
   /** May workers there be answered, and tasks be started? */
-  open(zone: string): boolean {
-    return !this.held.has(zone);
+  mayAnswer(zone: string): boolean {
+    return !this.recordedZones.has(zone);
   }
 
   /** No worker there was answered after this moment; null where that is not on record. */
-  answeredBefore(zone: string): Micros | null {
-    return this.inherited.get(zone) ?? null;
+  lastAnsweredBefore(zone: string): Micros | null {
+    return this.inheritedSince.get(zone) ?? null;
   }
 
   /** Zones of which nothing is heard now; called again and again. */
-  cut(zones: ReadonlySet<string>): void {
-    const { wall } = this.services;
-    if (wall === null) return;
+  markUnreachable(zones: ReadonlySet<string>): void {
+    const { wallClock } = this.services;
+    if (wallClock === null) return;
     const now = this.services.clock.now();
     // A machine that has just come up may be all that is heard of a zone of dead ones: put on record again and again,
     // the zone was never answered (seed 4 of the random days).
     // Machines known from the records only have no zone yet: all of them, at the next holder's beginning.
     const quiet = [...zones].filter(
-      (zone) => zone !== "" && now - (this.heardAt.get(zone) ?? Number.NEGATIVE_INFINITY) > HEARD_FOR,
+      (zone) => zone !== "" && now - (this.lastHeardAt.get(zone) ?? Number.NEGATIVE_INFINITY) > RECENTLY_HEARD,
     );
     // Those that are on record stay there until somebody in them is heard.
-    this.wanted = new Set([...this.wanted, ...quiet]);
-    this.work();
+    this.desiredZones = new Set([...this.desiredZones, ...quiet]);
+    this.writeChanges();
   }
 
   /** Somebody in the zone has been heard: it is to be answered as soon as the record no longer names it. */
-  heard(zone: string): void {
-    this.heardAt.set(zone, this.services.clock.now());
-    if (!this.held.has(zone)) return;
-    this.wanted = new Set([...this.wanted].filter((other) => other !== zone));
-    this.work();
+  markReachable(zone: string): void {
+    this.lastHeardAt.set(zone, this.services.clock.now());
+    if (!this.recordedZones.has(zone)) return;
+    this.desiredZones = new Set([...this.desiredZones].filter((other) => other !== zone));
+    this.writeChanges();
   }
 
   /** Works off the difference between the zones wanted on record and those that may be there. */
-  private work(): void {
+  private writeChanges(): void {
     const { lease } = this;
-    const { committer, view, log } = this.services;
-    const same = this.wanted.size === this.held.size && [...this.wanted].every((zone) => this.held.has(zone));
-    if ((same && !this.renew) || this.writing || !lease.valid()) return;
-    const { wanted } = this;
+    const { transactions, cache, log } = this.services;
+    const same =
+      this.desiredZones.size === this.recordedZones.size &&
+      [...this.desiredZones].every((zone) => this.recordedZones.has(zone));
+    if ((same && !this.mustRewrite) || this.writing || !lease.isValid()) return;
+    const { desiredZones } = this;
     this.writing = true;
     // From here on it may be on record: answers stop first.
-    for (const zone of wanted) this.held.add(zone);
+    for (const zone of desiredZones) this.recordedZones.add(zone);
     const conditions = new Map([
       [lease.key, lease.version],
       [this.key, this.version],
     ]);
     // Never deleted: what is not there has version 0 again, and an earlier write without an answer, applied late under
     // that condition, put a zone on record that was being answered. A write of no zones moves the version on.
-    const write: Write = { kind: "put", key: this.key, value: writeSilence(this.record(wanted)) };
-    committer
-      .propose(conditions, [write], "cancel")
+    const write: WriteOperation = {
+      kind: "put",
+      key: this.key,
+      value: encodeUnreachableZones(this.buildRecord(desiredZones)),
+    };
+    transactions
+      .submit(conditions, [write], "cancel")
       .then(async (result) => {
         if (result.kind === "ok") {
           this.version = result.version;
-          this.renew = false;
-          for (const zone of [...this.held]) if (!wanted.has(zone)) this.held.delete(zone);
-          for (const zone of [...this.inherited.keys()]) if (!wanted.has(zone)) this.inherited.delete(zone);
+          this.mustRewrite = false;
+          for (const zone of [...this.recordedZones]) if (!desiredZones.has(zone)) this.recordedZones.delete(zone);
+          for (const zone of [...this.inheritedSince.keys()])
+            if (!desiredZones.has(zone)) this.inheritedSince.delete(zone);
           return;
         }
         // One of our own writes without an answer may have been applied; a later try finds its version.
-        if (result.kind === "conflict" && (await view.sync())) {
-          this.version = view.entries.get(this.key)?.version ?? 0;
+        if (result.kind === "conflict" && (await cache.sync())) {
+          this.version = cache.entries.get(this.key)?.version ?? 0;
         }
       })
       .catch((error: unknown) => log.error("silence not recorded", { error: String(error) }))
@@ -141,21 +153,21 @@
       });
   }
 
-  private record(zones: ReadonlySet<string>): SilenceRecord {
-    const { wall, clock } = this.services;
+  private buildRecord(zones: ReadonlySet<string>): UnreachableZonesRecord {
+    const { wallClock, clock } = this.services;
     const since: Record<string, number> = {};
     for (const zone of zones) {
       // Whoever held the block before may have answered there to its end: without its word, that is our beginning.
       // Counted from the machines heard of alone, a zone that had not been heard yet went on record as silent for ever,
       // and its tasks were started a second time (docs/incidents/silence-record.md).
-      let latest: number = this.inherited.get(zone) ?? this.began;
+      let latest: number = this.inheritedSince.get(zone) ?? this.startedAt;
       // One that has never been heard of runs nothing that was started.
       for (const machine of this.machines()) {
-        if (machine.zone === zone && machine.state === "up") latest = Math.max(latest, machine.leaseBase);
+        if (machine.zone === zone && machine.state === "up") latest = Math.max(latest, machine.leaseRenewedAt);
       }
       const ago = Math.max(0, clock.now() - latest);
-      since[zone] = Math.ceil((wall?.() ?? 0) - ago / 1_000);
+      since[zone] = Math.ceil((wallClock?.() ?? 0) - ago / 1_000);
     }
-    return { number: this.lease.number, zones: since };
+    return { epoch: this.lease.epoch, unansweredSinceMs: since };
   }
 }
--- a/src/coordination/steward.ts
+++ b/src/coordination/steward.ts
@@ -1,293 +1,308 @@
-import { Block } from "../bookkeeping/block.js";
+import { ShardState } from "../bookkeeping/block.js";
 import { newMachine } from "../bookkeeping/machines.js";
 import type { Job, Machine } from "../bookkeeping/picture.js";
-import { TYPES_KEY } from "../bookkeeping/records.js";
+import { MACHINE_TYPES_KEY } from "../bookkeeping/records.js";
 import type { MachineType } from "../protocol/cloud.js";
 import type { MachineLinks } from "../protocol/links.js";
 import type { Change } from "../protocol/state.js";
-import type { Command, Report } from "../protocol/worker.js";
+import type { Command, Heartbeat } from "../protocol/worker.js";
 import { type Micros, ms, seconds, type Timer } from "../transport/clock.js";
 import { describeError } from "../transport/log.js";
-import { Chained } from "./chained.js";
-import type { Cloud } from "./cloud.js";
-import { Commander } from "./commander.js";
-import { answerTokenOf, type BlockContext, type BlockLease, firstToken, type Services } from "./context.js";
-import { type Evidence, maybeOvertaken, type Origin } from "./decisions/evidence.js";
-import { isDeaf } from "./decisions/reach.js";
-import { type Allowed, allowedTo, stopsOwed } from "./decisions/rights.js";
-import type { Extension, Holding } from "./extension.js";
-import { Fullness } from "./fullness.js";
-import { Inquiries } from "./inquiries.js";
-import { JobsFeed } from "./jobs-feed.js";
-import { Lanes } from "./lanes.js";
-import { Observer } from "./observer.js";
-import { Recorder } from "./recorder.js";
-import { Rental } from "./rental.js";
-import { Rounds } from "./rounds.js";
-import { Silences } from "./silence-record.js";
-import { Watch } from "./watch.js";
+import { DependencyTracker } from "./chained.js";
+import type { CloudClient } from "./cloud.js";
+import { CommandDispatcher } from "./commander.js";
+import { firstFencingToken, responseTokenOf, type Services, type ShardContext, type ShardLease } from "./context.js";
+import { type HeartbeatFreshness, type HeartbeatSource, mayBeOvertaken } from "./decisions/evidence.js";
+import { isOneWay } from "./decisions/reach.js";
+import { type PermittedReplies, pendingStops, permittedReplies } from "./decisions/rights.js";
+import type { Extension, ShardExtension } from "./extension.js";
+import { BackpressureSignal } from "./fullness.js";
+import { StatusQueryQueue } from "./inquiries.js";
+import { JobWatcher } from "./jobs-feed.js";
+import { ConcurrencyPools } from "./lanes.js";
+import { HeartbeatProcessor } from "./observer.js";
+import { TaskStateWriter } from "./recorder.js";
+import { Autoscaler } from "./rental.js";
+import { Scheduler } from "./rounds.js";
+import { UnreachableZones } from "./silence-record.js";
+import { FailureDetector } from "./watch.js";
 
-const TICK = ms(250);
-const REPORT: Origin = { kind: "report" };
-const ROUND_GAP = ms(10);
+const TICK_INTERVAL = ms(250);
+const FROM_HEARTBEAT: HeartbeatSource = { kind: "report" };
+const MIN_ROUND_INTERVAL = ms(10);
 /** Whether an answer got to its worker is asked so long after it. */
-const VERIFY_AFTER = seconds(1);
-const STANDSTILL = seconds(1.5);
-const SUMMARY_PERIOD = seconds(30);
+const PROBE_VERIFICATION_DELAY = seconds(1);
+const STALL_THRESHOLD = seconds(1.5);
+const SUMMARY_INTERVAL = seconds(30);
 /** Commands sent at once: to machines that are heard, and to others. */
-const QUICK_LANES = 96;
-const SLOW_LANES = 16;
+const RESPONSIVE_POOL_SIZE = 96;
+const SILENT_POOL_SIZE = 16;
 /** Between rounds under load. */
-const COARSE_GAP = seconds(1);
+const ROUND_INTERVAL_UNDER_LOAD = seconds(1);
 /** A round leaves this many times its own length to all else, above all to reports. */
-const ROUND_REST = 4;
-const TYPES_PERIOD = seconds(30);
+const ROUND_REST_FACTOR = 4;
+const MACHINE_TYPES_INTERVAL = seconds(30);
 /** So many bytes of a range's value a task may take: attempt, machine name and punctuation. */
 const BYTES_PER_TASK = 48;
-const MAX_RANGE = 128;
+const MAX_TASKS_PER_RANGE = 128;
 
-export interface StewardAnswer {
+export interface HeartbeatReply {
   readonly token: number;
   readonly commands: readonly Command[];
 }
 
 /** Acts for one block for as long as this process holds its lease. Everything in it dies with the lease. */
-export class Steward {
-  private readonly context: BlockContext;
-  private readonly observer: Observer;
-  private readonly recorder: Recorder;
-  private readonly commander: Commander;
-  private readonly rounds: Rounds;
-  private readonly rental: Rental;
+export class ShardLeader {
+  private readonly context: ShardContext;
+  private readonly heartbeats: HeartbeatProcessor;
+  private readonly taskStates: TaskStateWriter;
+  private readonly commands: CommandDispatcher;
+  private readonly scheduler: Scheduler;
+  private readonly autoscaler: Autoscaler;
   private stopped = false;
   private roundTimer: Timer | null = null;
   private roundDue: Micros = 0 as Micros;
   private lastRound: Micros = 0 as Micros;
-  readonly takenAt: Micros;
-  private wasValid = true;
-  private invalidSince: Micros = 0 as Micros;
-  private typesAt: Micros = 0 as Micros;
+  readonly acquiredAt: Micros;
+  private leaseWasValid = true;
+  private leaseInvalidSince: Micros = 0 as Micros;
+  private machineTypesRefreshedAt: Micros = 0 as Micros;
   private lastTick: Micros = 0 as Micros;
-  private summedAt: Micros;
-  private readonly inquiries: Inquiries;
-  private readonly watch: Watch;
-  private readonly feed: JobsFeed;
-  private readonly chained: Chained;
-  private readonly silences: Silences;
-  private readonly fullness: Fullness;
-  private readonly lanes: Lanes<Machine>;
-  private roundGap: Micros = ROUND_GAP;
-  private holding: Holding | null = null;
+  private lastSummaryAt: Micros;
+  private readonly statusQueries: StatusQueryQueue;
+  private readonly failureDetector: FailureDetector;
+  private readonly jobWatcher: JobWatcher;
+  private readonly dependencyTracker: DependencyTracker;
+  private readonly unreachableZones: UnreachableZones;
+  private readonly backpressure: BackpressureSignal;
+  private readonly commandPools: ConcurrencyPools<Machine>;
+  private roundGap: Micros = MIN_ROUND_INTERVAL;
+  private extension: ShardExtension | null = null;
 
   constructor(
     private readonly services: Services,
-    private readonly lease: BlockLease,
-    private readonly cloud: Cloud,
-    private readonly types: Map<string, MachineType>,
+    private readonly lease: ShardLease,
+    private readonly cloud: CloudClient,
+    private readonly machineTypes: Map<string, MachineType>,
     onFenced: () => void,
-    onWrong: () => void,
-    onDeaf: () => Promise<void>,
+    onInconsistent: () => void,
+    onUnreachable: () => Promise<void>,
     extension: Extension | null = null,
   ) {
     const { clock, settings } = services;
-    const rangeSize = Math.max(1, Math.min(MAX_RANGE, Math.floor(settings.state.layoutBytes / BYTES_PER_TASK)));
-    const block = new Block(clock, rangeSize, settings.teams, () => types);
-    this.takenAt = clock.now();
-    this.summedAt = clock.now();
+    const rangeSize = Math.max(
+      1,
+      Math.min(MAX_TASKS_PER_RANGE, Math.floor(settings.store.layoutBytes / BYTES_PER_TASK)),
+    );
+    const shard = new ShardState(clock, rangeSize, settings.teams, () => machineTypes);
+    this.acquiredAt = clock.now();
+    this.lastSummaryAt = clock.now();
     this.context = {
       ...services,
-      block,
+      shard,
       lease,
-      fenced: () => {
+      onFenced: () => {
         if (!this.stopped) onFenced();
       },
-      startOver: () => {
-        if (!this.stopped) onWrong();
+      onInconsistent: () => {
+        if (!this.stopped) onInconsistent();
       },
-      wakeRound: () => this.wakeRound(ROUND_GAP),
-      wakeCommands: (machine) => this.wakeCommands(machine),
-      inquire: (machine) => this.inquiries.add(machine),
-      introduce: (machine) => this.inquiries.introduce(machine),
-      mayStart: (machine) => this.silences.open(machine.zone),
-      ended: (job, end) => {
-        this.recorder.sweep(this.chained.partsOf(job));
-        this.chained.ended(job, end);
-        this.holding?.ended(job.spec, end);
+      scheduleRound: () => this.scheduleRound(MIN_ROUND_INTERVAL),
+      scheduleCommands: (machine) => this.scheduleCommands(machine),
+      queryStatus: (machine) => this.statusQueries.enqueue(machine),
+      announceFencingToken: (machine) => this.statusQueries.announceFencingToken(machine),
+      mayStartTasks: (machine) => this.unreachableZones.mayAnswer(machine.zone),
+      onJobEnded: (job, end) => {
+        this.taskStates.deleteKeys(this.dependencyTracker.dependencyListKeys(job));
+        this.dependencyTracker.jobEnded(job, end);
+        this.extension?.onJobEnded(job.spec, end);
       },
-      failed: (task, reason) => this.holding?.failed(task.job.spec, task.index, reason),
+      onTaskFailed: (task, reason) => this.extension?.onTaskFailed(task.job.spec, task.index, reason),
     };
-    this.recorder = new Recorder(this.context);
-    this.observer = new Observer(this.context, this.recorder);
-    this.commander = new Commander(this.context, this.observer);
-    this.rounds = new Rounds(this.context, this.recorder);
-    this.rental = new Rental(this.context, cloud, this.rounds, this.observer);
+    this.taskStates = new TaskStateWriter(this.context);
+    this.heartbeats = new HeartbeatProcessor(this.context, this.taskStates);
+    this.commands = new CommandDispatcher(this.context, this.heartbeats);
+    this.scheduler = new Scheduler(this.context, this.taskStates);
+    this.autoscaler = new Autoscaler(this.context, cloud, this.scheduler, this.heartbeats);
     // Machines that do not answer keep a lane for seconds: a zone of them must not keep starts elsewhere waiting.
-    const late = settings.workers.report * services.options.silentReports;
-    this.lanes = new Lanes(
+    const late = settings.workers.heartbeatInterval * services.options.silentReports;
+    this.commandPools = new ConcurrencyPools(
       clock,
-      (machine) => this.guard(this.stopped ? Promise.resolve() : this.commander.send(machine)),
-      (machine) => (clock.now() - machine.lastHeard > late ? "slow" : "quick"),
-      { quick: QUICK_LANES, slow: SLOW_LANES },
+      (machine) => this.guard(this.stopped ? Promise.resolve() : this.commands.send(machine)),
+      (machine) => (clock.now() - machine.lastHeartbeatAt > late ? "slow" : "quick"),
+      { quick: RESPONSIVE_POOL_SIZE, slow: SILENT_POOL_SIZE },
     );
-    this.silences = new Silences(services, lease, () => block.machines.values());
-    this.rental.cutZones = this.silences.inheritedZones;
-    const { context, commander, observer, recorder, rental, silences } = this;
+    this.unreachableZones = new UnreachableZones(services, lease, () => shard.machines.values());
+    this.autoscaler.unreachableZones = this.unreachableZones.inheritedZones;
+    const { context, commands, heartbeats, taskStates, autoscaler, unreachableZones } = this;
     const guard = (work: Promise<unknown>): Promise<void> => this.guard(work);
-    this.watch = new Watch({ context, commander, observer, rental, silences, guard, onDeaf });
-    this.inquiries = new Inquiries({
-      overload: services.overload,
+    this.failureDetector = new FailureDetector({
+      context,
+      commands,
+      heartbeats,
+      autoscaler,
+      unreachableZones,
+      guard,
+      onUnreachable,
+    });
+    this.statusQueries = new StatusQueryQueue({
+      loadShedder: services.loadShedder,
       lease,
-      commander,
+      commands,
       guard,
       stopped: () => this.stopped,
-      stillAsking: () => this.watch.stillAsking(),
+      onMoreQueued: () => this.failureDetector.extendSettling(),
     });
-    this.fullness = new Fullness(services, lease, guard);
-    this.chained = new Chained(context, (job) => rental.learn(job.spec));
-    this.feed = new JobsFeed({
+    this.backpressure = new BackpressureSignal(services, lease, guard);
+    this.dependencyTracker = new DependencyTracker(context, (job) => autoscaler.recordDemand(job.spec));
+    this.jobWatcher = new JobWatcher({
       context,
-      chained: this.chained,
-      recorder,
-      observer,
+      dependencyTracker: this.dependencyTracker,
+      taskStates,
+      heartbeats,
       extension,
-      wakeRound: () => this.wakeRound(0 as Micros),
+      scheduleRound: () => this.scheduleRound(0 as Micros),
     });
-    this.feed.restore();
-    this.holding =
-      extension?.take(this.context, {
-        sweepWithdrawn: (ids) => {
-          for (const id of ids) this.feed.sweepWithdrawn(id);
+    this.jobWatcher.restore();
+    this.extension =
+      extension?.acquireShard(this.context, {
+        cancelWithdrawnJobs: (ids) => {
+          for (const id of ids) this.jobWatcher.cancelWithdrawn(id);
         },
       }) ?? null;
     this.tick();
-    this.wakeRound(ROUND_GAP);
-    void this.rental.run();
+    this.scheduleRound(MIN_ROUND_INTERVAL);
+    void this.autoscaler.run();
   }
 
   stop(): void {
     this.stopped = true;
-    this.holding?.stop();
-    this.rental.stop();
+    this.extension?.stop();
+    this.autoscaler.stop();
     this.roundTimer?.cancel();
   }
 
   /** Null: nothing may be said in the block's name. */
-  report(report: Report): StewardAnswer | null {
-    const { block, clock } = this.context;
-    if (this.stopped || !this.lease.valid() || block.deleted.has(report.machine)) return null;
-    const machine = this.known(report);
-    if (!this.silences.open(machine.zone)) {
-      machine.lastHeard = clock.now();
-      this.silences.heard(machine.zone);
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply | null {
+    const { shard, clock } = this.context;
+    if (this.stopped || !this.lease.isValid() || shard.deletedMachines.has(heartbeat.machine)) return null;
+    const machine = this.machineOf(heartbeat);
+    if (!this.unreachableZones.mayAnswer(machine.zone)) {
+      machine.lastHeartbeatAt = clock.now();
+      this.unreachableZones.markReachable(machine.zone);
       return null;
     }
-    const overtaken = maybeOvertaken(machine, report);
-    const learnt = this.observer.observe(machine, report, REPORT);
-    if (learnt === "doubtful" && !overtaken) return null;
-    const allowed = this.allowed(machine, learnt);
-    if (!allowed.command) this.inquiries.introduce(machine);
-    else if (this.commander.urgent(machine)) this.wakeCommands(machine);
-    if (!allowed.renew) return null;
-    machine.leaseBase = clock.now();
-    machine.leaseOver = false;
-    const { reach } = machine;
-    if (reach.asked !== null) {
-      reach.toldAt = clock.now();
+    const overtaken = mayBeOvertaken(machine, heartbeat);
+    const freshness = this.heartbeats.process(machine, heartbeat, FROM_HEARTBEAT);
+    if (freshness === "doubtful" && !overtaken) return null;
+    const permittedReplies = this.allowed(machine, freshness);
+    if (!permittedReplies.command) this.statusQueries.announceFencingToken(machine);
+    else if (this.commands.hasUrgentCommands(machine)) this.scheduleCommands(machine);
+    if (!permittedReplies.renew) return null;
+    machine.leaseRenewedAt = clock.now();
+    machine.leaseExpired = false;
+    const { reachability } = machine;
+    if (reachability.probeToken !== null) {
+      reachability.probeSentAt = clock.now();
       // Seen a moment later whether it got there, instead of with a report that may come a quarter of a lease later.
-      clock.after(VERIFY_AFTER, () => {
-        if (!this.stopped && machine.reach.asked !== null) this.inquiries.add(machine);
+      clock.after(PROBE_VERIFICATION_DELAY, () => {
+        if (!this.stopped && machine.reachability.probeToken !== null) this.statusQueries.enqueue(machine);
       });
     }
-    const owed = stopsOwed(report.tasks, block.jobs);
-    const commands = allowed.command
-      ? [...this.commander.standing(machine, owed), ...this.commander.forgets(machine)]
+    const owed = pendingStops(heartbeat.tasks, shard.jobs);
+    const commands = permittedReplies.command
+      ? [...this.commands.repeatableCommands(machine, owed), ...this.commands.forgetCommands(machine)]
       : owed;
-    return { token: answerTokenOf(this.lease, machine), commands };
+    return { token: responseTokenOf(this.lease, machine), commands };
   }
 
-  private allowed(machine: Machine, learnt: Evidence): Allowed {
+  private allowed(machine: Machine, freshness: HeartbeatFreshness): PermittedReplies {
     const { clock, settings } = this.services;
-    if (learnt !== "unproven") machine.unprovenSince = null;
-    else machine.unprovenSince ??= clock.now();
-    return allowedTo({
-      learnt,
-      tokenSeen: machine.seenToken >= firstToken(this.lease),
-      deaf: isDeaf(machine.reach),
-      unprovenFor: this.since(machine.unprovenSince ?? clock.now()),
+    if (freshness !== "unproven") machine.unverifiedSince = null;
+    else machine.unverifiedSince ??= clock.now();
+    return permittedReplies({
+      freshness,
+      tokenSeen: machine.highestToken >= firstFencingToken(this.lease),
+      oneWay: isOneWay(machine.reachability),
+      unverifiedFor: this.elapsedSince(machine.unverifiedSince ?? clock.now()),
       workerLease: settings.workers.lease,
     });
   }
 
   /** How things stand with the machines, for people; `roomKeptFor`: the job for which room that comes free is kept. */
-  get standing(): MachineLinks {
-    return { ...this.watch.troubles(), mayAct: this.lease.valid(), roomKeptFor: this.rounds.keepsFor };
+  get fleetHealth(): MachineLinks {
+    return {
+      ...this.failureDetector.fleetHealth(),
+      mayAct: this.lease.isValid(),
+      roomKeptFor: this.scheduler.reservedForJob,
+    };
   }
 
   /** Machines that have been heard of here. */
   get upMachines(): number {
     let count = 0;
-    for (const { state } of this.context.block.machines.values()) if (state === "up") count += 1;
+    for (const { state } of this.context.shard.machines.values()) if (state === "up") count += 1;
     return count;
   }
 
   get size(): { readonly machines: number; readonly tasks: number } {
-    const { machines, jobs } = this.context.block;
+    const { machines, jobs } = this.context.shard;
     let tasks = 0;
-    for (const { waiting, placed } of jobs.values()) tasks += waiting.size + placed.size;
+    for (const { waitingTasks, placedTasks } of jobs.values()) tasks += waitingTasks.size + placedTasks.size;
     return { machines: machines.size, tasks };
   }
 
   /** The list of tasks that the machine's last report gave, where a repetition of it would say nothing new. */
-  listingOf(machine: string): string | null {
-    return this.context.block.machines.get(machine)?.listing ?? null;
+  knownTaskListOf(machine: string): string | null {
+    return this.context.shard.machines.get(machine)?.knownTaskList ?? null;
   }
 
-  jobAt(id: string): Job | null {
-    return this.context.block.jobs.get(id) ?? null;
+  findJob(id: string): Job | null {
+    return this.context.shard.jobs.get(id) ?? null;
   }
 
-  running(jobId: string): { done: number; running: number } | null {
-    const job = this.context.block.jobs.get(jobId);
+  taskCounts(jobId: string): { done: number; running: number } | null {
+    const job = this.context.shard.jobs.get(jobId);
     if (job === undefined) return null;
-    return { done: job.done, running: job.running };
+    return { done: job.completedTasks, running: job.runningTasks };
   }
 
-  private known(report: Report): Machine {
-    const { block, clock, log } = this.context;
-    let machine = block.machines.get(report.machine);
+  private machineOf(heartbeat: Heartbeat): Machine {
+    const { shard, clock, log } = this.context;
+    let machine = shard.machines.get(heartbeat.machine);
     if (machine === undefined) {
-      machine = newMachine(report.machine, report.type, null, report.zone, report.spot, clock.now());
+      machine = newMachine(heartbeat.machine, heartbeat.type, null, heartbeat.zone, heartbeat.spot, clock.now());
       // It may be gone for long: no room until it is heard of otherwise.
       machine.state = "rumoured";
-      block.machines.set(report.machine, machine);
-      log.info("machine reported", { machine: report.machine });
+      shard.machines.set(heartbeat.machine, machine);
+      log.info("machine reported", { machine: heartbeat.machine });
     }
-    machine.type ??= this.types.get(report.type) ?? null;
+    machine.type ??= this.machineTypes.get(heartbeat.type) ?? null;
     if (machine.typeName === "") {
-      machine.typeName = report.type;
-      machine.zone = report.zone;
-      machine.spot = report.spot;
+      machine.typeName = heartbeat.type;
+      machine.zone = heartbeat.zone;
+      machine.spot = heartbeat.spot;
     }
     return machine;
   }
 
   /** What is current below the watched prefix has changed. */
-  changed(change: Change): void {
+  onChange(change: Change): void {
     if (this.stopped) return;
-    this.feed.changed(change);
-    this.holding?.changed(change);
+    this.jobWatcher.onChange(change);
+    this.extension?.onChange(change);
   }
 
   /** The job is withdrawn with one that it needs. */
-  withdrawn(id: string): void {
+  cancelByDependency(id: string): void {
     if (this.stopped) return;
-    this.feed.withdrawn(id);
-    this.chained.withdrawn(id);
+    this.jobWatcher.cancelByDependency(id);
+    this.dependencyTracker.jobCancelledByDependency(id);
   }
 
   /** All that the job awaits is on record as done. */
-  mayBegin(id: string): void {
-    if (!this.stopped) this.chained.mayBegin(id);
+  jobReady(id: string): void {
+    if (!this.stopped) this.dependencyTracker.jobReady(id);
   }
 
   // Loops -------------------------------------------------------------------------------------------------
@@ -299,11 +314,11 @@
     );
   }
 
-  private wakeCommands(machine: Machine): void {
-    this.lanes.add(machine);
+  private scheduleCommands(machine: Machine): void {
+    this.commandPools.add(machine);
   }
 
-  private wakeRound(delay: Micros): void {
+  private scheduleRound(delay: Micros): void {
     if (this.stopped) return;
     const { clock } = this.services;
     const due = Math.max(clock.now() + delay, this.lastRound + this.roundGap) as Micros;
@@ -314,13 +329,13 @@
       this.roundTimer = null;
       this.lastRound = clock.now();
       try {
-        if (!this.stopped) this.rounds.run();
+        if (!this.stopped) this.scheduler.runRound();
       } catch (error) {
         this.services.log.error("round failed", { error: describeError(error) });
       }
-      const least = this.services.overload.atLeast("coarse") ? COARSE_GAP : ROUND_GAP;
-      this.roundGap = Math.max(least, ROUND_REST * (clock.now() - this.lastRound)) as Micros;
-      this.wakeRound(ms(this.services.options.roundMs));
+      const least = this.services.loadShedder.atLeast("coarse") ? ROUND_INTERVAL_UNDER_LOAD : MIN_ROUND_INTERVAL;
+      this.roundGap = Math.max(least, ROUND_REST_FACTOR * (clock.now() - this.lastRound)) as Micros;
+      this.scheduleRound(ms(this.services.options.roundMs));
     });
   }
 
@@ -328,57 +343,62 @@
     if (this.stopped) return;
     const { clock, log } = this.services;
     try {
-      const valid = this.lease.valid();
-      if (valid && !this.wasValid) this.watch.settle();
-      if (valid !== this.wasValid) log.info(valid ? "lease regained" : "lease run out", { block: this.lease.block });
-      if (valid && !this.wasValid) this.context.sink?.({ kind: "state away", span: this.since(this.invalidSince) });
-      if (!valid && this.wasValid) this.invalidSince = clock.now();
-      this.wasValid = valid;
+      const valid = this.lease.isValid();
+      if (valid && !this.leaseWasValid) this.failureDetector.restartSettling();
+      if (valid !== this.leaseWasValid)
+        log.info(valid ? "lease regained" : "lease run out", { block: this.lease.shard });
+      if (valid && !this.leaseWasValid)
+        this.context.eventListener?.({ kind: "state away", span: this.elapsedSince(this.leaseInvalidSince) });
+      if (!valid && this.leaseWasValid) this.leaseInvalidSince = clock.now();
+      this.leaseWasValid = valid;
       // After a standstill of our own everybody seems silent until what has arrived meanwhile is read.
       const pause = clock.now() - this.lastTick;
-      if (this.lastTick !== 0 && pause > STANDSTILL) this.watch.settle();
+      if (this.lastTick !== 0 && pause > STALL_THRESHOLD) this.failureDetector.restartSettling();
       this.lastTick = clock.now();
       if (valid) {
-        this.watch.expire();
-        this.watch.silence();
-        for (const machine of this.context.block.machines.values()) this.commander.drain(machine);
-        this.refreshTypes();
-        this.fullness.say();
-        if (clock.now() - this.summedAt > SUMMARY_PERIOD) {
-          this.summedAt = clock.now();
+        this.failureDetector.expireLeases();
+        this.failureDetector.checkSilence();
+        for (const machine of this.context.shard.machines.values()) this.commands.evict(machine);
+        this.refreshMachineTypes();
+        this.backpressure.publish();
+        if (clock.now() - this.lastSummaryAt > SUMMARY_INTERVAL) {
+          this.lastSummaryAt = clock.now();
           log.info("room", {
-            ...this.rounds.summary(),
-            jobs: this.context.block.jobs.size,
-            failing: this.observer.failing(),
-            reports: this.observer.lateReports(),
-            records: { ...this.recorder.delays(), ...this.services.committer.summary() },
+            ...this.scheduler.summarize(),
+            jobs: this.context.shard.jobs.size,
+            failing: this.heartbeats.takeFailureCounts(),
+            reports: this.heartbeats.takeFreshnessCounts(),
+            records: { ...this.taskStates.takePlacementDelays(), ...this.services.transactions.takeSummary() },
           });
         }
       }
     } catch (error) {
       log.error("tick failed", { error: describeError(error) });
     }
-    clock.after(TICK, () => this.tick());
+    clock.after(TICK_INTERVAL, () => this.tick());
   }
 
-  private since(time: Micros): Micros {
+  private elapsedSince(time: Micros): Micros {
     return (this.services.clock.now() - time) as Micros;
   }
 
-  private refreshTypes(): void {
-    const { clock, view, committer, settings } = this.services;
-    if (this.typesAt !== 0 && clock.now() - this.typesAt < TYPES_PERIOD) return;
-    this.typesAt = clock.now();
+  private refreshMachineTypes(): void {
+    const { clock, cache, transactions, settings } = this.services;
+    if (this.machineTypesRefreshedAt !== 0 && clock.now() - this.machineTypesRefreshedAt < MACHINE_TYPES_INTERVAL)
+      return;
+    this.machineTypesRefreshedAt = clock.now();
     const refresh = async (): Promise<void> => {
-      const reply = await this.cloud.types();
+      const reply = await this.cloud.listMachineTypes();
       if (reply.kind !== "ok") return;
-      this.types.clear();
-      for (const type of reply.value.types) this.types.set(type.name, type);
-      this.wakeRound(ROUND_GAP);
-      const fits = JSON.stringify(reply.value.raw).length < settings.state.valueBytes;
-      if (view.entries.has(TYPES_KEY) || !fits) return;
+      this.machineTypes.clear();
+      for (const type of reply.value.types) this.machineTypes.set(type.name, type);
+      this.scheduleRound(MIN_ROUND_INTERVAL);
+      const fits = JSON.stringify(reply.value.raw).length < settings.store.valueBytes;
+      if (cache.entries.has(MACHINE_TYPES_KEY) || !fits) return;
       // For controllers that start while the cloud cannot be asked.
-      await committer.propose(new Map([[TYPES_KEY, 0]]), [{ kind: "put", key: TYPES_KEY, value: reply.value.raw }]);
+      await transactions.submit(new Map([[MACHINE_TYPES_KEY, 0]]), [
+        { kind: "put", key: MACHINE_TYPES_KEY, value: reply.value.raw },
+      ]);
     };
     void this.guard(refresh());
   }
--- a/src/graphs/description/compile.ts
+++ b/src/graphs/description/compile.ts
@@ -1,5 +1,5 @@
-import { Malformed } from "../../protocol/json.js";
-import { readSubmission } from "../../protocol/user.js";
+import { MalformedMessageError } from "../../protocol/json.js";
+import { decodeSubmission } from "../../protocol/user.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
 import type { Plan, Step, StepKind, WeightRule } from "../run/plan.js";
 import type { TriggerRule } from "../run/rules.js";
@@ -268,9 +268,9 @@
     if (known !== undefined) return known;
     const before = this.problems.length;
     try {
-      readSubmission({ ...job, ref: "wk-step" });
+      decodeSubmission({ ...job, ref: "wk-step" });
     } catch (error) {
-      if (!(error instanceof Malformed)) throw error;
+      if (!(error instanceof MalformedMessageError)) throw error;
       const [field = "", ...rest] = error.message.split(": ");
       // A template that failed has been told of already.
       if (this.problems.length === before) this.fail([...path, field], rest.join(": ") || error.message);
--- a/src/graphs/description/flatten.ts
+++ b/src/graphs/description/flatten.ts
@@ -105,8 +105,12 @@
 
 /** A name is looked for in the group where it stands, then in those around it. */
 const resolve = (name: string, group: string, known: (id: string) => boolean): string | null => {
-  for (let around = group; around !== ""; around = around.slice(0, Math.max(0, around.lastIndexOf(".")))) {
-    if (known(`${around}.${name}`)) return `${around}.${name}`;
+  for (
+    let dependencies = group;
+    dependencies !== "";
+    dependencies = dependencies.slice(0, Math.max(0, dependencies.lastIndexOf(".")))
+  ) {
+    if (known(`${dependencies}.${name}`)) return `${dependencies}.${name}`;
   }
   return known(name) ? name : null;
 };
--- a/src/graphs/run/plan.ts
+++ b/src/graphs/run/plan.ts
@@ -1,8 +1,8 @@
 import { gunzipSync, gzipSync } from "node:zlib";
 import { sha256 } from "@noble/hashes/sha2.js";
 import { bytesToHex } from "@noble/hashes/utils.js";
-import type { Fields } from "../../protocol/json.js";
-import { RecordForm } from "../../protocol/record-form.js";
+import type { JsonObject } from "../../protocol/json.js";
+import { RecordCodec } from "../../protocol/record-form.js";
 import type { TriggerRule } from "./rules.js";
 
 export const WEIGHT_RULES = ["downstream", "upstream", "absolute"] as const;
@@ -54,7 +54,7 @@
   readonly maxActiveRuns: number;
   readonly timeoutS: number | null;
   /** As a user would submit them, less `ref`. Steps with the same demands share one. */
-  readonly jobs: readonly Fields[];
+  readonly jobs: readonly JsonObject[];
   readonly steps: readonly Step[];
 }
 
@@ -85,14 +85,14 @@
 const slim = (step: Step): Partial<Step> =>
   Object.fromEntries(Object.entries(step).filter(([name, value]) => !same(value, DEFAULT_STEP[name as keyof Step])));
 
-const retryForm = new RecordForm<Retry>({
+const retryForm = new RecordCodec<Retry>({
   retries: "retries",
   delayS: "delayS",
   exponential: "exponential",
   maxDelayS: "maxDelayS",
 });
 
-const stepForm = new RecordForm<Step>({
+const stepForm = new RecordCodec<Step>({
   id: "id",
   kind: "kind",
   upstream: "upstream",
@@ -110,7 +110,7 @@
 });
 
 /** Of steps, what differs from the defaults is stored. */
-const planForm = new RecordForm<Plan>({
+const planForm = new RecordCodec<Plan>({
   dagId: "dagId",
   description: "description",
   owner: "owner",
--- a/src/graphs/run/spec.ts
+++ b/src/graphs/run/spec.ts
@@ -1,4 +1,4 @@
-import { isJobId, type JobSpec, readSubmission } from "../../protocol/user.js";
+import { decodeSubmission, isJobId, type JobSpec } from "../../protocol/user.js";
 import type { Plan, Step } from "./plan.js";
 
 /** Of steps that run the same job, the first one: what holds of it holds of all. */
@@ -14,5 +14,5 @@
 /** The specification of a step's job under the given id. */
 export const specOf = (plan: Plan, step: Step, ref: string): JobSpec => {
   if (step.job === null || !isJobId(ref)) throw new Error(`step ${step.id} has no job`);
-  return readSubmission({ ...plan.jobs[step.job], ref });
+  return decodeSubmission({ ...plan.jobs[step.job], ref });
 };
--- a/src/graphs/service/answers.ts
+++ b/src/graphs/service/answers.ts
@@ -1,6 +1,6 @@
 import { sha256 } from "@noble/hashes/sha2.js";
 import { bytesToHex } from "@noble/hashes/utils.js";
-import { formatJson, type Whole } from "../../protocol/json.js";
+import { formatJson, type Uint64 } from "../../protocol/json.js";
 import { ms } from "../../transport/clock.js";
 import type { Response } from "../../transport/http.js";
 import type { Ended, Header } from "./records.js";
@@ -23,8 +23,8 @@
 
 /** What is on record of a run. */
 export type Found =
-  | { readonly kind: "current"; readonly header: Header; readonly version: Whole }
-  | { readonly kind: "ended"; readonly ended: Ended; readonly version: Whole }
+  | { readonly kind: "current"; readonly header: Header; readonly version: Uint64 }
+  | { readonly kind: "ended"; readonly ended: Ended; readonly version: Uint64 }
   | Absent;
 
 export type Absent = { readonly kind: "never" } | { readonly kind: "unknown" };
--- a/src/graphs/service/door.ts
+++ b/src/graphs/service/door.ts
@@ -1,10 +1,10 @@
-import { homeBlock } from "../../bookkeeping/records.js";
+import { shardOf } from "../../bookkeeping/records.js";
 import type { Services } from "../../coordination/context.js";
 import { neverRuns } from "../../coordination/decisions/eligibility.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import { jobSpecForm } from "../../protocol/job-spec-form.js";
-import { asArray, Malformed, parseJson, type Whole } from "../../protocol/json.js";
-import type { Write } from "../../protocol/state.js";
+import { jobSpecCodec } from "../../protocol/job-spec-form.js";
+import { asArray, MalformedMessageError, parseJson, type Uint64 } from "../../protocol/json.js";
+import type { WriteOperation } from "../../protocol/state.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
 import type { Request, Response } from "../../transport/http.js";
 import { GraphError, problemText } from "../description/problem.js";
@@ -105,7 +105,7 @@
         const more = error.problems.length > 1 ? ` (and ${error.problems.length - 1} more)` : "";
         return refuse(400, first === undefined ? "malformed" : `${problemText(first)}${more}`.slice(0, 1_000));
       }
-      if (error instanceof Malformed || error instanceof SyntaxError) return refuse(400, error.message);
+      if (error instanceof MalformedMessageError || error instanceof SyntaxError) return refuse(400, error.message);
       throw error;
     });
   }
@@ -138,18 +138,18 @@
 
   /** `parts`: keys of what it was put together from. */
   private async take(submission: Submission, parts: readonly string[] = []): Promise<Response> {
-    const { view, committer, overload } = this.services;
+    const { cache, transactions, loadShedder } = this.services;
     const id = submission.ref;
     if (!isRunId(id)) return refuse(400, "ref: not a graph id like dr-night_2026-01-31");
-    if (!view.loaded || this.types.size === 0) return comeBack("machine types unknown");
+    if (!cache.loaded || this.types.size === 0) return comeBack("machine types unknown");
     const { graph, params = {}, ds = null } = submission;
     const request = digestOf(canonical({ graph, params, ds }));
     const known = await this.find(id);
     if (known.kind !== "never") return this.repeated(id, known, request);
-    if (overload.atLeast("full")) return comeBack("overloaded", BUSY_S);
-    if (committer.backlog > MOST_BACKLOG) return comeBack("busy", BUSY_S);
+    if (loadShedder.atLeast("full")) return comeBack("overloaded", BUSY_S);
+    if (transactions.userWriteDelay > MOST_BACKLOG) return comeBack("busy", BUSY_S);
     let runs = 0;
-    for (const key of view.entries.keys()) if (graphOfKey(key) !== null) runs += 1;
+    for (const key of cache.entries.keys()) if (graphOfKey(key) !== null) runs += 1;
     if (runs >= this.options.mostRuns) return comeBack(`${runs} graphs are under way, which is the limit`, FULL_S);
     const { compile, readDocument } = await describing();
     const document = readDocument(graph);
@@ -162,13 +162,13 @@
   }
 
   private today(): string {
-    return new Date(this.services.wall?.() ?? 0).toISOString().slice(0, 10);
+    return new Date(this.services.wallClock?.() ?? 0).toISOString().slice(0, 10);
   }
 
   private neverRuns(plan: Plan): string | null {
     for (const [step, spec] of distinctJobs(plan)) {
       // Beside the specification a record holds the id, the graph's and counts of failures.
-      if (JSON.stringify(jobSpecForm.encode(spec)).length + 400 > this.services.settings.state.valueBytes) {
+      if (JSON.stringify(jobSpecCodec.encode(spec)).length + 400 > this.services.settings.store.valueBytes) {
         return `step ${step.id}: its job is too large for a record`;
       }
       const never = neverRuns(spec, this.services.settings, this.types);
@@ -178,16 +178,16 @@
   }
 
   private async accept(id: string, plan: Plan, request: string, limited: boolean): Promise<Response> {
-    const { committer, settings, store } = this.services;
+    const { transactions, settings, store } = this.services;
     const { text, digest } = encodePlan(plan);
-    const chunk = Math.floor(settings.state.valueBytes * 0.95) - 16;
+    const chunk = Math.floor(settings.store.valueBytes * 0.95) - 16;
     const inline = text.length <= Math.min(INLINE, chunk / 2);
     const chunks = inline ? 0 : Math.ceil(text.length / chunk);
-    const conditions = new Map<string, Whole>([
+    const conditions = new Map<string, Uint64>([
       [graphKey(id), 0],
       [endedKey(id), 0],
     ]);
-    const writes: Write[] = [];
+    const writes: WriteOperation[] = [];
     let before: string | null = null;
     if (plan.steps.some(({ dependsOnPast }) => dependsOnPast)) {
       const key = lastRunKey(plan.owner, plan.dagId);
@@ -202,12 +202,12 @@
       request,
       dag: plan.dagId,
       owner: plan.owner,
-      block: homeBlock(plan.owner),
+      block: shardOf(plan.owner),
       steps: plan.steps.length,
       mostRuns: limited ? plan.maxActiveRuns : this.options.mostRuns,
-      segment: segmentSize(settings.state.valueBytes),
+      segment: segmentSize(settings.store.valueBytes),
       plan: inline ? { text } : { chunks },
-      acceptedMs: Math.round(this.services.wall?.() ?? 0),
+      acceptedMs: Math.round(this.services.wallClock?.() ?? 0),
       aborted: false,
       timedOut: false,
       round: 0,
@@ -215,9 +215,9 @@
       before,
     };
     // What the marker says of parts stays: should this end here, the last part comes again.
-    const marked = this.services.view.entries.get(uploadKey(id));
+    const marked = this.services.cache.entries.get(uploadKey(id));
     const uploaded: Upload = marked === undefined ? {} : readUpload(marked.value);
-    const marker: Write = {
+    const marker: WriteOperation = {
       kind: "put",
       key: uploadKey(id),
       value: writeUpload({ ...uploaded, plan: digest, chunks }),
@@ -225,16 +225,16 @@
     const unchanged = new Map([[uploadKey(id), marked?.version ?? 0]]);
     for (let at = 0; at < chunks; at += 1) {
       const value = text.slice(at * chunk, (at + 1) * chunk);
-      const write: Write = { kind: "put", key: planKey(id, digest, at), value };
+      const write: WriteOperation = { kind: "put", key: planKey(id, digest, at), value };
       const first = at === 0;
-      const put = await committer.propose(first ? unchanged : new Map(), first ? [marker, write] : [write], "user");
+      const put = await transactions.submit(first ? unchanged : new Map(), first ? [marker, write] : [write], "user");
       // The key holds the digest, so a chunk that is there already is this one.
       if (put.kind !== "ok") return comeBack("state service unavailable");
       // Chunks are cleared away under their marker: as long as it is this one, none has been.
       if (first) conditions.set(uploadKey(id), put.version);
     }
     writes.push({ kind: "put", key: graphKey(id), value: writeHeader(header) });
-    const result = await committer.propose(conditions, writes, "user");
+    const result = await transactions.submit(conditions, writes, "user");
     if (result.kind === "ok") return answer(201, { ref: id, phase: "pending" });
     if (result.kind !== "conflict") return comeBack("state service unavailable");
     const known = await this.find(id);
@@ -252,9 +252,9 @@
 
   /** No older than the question. */
   private async find(id: string): Promise<Found> {
-    const { view, store } = this.services;
-    if (!(await view.sync())) return { kind: "unknown" };
-    const entry = view.entries.get(graphKey(id));
+    const { cache, store } = this.services;
+    if (!(await cache.sync())) return { kind: "unknown" };
+    const entry = cache.entries.get(graphKey(id));
     if (entry !== undefined) return { kind: "current", header: readHeader(entry.value), version: entry.version };
     const reply = await store.get(endedKey(id));
     if (reply.kind === "missing") return { kind: "never" };
@@ -282,7 +282,7 @@
 
   private async counts(id: string, header: Header): Promise<Readonly<Record<string, number>> | null> {
     const live = this.live(id);
-    const summary = this.services.view.entries.get(summaryKey(id));
+    const summary = this.services.cache.entries.get(summaryKey(id));
     if (live === null && header.steps >= LARGE_RUN) {
       const numbers = summary === undefined ? [header.steps] : asArray(summary.value, "summary").map(Number);
       return countsOf((_, at) => numbers[at] ?? 0);
@@ -323,8 +323,8 @@
   }
 
   private async list(query: URLSearchParams): Promise<Response> {
-    const { view, store } = this.services;
-    if (!(await view.sync())) return comeBack("state service unavailable");
+    const { cache, store } = this.services;
+    if (!(await cache.sync())) return comeBack("state service unavailable");
     const from = query.get("from") ?? "";
     if (from !== "" && !isRunId(from)) return refuse(400, "from: not a graph id");
     if (query.get("state") === "ended") {
@@ -336,10 +336,10 @@
       });
       return answer(200, { graphs, next: reply.value.more ? (graphs.at(-1)?.ref ?? null) : null });
     }
-    const ids = [...view.entries.keys()].flatMap((key) => graphOfKey(key) ?? []).sort();
+    const ids = [...cache.entries.keys()].flatMap((key) => graphOfKey(key) ?? []).sort();
     const page = ids.filter((id) => id > from).slice(0, RUNS_PAGE);
     const graphs = page.map((id) => {
-      const { dag, owner, aborted, steps } = readHeader(view.entries.get(graphKey(id))?.value);
+      const { dag, owner, aborted, steps } = readHeader(cache.entries.get(graphKey(id))?.value);
       return { ref: id, phase: aborted ? "withdrawn" : "current", dag_id: dag, owner, steps };
     });
     const last = page.at(-1);
@@ -349,14 +349,14 @@
   // Abort and clearing --------------------------------------------------------------------------------------
 
   private async abort(id: string): Promise<Response> {
-    const { committer } = this.services;
+    const { transactions } = this.services;
     for (let tries = 0; tries < TRIES; tries += 1) {
       const found = await this.find(id);
       if (isAbsent(found)) return absent(found);
       if (found.kind === "ended") return answer(200, { ref: id, phase: found.ended.phase });
       if (found.header.aborted) return answer(200, { ref: id, phase: "withdrawn" });
       const value: Header = { ...found.header, aborted: true, clear: null };
-      const result = await committer.propose(
+      const result = await transactions.submit(
         new Map([[graphKey(id), found.version]]),
         [{ kind: "put", key: graphKey(id), value: writeHeader(value) }],
         "cancel",
@@ -400,7 +400,7 @@
     clear: Header["clear"],
   ): Promise<Response | null> {
     const value: Header = { ...header, clear };
-    const result = await this.services.committer.propose(
+    const result = await this.services.transactions.submit(
       new Map([[graphKey(id), version]]),
       [{ kind: "put", key: graphKey(id), value: writeHeader(value) }],
       "user",
@@ -421,11 +421,11 @@
     const { header } = ended;
     const cleared = closure(plan, clear.steps, clear.downstream);
     const round = header.round + 1;
-    const acceptedMs = Math.round(this.services.wall?.() ?? 0);
+    const acceptedMs = Math.round(this.services.wallClock?.() ?? 0);
     const next: Header = { ...header, round, clear: null, timedOut: false, acceptedMs };
     const segments = clearedSegments(header, states.finals, states.clearings, cleared, round);
-    const result = await this.services.committer.propose(
-      new Map<string, Whole>([
+    const result = await this.services.transactions.submit(
+      new Map<string, Uint64>([
         [endedKey(id), version],
         [graphKey(id), 0],
       ]),
--- a/src/graphs/service/extension.ts
+++ b/src/graphs/service/extension.ts
@@ -1,5 +1,5 @@
-import type { BlockContext, Services } from "../../coordination/context.js";
-import type { BlockDoors, Extension, Holding, MakeExtension } from "../../coordination/extension.js";
+import type { Services, ShardContext } from "../../coordination/context.js";
+import type { Extension, ExtensionFactory, ShardControls, ShardExtension } from "../../coordination/extension.js";
 import type { MachineType } from "../../protocol/cloud.js";
 import type { JobSpec } from "../../protocol/user.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
@@ -31,13 +31,13 @@
     return this.door.handle(request);
   }
 
-  take(context: BlockContext, doors: BlockDoors): Holding {
+  acquireShard(context: ShardContext, doors: ShardControls): ShardExtension {
     const runner = new Runner(context, doors, this.options);
     this.runners.add(runner);
     return {
-      changed: (change) => runner.changed(change),
-      ended: (spec, end) => runner.ended(spec, end),
-      failed: (spec, index, reason) => runner.failed(spec, index, reason),
+      onChange: (change) => runner.onChange(change),
+      onJobEnded: (spec, end) => runner.onJobEnded(spec, end),
+      onTaskFailed: (spec, index, reason) => runner.onTaskFailed(spec, index, reason),
       stop: () => {
         runner.stop();
         this.runners.delete(runner);
@@ -45,14 +45,14 @@
     };
   }
 
-  withdrawn(spec: JobSpec): boolean {
+  isWithdrawn(spec: JobSpec): boolean {
     if (spec.origin === undefined) return false;
-    const entry = this.services.view.entries.get(graphKey(spec.origin.graph));
+    const entry = this.services.cache.entries.get(graphKey(spec.origin.graph));
     return entry !== undefined && isCalledOff(readHeader(entry.value));
   }
 }
 
 export const graphsWith =
-  (options: GraphOptions): MakeExtension =>
+  (options: GraphOptions): ExtensionFactory =>
   (services, types) =>
     new Graphs(services, types, options);
--- a/src/graphs/service/glimpses.ts
+++ b/src/graphs/service/glimpses.ts
@@ -27,7 +27,7 @@
   private readonly looking = new Map<string, Promise<RunStates | null>>();
 
   constructor(
-    private readonly services: Pick<Services, "store" | "view" | "clock">,
+    private readonly services: Pick<Services, "store" | "cache" | "clock">,
     private readonly options: GraphOptions,
   ) {}
 
@@ -46,7 +46,7 @@
   }
 
   private async read(id: string, header: Header, known: Plan | null): Promise<RunStates | null> {
-    const { store, view, clock } = this.services;
+    const { store, cache, clock } = this.services;
     const at = clock.now();
     const loaded = await loadRun(store, id, header, known);
     if (loaded === null) return null;
@@ -57,7 +57,7 @@
       limits: planLimits(plan, this.options),
       frozen: saved.finals,
       clearings: saved.clearings,
-      past: pastOf(id, header, ended, (key) => view.entries.has(key)),
+      past: pastOf(id, header, ended, (key) => cache.entries.has(key)),
       // Whether an earlier run holds a step up is its holder's to know: here it is shown as about to start.
       pastRun: () => "go",
       onRetry: () => undefined,
--- a/src/graphs/service/job-notes.ts
+++ b/src/graphs/service/job-notes.ts
@@ -1,12 +1,18 @@
-import { type EndReason, type JobRecord, jobKey, readJob, writeJob } from "../../bookkeeping/records.js";
-import type { BlockContext } from "../../coordination/context.js";
+import {
+  type CancellationReason,
+  decodeJobRecord,
+  encodeJobRecord,
+  type JobRecord,
+  jobKey,
+} from "../../bookkeeping/records.js";
+import type { ShardContext } from "../../coordination/context.js";
 import { ms } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 
 interface Wish {
   /** Failures by task. */
   errors: Readonly<Record<string, number>>;
-  why: EndReason | null;
+  why: CancellationReason | null;
   writing: boolean;
 }
 
@@ -18,7 +24,7 @@
   private readonly wishes = new Map<string, Wish>();
   private stopped = false;
 
-  constructor(private readonly context: Pick<BlockContext, "committer" | "view" | "lease" | "clock" | "log">) {}
+  constructor(private readonly context: Pick<ShardContext, "transactions" | "cache" | "lease" | "clock" | "log">) {}
 
   stop(): void {
     this.stopped = true;
@@ -33,7 +39,7 @@
     return count;
   }
 
-  giveUp(job: string, why: EndReason): void {
+  giveUp(job: string, why: CancellationReason): void {
     const wish = this.wish(job);
     if (wish.why !== null) return;
     wish.why = why;
@@ -48,9 +54,9 @@
   private wish(job: string): Wish {
     const known = this.wishes.get(job);
     if (known !== undefined) return known;
-    const entry = this.context.view.entries.get(jobKey(job));
+    const entry = this.context.cache.entries.get(jobKey(job));
     const wish: Wish = {
-      errors: entry === undefined ? {} : (readJob(entry.value).errors ?? {}),
+      errors: entry === undefined ? {} : (decodeJobRecord(entry.value).failuresByTask ?? {}),
       why: null,
       writing: false,
     };
@@ -74,24 +80,28 @@
 
   /** True once the record says what is wanted, or can't any more. */
   private async bring(job: string, wish: Wish): Promise<boolean> {
-    const { committer, view, lease } = this.context;
-    const entry = view.entries.get(jobKey(job));
+    const { transactions, cache, lease } = this.context;
+    const entry = cache.entries.get(jobKey(job));
     if (entry === undefined || this.wishes.get(job) !== wish || this.stopped) return true;
-    const record = readJob(entry.value);
+    const record = decodeJobRecord(entry.value);
     if (record.cancelled) return true;
     const { errors, why } = wish;
-    const value: JobRecord = { ...record, errors, ...(why === null ? {} : { cancelled: true, why }) };
+    const value: JobRecord = {
+      ...record,
+      failuresByTask: errors,
+      ...(why === null ? {} : { cancelled: true, cancellationReason: why }),
+    };
     const conditions = new Map([
       [lease.key, lease.version],
       [entry.key, entry.version],
     ]);
     const urgency = why === null ? "note" : "cancel";
-    const result = await committer.propose(
+    const result = await transactions.submit(
       conditions,
-      [{ kind: "put", key: entry.key, value: writeJob(value) }],
+      [{ kind: "put", key: entry.key, value: encodeJobRecord(value) }],
       urgency,
     );
-    await view.sync();
+    await cache.sync();
     return result.kind === "ok" && wish.errors === errors && wish.why === why;
   }
 }
--- a/src/graphs/service/live-run.ts
+++ b/src/graphs/service/live-run.ts
@@ -1,4 +1,4 @@
-import type { Whole } from "../../protocol/json.js";
+import type { Uint64 } from "../../protocol/json.js";
 import type { Micros } from "../../transport/clock.js";
 import type { DagRun } from "../run/dag-run.js";
 import type { Limits } from "../run/retry.js";
@@ -9,7 +9,7 @@
 export interface LiveRun {
   readonly id: string;
   header: Header;
-  version: Whole;
+  version: Uint64;
   /** May have steps under way: not more than `max_active_runs` of its DAG may. */
   active: boolean;
   loading: boolean;
@@ -38,7 +38,7 @@
 /** Runs of one DAG take turns where it asks for that; a DAG is its owner's. */
 export const dagOf = ({ owner, dag }: Header): string => JSON.stringify([owner, dag]);
 
-export const newRun = (id: string, header: Header, version: Whole, now: Micros): LiveRun => ({
+export const newRun = (id: string, header: Header, version: Uint64, now: Micros): LiveRun => ({
   id,
   header,
   version,
--- a/src/graphs/service/loading.ts
+++ b/src/graphs/service/loading.ts
@@ -1,5 +1,5 @@
-import { endKey, jobKey, readEnd } from "../../bookkeeping/records.js";
-import type { Store } from "../../bookkeeping/store.js";
+import { decodeOutcomeRecord, jobKey, outcomeKey } from "../../bookkeeping/records.js";
+import type { KeyValueStore } from "../../bookkeeping/store.js";
 import type { Outcome, Past } from "../run/dag-run.js";
 import { decodePlan, type Plan } from "../run/plan.js";
 import {
@@ -24,7 +24,7 @@
 
 const NOTHING_SAVED = (): Saved => ({ finals: new Map(), clearings: new Map() });
 
-export const loadPlan = async (store: Store, id: string, header: Header): Promise<Plan | null> => {
+export const loadPlan = async (store: KeyValueStore, id: string, header: Header): Promise<Plan | null> => {
   if ("text" in header.plan) return decodePlan(header.plan.text);
   let text = "";
   for (let chunk = 0; chunk < header.plan.chunks; chunk += 1) {
@@ -35,7 +35,7 @@
   return decodePlan(text);
 };
 
-export const loadSaved = async (store: Store, id: string, header: Header): Promise<Saved | null> => {
+export const loadSaved = async (store: KeyValueStore, id: string, header: Header): Promise<Saved | null> => {
   const reply = await store.list(segmentPrefix(id));
   if (reply.kind !== "ok") return null;
   const segments: ReturnType<typeof readSegment>[] = [];
@@ -46,16 +46,22 @@
 };
 
 /** Null where the state service did not answer. One request for a small run that was never cleared. */
-export const loadRun = async (store: Store, id: string, header: Header, known: Plan | null): Promise<Loaded | null> => {
+export const loadRun = async (
+  store: KeyValueStore,
+  id: string,
+  header: Header,
+  known: Plan | null,
+): Promise<Loaded | null> => {
   const plan = known ?? (await loadPlan(store, id, header));
   if (plan === null) return null;
   const saved = header.round === 0 ? NOTHING_SAVED() : await loadSaved(store, id, header);
   if (saved === null) return null;
-  const prefix = endKey(jobPrefix(id, header.digest));
+  const prefix = outcomeKey(jobPrefix(id, header.digest));
   const reply = await store.list(prefix);
   if (reply.kind !== "ok") return null;
   const ended = new Map<string, Outcome>();
-  for (const { key, value } of reply.value.entries) ended.set(key.slice(endKey("").length), outcomeOf(readEnd(value)));
+  for (const { key, value } of reply.value.entries)
+    ended.set(key.slice(outcomeKey("").length), outcomeOf(decodeOutcomeRecord(value)));
   return { plan, saved, ended };
 };
 
--- a/src/graphs/service/parts.ts
+++ b/src/graphs/service/parts.ts
@@ -1,7 +1,7 @@
 import { gunzipSync, gzipSync } from "node:zlib";
 import type { Services } from "../../coordination/context.js";
-import { parseJson, type Whole } from "../../protocol/json.js";
-import type { Write } from "../../protocol/state.js";
+import { parseJson, type Uint64 } from "../../protocol/json.js";
+import type { WriteOperation } from "../../protocol/state.js";
 import type { Response } from "../../transport/http.js";
 import { describeError } from "../../transport/log.js";
 import type { Part, Submission } from "../description/requests.js";
@@ -50,7 +50,7 @@
       if (known.kind === "unknown") return comeBack("state service unavailable");
       // All parts have come, or it is another graph: the parts alone don't tell.
       if (known.kind !== "never") return this.door.tell(id, known);
-      if (this.services.committer.backlog > MOST_BACKLOG) return comeBack("busy", BUSY_S);
+      if (this.services.transactions.userWriteDelay > MOST_BACKLOG) return comeBack("busy", BUSY_S);
       const have = await this.keepPart(given, pieces);
       if (have === "again") continue;
       if (typeof have !== "number") return have;
@@ -60,8 +60,8 @@
   }
 
   /** As it lies in the state service; null where it does not fit into one transaction. */
-  private piecesOf({ ref: id, part, text }: Part): readonly (Write & { readonly kind: "put" })[] | null {
-    const { valueBytes, transactionWrites } = this.services.settings.state;
+  private piecesOf({ ref: id, part, text }: Part): readonly (WriteOperation & { readonly kind: "put" })[] | null {
+    const { valueBytes, transactionWrites } = this.services.settings.store;
     const packed = gzipSync(text).toString("base64");
     const most = valueBytes - 200;
     const count = Math.ceil(packed.length / most);
@@ -75,11 +75,11 @@
   /** Puts a part on record; how many there are then, or what else there is to say. */
   private async keepPart(
     { ref: id, part, parts, text }: Part,
-    pieces: readonly Write[],
+    pieces: readonly WriteOperation[],
   ): Promise<number | "again" | Response> {
-    const { committer, store, view } = this.services;
+    const { transactions, store, cache } = this.services;
     const key = uploadKey(id);
-    const entry = view.entries.get(key);
+    const entry = cache.entries.get(key);
     const marker: Upload = entry === undefined ? { parts } : readUpload(entry.value);
     const have = marker.have ?? [];
     if (marker.parts !== parts)
@@ -90,14 +90,14 @@
       if ((known.value.value as { readonly digest?: string }).digest === digestOf(text)) return have.length;
       return refuse(409, `part ${part} of ${id} is there with other content: choose a new id`);
     }
-    const write: Write = { kind: "put", key, value: writeUpload({ parts, have: [...have, part] }) };
+    const write: WriteOperation = { kind: "put", key, value: writeUpload({ parts, have: [...have, part] }) };
     // Once it has become a run the mark is gone: a part come late must not bring it back.
-    const conditions = new Map<string, Whole>([
+    const conditions = new Map<string, Uint64>([
       [key, entry?.version ?? 0],
       [graphKey(id), 0],
       [endedKey(id), 0],
     ]);
-    const put = await committer.propose(conditions, [write, ...pieces], "user");
+    const put = await transactions.submit(conditions, [write, ...pieces], "user");
     if (put.kind === "ok") return have.length + 1;
     return put.kind === "conflict" ? "again" : comeBack("state service unavailable");
   }
@@ -132,14 +132,14 @@
 
   /** What is left after a crash here is found by its marker. */
   async clearAway(id: string, parts: readonly string[]): Promise<void> {
-    const { committer, log, view } = this.services;
+    const { transactions, log, cache } = this.services;
     try {
-      await view.sync();
-      const mark = view.entries.get(uploadKey(id));
+      await cache.sync();
+      const mark = cache.entries.get(uploadKey(id));
       if (mark === undefined) return;
       const still = new Map([[mark.key, mark.version]]);
       for (const key of [...parts, mark.key]) {
-        const result = await committer.propose(still, [{ kind: "delete", key }], "upkeep");
+        const result = await transactions.submit(still, [{ kind: "delete", key }], "upkeep");
         if (result.kind !== "ok") return;
       }
     } catch (error) {
--- a/src/graphs/service/past-runs.ts
+++ b/src/graphs/service/past-runs.ts
@@ -1,4 +1,4 @@
-import type { Store } from "../../bookkeeping/store.js";
+import type { KeyValueStore } from "../../bookkeeping/store.js";
 import type { DagRun, PastRun } from "../run/dag-run.js";
 import type { Plan } from "../run/plan.js";
 import type { StepState } from "../run/states.js";
@@ -12,7 +12,7 @@
   private readonly ended = new Map<string, ReadonlyMap<string, StepState>>();
 
   constructor(
-    private readonly store: Store,
+    private readonly store: KeyValueStore,
     private readonly live: (run: string) => DagRun | null,
     /** Its header is there, so its states are not final. */
     private readonly isCurrent: (run: string) => boolean,
--- a/src/graphs/service/records.ts
+++ b/src/graphs/service/records.ts
@@ -2,10 +2,10 @@
 import { sha256 } from "@noble/hashes/sha2.js";
 import { bytesToHex } from "@noble/hashes/utils.js";
 import { TypedFastBitSet } from "typedfastbitset";
-import type { EndRecord } from "../../bookkeeping/records.js";
-import { asArray, asObject, type Fields, orNull, readAmount, readString } from "../../protocol/json.js";
-import { RecordForm, type ValueForm } from "../../protocol/record-form.js";
-import type { Write } from "../../protocol/state.js";
+import type { OutcomeRecord } from "../../bookkeeping/records.js";
+import { asArray, asObject, type JsonObject, readNonNegative, readOptional, readString } from "../../protocol/json.js";
+import { RecordCodec, type ValueCodec } from "../../protocol/record-form.js";
+import type { WriteOperation } from "../../protocol/state.js";
 import type { Outcome } from "../run/dag-run.js";
 import { FINALS, type FinalState } from "../run/states.js";
 
@@ -57,10 +57,12 @@
 };
 
 /** How an attempt ended, by its job's last word. */
-export const outcomeOf = (end: EndRecord): Outcome => {
+export const outcomeOf = (end: OutcomeRecord): Outcome => {
   if (end.phase === "done") return "done";
-  if (end.why === undefined) return "killed";
-  return end.why === "error" || end.why === "timeout" ? end.why : "aborted";
+  if (end.cancellationReason === undefined) return "killed";
+  return end.cancellationReason === "error" || end.cancellationReason === "timeout"
+    ? end.cancellationReason
+    : "aborted";
 };
 
 /** Where a plan is kept: in the record itself, or in so many chunks. */
@@ -179,7 +181,7 @@
   return writeSegments(steps, segment, kept, after);
 };
 
-export const segmentWrites = (id: string, segments: readonly Segment[]): readonly Write[] =>
+export const segmentWrites = (id: string, segments: readonly Segment[]): readonly WriteOperation[] =>
   segments.map((segment, at) => ({ kind: "put", key: segmentKey(id, at), value: writeSegment(segment) }));
 
 export interface Saved {
@@ -220,28 +222,28 @@
   readonly chunks?: number;
 }
 
-const uploadForm = new RecordForm<Upload>({ parts: "parts", have: "have", plan: "plan", chunks: "chunks" });
+const uploadForm = new RecordCodec<Upload>({ parts: "parts", have: "have", plan: "plan", chunks: "chunks" });
 
 // Written by this program alone.
 export const readUpload = (value: unknown): Upload => uploadForm.decode(asObject(value, "upload"));
-export const writeUpload = (upload: Upload): Fields => uploadForm.encode(upload);
+export const writeUpload = (upload: Upload): JsonObject => uploadForm.encode(upload);
 
 const readPlace = (value: unknown): PlanPlace => {
   const fields = asObject(value, "plan");
-  return typeof fields.text === "string" ? { text: fields.text } : { chunks: readAmount(fields, "chunks") };
+  return typeof fields.text === "string" ? { text: fields.text } : { chunks: readNonNegative(fields, "chunks") };
 };
 
-const readClear = (fields: Fields, name: string): Clear => {
+const readClear = (fields: JsonObject, name: string): Clear => {
   const clear = asObject(fields[name], name);
   return { steps: asArray(clear.steps, "steps").map(Number), downstream: clear.downstream === true };
 };
 
-const planPlaceForm: ValueForm<PlanPlace> = {
+const planPlaceForm: ValueCodec<PlanPlace> = {
   encode: (place) => ("text" in place ? { text: place.text } : { chunks: place.chunks }),
   decode: readPlace,
 };
-const clearForm = new RecordForm<Clear>({ steps: "steps", downstream: "downstream" });
-const headerForm = new RecordForm<Header>({
+const clearForm = new RecordCodec<Clear>({ steps: "steps", downstream: "downstream" });
+const headerForm = new RecordCodec<Header>({
   digest: "digest",
   request: "request",
   dag: "dag",
@@ -259,36 +261,36 @@
   before: "before",
 });
 
-export const writeHeader = (header: Header): Fields => headerForm.encode(header);
+export const writeHeader = (header: Header): JsonObject => headerForm.encode(header);
 
 export const readHeader = (value: unknown): Header => {
   const fields = asObject(value, "graph");
   return {
     digest: readString(fields, "digest"),
     request: readString(fields, "request"),
-    mostRuns: readAmount(fields, "mostRuns"),
+    mostRuns: readNonNegative(fields, "mostRuns"),
     dag: readString(fields, "dag"),
     owner: readString(fields, "owner"),
-    block: readAmount(fields, "block"),
-    steps: readAmount(fields, "steps"),
-    segment: readAmount(fields, "segment"),
+    block: readNonNegative(fields, "block"),
+    steps: readNonNegative(fields, "steps"),
+    segment: readNonNegative(fields, "segment"),
     plan: readPlace(fields.plan),
-    acceptedMs: readAmount(fields, "acceptedMs"),
+    acceptedMs: readNonNegative(fields, "acceptedMs"),
     aborted: fields.aborted === true,
     timedOut: fields.timedOut === true,
-    round: readAmount(fields, "round"),
-    clear: orNull(fields, "clear", readClear),
-    before: orNull(fields, "before", readString),
+    round: readNonNegative(fields, "round"),
+    clear: readOptional(fields, "clear", readClear),
+    before: readOptional(fields, "before", readString),
   };
 };
 
 // Written by this program alone, so the inner shape of segments and counts is taken as it is.
-const segmentForm = new RecordForm<Segment>({ finals: "finals", clearings: "clearings" });
+const segmentForm = new RecordCodec<Segment>({ finals: "finals", clearings: "clearings" });
 
 export const readSegment = (value: unknown): Segment => segmentForm.decode(asObject(value, "segment"));
-export const writeSegment = (segment: Segment): Fields => segmentForm.encode(segment);
+export const writeSegment = (segment: Segment): JsonObject => segmentForm.encode(segment);
 
-const endedForm = new RecordForm<Ended>({
+const endedForm = new RecordCodec<Ended>({
   header: { name: "header", form: headerForm },
   phase: "phase",
   counts: "counts",
@@ -296,7 +298,7 @@
   states: { name: "states", form: segmentForm },
 });
 
-export const writeEnded = (ended: Ended): Fields => endedForm.encode(ended);
+export const writeEnded = (ended: Ended): JsonObject => endedForm.encode(ended);
 
 export const readEnded = (value: unknown): Ended => {
   const fields = asObject(value, "ended");
@@ -305,7 +307,7 @@
     header: readHeader(fields.header),
     phase: phase === "success" || phase === "withdrawn" ? phase : "failed",
     counts: asObject(fields.counts, "counts") as Readonly<Record<string, number>>,
-    endedMs: readAmount(fields, "endedMs"),
+    endedMs: readNonNegative(fields, "endedMs"),
     states: fields.states === null || fields.states === undefined ? null : readSegment(fields.states),
   };
 };
--- a/src/graphs/service/run-writes.ts
+++ b/src/graphs/service/run-writes.ts
@@ -1,6 +1,6 @@
-import type { BlockContext } from "../../coordination/context.js";
-import type { Whole } from "../../protocol/json.js";
-import type { Write } from "../../protocol/state.js";
+import type { ShardContext } from "../../coordination/context.js";
+import type { Uint64 } from "../../protocol/json.js";
+import type { WriteOperation } from "../../protocol/state.js";
 import { ms, seconds } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import { closure } from "../run/closure.js";
@@ -33,7 +33,7 @@
 /** What the writes of runs need of whoever takes the runs forward. */
 export interface RunsAround {
   /** The header is on record in this stored form; the view may not have it yet. */
-  readonly seen: (id: string, value: unknown, version: Whole) => void;
+  readonly seen: (id: string, value: unknown, version: Uint64) => void;
   readonly drop: (id: string) => void;
   /** Something may be to be done for the run, if it is still there. */
   readonly moved: (run: LiveRun) => void;
@@ -44,11 +44,11 @@
 /** What a run has on record of its own beside its jobs: its end, clearings, its timeout, counts. One write at a time. */
 export class RunWrites {
   constructor(
-    private readonly context: BlockContext,
+    private readonly context: ShardContext,
     private readonly around: RunsAround,
   ) {}
 
-  private conditions(run: LiveRun): Map<string, Whole> {
+  private conditions(run: LiveRun): Map<string, Uint64> {
     const { lease } = this.context;
     return new Map([
       [lease.key, lease.version],
@@ -57,7 +57,7 @@
   }
 
   private nowMs(): number {
-    return Math.round(this.context.wall?.() ?? 0);
+    return Math.round(this.context.wallClock?.() ?? 0);
   }
 
   async finish(run: LiveRun, engine: DagRun): Promise<void> {
@@ -74,12 +74,12 @@
       const one = segments.length === 1 && only !== undefined;
       if (!one && !(await this.writeSegments(run, segments))) return;
       const ended: Ended = { header, phase, counts, endedMs: this.nowMs(), states: one ? only : null };
-      const writes: Write[] = [
+      const writes: WriteOperation[] = [
         { kind: "put", key: endedKey(run.id), value: writeEnded(ended) },
         { kind: "delete", key: graphKey(run.id) },
       ];
       if (run.summed !== "") writes.push({ kind: "delete", key: summaryKey(run.id) });
-      const written = await this.context.committer.propose(
+      const written = await this.context.transactions.submit(
         this.conditions(run).set(endedKey(run.id), 0),
         writes,
         "work",
@@ -96,19 +96,23 @@
   }
 
   private refused(run: LiveRun, keys: readonly string[]): void {
-    const { lease, view, clock } = this.context;
+    const { lease, cache, clock } = this.context;
     if (keys.includes(lease.key)) {
-      this.context.fenced();
+      this.context.onFenced();
       return;
     }
-    void this.guard(view.sync());
+    void this.guard(cache.sync());
     clock.after(RETRY, () => {
       this.around.moved(run);
     });
   }
 
   private async writeSegments(run: LiveRun, segments: readonly Segment[]): Promise<boolean> {
-    const written = await this.context.committer.propose(this.conditions(run), segmentWrites(run.id, segments), "work");
+    const written = await this.context.transactions.submit(
+      this.conditions(run),
+      segmentWrites(run.id, segments),
+      "work",
+    );
     if (written.kind === "ok") return true;
     this.refused(run, written.kind === "conflict" ? written.keys : []);
     return false;
@@ -125,11 +129,11 @@
       const segments = clearedSegments(header, engine.finals(), run.loaded.saved.clearings, cleared, round);
       const next: Header = { ...header, round, clear: null };
       const value = writeHeader(next);
-      const writes: readonly Write[] = [
+      const writes: readonly WriteOperation[] = [
         ...segmentWrites(run.id, segments),
         { kind: "put", key: graphKey(run.id), value },
       ];
-      const written = await this.context.committer.propose(this.conditions(run), writes, "work");
+      const written = await this.context.transactions.submit(this.conditions(run), writes, "work");
       if (written.kind !== "ok") {
         this.refused(run, written.kind === "conflict" ? written.keys : []);
         return;
@@ -153,9 +157,9 @@
     run.writing = true;
     const next: Header = { ...header, timedOut: true };
     const value = writeHeader(next);
-    const write: Write = { kind: "put", key: graphKey(run.id), value };
+    const write: WriteOperation = { kind: "put", key: graphKey(run.id), value };
     void this.guard(
-      this.context.committer.propose(this.conditions(run), [write], "cancel").then((written) => {
+      this.context.transactions.submit(this.conditions(run), [write], "cancel").then((written) => {
         run.writing = false;
         if (written.kind === "ok") this.around.seen(run.id, value, written.version);
         else this.refused(run, written.kind === "conflict" ? written.keys : []);
@@ -164,7 +168,7 @@
   }
 
   summarize(run: LiveRun, engine: DagRun): void {
-    const { clock, committer, view } = this.context;
+    const { clock, transactions, cache } = this.context;
     if (run.header.steps < LARGE_RUN || run.writing || clock.now() - run.summedAt < SUMMARY_PERIOD) return;
     this.around.refresh(run.id);
     const counts = STATES.map((state) => engine.count(state));
@@ -174,10 +178,10 @@
     run.summedAt = clock.now();
     const key = summaryKey(run.id);
     // An earlier one come late must not stand for this one.
-    const conditions = this.conditions(run).set(key, view.entries.get(key)?.version ?? 0);
-    const write: Write = { kind: "put", key, value: counts };
+    const conditions = this.conditions(run).set(key, cache.entries.get(key)?.version ?? 0);
+    const write: WriteOperation = { kind: "put", key, value: counts };
     void this.guard(
-      committer.propose(conditions, [write], "note").then((written) => {
+      transactions.submit(conditions, [write], "note").then((written) => {
         if (written.kind !== "ok") run.summed = NOT_WRITTEN;
       }),
     );
--- a/src/graphs/service/runner.ts
+++ b/src/graphs/service/runner.ts
@@ -1,16 +1,16 @@
 import {
-  endKey,
-  homeBlock,
+  decodeJobRecord,
+  decodeOutcomeRecord,
+  encodeJobRecord,
   type JobRecord,
   jobKey,
   jobOfKey,
-  readEnd,
-  readJob,
-  writeJob,
+  outcomeKey,
+  shardOf,
 } from "../../bookkeeping/records.js";
-import type { BlockContext } from "../../coordination/context.js";
-import type { BlockDoors, Holding } from "../../coordination/extension.js";
-import type { Whole } from "../../protocol/json.js";
+import type { ShardContext } from "../../coordination/context.js";
+import type { ShardControls, ShardExtension } from "../../coordination/extension.js";
+import type { Uint64 } from "../../protocol/json.js";
 import type { Change } from "../../protocol/state.js";
 import type { JobSpec } from "../../protocol/user.js";
 import type { ExitReason } from "../../protocol/worker.js";
@@ -39,7 +39,7 @@
 const RETRY = ms(300);
 
 /** Takes the runs of a block forward for as long as this process holds the block. */
-export class Runner implements Holding {
+export class Runner implements ShardExtension {
   private readonly runs = new Map<string, LiveRun>();
   private readonly dags = new Map<string, Set<LiveRun>>();
   /** Runs with steps to submit, each in turn. */
@@ -60,8 +60,8 @@
   private tickedAt: Micros;
 
   constructor(
-    private readonly context: BlockContext,
-    private readonly doors: BlockDoors,
+    private readonly context: ShardContext,
+    private readonly doors: ShardControls,
     private readonly options: GraphOptions,
   ) {
     this.notes = new JobNotes(context);
@@ -81,7 +81,7 @@
       refresh: (id) => this.stateOf(id),
     });
     this.tickedAt = context.clock.now();
-    for (const [key, entry] of context.view.entries) {
+    for (const [key, entry] of context.cache.entries) {
       const id = graphOfKey(key);
       if (id !== null) this.seen(id, entry.value, entry.version);
     }
@@ -106,14 +106,14 @@
   }
 
   private isRunning(job: string): boolean {
-    const { jobs } = this.context.block;
-    for (const task of jobs.get(job)?.placed ?? []) if (task.state === "running") return true;
+    const { jobs } = this.context.shard;
+    for (const task of jobs.get(job)?.placedTasks ?? []) if (task.state === "running") return true;
     return false;
   }
 
   // What the kernel tells -----------------------------------------------------------------------------------
 
-  changed(change: Change): void {
+  onChange(change: Change): void {
     if (this.stopped) return;
     const id = graphOfKey(change.key);
     if (id === null) this.jobSeen(change);
@@ -131,14 +131,14 @@
   private sweep(id: string): void {
     const run = this.runs.get(id);
     if (run === undefined || !isCalledOff(run.header)) return;
-    this.doors.sweepWithdrawn(run.open.values());
+    this.doors.cancelWithdrawnJobs(run.open.values());
   }
 
   /** A submission of which there was no answer may turn up here, long after it was given up for lost. */
   private jobSeen(change: Change): void {
     const job = jobOfKey(change.key);
     if (job === null || change.kind !== "put" || !job.startsWith("wk-dr-")) return;
-    const { spec } = readJob(change.value);
+    const { spec } = decodeJobRecord(change.value);
     const run = this.runOf(spec);
     const parts = partsOfJobId(job);
     if (run === null || run.engine === null || parts === null || run.starting.has(parts.step)) return;
@@ -152,7 +152,7 @@
     this.opened(run, engine, step, attempt, job);
   }
 
-  ended(spec: JobSpec, end: Parameters<Holding["ended"]>[1]): void {
+  onJobEnded(spec: JobSpec, end: Parameters<ShardExtension["onJobEnded"]>[1]): void {
     const run = this.runOf(spec);
     const parts = partsOfJobId(spec.id);
     this.notes.forget(spec.id);
@@ -169,7 +169,7 @@
     }
   }
 
-  failed(spec: JobSpec, index: number, reason: ExitReason): void {
+  onTaskFailed(spec: JobSpec, index: number, reason: ExitReason): void {
     const run = this.runOf(spec);
     const parts = partsOfJobId(spec.id);
     if (run === null || parts === null) return;
@@ -186,9 +186,9 @@
 
   // Runs ----------------------------------------------------------------------------------------------------
 
-  private seen(id: string, value: unknown, version: Whole): void {
+  private seen(id: string, value: unknown, version: Uint64): void {
     const header = readHeader(value);
-    if (header.block !== this.context.lease.block) return;
+    if (header.block !== this.context.lease.shard) return;
     const known = this.runs.get(id);
     if (known === undefined) {
       const run = newRun(id, header, version, this.context.clock.now());
@@ -299,12 +299,12 @@
   }
 
   private async load(run: LiveRun): Promise<boolean> {
-    const { store, view, clock } = this.context;
+    const { store, cache, clock } = this.context;
     const { header, version, id } = run;
     run.late = [];
     // All that was submitted under the header as it was before a clearing is in the view after this. At a takeover it
     // is there already: whoever held the block could write nothing more once it was leased anew.
-    if (header.round > 0 && !(await view.sync())) return false;
+    if (header.round > 0 && !(await cache.sync())) return false;
     const loaded = await loadRun(store, id, header, run.loaded?.plan ?? null);
     if (loaded === null || this.stopped || this.runs.get(id) !== run) return false;
     if (run.version !== version && run.header.round !== header.round) return false;
@@ -323,7 +323,7 @@
       limits: run.limits,
       frozen: saved.finals,
       clearings: saved.clearings,
-      past: pastOf(id, header, loaded.ended, (key) => view.entries.has(key)),
+      past: pastOf(id, header, loaded.ended, (key) => cache.entries.has(key)),
       pastRun: (step) => this.past.said(run.header, step.id),
       onRetry: (step, after) => {
         clock.after(after, () => {
@@ -347,10 +347,10 @@
 
   /** Jobs of attempts from before a clearing, which their steps wait for. */
   private stopCleared(run: LiveRun, engine: DagRun): void {
-    const { view } = this.context;
+    const { cache } = this.context;
     for (const [step, attempt] of engine.outdated()) {
       const job = jobIdOf(run.id, run.header.digest, step, attempt);
-      if (view.entries.has(jobKey(job))) this.notes.giveUp(job, "cleared");
+      if (cache.entries.has(jobKey(job))) this.notes.giveUp(job, "cleared");
     }
   }
 
@@ -385,7 +385,7 @@
     const quiet = (): boolean => run.engine === engine && engine.openSteps === 0 && run.starting.size === 0;
     if (!quiet() || run.settling) return;
     run.settling = true;
-    const good = await this.context.view.sync().finally(() => {
+    const good = await this.context.cache.sync().finally(() => {
       run.settling = false;
     });
     if (!quiet()) return;
@@ -410,10 +410,10 @@
 
   /** One step of each run in turn, as many as a few transactions take: the others' writes come in between. */
   private pump(): void {
-    const { settings, lease, overload } = this.context;
-    const most = settings.state.transactionWrites * IN_FLIGHT;
+    const { settings, lease, loadShedder } = this.context;
+    const most = settings.store.transactionWrites * IN_FLIGHT;
     // What users are turned away from, steps are kept from, too; what is ready waits for the next tick.
-    if (!lease.valid() || overload.atLeast("full")) return;
+    if (!lease.isValid() || loadShedder.atLeast("full")) return;
     for (const run of this.ring) {
       if (this.inFlight >= most || this.stopped) return;
       this.ring.delete(run);
@@ -429,23 +429,25 @@
   }
 
   private async submit(run: LiveRun, engine: DagRun, step: number): Promise<void> {
-    const { committer, lease, log, clock } = this.context;
+    const { transactions, lease, log, clock } = this.context;
     const plan = engine.plan;
     const attempt = engine.nextAttempt(step);
     const job = jobIdOf(run.id, run.header.digest, step, attempt);
     const spec = this.specOf(run, plan, step, job);
-    const value: JobRecord = { spec, block: homeBlock(spec.team), cancelled: false };
-    const conditions = new Map<string, Whole>([
+    const value: JobRecord = { spec, shard: shardOf(spec.team), cancelled: false };
+    const conditions = new Map<string, Uint64>([
       [lease.key, lease.version],
       // An abort or a clearing changes it: what was under way then comes too late.
       [graphKey(run.id), run.version],
       [jobKey(job), 0],
-      [endKey(job), 0],
+      [outcomeKey(job), 0],
     ]);
     run.starting.add(step);
     this.pools.take(run, step);
     this.inFlight += 1;
-    const result = await committer.propose(conditions, [{ kind: "put", key: jobKey(job), value: writeJob(value) }]);
+    const result = await transactions.submit(conditions, [
+      { kind: "put", key: jobKey(job), value: encodeJobRecord(value) },
+    ]);
     this.inFlight -= 1;
     if (run.engine !== engine || this.stopped) return;
     if (result.kind !== "lost") run.starting.delete(step);
@@ -454,7 +456,7 @@
         this.opened(run, engine, step, attempt, job);
         break;
       case "conflict":
-        if (result.keys.includes(lease.key)) this.context.fenced();
+        if (result.keys.includes(lease.key)) this.context.onFenced();
         else await this.resolve(run, engine, step, attempt, job);
         break;
       case "refused":
@@ -480,7 +482,7 @@
   private specOf(run: LiveRun, plan: Plan, at: number, job: string): JobSpec {
     const step = plan.steps[at];
     if (step === undefined) throw new Error(`no step ${at}`);
-    return { ...specOf(plan, step, job), origin: { graph: run.id, place: run.order[at] ?? at } };
+    return { ...specOf(plan, step, job), origin: { graph: run.id, position: run.order[at] ?? at } };
   }
 
   private opened(run: LiveRun, engine: DagRun, step: number, attempt: number, job: string): void {
@@ -488,19 +490,19 @@
     run.open.set(step, job);
     this.record(run, engine, step, attempt, job);
     // The word came in between: the job is there, so it is swept like the others.
-    if (isCalledOff(run.header)) this.doors.sweepWithdrawn([job]);
+    if (isCalledOff(run.header)) this.doors.cancelWithdrawnJobs([job]);
     if (engine.hasReady) this.ring.add(run);
   }
 
   /** For a trace: what the job waited for. */
   private record(run: LiveRun, engine: DagRun, step: number, attempt: number, job: string): void {
-    const { sink } = this.context;
-    if (sink === null) return;
+    const { eventListener } = this.context;
+    if (eventListener === null) return;
     const jobOf = (at: number, number: number): string => jobIdOf(run.id, run.header.digest, at, number);
     const tries = tryOf(attempt);
     if (tries > 1) {
       const pause = run.limits[step]?.delay(tries - 1) ?? (0 as Micros);
-      sink({ kind: "job follows", job, after: [jobOf(step, attempt - 1)], pause });
+      eventListener({ kind: "job follows", job, after: [jobOf(step, attempt - 1)], pause });
       return;
     }
     const after: string[] = [];
@@ -516,19 +518,19 @@
         }
       }
     }
-    if (after.length > 0) sink({ kind: "job follows", job, after, pause: 0 as Micros });
+    if (after.length > 0) eventListener({ kind: "job follows", job, after, pause: 0 as Micros });
   }
 
   /** The header has changed, or the job is there already: by an earlier try of which there was no answer. */
   private async resolve(run: LiveRun, engine: DagRun, step: number, attempt: number, job: string): Promise<void> {
-    const { view, store, log } = this.context;
+    const { cache, store, log } = this.context;
     // It counts as being submitted until it is known what became of it: a run that was aborted ended in between once,
     // since nothing of it seemed to be under way, and left jobs behind.
     run.starting.add(step);
-    const synced = await view.sync();
+    const synced = await cache.sync();
     if (run.engine !== engine || this.stopped) return;
-    const entry = view.entries.get(jobKey(job));
-    const end = synced && entry === undefined ? await store.get(endKey(job)) : null;
+    const entry = cache.entries.get(jobKey(job));
+    const end = synced && entry === undefined ? await store.get(outcomeKey(job)) : null;
     if (run.engine !== engine || this.stopped) return;
     if (!synced || end?.kind === "refused" || end?.kind === "lost") {
       this.context.clock.after(RETRY, () => {
@@ -542,7 +544,7 @@
       return;
     }
     if (entry !== undefined) {
-      if (readJob(entry.value).spec.origin?.graph === run.id) this.opened(run, engine, step, attempt, job);
+      if (decodeJobRecord(entry.value).spec.origin?.graph === run.id) this.opened(run, engine, step, attempt, job);
       else {
         log.error("somebody else's job has a step's id", { job });
         engine.submitted(step, attempt);
@@ -555,7 +557,7 @@
     if (end?.kind === "ok") {
       this.opened(run, engine, step, attempt, job);
       this.release(run, step, job);
-      engine.ended(step, attempt, outcomeOf(readEnd(end.value.value)));
+      engine.ended(step, attempt, outcomeOf(decodeOutcomeRecord(end.value.value)));
       this.moved(run);
     } else this.again(run, engine, step);
   }
--- a/src/graphs/service/uploads.ts
+++ b/src/graphs/service/uploads.ts
@@ -1,4 +1,4 @@
-import type { BlockContext } from "../../coordination/context.js";
+import type { ShardContext } from "../../coordination/context.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import { endedKey, graphKey, partPrefix, planKey, readUpload, uploadKey, uploadOfKey } from "./records.js";
@@ -15,25 +15,25 @@
   private sweeping = false;
 
   constructor(
-    private readonly context: Pick<BlockContext, "view" | "store" | "committer" | "lease" | "clock" | "log">,
+    private readonly context: Pick<ShardContext, "cache" | "store" | "transactions" | "lease" | "clock" | "log">,
   ) {
     this.sweptAt = context.clock.now();
   }
 
   sweep(): void {
-    const { view, clock, log } = this.context;
+    const { cache, clock, log } = this.context;
     const now = clock.now();
     if (this.sweeping || now - this.sweptAt < PERIOD) return;
     this.sweptAt = now;
     const stale: string[] = [];
     const present = new Set<string>();
-    for (const key of view.entries.keys()) {
+    for (const key of cache.entries.keys()) {
       const id = uploadOfKey(key);
       if (id === null) continue;
       present.add(id);
       const since = this.firstSeen.get(id) ?? now;
       this.firstSeen.set(id, since);
-      if (now - since > PATIENCE || view.entries.has(graphKey(id))) stale.push(id);
+      if (now - since > PATIENCE || cache.entries.has(graphKey(id))) stale.push(id);
     }
     for (const id of this.firstSeen.keys()) if (!present.has(id)) this.firstSeen.delete(id);
     const [next] = stale;
@@ -48,8 +48,8 @@
 
   /** The parts first, the marker last: what is left after a crash is found again. */
   private async drop(id: string): Promise<void> {
-    const { store, committer, lease, log, view } = this.context;
-    const marker = view.entries.get(uploadKey(id));
+    const { store, transactions, lease, log, cache } = this.context;
+    const marker = cache.entries.get(uploadKey(id));
     if (marker === undefined) return;
     // Whoever uploads it anew writes the marker first: then all of these come too late.
     const still = new Map([
@@ -59,22 +59,22 @@
     const reply = await store.list(partPrefix(id));
     if (reply.kind !== "ok") return;
     for (const { key } of reply.value.entries.slice(0, AT_ONCE)) {
-      const result = await committer.propose(still, [{ kind: "delete", key }], "upkeep");
+      const result = await transactions.submit(still, [{ kind: "delete", key }], "upkeep");
       if (result.kind !== "ok") return;
     }
     if (reply.value.entries.length > AT_ONCE) return;
     const { plan, chunks = 0 } = readUpload(marker.value);
-    if (plan !== undefined && !view.entries.has(graphKey(id))) {
+    if (plan !== undefined && !cache.entries.has(graphKey(id))) {
       // Its run may have ended since: then the chunks are what it is remembered by.
       const ended = await store.get(endedKey(id));
       if (ended.kind !== "ok" && ended.kind !== "missing") return;
       for (let at = 0; ended.kind === "missing" && at < chunks; at += 1) {
         const key = planKey(id, plan, at);
-        const result = await committer.propose(still, [{ kind: "delete", key }], "upkeep");
+        const result = await transactions.submit(still, [{ kind: "delete", key }], "upkeep");
         if (result.kind !== "ok") return;
       }
     }
-    await committer.propose(still, [{ kind: "delete", key: marker.key }], "upkeep");
+    await transactions.submit(still, [{ kind: "delete", key: marker.key }], "upkeep");
     log.info("upload cleared away", { run: id });
   }
 }
--- a/src/mesh/frames.ts
+++ b/src/mesh/frames.ts
@@ -1,4 +1,4 @@
-import type { Outcome, Request } from "../transport/http.js";
+import type { HttpOutcome, Request } from "../transport/http.js";
 
 /**
  * What controllers say to each other: frames of a 32-bit length (of what follows), a version, a type and the type's
@@ -25,7 +25,7 @@
       readonly timeoutMs: number;
       readonly request: Request;
     }
-  | { readonly type: "told"; readonly id: number; readonly outcome: Outcome };
+  | { readonly type: "told"; readonly id: number; readonly outcome: HttpOutcome };
 
 /** What a controller says of itself, several times a second. Ages in milliseconds; `NEVER`: not at all. */
 export interface Beat {
@@ -172,7 +172,7 @@
       if (kind !== "answer") return { type: "told", id, outcome: { kind } };
       const status = read.u32();
       const retry = read.u32();
-      const outcome: Outcome = { kind, status, retryAfterS: retry === NEVER ? null : retry, body: read.text() };
+      const outcome: HttpOutcome = { kind, status, retryAfterS: retry === NEVER ? null : retry, body: read.text() };
       return { type: "told", id, outcome };
     }
     default:
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -1,8 +1,8 @@
 import hdr from "hdr-histogram-js";
 import { type Clock, type Micros, ms, seconds, type Timer } from "../transport/clock.js";
-import type { HttpClient, Outcome, Request, Response } from "../transport/http.js";
+import type { HttpClient, HttpOutcome, Request, Response } from "../transport/http.js";
 import type { Log } from "../transport/log.js";
-import { RELAY_PATIENCE } from "../transport/patience.js";
+import { RELAY_ALLOWANCE } from "../transport/patience.js";
 import { BadFrame, type Beat, type Frame, FrameReader, MAX_FRAME, NEVER } from "./frames.js";
 import { BEAT_PERIOD, Peer } from "./peer.js";
 import { ownWayStands, type PeerView, routeFor, type Standing, type Ways } from "./route.js";
@@ -44,20 +44,20 @@
   readonly http: HttpClient;
   readonly label: string;
   readonly incarnation: string;
-  readonly siblings: readonly Member[];
-  readonly stateAddress: string;
+  readonly peers: readonly Member[];
+  readonly storeAddress: string;
   readonly cloudAddress: string;
-  readonly reportPeriod: Micros;
+  readonly heartbeatInterval: Micros;
   /** 0 normal to 3 full. */
   readonly level: () => number;
   /** Machines held here that are up, and since when; null: none are held. */
-  readonly holding: () => { readonly machines: number; readonly since: Micros } | null;
+  readonly leadership: () => { readonly machines: number; readonly since: Micros } | null;
   /** A worker's report that came to the sibling `through`. */
-  readonly report: (request: Request, through: string) => Promise<Response>;
+  readonly handleHeartbeat: (request: Request, through: string) => Promise<Response>;
 }
 
 interface Asked {
-  readonly settle: (outcome: Outcome) => void;
+  readonly settle: (outcome: HttpOutcome) => void;
   readonly peer: string;
 }
 
@@ -78,7 +78,7 @@
   private lastBeat: Micros;
   private deaf = false;
   /** When the workers were last found to be cut off from here, or heard again. */
-  deafChangedAt: Micros | null = null;
+  workerPathChangedAt: Micros | null = null;
   private readonly through = new Map<string, { readonly peer: string; readonly at: Micros }>();
   private triedAt: Micros = 0 as Micros;
   private told = "";
@@ -89,10 +89,10 @@
   private readonly took = hdr.build({ highestTrackableValue: 60_000, numberOfSignificantValueDigits: 2 });
 
   constructor(private readonly setup: MeshSetup) {
-    const { clock, log, random, wires, label, incarnation, siblings } = setup;
+    const { clock, log, random, wires, label, incarnation, peers } = setup;
     this.ways = new OwnWays(setup);
     const hello: Frame = { type: "hello", label, incarnation };
-    for (const sibling of siblings) {
+    for (const sibling of peers) {
       const peer = new Peer(
         sibling.label,
         sibling.address,
@@ -124,13 +124,13 @@
   }
 
   /** A worker's report has come by the own way, for machines held here. */
-  heardWorker(address: string): void {
+  workerHeard(address: string): void {
     this.heardAt = this.setup.clock.now();
     this.through.delete(address);
   }
 
   /** A report came through a sibling: the machine is spoken to that way as well. */
-  heardThrough(address: string, peer: string): void {
+  workerHeardThrough(address: string, peer: string): void {
     this.through.delete(address);
     this.through.set(address, { peer, at: this.setup.clock.now() });
     if (this.through.size <= MOST_THROUGH) return;
@@ -141,9 +141,9 @@
   /**
    * The holder's answer to a report that came here, where the holder hears no worker itself; null: send the worker there.
    */
-  async carryReport(holder: string, request: Request): Promise<Response | null> {
+  async relayHeartbeat(leader: string, request: Request): Promise<Response | null> {
     const { clock } = this.setup;
-    const peer = this.peers.get(holder);
+    const peer = this.peers.get(leader);
     if (peer === undefined || !peer.usable(clock.now()) || peer.beat?.deaf !== true) return null;
     if (clock.now() - this.triedAt > TRY_AGAIN) {
       this.triedAt = clock.now();
@@ -169,7 +169,7 @@
     return {
       state: standing("state"),
       cloud: standing("cloud"),
-      workers: this.setup.holding() === null ? "none held here" : this.deaf ? "cut off from me" : "heard",
+      workers: this.setup.leadership() === null ? "none held here" : this.deaf ? "cut off from me" : "heard",
       siblings: Object.fromEntries(
         [...this.peers.values()].map((peer) => [peer.label, peer.usable(now) ? "reached" : "not reached"]),
       ),
@@ -178,7 +178,7 @@
 
   // Calls -------------------------------------------------------------------------------------------------
 
-  private async call(address: string, request: Request, timeout: Micros): Promise<Outcome> {
+  private async call(address: string, request: Request, timeout: Micros): Promise<HttpOutcome> {
     const { clock, http } = this.setup;
     const target = this.ways.targetOf(address);
     const through = target === "worker" ? this.throughOf(address) : null;
@@ -219,18 +219,18 @@
 
   // Frames ------------------------------------------------------------------------------------------------
 
-  private ask(peer: Peer, address: string, request: Request, timeout: Micros): Promise<Outcome> {
+  private ask(peer: Peer, address: string, request: Request, timeout: Micros): Promise<HttpOutcome> {
     const { clock } = this.setup;
     const id = this.nextId;
     this.nextId = id >= NEVER ? 1 : id + 1;
     return new Promise((resolve) => {
-      const settle = (outcome: Outcome): void => {
+      const settle = (outcome: HttpOutcome): void => {
         if (!this.asked.delete(id)) return;
         timer.cancel();
         resolve(outcome);
       };
       // From here on it may have been executed, or may yet be.
-      const timer: Timer = clock.after((timeout + RELAY_PATIENCE) as Micros, () => settle({ kind: "lost" }));
+      const timer: Timer = clock.after((timeout + RELAY_ALLOWANCE) as Micros, () => settle({ kind: "lost" }));
       this.asked.set(id, { settle, peer: peer.label });
       const sent = peer.send({ type: "ask", id, address, timeoutMs: Math.ceil(timeout / 1_000), request });
       if (!sent) settle({ kind: "unsent" });
@@ -244,7 +244,7 @@
       return;
     }
     const { id, address, request, timeoutMs } = frame;
-    const answer = (given: Outcome): void => {
+    const answer = (given: HttpOutcome): void => {
       const tooLong = given.kind === "answer" && Buffer.byteLength(given.body) > MAX_FRAME / 2;
       this.peers.get(from)?.send({ type: "told", id, outcome: tooLong ? { kind: "lost" } : given });
     };
@@ -266,13 +266,13 @@
   }
 
   /** By the own way and no other; nothing is answered that did not come from where it was sent. */
-  private async carry(from: string, address: string, request: Request, timeout: Micros): Promise<Outcome> {
+  private async carry(from: string, address: string, request: Request, timeout: Micros): Promise<HttpOutcome> {
     if (address !== "") {
       const outcome = await this.setup.http.call(address, request, timeout);
       this.ways.learn(this.ways.targetOf(address), outcome);
       return outcome;
     }
-    const { status, body, retryAfterS } = await this.setup.report(request, from);
+    const { status, body, retryAfterS } = await this.setup.handleHeartbeat(request, from);
     return { kind: "answer", status, body, retryAfterS: retryAfterS ?? null };
   }
 
@@ -316,7 +316,7 @@
     }
     this.lastBeat = now;
     const deaf = this.isDeaf(now);
-    if (deaf !== this.deaf) this.deafChangedAt = now;
+    if (deaf !== this.deaf) this.workerPathChangedAt = now;
     this.deaf = deaf;
     this.ways.probe();
     this.sequence += 1;
@@ -336,12 +336,12 @@
   }
 
   private isDeaf(now: Micros): boolean {
-    const holding = this.setup.holding();
+    const holding = this.setup.leadership();
     if (holding === null || holding.machines < 3) return false;
-    const { reportPeriod } = this.setup;
+    const { heartbeatInterval } = this.setup;
     const quiet = Math.min(
-      reportPeriod * DEAF_MOST,
-      Math.max(DEAF_LEAST, (MISSED_REPORTS * reportPeriod) / holding.machines),
+      heartbeatInterval * DEAF_MOST,
+      Math.max(DEAF_LEAST, (MISSED_REPORTS * heartbeatInterval) / holding.machines),
     );
     const since = Math.max(this.heardAt, this.awakeSince);
     return now - since > quiet && now - holding.since > DEAF_NEW;
--- a/src/mesh/ways.ts
+++ b/src/mesh/ways.ts
@@ -1,5 +1,5 @@
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
-import type { HttpClient, Outcome } from "../transport/http.js";
+import type { HttpClient, HttpOutcome } from "../transport/http.js";
 import { NEVER } from "./frames.js";
 import { type PeerView, type Standing, standingOf, type Target, type Ways } from "./route.js";
 
@@ -21,7 +21,7 @@
   readonly clock: Clock;
   /** By the own way. */
   readonly http: HttpClient;
-  readonly stateAddress: string;
+  readonly storeAddress: string;
   readonly cloudAddress: string;
 }
 
@@ -32,7 +32,7 @@
   constructor(private readonly around: OwnWaysAround) {}
 
   targetOf(address: string): Target {
-    if (address === this.around.stateAddress) return "state";
+    if (address === this.around.storeAddress) return "state";
     return address === this.around.cloudAddress ? "cloud" : "worker";
   }
 
@@ -53,7 +53,7 @@
   }
 
   /** What a call by the own way says of it. */
-  learn(target: Target, outcome: Outcome): void {
+  learn(target: Target, outcome: HttpOutcome): void {
     if (target === "worker") return;
     const way = this.ways[target];
     const now = this.around.clock.now();
@@ -76,7 +76,7 @@
 
   /** While a way fails it is tried again and again, so that calls come back to it. */
   probe(): void {
-    const { clock, http, stateAddress, cloudAddress } = this.around;
+    const { clock, http, storeAddress, cloudAddress } = this.around;
     const now = clock.now();
     const look = (target: Service, address: string, path: string, period: Micros): void => {
       const way = this.ways[target];
@@ -86,7 +86,7 @@
         .call(address, { method: "GET", target: path, body: "" }, seconds(1.5))
         .then((outcome) => this.learn(target, outcome));
     };
-    look("state", stateAddress, "/kv/c/leader", PROBE_STATE);
+    look("state", storeAddress, "/kv/c/leader", PROBE_STATE);
     look("cloud", cloudAddress, "/hosts?page=1", PROBE_CLOUD);
   }
 }
--- a/src/mesh/with-settings.ts
+++ b/src/mesh/with-settings.ts
@@ -4,30 +4,30 @@
 /** What of a controller's settings the mesh needs. */
 interface MeshSettings {
   readonly label: string;
-  readonly siblings: readonly { readonly label: string; readonly address: string }[];
-  readonly stateAddress: string;
+  readonly peers: readonly { readonly label: string; readonly address: string }[];
+  readonly storeAddress: string;
   readonly cloudAddress: string;
-  readonly workers: { readonly report: Micros };
+  readonly workers: { readonly heartbeatInterval: Micros };
 }
 
-type Outside = Pick<MeshSetup, "clock" | "log" | "http" | "random" | "wires" | "incarnation"> & {
+type MeshEnvironment = Pick<MeshSetup, "clock" | "log" | "http" | "random" | "wires" | "incarnation"> & {
   readonly settings: MeshSettings;
 };
 
-type Around = Pick<MeshSetup, "level" | "holding" | "report">;
+type MeshHost = Pick<MeshSetup, "level" | "leadership" | "handleHeartbeat">;
 
 /** The mesh of one controller, made once the rest of it stands. */
 export const meshWith =
-  ({ settings, ...outside }: Outside) =>
-  (around: Around): Mesh => {
-    const { label, siblings, stateAddress, cloudAddress, workers } = settings;
+  ({ settings, ...outside }: MeshEnvironment) =>
+  (dependencies: MeshHost): Mesh => {
+    const { label, peers, storeAddress, cloudAddress, workers } = settings;
     return new Mesh({
       ...outside,
-      ...around,
+      ...dependencies,
       label,
-      siblings,
-      stateAddress,
+      peers,
+      storeAddress,
       cloudAddress,
-      reportPeriod: workers.report,
+      heartbeatInterval: workers.heartbeatInterval,
     });
   };
--- a/src/model/door.ts
+++ b/src/model/door.ts
@@ -1,4 +1,4 @@
-import type { Load } from "../coordination/overload.js";
+import type { ProcessLoad } from "../coordination/overload.js";
 import type { Micros } from "../transport/clock.js";
 import type { Timeline } from "./world.js";
 
@@ -166,7 +166,7 @@
     return bytes;
   }
 
-  load(bytes: number): Load {
+  load(bytes: number): ProcessLoad {
     const { memoryBytes, maxConnections } = this.bounds;
     return { memory: bytes / memoryBytes, sockets: this.connections / maxConnections };
   }
--- a/src/model/fast-machine.ts
+++ b/src/model/fast-machine.ts
@@ -1,4 +1,4 @@
-import { type Report, taskReport } from "../protocol/worker.js";
+import { type Heartbeat, taskStatusOf } from "../protocol/worker.js";
 import type { Occupant } from "./cloud-service.js";
 import { Executor, type ExecutorAround } from "./executor.js";
 import { HOP } from "./fast-writer.js";
@@ -49,10 +49,10 @@
     );
   }
 
-  report(): Report {
+  report(): Heartbeat {
     this.sequence += 1;
     const { name, type, zone, spot } = this.info;
-    const tasks = [...this.executor.list()].map((task) => taskReport(task.shard, task.try, task.phase, task.cause));
+    const tasks = [...this.executor.list()].map((task) => taskStatusOf(task.shard, task.try, task.phase, task.cause));
     const noticeS = this.noticeAt === null ? null : Math.max(0, this.noticeAt - this.around.timeline.now) / S;
     return {
       machine: name,
@@ -60,13 +60,13 @@
       type,
       zone,
       spot,
-      session: 1,
+      incarnation: 1,
       sequence: this.sequence,
       token: TOKEN,
-      noticeS,
+      reclaimNoticeS: noticeS,
       tasks,
-      listing: null,
-      same: false,
+      taskListText: null,
+      taskListUnchanged: false,
     };
   }
 
