--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -1,23 +1,29 @@
-import { Block } from "../bookkeeping/block.js";
-import { Chains } from "../bookkeeping/chains.js";
+import { ShardState } from "../bookkeeping/block.js";
+import { DependencyGraph } from "../bookkeeping/chains.js";
 import { newMachine } from "../bookkeeping/machines.js";
-import type { Job, Machine, Range } from "../bookkeeping/picture.js";
+import type { Job, Machine, TaskRange } from "../bookkeeping/picture.js";
 import type { TaskRecord } from "../bookkeeping/records.js";
-import { attemptOf, confirmed, isActive } from "../bookkeeping/tasks.js";
-import { Chained } from "../coordination/chained.js";
-import type { BlockLease } from "../coordination/context.js";
-import { decideDrain } from "../coordination/decisions/drain.js";
+import { attemptOf, isActive, isPlacementRecorded } from "../bookkeeping/tasks.js";
+import { DependencyTracker } from "../coordination/chained.js";
+import type { ShardLease } from "../coordination/context.js";
+import { decideEvictions } from "../coordination/decisions/drain.js";
 import { neverRuns } from "../coordination/decisions/eligibility.js";
-import { decideEmptying } from "../coordination/decisions/emptying.js";
-import type { Picture } from "../coordination/decisions/picture.js";
-import { decideRental, History, type Market, type Option, Refusals } from "../coordination/decisions/rental.js";
-import { applyAction, decideRound, newMemory, type RoundAction } from "../coordination/decisions/round.js";
-import { Observer } from "../coordination/observer.js";
-import { Overload } from "../coordination/overload.js";
-import { SEARCHES } from "../coordination/rounds.js";
-import { type MachineType, readTypes } from "../protocol/cloud.js";
-import { Malformed } from "../protocol/json.js";
-import { type JobSpec, readSubmission } from "../protocol/user.js";
+import { chooseMachineToConsolidate } from "../coordination/decisions/emptying.js";
+import type { SchedulerSnapshot } from "../coordination/decisions/picture.js";
+import {
+  CapacityBackoff,
+  type CloudOffers,
+  DemandHistory,
+  type MachineOffer,
+  planScaling,
+} from "../coordination/decisions/rental.js";
+import { applyAction, decideRound, newRoundState, type RoundAction } from "../coordination/decisions/round.js";
+import { HeartbeatProcessor } from "../coordination/observer.js";
+import { LoadShedder } from "../coordination/overload.js";
+import { MAX_PREEMPTION_SEARCHES } from "../coordination/rounds.js";
+import { decodeMachineTypes, type MachineType } from "../protocol/cloud.js";
+import { MalformedMessageError } from "../protocol/json.js";
+import { decodeSubmission, type JobSpec } from "../protocol/user.js";
 import type { Options } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
 import type { Micros } from "../transport/clock.js";
@@ -78,28 +84,28 @@
   readonly world = new World();
   readonly truth = new Truth();
   readonly cloud: CloudService;
-  readonly block: Block;
+  readonly block: ShardState;
   private readonly clock: HostClock;
   private readonly settings: Settings;
   private readonly types: ReadonlyMap<string, MachineType>;
   private readonly writer: Writer;
-  private readonly observer: Observer;
+  private readonly observer: HeartbeatProcessor;
   private readonly bodies = new Map<string, FastMachine>();
   private readonly hearing: Hearing;
-  private readonly memory = newMemory();
-  private readonly history = new History();
-  private readonly refusals = new Refusals();
+  private readonly memory = newRoundState();
+  private readonly history = new DemandHistory();
+  private readonly refusals = new CapacityBackoff();
   private readonly cloudLimit: RateLimit;
-  private readonly work = { visited: 0 };
-  private readonly chains = new Chains();
-  private readonly chained: Chained;
+  private readonly work = { count: 0 };
+  private readonly chains = new DependencyGraph();
+  private readonly chained: DependencyTracker;
   private readonly ended = new Map<string, "done" | "withdrawn">();
-  private readonly queued = new Set<Range>();
-  private readonly noted = new Set<Range>();
+  private readonly queued = new Set<TaskRange>();
+  private readonly noted = new Set<TaskRange>();
   private readonly leaving = new Set<Machine>();
   private readonly commanded = new Set<Machine>();
   private readonly doomed: Machine[] = [];
-  private asks: { readonly option: Option; readonly count: number; readonly since: Micros }[] = [];
+  private asks: { readonly offer: MachineOffer; readonly count: number; readonly since: Micros }[] = [];
   private removing = false;
   private ticking = false;
   private roundAt = Number.POSITIVE_INFINITY;
@@ -118,11 +124,11 @@
     this.hearing = hearing;
     this.clock = new HostClock(this.world, 1, 1);
     this.settings = settingsOf(spec, simulatedAddresses(spec.controllers.length), 0);
-    this.types = new Map(readTypes(catalogOf(spec.types)).map((type) => [type.name, type]));
-    const rangeSize = Math.max(1, Math.min(MAX_RANGE, Math.floor(this.settings.state.layoutBytes / BYTES_PER_TASK)));
-    this.block = new Block(this.clock, rangeSize, this.settings.teams, () => this.types);
-    const { state } = this.settings;
-    this.writer = new Writer(this.world, this.clock, state.writeRps * SHARE, state.transactionWrites);
+    this.types = new Map(decodeMachineTypes(catalogOf(spec.types)).map((type) => [type.name, type]));
+    const rangeSize = Math.max(1, Math.min(MAX_RANGE, Math.floor(this.settings.store.layoutBytes / BYTES_PER_TASK)));
+    this.block = new ShardState(this.clock, rangeSize, this.settings.teams, () => this.types);
+    const { store } = this.settings;
+    this.writer = new Writer(this.world, this.clock, store.writesPerS * SHARE, store.transactionWrites);
     this.cloudLimit = new RateLimit(this.clock, spec.cloud.rps * CLOUD_SHARE);
     const luck = new Luck(seed);
     const executes: ExecutorAround = { timeline: this.world, luck, witness, truth: this.truth, times: spec.workers };
@@ -135,31 +141,31 @@
       witness,
       roomOf(spec.capacity),
     );
-    const lease: BlockLease = { block: 0, number: 1, key: "", version: 0, valid: () => this.acting };
+    const lease: ShardLease = { shard: 0, epoch: 1, key: "", version: 0, isValid: () => this.acting };
     const nothing = (): void => undefined;
     const log: Log = { error: nothing, info: nothing, debug: nothing };
-    this.observer = new Observer(
+    this.observer = new HeartbeatProcessor(
       {
-        block: this.block,
+        shard: this.block,
         clock: this.clock,
         lease,
         log,
-        wakeRound: () => this.wakeRound(ROUND_GAP),
-        wakeCommands: (machine) => this.command(machine),
-        inquire: nothing,
-        introduce: nothing,
-        overload: new Overload(this.clock, log, null),
-        sink: null,
-        failed: () => undefined,
+        scheduleRound: () => this.wakeRound(ROUND_GAP),
+        scheduleCommands: (machine) => this.command(machine),
+        queryStatus: nothing,
+        announceFencingToken: nothing,
+        loadShedder: new LoadShedder(this.clock, log, null),
+        eventListener: null,
+        onTaskFailed: () => undefined,
       },
-      { note: (range) => this.note(range), finish: (job) => this.finish(job) },
+      { recordSoon: (range) => this.note(range), finishIfComplete: (job) => this.finish(job) },
     );
-    const around = { block: this.block, chains: this.chains, clock: this.clock, log, wall: null };
-    this.chained = new Chained({ ...around, wakeRound: () => this.wakeRound(0) }, ({ spec: job }) =>
-      this.history.learn(job),
+    const dependencies = { shard: this.block, dependencies: this.chains, clock: this.clock, log, wallClock: null };
+    this.chained = new DependencyTracker({ ...dependencies, scheduleRound: () => this.wakeRound(0) }, ({ spec: job }) =>
+      this.history.record(job),
     );
-    this.chains.onMayBegin = (id) => this.chained.mayBegin(id);
-    this.chains.onWithdrawn = (id) => {
+    this.chains.onReady = (id) => this.chained.jobReady(id);
+    this.chains.onCancelledByDependency = (id) => {
       const job = this.block.jobs.get(id);
       if (job !== undefined) this.withdraw(job);
     };
@@ -177,9 +183,9 @@
     this.truth.behaviours.set(job.ref, { ...jobBehaviour(job), ...behaviour });
     let spec: JobSpec;
     try {
-      spec = readSubmission(job);
+      spec = decodeSubmission(job);
     } catch (error) {
-      if (!(error instanceof Malformed)) throw error;
+      if (!(error instanceof MalformedMessageError)) throw error;
       this.hearing.dropped(job.ref, 400);
       return;
     }
@@ -200,15 +206,15 @@
   private accept(spec: JobSpec): void {
     this.hearing.submitted(spec.id, 201, "pending", this.world.now);
     this.world.after(HOP, () => {
-      const awaits = spec.awaits ?? [];
-      this.chains.put(spec.id, awaits, false);
+      const awaits = spec.dependencies ?? [];
+      this.chains.upsert(spec.id, awaits, false);
       for (const id of awaits) {
         const end = this.ended.get(id);
-        if (end !== undefined) this.chains.learn(id, end === "done" ? "done" : "cancelled");
+        if (end !== undefined) this.chains.recordTerminalPhase(id, end === "done" ? "done" : "cancelled");
       }
       const job = this.block.addJob(spec, 1, false);
-      this.chained.added(job, null);
-      if (this.chains.isWithdrawn(spec.id)) this.withdraw(job);
+      this.chained.jobAdded(job, null);
+      if (this.chains.isCancelled(spec.id)) this.withdraw(job);
       this.stirred = true;
       this.wakeRound(0);
     });
@@ -233,7 +239,7 @@
     const ended = this.ended.get(id);
     if (ended === undefined) {
       this.withdraw(job);
-      this.chains.put(id, [], true);
+      this.chains.upsert(id, [], true);
     }
     this.hearing.cancelAnswered(id, 200, ended ?? "withdrawn");
   }
@@ -242,9 +248,9 @@
     if (job.cancelled) return;
     job.cancelled = true;
     this.ended.set(job.spec.id, "withdrawn");
-    for (const task of [...job.placed]) {
-      const machine = task.on;
-      if (task.launch.kind === "none") this.observer.gone(task);
+    for (const task of [...job.placedTasks]) {
+      const machine = task.machine;
+      if (task.startCommand.kind === "none") this.observer.taskGone(task);
       if (machine !== null) this.command(machine);
     }
     this.finish(job);
@@ -253,7 +259,7 @@
   // Records -------------------------------------------------------------------------------------------------
 
   /** A placement is to be on record; its start follows from that. */
-  private mark(range: Range): void {
+  private mark(range: TaskRange): void {
     if (this.queued.has(range)) return;
     this.queued.add(range);
     let snapshot: readonly TaskRecord[] = [];
@@ -262,22 +268,23 @@
       leave: () => {
         this.queued.delete(range);
         this.noted.delete(range);
-        snapshot = range.tasks.map(({ want }) => want);
+        snapshot = range.tasks.map(({ desired }) => desired);
       },
       done: () => {
         range.tasks.forEach((task, at) => {
-          task.durable = snapshot[at] ?? task.durable;
-          if (task.on !== null && task.launch.kind === "none" && confirmed(task)) this.command(task.on);
+          task.recorded = snapshot[at] ?? task.recorded;
+          if (task.machine !== null && task.startCommand.kind === "none" && isPlacementRecorded(task))
+            this.command(task.machine);
         });
       },
     });
   }
 
   /** What has ended is recorded later, together with what ends meanwhile. */
-  private note(range: Range): void {
+  private note(range: TaskRange): void {
     if (this.noted.has(range)) return;
     this.noted.add(range);
-    const perSecond = Math.max(1, this.settings.state.writeRps * NOTE_SHARE);
+    const perSecond = Math.max(1, this.settings.store.writesPerS * NOTE_SHARE);
     const delay = Math.min(NOTE_MOST, Math.max(NOTE_LEAST, (this.block.jobs.size / perSecond) * S));
     this.world.after(delay, () => {
       if (!this.noted.delete(range) || !this.block.jobs.has(range.job.spec.id)) return;
@@ -286,17 +293,17 @@
   }
 
   private finish(job: Job): void {
-    const done = job.done >= job.spec.tasks;
-    if (job.ending || !(done || (job.cancelled && job.placed.size === 0))) return;
-    job.ending = true;
+    const done = job.completedTasks >= job.spec.tasks;
+    if (job.outcomePending || !(done || (job.cancelled && job.placedTasks.size === 0))) return;
+    job.outcomePending = true;
     const count = 2 + job.ranges.length;
     this.writer.propose(1, {
-      count: Math.min(count, this.settings.state.transactionWrites),
+      count: Math.min(count, this.settings.store.transactionWrites),
       leave: () => undefined,
       done: () => {
         if (!job.cancelled) this.ended.set(job.spec.id, "done");
         this.block.jobs.delete(job.spec.id);
-        this.chained.ended(job, { phase: job.cancelled ? "cancelled" : "done", done: job.done });
+        this.chained.jobEnded(job, { phase: job.cancelled ? "cancelled" : "done", completedTasks: job.completedTasks });
         this.chains.remove(job.spec.id);
         this.truth.drop(job.spec.id);
         this.stirred = true;
@@ -306,8 +313,8 @@
 
   // Machines ------------------------------------------------------------------------------------------------
 
-  private boot(around: ExecutorAround, info: HostInfo, type: SiteSpec["types"][number]): FastMachine {
-    const body = new FastMachine(around, info, type, (machine) => this.heard(machine));
+  private boot(dependencies: ExecutorAround, info: HostInfo, type: SiteSpec["types"][number]): FastMachine {
+    const body = new FastMachine(dependencies, info, type, (machine) => this.heard(machine));
     this.bodies.set(info.name, body);
     return body;
   }
@@ -320,12 +327,12 @@
       machine = newMachine(name, type, this.types.get(type) ?? null, zone, spot, this.clock.now());
       this.block.machines.set(name, machine);
     }
-    const before = machine.noticeUntil;
-    this.observer.observe(machine, body.report(), { kind: "report" });
+    const before = machine.reclaimAt;
+    this.observer.process(machine, body.report(), { kind: "report" });
     for (const task of [...body.executor.list()]) {
       if (task.phase === "exited") body.executor.forget(task.shard, task.try);
     }
-    if (machine.noticeUntil !== null && before === null) this.attend(machine);
+    if (machine.reclaimAt !== null && before === null) this.attend(machine);
   }
 
   /** Coalesced: what one round places on a machine travels together. */
@@ -341,18 +348,23 @@
   }
 
   private carryCommands(machine: Machine, body: FastMachine): void {
-    let sent = machine.strays.size;
+    let sent = machine.unexpectedTasks.size;
     for (const task of [...machine.tasks]) {
-      const attempt = attemptOf(task.want);
-      const stops = isActive(task) && (task.job.cancelled || (task.stop !== null && task.state !== "saving"));
+      const attempt = attemptOf(task.desired);
+      const stops = isActive(task) && (task.job.cancelled || (task.stopRequest !== null && task.state !== "saving"));
       sent += 1;
-      if (stops) body.executor.stop(task.name, attempt, task.job.cancelled ? 0 : (task.stop?.graceS ?? 0));
-      else if (task.launch.kind === "none" && confirmed(task) && !task.job.cancelled && task.stop === null) {
+      if (stops) body.executor.stop(task.name, attempt, task.job.cancelled ? 0 : (task.stopRequest?.graceS ?? 0));
+      else if (
+        task.startCommand.kind === "none" &&
+        isPlacementRecorded(task) &&
+        !task.job.cancelled &&
+        task.stopRequest === null
+      ) {
         body.executor.start(task.name, attempt);
-        task.launch = { kind: "seen" };
+        task.startCommand = { kind: "seen" };
       } else sent -= 1;
     }
-    for (const [task, attempt] of machine.strays) body.executor.stop(task, Number(attempt), 0);
+    for (const [task, attempt] of machine.unexpectedTasks) body.executor.stop(task, Number(attempt), 0);
     // The answer is a report.
     if (sent > 0) this.heard(body);
   }
@@ -367,15 +379,15 @@
   private tick(): void {
     this.ticking = false;
     for (const machine of this.leaving) {
-      const leaves = machine.noticeUntil !== null || machine.drain === "returning";
-      const stops = leaves || [...machine.tasks].some(({ stop }) => stop !== null);
+      const leaves = machine.reclaimAt !== null || machine.drainReason === "returning";
+      const stops = leaves || [...machine.tasks].some(({ stopRequest }) => stopRequest !== null);
       if (!stops || !this.block.machines.has(machine.name)) this.leaving.delete(machine);
       else if (this.acting) {
-        for (const action of decideDrain(machine, this.clock.now())) {
-          if (action.kind === "gone") this.observer.gone(action.task);
-          else action.task.stop = { graceS: action.graceS };
+        for (const action of decideEvictions(machine, this.clock.now())) {
+          if (action.kind === "gone") this.observer.taskGone(action.task);
+          else action.task.stopRequest = { graceS: action.graceS };
         }
-        if ([...machine.tasks].some(({ stop }) => stop !== null)) this.command(machine);
+        if ([...machine.tasks].some(({ stopRequest }) => stopRequest !== null)) this.command(machine);
       }
     }
     if (this.leaving.size === 0) return;
@@ -385,7 +397,7 @@
 
   /** Time until a machine that says nothing is given up. */
   private get silence(): number {
-    return this.settings.workers.report * this.setup.options.silentReports + PROBE;
+    return this.settings.workers.heartbeatInterval * this.setup.options.silentReports + PROBE;
   }
 
   /** Taken from outside: known once it misses its reports. */
@@ -399,7 +411,7 @@
     const machine = this.block.machines.get(name);
     if (machine === undefined) return;
     machine.state = "gone";
-    this.observer.lost(machine, "deleted");
+    this.observer.machineLost(machine, "deleted");
     this.block.machines.delete(name);
     this.stirred = true;
   }
@@ -473,18 +485,18 @@
 
   // Decisions -----------------------------------------------------------------------------------------------
 
-  private picture(): Picture {
+  private picture(): SchedulerSnapshot {
     return {
       now: this.clock.now(),
-      block: this.block,
+      shard: this.block,
       settings: this.settings,
       options: this.setup.options,
-      silentAfter: Number.POSITIVE_INFINITY,
-      searches: SEARCHES,
-      records: { prompt: Number.POSITIVE_INFINITY, work: Number.POSITIVE_INFINITY },
-      guaranteesShort: this.memory.guaranteesShort,
-      firstToken: TOKEN,
-      work: this.work,
+      heartbeatTimeout: Number.POSITIVE_INFINITY,
+      maxPreemptionSearches: MAX_PREEMPTION_SEARCHES,
+      recordBudget: { prompt: Number.POSITIVE_INFINITY, work: Number.POSITIVE_INFINITY },
+      guaranteesOvercommitted: this.memory.guaranteesOvercommitted,
+      firstFencingToken: TOKEN,
+      inspection: this.work,
     };
   }
 
@@ -519,24 +531,24 @@
         this.command(action.machine);
         return;
       case "dissolve":
-        for (const { on } of action.job.placed) if (on !== null) this.command(on);
+        for (const { machine } of action.job.placedTasks) if (machine !== null) this.command(machine);
         return;
       case "look later":
       case "wait":
     }
   }
 
-  private market(): Market {
+  private market(): CloudOffers {
     return {
-      asked: this.asks,
-      refusedUntil: (key) => this.refusals.until(key),
-      cutZones: new Set(),
-      history: this.history,
+      pendingRequests: this.asks,
+      unavailableUntil: (key) => this.refusals.until(key),
+      unreachableZones: new Set(),
+      demandHistory: this.history,
     };
   }
 
   private waits(): boolean {
-    for (const job of this.block.jobs.values()) if (job.waiting.size > 0 && !job.cancelled) return true;
+    for (const job of this.block.jobs.values()) if (job.waitingTasks.size > 0 && !job.cancelled) return true;
     return false;
   }
 
@@ -545,25 +557,25 @@
     if (this.acting && (this.stirred || this.world.now - this.plannedAt >= QUIET_PLAN)) {
       this.stirred = false;
       this.plannedAt = this.world.now;
-      const picture = this.picture();
-      const { rent, back } = decideRental(picture, this.market());
-      for (const { option, count } of rent) {
+      const snapshot = this.picture();
+      const { scaleOut, scaleIn } = planScaling(snapshot, this.market());
+      for (const { offer, count } of scaleOut) {
         for (let left = Math.min(count, MAX_ASK * MAX_ASKS); left > 0; left -= MAX_ASK) {
-          this.asks.push({ option, count: Math.min(left, MAX_ASK), since: this.clock.now() });
+          this.asks.push({ offer, count: Math.min(left, MAX_ASK), since: this.clock.now() });
         }
       }
-      if (back.length > 0) this.remove(back.slice(0, MAX_DELETE).map(({ machine }) => machine));
-      this.move(picture);
+      if (scaleIn.length > 0) this.remove(scaleIn.slice(0, MAX_DELETE).map(({ machine }) => machine));
+      this.move(snapshot);
     }
     this.settle();
   }
 
-  private move(picture: Picture): void {
+  private move(snapshot: SchedulerSnapshot): void {
     if (this.world.now < this.moveAfter) return;
     this.moveAfter = this.world.now + MOVE_LOOK;
-    const machine = decideEmptying(picture, this.history);
+    const machine = chooseMachineToConsolidate(snapshot, this.history);
     if (machine === null) return;
-    machine.drain = "returning";
+    machine.drainReason = "returning";
     this.moveAfter = this.world.now + MOVE_PERIOD;
     this.attend(machine);
   }
@@ -584,15 +596,15 @@
     this.cloudLimit.take(1);
     this.world.after(CLOUD_CALL, () => {
       this.asks = this.asks.slice(1);
-      const { type, zone, spot } = ask.option;
+      const { type, zone, spot } = ask.offer;
       const known = this.setup.spec.types.find(({ name }) => name === type.name);
       const names = known === undefined ? [] : this.cloud.grant(known, zone, spot, ask.count);
       for (const name of names) {
         const machine = newMachine(name, type.name, type, zone, spot, this.clock.now());
-        machine.rentedAt = ask.since;
+        machine.provisionedAt = ask.since;
         this.block.machines.set(name, machine);
       }
-      this.refusals.granted(ask.option, ask.count, names.length, this.clock.now());
+      this.refusals.recordGrant(ask.offer, ask.count, names.length, this.clock.now());
       this.stirred = true;
       this.settle();
     });
--- a/src/model/local-site.ts
+++ b/src/model/local-site.ts
@@ -3,7 +3,7 @@
 import { createServer } from "node:net";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import { jobKey, readJob } from "../bookkeeping/records.js";
+import { decodeJobRecord, jobKey } from "../bookkeeping/records.js";
 import type { Options } from "../settings/options.js";
 import { ms } from "../transport/clock.js";
 import { jobBehaviour } from "./behaviour.js";
@@ -90,7 +90,7 @@
     this.state = new StateService(this.timeline, random, { rps, writeRps, txnOps, valueBytes: valueKb * 1_024 });
     net.add({ address: addresses.state, serve: (request, from) => this.state.serve(request, from), state: "up" });
     this.truth.lookUp = (job) => this.described(job);
-    const around: Surroundings = {
+    const dependencies: Surroundings = {
       timeline: this.timeline,
       net,
       random,
@@ -104,9 +104,9 @@
     this.cloud = new CloudService(
       this.timeline,
       random,
-      around.luck,
+      dependencies.luck,
       spec,
-      (info, type) => new Worker(around, info, type),
+      (info, type) => new Worker(dependencies, info, type),
       this.watch.witness,
       roomOf(spec.capacity),
     );
@@ -210,16 +210,16 @@
   private described(job: string): Behaviour | null {
     const value = this.state.value(jobKey(job));
     if (value === undefined) return null;
-    const { spec } = readJob(value);
+    const { spec } = decodeJobRecord(value);
     return this.faster({
       cpus: spec.demand.cpu / 1_000,
       gpus: spec.demand.gpu / 1_000,
       ramGb: spec.demand.ram / 1_000,
       bundle: spec.image,
       sizeGb: spec.imageGb,
-      runUs: spec.shape === "service" ? null : Math.round(spec.estimateS * S),
-      saveEveryUs: Math.round(spec.checkpointS * S),
-      saveTakesUs: Math.round(spec.saveS * S),
+      runUs: spec.shape === "service" ? null : Math.round(spec.estimatedRunS * S),
+      saveEveryUs: Math.round(spec.checkpointIntervalS * S),
+      saveTakesUs: Math.round(spec.checkpointDurationS * S),
       failsAlways: false,
       gang: spec.shape === "gang" ? spec.tasks : 0,
     });
--- a/src/model/network.ts
+++ b/src/model/network.ts
@@ -1,5 +1,5 @@
 import type { Clock, Micros } from "../transport/clock.js";
-import type { HttpClient, Outcome, Request, Response } from "../transport/http.js";
+import type { HttpClient, HttpOutcome, Request, Response } from "../transport/http.js";
 import type { Door } from "./door.js";
 import type { Random } from "./random.js";
 import { type HostClock, S, type World } from "./world.js";
@@ -196,7 +196,7 @@
     };
   }
 
-  private call(from: string, clock: HostClock, to: string, request: Request, timeout: Micros): Promise<Outcome> {
+  private call(from: string, clock: HostClock, to: string, request: Request, timeout: Micros): Promise<HttpOutcome> {
     const door = this.hosts.get(from)?.door ?? null;
     if (door === null) return this.send(from, clock, to, request, timeout);
     const left = door.leave();
@@ -210,10 +210,10 @@
     });
   }
 
-  private send(from: string, clock: HostClock, to: string, request: Request, timeout: Micros): Promise<Outcome> {
+  private send(from: string, clock: HostClock, to: string, request: Request, timeout: Micros): Promise<HttpOutcome> {
     return new Promise((resolve) => {
       let settled = false;
-      const settle = (outcome: Outcome): void => {
+      const settle = (outcome: HttpOutcome): void => {
         if (settled || clock.dead) return;
         settled = true;
         timer.cancel();
@@ -267,7 +267,7 @@
     });
   }
 
-  private reply(from: string, to: string, request: Request, given: Response, settle: (o: Outcome) => void): void {
+  private reply(from: string, to: string, request: Request, given: Response, settle: (o: HttpOutcome) => void): void {
     const response = this.tamper === null ? given : this.tamper(from, to, request, given);
     const arrive = (): void => {
       const cut = this.cutBetween(from, to);
--- a/src/model/site.ts
+++ b/src/model/site.ts
@@ -1,6 +1,6 @@
-import type { SiteEvent } from "../bookkeeping/events.js";
-import { Controller, type Outside } from "../coordination/controller.js";
-import type { MakeExtension } from "../coordination/extension.js";
+import type { ClusterEvent } from "../bookkeeping/events.js";
+import { Controller, type ControllerEnvironment } from "../coordination/controller.js";
+import type { ExtensionFactory } from "../coordination/extension.js";
 import { meshWith } from "../mesh/index.js";
 import type { Options } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
@@ -32,7 +32,7 @@
   readonly hearing: Hearing;
   log(level: "error" | "info", controller: number, event: string, fields: LogFields): void;
   /** What the controllers would record, where one is to be listened to. */
-  readonly sink?: (event: SiteEvent) => void;
+  readonly sink?: (event: ClusterEvent) => void;
 }
 
 export interface SiteSetup {
@@ -49,7 +49,7 @@
   /** Bounds of each controller's process; none by default. */
   readonly bounds?: Bounds;
   /** What makes jobs of its own beside the controllers' kernel. */
-  readonly extension?: MakeExtension;
+  readonly extension?: ExtensionFactory;
   /** Changes that a watch on the state service can look back on. */
   readonly stateLog?: number;
 }
@@ -108,7 +108,7 @@
       serve: (request, from) => this.state.serve(request, from),
       state: "up",
     });
-    const around: Surroundings = {
+    const dependencies: Surroundings = {
       timeline: this.world,
       net: this.network,
       random: this.random,
@@ -122,9 +122,9 @@
     this.cloud = new CloudService(
       this.world,
       this.random,
-      around.luck,
+      dependencies.luck,
       spec,
-      (info, type) => new Worker(around, info, type),
+      (info, type) => new Worker(dependencies, info, type),
       this.watch.witness,
       setup.room ?? roomOf(spec.capacity),
     );
@@ -187,10 +187,10 @@
       log: { error: line("error"), info: line("info"), debug: () => undefined },
       http: this.network.client(node.host.address, clock),
       random: this.random.next,
-      sink: this.watch.sink ?? null,
+      eventListener: this.watch.sink ?? null,
       extension: this.setup.extension ?? null,
       // Off by as much as the settings allow, one way or the other.
-      wall: () => WALL_MS + this.world.now / 1_000 + (at % 2 === 0 ? 1 : -1) * CLOCK_ERROR_MS,
+      wallClock: () => WALL_MS + this.world.now / 1_000 + (at % 2 === 0 ? 1 : -1) * CLOCK_ERROR_MS,
       ...(door === null ? {} : this.bounded(at, door)),
     };
     const incarnation = `inc-${at}-${node.starts}`;
@@ -201,10 +201,10 @@
     node.controller.start();
   }
 
-  private bounded(at: number, door: Door): Pick<Outside, "load" | "spent"> {
+  private bounded(at: number, door: Door): Pick<ControllerEnvironment, "load" | "onInspected"> {
     return {
       load: door.bounds.sheds ? () => door.load(this.bytes(at)) : null,
-      spent: (looks) => door.spend(looks * door.bounds.costs.lookUs),
+      onInspected: (looks) => door.spend(looks * door.bounds.costs.lookUs),
     };
   }
 
@@ -212,7 +212,7 @@
   private bytes(at: number): number {
     const node = this.nodes[at];
     if (node === undefined || node.door === null) return 0;
-    const holds = node.controller?.holding ?? { machines: 0, tasks: 0 };
+    const holds = node.controller?.leadershipSize ?? { machines: 0, tasks: 0 };
     return node.door.bytes(holds.machines, holds.tasks);
   }
 
--- a/src/model/users.ts
+++ b/src/model/users.ts
@@ -1,5 +1,5 @@
 import type { Micros } from "../transport/clock.js";
-import type { Outcome, Request } from "../transport/http.js";
+import type { HttpOutcome, Request } from "../transport/http.js";
 import type { Net } from "./network.js";
 import type { Random } from "./random.js";
 import { HostClock, S, type Timeline } from "./world.js";
@@ -58,7 +58,7 @@
 const POLL_PATIENCE = 2 * S;
 const MOST_RETRY_AFTER = 30;
 
-const phaseIn = (outcome: Outcome): string | null => {
+const phaseIn = (outcome: HttpOutcome): string | null => {
   if (outcome.kind !== "answer") return null;
   const { phase } = JSON.parse(outcome.body) as { phase?: string };
   return phase ?? null;
@@ -91,7 +91,7 @@
     body: string,
     timeoutUs = PATIENCE,
     to = this.random.pick(this.nodes),
-  ): Promise<Outcome> {
+  ): Promise<HttpOutcome> {
     return this.net.client("user", this.clock).call(to, this.alter({ method, target, body }), timeoutUs as Micros);
   }
 
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,9 +1,18 @@
-import { asArray, asObject, type Fields, Malformed, orNull, readAmount, readBoolean, readString } from "./json.js";
-import { capacityOf, type Demand } from "./user.js";
+import {
+  asArray,
+  asObject,
+  type JsonObject,
+  MalformedMessageError,
+  readBoolean,
+  readNonNegative,
+  readOptional,
+  readString,
+} from "./json.js";
+import { availableResources, type Resources } from "./user.js";
 
 export interface MachineType {
   readonly name: string;
-  readonly capacity: Demand;
+  readonly capacity: Resources;
   readonly cacheGb: number;
   readonly fetchGbPerS: number;
   readonly price: number;
@@ -24,25 +33,25 @@
 
 const readNames = (value: unknown, what: string): readonly string[] =>
   asArray(value, what).map((entry) => {
-    if (typeof entry !== "string") throw new Malformed(`${what}: not names`);
+    if (typeof entry !== "string") throw new MalformedMessageError(`${what}: not names`);
     return entry;
   });
 
-export const readTypes = (body: unknown): readonly MachineType[] =>
+export const decodeMachineTypes = (body: unknown): readonly MachineType[] =>
   asArray(asObject(body, "types").flavors, "flavors").map((entry) => {
     const fields = asObject(entry, "type");
     return {
       name: readString(fields, "sku"),
-      capacity: capacityOf(
-        readAmount(fields, "cpus"),
-        orNull(fields, "accelerators", readAmount) ?? 0,
-        readAmount(fields, "ramGb"),
+      capacity: availableResources(
+        readNonNegative(fields, "cpus"),
+        readOptional(fields, "accelerators", readNonNegative) ?? 0,
+        readNonNegative(fields, "ramGb"),
       ),
-      cacheGb: readAmount(fields, "localGb"),
-      fetchGbPerS: readAmount(fields, "pullGbPerS"),
-      price: readAmount(fields, "price"),
-      spotPrice: orNull(fields, "spotPrice", readAmount) ?? readAmount(fields, "price"),
-      bootS: readAmount(fields, "bootS"),
+      cacheGb: readNonNegative(fields, "localGb"),
+      fetchGbPerS: readNonNegative(fields, "pullGbPerS"),
+      price: readNonNegative(fields, "price"),
+      spotPrice: readOptional(fields, "spotPrice", readNonNegative) ?? readNonNegative(fields, "price"),
+      bootS: readNonNegative(fields, "bootS"),
       zones: readNames(fields.areas, "areas"),
     };
   });
@@ -53,26 +62,32 @@
   failed: "failed",
 };
 
-export const readListing = (body: unknown): { machines: readonly ListedMachine[]; more: boolean } => {
+export const decodeMachineList = (body: unknown): { machines: readonly ListedMachine[]; more: boolean } => {
   const fields = asObject(body, "listing");
   const machines = asArray(fields.hosts, "hosts").map((entry): ListedMachine => {
     const item = asObject(entry, "machine");
     const state = WIRE_STATE[readString(item, "phase")];
-    if (state === undefined) throw new Malformed("phase: unknown value");
+    if (state === undefined) throw new MalformedMessageError("phase: unknown value");
     return {
       name: readString(item, "ref"),
-      address: orNull(item, "addr", readString),
+      address: readOptional(item, "addr", readString),
       type: readString(item, "flavor"),
       zone: readString(item, "area"),
-      spot: orNull(item, "loaner", readBoolean) ?? false,
+      spot: readOptional(item, "loaner", readBoolean) ?? false,
       state,
-      ageS: readAmount(item, "heldS"),
+      ageS: readNonNegative(item, "heldS"),
     };
   });
   return { machines, more: readBoolean(fields, "more") };
 };
 
-export const rentRequest = (ask: string, type: string, zone: string, spot: boolean, count: number): Fields => ({
+export const encodeProvisioningRequest = (
+  ask: string,
+  type: string,
+  zone: string,
+  spot: boolean,
+  count: number,
+): JsonObject => ({
   ask,
   flavor: type,
   area: zone,
@@ -80,5 +95,6 @@
   number: count,
 });
 
-export const readRented = (body: unknown): readonly string[] => readNames(asObject(body, "rental").hosts, "hosts");
-export const deleteRequest = (names: readonly string[]): Fields => ({ hosts: names });
+export const decodeProvisionedNames = (body: unknown): readonly string[] =>
+  readNames(asObject(body, "rental").hosts, "hosts");
+export const encodeDeletionRequest = (names: readonly string[]): JsonObject => ({ hosts: names });
--- a/src/protocol/job-spec-form.ts
+++ b/src/protocol/job-spec-form.ts
@@ -1,30 +1,30 @@
-import { RecordForm } from "./record-form.js";
-import type { Demand, JobSpec, Origin } from "./user.js";
+import { RecordCodec } from "./record-form.js";
+import type { GraphOrigin, JobSpec, Resources } from "./user.js";
 
-const demandForm = new RecordForm<Demand>({ cpu: "cpu", gpu: "gpu", ram: "ram" });
+const resourcesCodec = new RecordCodec<Resources>({ cpu: "cpu", gpu: "gpu", ram: "ram" });
 
-const originForm = new RecordForm<Origin>({ graph: "graph", place: "place" });
+const graphOriginCodec = new RecordCodec<GraphOrigin>({ graph: "graph", position: "place" });
 
 /** The specification of a job as its record holds it. */
-export const jobSpecForm = new RecordForm<JobSpec>({
+export const jobSpecCodec = new RecordCodec<JobSpec>({
   id: "id",
   jobClass: "jobClass",
   team: "team",
   shape: "shape",
   priority: "priority",
   tasks: "tasks",
-  demand: { name: "demand", form: demandForm },
+  demand: { name: "demand", form: resourcesCodec },
   types: "types",
   zone: "zone",
-  oneZone: "oneZone",
+  singleZone: "oneZone",
   spread: "spread",
   spot: "spot",
   image: "image",
   imageGb: "imageGb",
-  estimateS: "estimateS",
-  checkpointS: "checkpointS",
-  saveS: "saveS",
+  estimatedRunS: "estimateS",
+  checkpointIntervalS: "checkpointS",
+  checkpointDurationS: "saveS",
   deadlineS: "deadlineS",
-  awaits: "awaits",
-  origin: { name: "origin", form: originForm },
+  dependencies: "awaits",
+  origin: { name: "origin", form: graphOriginCodec },
 });
--- a/src/protocol/links.ts
+++ b/src/protocol/links.ts
@@ -1,5 +1,5 @@
-import type { Fields } from "./json.js";
-import { RecordForm } from "./record-form.js";
+import type { JsonObject } from "./json.js";
+import { RecordCodec } from "./record-form.js";
 
 /** Links of one controller as it sees them, in words for operators. */
 export interface LinkTable {
@@ -21,14 +21,14 @@
   readonly roomKeptFor: string | null;
 }
 
-const linkTableForm = new RecordForm<LinkTable>({
+const linkTableForm = new RecordCodec<LinkTable>({
   state: "state",
   cloud: "cloud",
   workers: "workers",
   siblings: "siblings",
 });
 
-const machineLinksForm = new RecordForm<MachineLinks>({
+const machineLinksForm = new RecordCodec<MachineLinks>({
   up: "up",
   heardNotReached: "heardNotReached",
   silent: "silent",
@@ -38,7 +38,7 @@
 });
 
 /** Answer to `/links`. Without a mesh there is no table; `machines` is null where none are held. */
-export const linksAnswer = (table: LinkTable | null, machines: MachineLinks | null): Fields => ({
+export const linksAnswer = (table: LinkTable | null, machines: MachineLinks | null): JsonObject => ({
   ...(table === null ? {} : linkTableForm.encode(table)),
   machines: machines === null ? null : machineLinksForm.encode(machines),
 });
--- a/src/protocol/record-form.ts
+++ b/src/protocol/record-form.ts
@@ -1,21 +1,21 @@
-import type { Fields } from "./json.js";
+import type { JsonObject } from "./json.js";
 
 /** How a value of a field is stored, where it is not stored as it is. */
-export interface ValueForm<V> {
+export interface ValueCodec<V> {
   encode(value: V): unknown;
   decode(stored: unknown): V;
 }
 
 /** The stored name of a field, with the form of its value (of each entry, where the value is a list). */
-type FieldForm<V> = string | { readonly name: string; readonly form: ValueForm<EntryOf<NonNullable<V>>> };
+type FieldCodec<V> = string | { readonly name: string; readonly form: ValueCodec<EntryOf<NonNullable<V>>> };
 
 type EntryOf<V> = V extends readonly (infer Entry)[] ? Entry : V;
 
-type FieldForms<T> = { readonly [Field in keyof T]-?: FieldForm<T[Field]> };
+type FieldCodecs<T> = { readonly [Field in keyof T]-?: FieldCodec<T[Field]> };
 
 interface KnownField {
   readonly name: string;
-  readonly form: ValueForm<unknown> | null;
+  readonly form: ValueCodec<unknown> | null;
 }
 
 const mapEntries = (value: unknown, map: (entry: unknown) => unknown): unknown => {
@@ -28,12 +28,12 @@
  * fields is kept, fields that are absent stay absent, and fields that are not in the table, which a newer version may
  * have stored, are carried along. Values are not checked: such records are written by this program alone.
  */
-export class RecordForm<T extends object> implements ValueForm<T> {
+export class RecordCodec<T extends object> implements ValueCodec<T> {
   private readonly byField = new Map<string, KnownField>();
   private readonly byName = new Map<string, KnownField>();
 
-  constructor(fields: FieldForms<T>) {
-    const entries: [string, FieldForm<unknown>][] = Object.entries(fields);
+  constructor(fields: FieldCodecs<T>) {
+    const entries: [string, FieldCodec<unknown>][] = Object.entries(fields);
     for (const [field, known] of entries) {
       const { name, form } = typeof known === "string" ? { name: known, form: null } : known;
       this.byField.set(field, { name, form });
@@ -41,7 +41,7 @@
     }
   }
 
-  encode(value: Partial<T>): Fields {
+  encode(value: Partial<T>): JsonObject {
     const entries = Object.entries<unknown>(value).map(([field, inner]): [string, unknown] => {
       const known = this.byField.get(field);
       if (known === undefined) return [field, inner];
@@ -52,7 +52,7 @@
   }
 
   decode(stored: unknown): T {
-    const entries = Object.entries<unknown>(stored as Fields).flatMap(([name, inner]): [string, unknown][] => {
+    const entries = Object.entries<unknown>(stored as JsonObject).flatMap(([name, inner]): [string, unknown][] => {
       const known = this.byName.get(name);
       // An unknown field must not pass for the field that has its name in memory.
       if (known === undefined) return this.byField.has(name) ? [] : [[name, inner]];
--- a/src/protocol/state.ts
+++ b/src/protocol/state.ts
@@ -1,46 +1,58 @@
-import { asArray, asObject, type Fields, orNull, readBoolean, readString, readWhole, type Whole } from "./json.js";
+import {
+  asArray,
+  asObject,
+  type JsonObject,
+  readBoolean,
+  readOptional,
+  readString,
+  readUint64,
+  type Uint64,
+} from "./json.js";
 
 export interface Entry {
   readonly key: string;
   readonly value: unknown;
-  readonly version: Whole;
+  readonly version: Uint64;
 }
 
 export type Change =
-  | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly version: Whole }
-  | { readonly kind: "delete"; readonly key: string; readonly version: Whole };
+  | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly version: Uint64 }
+  | { readonly kind: "delete"; readonly key: string; readonly version: Uint64 };
 
-export type Write =
-  | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly lease?: Whole }
+export type WriteOperation =
+  | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly lease?: Uint64 }
   | { readonly kind: "delete"; readonly key: string };
 
-export const readEntry = (value: unknown): Entry => {
+export const decodeEntry = (value: unknown): Entry => {
   const fields = asObject(value, "entry");
-  return { key: readString(fields, "k"), value: fields.value, version: readWhole(fields, "stamp") };
+  return { key: readString(fields, "k"), value: fields.value, version: readUint64(fields, "stamp") };
 };
 
-export const readEntries = (body: unknown): { entries: readonly Entry[]; more: boolean; revision: Whole } => {
+export const decodeEntryPage = (body: unknown): { entries: readonly Entry[]; more: boolean; revision: Uint64 } => {
   const fields = asObject(body, "entries");
   return {
-    entries: asArray(fields.entries, "entries").map(readEntry),
+    entries: asArray(fields.entries, "entries").map(decodeEntry),
     more: readBoolean(fields, "more"),
-    revision: readWhole(fields, "epoch"),
+    revision: readUint64(fields, "epoch"),
   };
 };
 
-export const readChanges = (body: unknown): { changes: readonly Change[]; revision: Whole } => {
+export const decodeChanges = (body: unknown): { changes: readonly Change[]; revision: Uint64 } => {
   const fields = asObject(body, "changes");
   const changes = asArray(fields.log ?? [], "log").map((entry): Change => {
     const item = asObject(entry, "change");
-    const version = readWhole(item, "stamp");
-    const removed = orNull(item, "remove", readString);
+    const version = readUint64(item, "stamp");
+    const removed = readOptional(item, "remove", readString);
     if (removed !== null) return { kind: "delete", key: removed, version };
     return { kind: "put", key: readString(item, "set"), value: item.value, version };
   });
-  return { changes, revision: readWhole(fields, "epoch") };
+  return { changes, revision: readUint64(fields, "epoch") };
 };
 
-export const transactionRequest = (conditions: ReadonlyMap<string, Whole>, writes: readonly Write[]): Fields => ({
+export const encodeTransaction = (
+  conditions: ReadonlyMap<string, Uint64>,
+  writes: readonly WriteOperation[],
+): JsonObject => ({
   if: [...conditions].map(([key, version]) => ({ k: key, stamp: version })),
   writes: writes.map((write) => {
     if (write.kind === "delete") return { remove: write.key };
@@ -49,7 +61,7 @@
   }),
 });
 
-export const readRevision = (body: unknown): Whole => readWhole(asObject(body, "result"), "epoch");
-export const readFailed = (body: unknown): readonly string[] =>
+export const decodeRevision = (body: unknown): Uint64 => readUint64(asObject(body, "result"), "epoch");
+export const decodeFailedKeys = (body: unknown): readonly string[] =>
   asArray(asObject(body, "conflict").failed, "failed").filter((key) => typeof key === "string");
-export const readLease = (body: unknown): Whole => readWhole(asObject(body, "lease"), "hold");
+export const decodeLeaseId = (body: unknown): Uint64 => readUint64(asObject(body, "lease"), "hold");
--- a/src/protocol/user.ts
+++ b/src/protocol/user.ts
@@ -1,4 +1,13 @@
-import { asArray, asObject, type Fields, Malformed, orNull, readAmount, readBoolean, readString } from "./json.js";
+import {
+  asArray,
+  asObject,
+  type JsonObject,
+  MalformedMessageError,
+  readBoolean,
+  readNonNegative,
+  readOptional,
+  readString,
+} from "./json.js";
 
 /** A gang runs to completion like an array, but its tasks run together or not at all. */
 export type JobShape = "array" | "gang" | "service";
@@ -6,7 +15,7 @@
 export type Priority = (typeof PRIORITIES)[number];
 
 /** The place of a priority in their order; 0 is the highest. */
-export const rankOf = (priority: Priority): number => PRIORITIES.indexOf(priority);
+export const priorityRank = (priority: Priority): number => PRIORITIES.indexOf(priority);
 
 /** What is known of a job for ever. Amounts are scaled: thousandths of a CPU, MiB-like thousandths of a GB. */
 export interface JobSpec {
@@ -16,45 +25,45 @@
   readonly shape: JobShape;
   readonly priority: Priority;
   readonly tasks: number;
-  readonly demand: Demand;
+  readonly demand: Resources;
   readonly types: readonly string[] | null;
   readonly zone: string | null;
-  readonly oneZone: boolean;
+  readonly singleZone: boolean;
   readonly spread: boolean;
   readonly spot: boolean;
   readonly image: string;
   readonly imageGb: number;
-  readonly estimateS: number;
-  readonly checkpointS: number;
-  readonly saveS: number;
+  readonly estimatedRunS: number;
+  readonly checkpointIntervalS: number;
+  readonly checkpointDurationS: number;
   readonly deadlineS: number | null;
   /** Jobs that have to be done before any task of this one starts. */
-  readonly awaits?: readonly string[];
+  readonly dependencies?: readonly string[];
   /** What the job is a part of, where it is one; never sent by users. */
-  readonly origin?: Origin;
+  readonly origin?: GraphOrigin;
 }
 
 /** `place`: the job's place in its graph's own order, which decides among the graph's jobs and nowhere else. */
-export interface Origin {
+export interface GraphOrigin {
   readonly graph: string;
-  readonly place: number;
+  readonly position: number;
 }
 
 /** Whole thousandths, so that adding and subtracting leaves no rounding behind in a quota. */
-export interface Demand {
+export interface Resources {
   readonly cpu: number;
   readonly gpu: number;
   readonly ram: number;
 }
 
 /** Demands round up and capacities down, so scaling can never let a task in that does not fit. */
-export const demandOf = (cpus: number, gpus: number, ram: number): Demand => ({
+export const requestedResources = (cpus: number, gpus: number, ram: number): Resources => ({
   cpu: Math.ceil(cpus * 1_000 - 1e-6),
   gpu: Math.ceil(gpus * 1_000 - 1e-6),
   ram: Math.ceil(ram * 1_000 - 1e-6),
 });
 
-export const capacityOf = (cpus: number, gpus: number, ram: number): Demand => ({
+export const availableResources = (cpus: number, gpus: number, ram: number): Resources => ({
   cpu: Math.floor(cpus * 1_000 + 1e-6),
   gpu: Math.floor(gpus * 1_000 + 1e-6),
   ram: Math.floor(ram * 1_000 + 1e-6),
@@ -81,52 +90,54 @@
 
 export const isJobId = (text: string): boolean => JOB_ID.test(text);
 
-const lookup = <T>(table: Readonly<Record<string, T>>, fields: Fields, name: string): T => {
+const lookup = <T>(table: Readonly<Record<string, T>>, fields: JsonObject, name: string): T => {
   const value = Object.hasOwn(table, readString(fields, name)) ? table[readString(fields, name)] : undefined;
-  if (value === undefined) throw new Malformed(`${name}: unknown value`);
+  if (value === undefined) throw new MalformedMessageError(`${name}: unknown value`);
   return value;
 };
 
-const readName = (fields: Fields, name: string): string => {
+const readName = (fields: JsonObject, name: string): string => {
   const value = readString(fields, name);
-  if (value === "" || value.length > 200) throw new Malformed(`${name}: empty or too long`);
+  if (value === "" || value.length > 200) throw new MalformedMessageError(`${name}: empty or too long`);
   return value;
 };
 
 /** The jobs that have to be done first; null and none are the same. */
-const readAwaits = (fields: Fields, id: string): readonly string[] => {
-  const awaits = orNull(fields, "awaits", (f, name) => asArray(f[name], name)) ?? [];
+const decodeDependencies = (fields: JsonObject, id: string): readonly string[] => {
+  const awaits = readOptional(fields, "awaits", (f, name) => asArray(f[name], name)) ?? [];
   const known = new Set<string>();
   for (const entry of awaits) {
-    if (typeof entry !== "string" || !isJobId(entry)) throw new Malformed("awaits: not a list of job ids");
-    if (entry === id) throw new Malformed("awaits: names the job itself");
-    if (known.has(entry)) throw new Malformed(`awaits: ${entry} twice`);
+    if (typeof entry !== "string" || !isJobId(entry)) throw new MalformedMessageError("awaits: not a list of job ids");
+    if (entry === id) throw new MalformedMessageError("awaits: names the job itself");
+    if (known.has(entry)) throw new MalformedMessageError(`awaits: ${entry} twice`);
     known.add(entry);
   }
   return [...known];
 };
 
 /** Throws Malformed on anything that the protocol calls missing or invalid. */
-export const readSubmission = (body: unknown): JobSpec => {
+export const decodeSubmission = (body: unknown): JobSpec => {
   const fields = asObject(body, "job");
   const id = readString(fields, "ref");
-  if (!isJobId(id)) throw new Malformed("ref: not a job id");
-  const tasks = readAmount(fields, "shards");
-  if (!Number.isInteger(tasks) || tasks < 1 || tasks > MAX_TASKS) throw new Malformed("shards: not a number of tasks");
-  const types = orNull(fields, "flavors", (f, name) =>
+  if (!isJobId(id)) throw new MalformedMessageError("ref: not a job id");
+  const tasks = readNonNegative(fields, "shards");
+  if (!Number.isInteger(tasks) || tasks < 1 || tasks > MAX_TASKS)
+    throw new MalformedMessageError("shards: not a number of tasks");
+  const types = readOptional(fields, "flavors", (f, name) =>
     asArray(f[name], name).map((entry) => {
-      if (typeof entry !== "string") throw new Malformed("flavors: not names");
+      if (typeof entry !== "string") throw new MalformedMessageError("flavors: not names");
       return entry;
     }),
   );
-  const demand = demandOf(
-    readAmount(fields, "cpus"),
-    orNull(fields, "accelerators", readAmount) ?? 0,
-    readAmount(fields, "ramGb"),
+  const demand = requestedResources(
+    readNonNegative(fields, "cpus"),
+    readOptional(fields, "accelerators", readNonNegative) ?? 0,
+    readNonNegative(fields, "ramGb"),
   );
-  if (!Object.values(demand).every(Number.isSafeInteger)) throw new Malformed("cpus: out of range");
-  if (demand.cpu === 0 && demand.gpu === 0 && demand.ram === 0) throw new Malformed("cpus: nothing asked for");
-  const awaits = readAwaits(fields, id);
+  if (!Object.values(demand).every(Number.isSafeInteger)) throw new MalformedMessageError("cpus: out of range");
+  if (demand.cpu === 0 && demand.gpu === 0 && demand.ram === 0)
+    throw new MalformedMessageError("cpus: nothing asked for");
+  const awaits = decodeDependencies(fields, id);
   return {
     id,
     jobClass: readName(fields, "jobclass"),
@@ -136,17 +147,17 @@
     tasks,
     demand,
     types,
-    zone: orNull(fields, "area", readString),
-    oneZone: readBoolean(fields, "together"),
+    zone: readOptional(fields, "area", readString),
+    singleZone: readBoolean(fields, "together"),
     spread: readBoolean(fields, "spread"),
     spot: readBoolean(fields, "loaner"),
     image: readName(fields, "bundle"),
-    imageGb: readAmount(fields, "sizeGb"),
-    estimateS: readAmount(fields, "guessS"),
-    checkpointS: readAmount(fields, "saveEveryS"),
-    saveS: readAmount(fields, "saveTakesS"),
-    deadlineS: orNull(fields, "dueS", readAmount),
-    ...(awaits.length === 0 ? {} : { awaits }),
+    imageGb: readNonNegative(fields, "sizeGb"),
+    estimatedRunS: readNonNegative(fields, "guessS"),
+    checkpointIntervalS: readNonNegative(fields, "saveEveryS"),
+    checkpointDurationS: readNonNegative(fields, "saveTakesS"),
+    deadlineS: readOptional(fields, "dueS", readNonNegative),
+    ...(awaits.length === 0 ? {} : { dependencies: awaits }),
   };
 };
 
@@ -154,7 +165,7 @@
   Object.keys(table).find((name) => table[name] === value) ?? value;
 
 /** The job as its user would have sent it; reading it gives the same specification again. */
-export const submissionOf = (spec: JobSpec): Fields => ({
+export const encodeSubmission = (spec: JobSpec): JsonObject => ({
   ref: spec.id,
   jobclass: spec.jobClass,
   owner: spec.team,
@@ -168,26 +179,26 @@
   sizeGb: spec.imageGb,
   flavors: spec.types,
   area: spec.zone,
-  together: spec.oneZone,
+  together: spec.singleZone,
   spread: spec.spread,
   loaner: spec.spot,
-  guessS: spec.estimateS,
-  saveEveryS: spec.checkpointS,
-  saveTakesS: spec.saveS,
+  guessS: spec.estimatedRunS,
+  saveEveryS: spec.checkpointIntervalS,
+  saveTakesS: spec.checkpointDurationS,
   dueS: spec.deadlineS,
-  ...(spec.awaits === undefined ? {} : { awaits: spec.awaits }),
+  ...(spec.dependencies === undefined ? {} : { awaits: spec.dependencies }),
 });
 
-export const phaseAnswer = (id: string, phase: JobPhase): Fields => ({ ref: id, phase: WIRE_PHASE[phase] });
+export const encodePhase = (id: string, phase: JobPhase): JsonObject => ({ ref: id, phase: WIRE_PHASE[phase] });
 
 /** `awaits`: what it still waits for, for people. */
-export const statusAnswer = (
+export const encodeStatus = (
   id: string,
   phase: JobPhase,
   done: number,
   running: number,
   awaits: readonly string[] = [],
-): Fields => ({
+): JsonObject => ({
   ref: id,
   phase: WIRE_PHASE[phase],
   done,
--- a/src/settings/cancellation.ts
+++ b/src/settings/cancellation.ts
@@ -1,13 +1,13 @@
 import { type Micros, seconds } from "../transport/clock.js";
-import { COMMAND_PATIENCE, RELAY_PATIENCE } from "../transport/patience.js";
+import { RELAY_ALLOWANCE, WORKER_REQUEST_TIMEOUT } from "../transport/patience.js";
 import type { Settings } from "./settings.js";
 
 /** From a command's leaving to the moment from which answers show a token that drops it if it still comes. */
-export const START_UNDER_WAY = (COMMAND_PATIENCE + RELAY_PATIENCE) as Micros;
+export const START_COMMAND_IN_FLIGHT = (WORKER_REQUEST_TIMEOUT + RELAY_ALLOWANCE) as Micros;
 /** A worker ends its tasks a moment after its lease, by a clock of its own. */
-export const LATE_KILL = seconds(0.1);
+export const WORKER_KILL_DELAY = seconds(0.1);
 
-export const workerLeaseAtMost = (lease: Micros): Micros => Math.ceil(lease * 1.001) as Micros;
+export const maxWorkerLease = (lease: Micros): Micros => Math.ceil(lease * 1.001) as Micros;
 
 /** The longest time from a confirmed cancellation to the last of its tasks gone, by its terms (docs/meetings.md). */
 export interface CancellationTerms {
@@ -23,9 +23,15 @@
 }
 
 export const cancellationTerms = (workers: Settings["workers"], right: Micros): CancellationTerms => {
-  const workerLease = (workerLeaseAtMost(workers.lease) + LATE_KILL) as Micros;
-  const total = (right + START_UNDER_WAY + workerLease) as Micros;
-  return { right, start: START_UNDER_WAY, workerLease, total, left: (workers.cancel - total) as Micros };
+  const workerLease = (maxWorkerLease(workers.lease) + WORKER_KILL_DELAY) as Micros;
+  const total = (right + START_COMMAND_IN_FLIGHT + workerLease) as Micros;
+  return {
+    right,
+    start: START_COMMAND_IN_FLIGHT,
+    workerLease,
+    total,
+    left: (workers.cancellationBound - total) as Micros,
+  };
 };
 
 /** For people. */
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,10 +1,10 @@
 import { readFileSync } from "node:fs";
 import { parse } from "smol-toml";
-import { capacityOf, type Demand } from "../protocol/user.js";
+import { availableResources, type Resources } from "../protocol/user.js";
 import { type Micros, seconds } from "../transport/clock.js";
-import { cancellationTerms, LATE_KILL, START_UNDER_WAY, workerLeaseAtMost } from "./cancellation.js";
+import { cancellationTerms, maxWorkerLease, START_COMMAND_IN_FLIGHT, WORKER_KILL_DELAY } from "./cancellation.js";
 
-export interface Sibling {
+export interface PeerSettings {
   readonly label: string;
   readonly zone: string;
   readonly address: string;
@@ -12,7 +12,7 @@
 
 export interface Team {
   readonly name: string;
-  readonly guaranteed: Demand;
+  readonly guaranteed: Resources;
   /** Null: no limit. Memory is never limited by a team. */
   readonly limit: { readonly cpu: number | null; readonly gpu: number | null };
 }
@@ -30,26 +30,26 @@
   readonly zone: string;
   readonly clientListen: string;
   readonly meshListen: string;
-  readonly siblings: readonly Sibling[];
+  readonly peers: readonly PeerSettings[];
   readonly cloudAddress: string;
-  readonly stateAddress: string;
+  readonly storeAddress: string;
   readonly controllers: number;
   /** Time of day differs from the true one by this much at most. */
-  readonly clockError: Micros;
+  readonly maxClockError: Micros;
   readonly zones: readonly string[];
   readonly teams: ReadonlyMap<string, Team>;
   readonly objectives: readonly Objective[];
-  readonly workers: { readonly report: Micros; readonly lease: Micros; readonly cancel: Micros };
-  readonly state: {
-    readonly rps: number;
-    readonly writeRps: number;
+  readonly workers: { readonly heartbeatInterval: Micros; readonly lease: Micros; readonly cancellationBound: Micros };
+  readonly store: {
+    readonly requestsPerS: number;
+    readonly writesPerS: number;
     /** Of the limits now and those announced (`state.next`) the lower ones, from the beginning: they come without notice. */
     readonly valueBytes: number;
     readonly transactionWrites: number;
     /** How ranges of tasks are cut, which is not on record, follows from this limit for every version. */
     readonly layoutBytes: number;
   };
-  readonly cloud: { readonly rps: number; readonly listLag: Micros };
+  readonly cloud: { readonly requestsPerS: number; readonly listLag: Micros };
   readonly quota: { readonly memoryMb: number; readonly maxConnections: number };
 }
 
@@ -104,7 +104,7 @@
   typeof value === "object" && value !== null ? (value as Table) : fail(path, "not a table");
 
 /** Lower limits that the state service will have from some moment on; what is not named stays as it is. */
-const readLimits = (state: Table): Settings["state"] => {
+const readLimits = (state: Table): Settings["store"] => {
   const path = "deployment.state.";
   const nextPath = `${path}next.`;
   const next = state.next === undefined ? {} : asTable(state.next, `${path}next`);
@@ -113,8 +113,8 @@
   const valueKb = number(state, path, "value_kb", 1);
   const transactionWrites = whole(state, path, "txn_ops");
   return {
-    rps: lower("rps", number(state, path, "rps", 1), 1),
-    writeRps: lower("write_rps", number(state, path, "write_rps", 1), 1),
+    requestsPerS: lower("rps", number(state, path, "rps", 1), 1),
+    writesPerS: lower("write_rps", number(state, path, "write_rps", 1), 1),
     valueBytes: Math.floor(lower("value_kb", valueKb, LEAST_VALUE_KB) * 1_024),
     transactionWrites:
       next.txn_ops === undefined ? transactionWrites : Math.min(transactionWrites, lastWrites(next, nextPath)),
@@ -140,7 +140,7 @@
   };
   return {
     name: text(team, path, "name"),
-    guaranteed: capacityOf(optional(team, path, "cpus"), optional(team, path, "gpus"), 0),
+    guaranteed: availableResources(optional(team, path, "cpus"), optional(team, path, "gpus"), 0),
     limit: { cpu: limit("cpus_max"), gpu: limit("gpus_max") },
   };
 };
@@ -175,7 +175,7 @@
     zone: text(root, "", "area"),
     clientListen: endpoint(root, "", "client_listen"),
     meshListen: endpoint(root, "", "mesh_addr"),
-    siblings: list(root, "", "siblings").map((value, index) => {
+    peers: list(root, "", "siblings").map((value, index) => {
       const path = `siblings[${index}].`;
       const sibling = asTable(value, path);
       return {
@@ -185,8 +185,8 @@
       };
     }),
     cloudAddress: endpoint(outside, "outside.", "cloud"),
-    stateAddress: endpoint(outside, "outside.", "state"),
-    clockError: seconds(optional(deployment, "deployment.", "clock_error_ms") / 1_000),
+    storeAddress: endpoint(outside, "outside.", "state"),
+    maxClockError: seconds(optional(deployment, "deployment.", "clock_error_ms") / 1_000),
     controllers: whole(deployment, "deployment.", "count"),
     zones: list(deployment, "deployment.", "zones").map((zone, index) =>
       typeof zone === "string" ? zone : fail(`deployment.zones[${index}]`, "not a string"),
@@ -198,13 +198,13 @@
     ),
     objectives: list(deployment, "deployment.", "objectives").map(readObjective),
     workers: {
-      report: span(workers, "deployment.workers.", "report_s"),
+      heartbeatInterval: span(workers, "deployment.workers.", "report_s"),
       lease: span(workers, "deployment.workers.", "lease_s"),
-      cancel: span(workers, "deployment.workers.", "cancel_s"),
+      cancellationBound: span(workers, "deployment.workers.", "cancel_s"),
     },
-    state: readLimits(state),
+    store: readLimits(state),
     cloud: {
-      rps: number(cloud, "deployment.cloud.", "rps", 0.1),
+      requestsPerS: number(cloud, "deployment.cloud.", "rps", 0.1),
       listLag: span(cloud, "deployment.cloud.", "list_lag_s"),
     },
     quota: {
@@ -212,8 +212,8 @@
       maxConnections: whole(quota, "deployment.quota.", "max_connections"),
     },
   };
-  if (settings.workers.report <= 0) fail("deployment.workers.report_s", "must be above 0");
-  blockLease(settings);
+  if (settings.workers.heartbeatInterval <= 0) fail("deployment.workers.report_s", "must be above 0");
+  shardLeaseDuration(settings);
   return settings;
 };
 
@@ -227,24 +227,26 @@
   return parseSettings(source);
 };
 
-const LEASE_MARGIN = seconds(4);
-const SHORTEST = seconds(1);
+const MIN_LEASE_MARGIN = seconds(4);
+const SHORTEST_SHARD_LEASE = seconds(1);
 /**
  * A holder that is cut off keeps its block from the others for so long. Through an outage of the state service a
  * longer one helps little: nothing can be placed then, and workers keep what they run for a lease of their own.
  */
-const LONGEST = seconds(10);
+const LONGEST_SHARD_LEASE = seconds(10);
 
 /**
  * A controller cut off from the state service cannot learn of a cancellation. It may answer its workers until
  * its lease is over, a start of its last moment may land after that, and workers may run tasks for a lease of their own
  * longer: all together stay below `cancel_s`.
  */
-export const blockLease = ({ workers }: Pick<Settings, "workers">): Micros => {
-  const left = workers.cancel - workerLeaseAtMost(workers.lease);
-  const longest = Math.floor(left - Math.max(2 * LATE_KILL + START_UNDER_WAY, Math.min(LEASE_MARGIN, left / 4)));
-  const lease = Math.min(longest, LONGEST) as Micros;
-  if (longest < SHORTEST || cancellationTerms(workers, lease).left <= 0) {
+export const shardLeaseDuration = ({ workers }: Pick<Settings, "workers">): Micros => {
+  const left = workers.cancellationBound - maxWorkerLease(workers.lease);
+  const longest = Math.floor(
+    left - Math.max(2 * WORKER_KILL_DELAY + START_COMMAND_IN_FLIGHT, Math.min(MIN_LEASE_MARGIN, left / 4)),
+  );
+  const lease = Math.min(longest, LONGEST_SHARD_LEASE) as Micros;
+  if (longest < SHORTEST_SHARD_LEASE || cancellationTerms(workers, lease).left <= 0) {
     return fail("deployment.workers.cancel_s", `leaves ${left / 1_000_000} s beyond lease_s, too little for a lease`);
   }
   return lease;
--- a/src/transport/http.ts
+++ b/src/transport/http.ts
@@ -21,12 +21,12 @@
  * `unsent`: the other side cannot have seen any of it.
  * `lost`: it may have been executed, or may yet be.
  */
-export type Outcome =
+export type HttpOutcome =
   | { readonly kind: "answer"; readonly status: number; readonly body: string; readonly retryAfterS: number | null }
   | { readonly kind: "unsent" }
   | { readonly kind: "lost" };
 
 /** How the layers above reach other hosts; a simulated network implements it in the tests. */
 export interface HttpClient {
-  call(address: string, request: Request, timeout: Micros): Promise<Outcome>;
+  call(address: string, request: Request, timeout: Micros): Promise<HttpOutcome>;
 }
--- a/src/whatif/convert.ts
+++ b/src/whatif/convert.ts
@@ -1,6 +1,6 @@
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline";
-import type { SiteEvent } from "../bookkeeping/events.js";
+import type { ClusterEvent } from "../bookkeeping/events.js";
 import type { TraceEvent, TraceHeader } from "./format.js";
 import { mend, type Remark, readTrace, type Trace, TraceError } from "./trace.js";
 import { headerOf, traceEventOf } from "./translate.js";
@@ -13,7 +13,7 @@
 interface LogLine {
   readonly time: number;
   readonly msg: string;
-  readonly event?: SiteEvent;
+  readonly event?: ClusterEvent;
 }
 
 const isLine = (value: unknown): value is LogLine =>
@@ -25,8 +25,8 @@
 /** Events of rainridge's own JSON log at level debug (`msg` "seen"), with the time of day at which they were seen. */
 const readLog = async (
   file: string,
-): Promise<{ readonly events: { time: number; event: SiteEvent }[]; other: number }> => {
-  const events: { time: number; event: SiteEvent }[] = [];
+): Promise<{ readonly events: { time: number; event: ClusterEvent }[]; other: number }> => {
+  const events: { time: number; event: ClusterEvent }[] = [];
   let other = 0;
   const lines = createInterface({ input: createReadStream(file), crlfDelay: Number.POSITIVE_INFINITY });
   try {
@@ -70,7 +70,7 @@
  */
 export const convert = async (files: readonly string[], site: LogSite | null): Promise<Trace> => {
   const traces: Trace[] = [];
-  const logs: { time: number; event: SiteEvent }[] = [];
+  const logs: { time: number; event: ClusterEvent }[] = [];
   const remarks: Remark[] = [];
   for (const file of files) {
     if (await isTrace(file)) {
--- a/src/whatif/file-recorder.ts
+++ b/src/whatif/file-recorder.ts
@@ -1,6 +1,6 @@
 import { appendFile, mkdir, readdir, rename, rm, writeFile } from "node:fs/promises";
 import { join } from "node:path";
-import type { SiteEvent } from "../bookkeeping/events.js";
+import type { ClusterEvent } from "../bookkeeping/events.js";
 import type { RecordOptions } from "../settings/options.js";
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
 import { describeError, type Log } from "../transport/log.js";
@@ -59,7 +59,7 @@
   }
 
   /** For a controller's sink. */
-  readonly take = (event: SiteEvent): void => {
+  readonly take = (event: ClusterEvent): void => {
     if (this.queue.length >= MAX_QUEUE) {
       this.dropped += 1;
       return;
--- a/src/whatif/graph-load.ts
+++ b/src/whatif/graph-load.ts
@@ -1,5 +1,5 @@
 import { build, type Histogram } from "hdr-histogram-js";
-import { jobKey, readJob } from "../bookkeeping/records.js";
+import { decodeJobRecord, jobKey } from "../bookkeeping/records.js";
 import { call, graphBodies } from "../client.js";
 import { describing, downstreamOf, graphsWith, type Plan, partsOfJobId } from "../graphs/index.js";
 import {
@@ -14,7 +14,7 @@
   type Submission,
   type Witness,
 } from "../model/index.js";
-import { submissionOf } from "../protocol/user.js";
+import { encodeSubmission } from "../protocol/user.js";
 import { DEFAULT_GRAPHS, type GraphOptions } from "../settings/graph-options.js";
 import { DEFAULT_OPTIONS } from "../settings/options.js";
 import type { Micros } from "../transport/clock.js";
@@ -229,7 +229,10 @@
   const textOf = (ref: string): string => JSON.stringify({ ref, ds: "2026-01-01", graph });
   const described = (value: unknown): Behaviour | null => {
     if (value === undefined) return null;
-    return { ...jobBehaviour(submissionOf(readJob(value).spec) as unknown as Submission), runUs: spec.runUs };
+    return {
+      ...jobBehaviour(encodeSubmission(decodeJobRecord(value).spec) as unknown as Submission),
+      runUs: spec.runUs,
+    };
   };
   const watch = await (spec.loopback === null
     ? simulated(spec, plan, ids, textOf, described, progress)
--- a/src/whatif/observe.ts
+++ b/src/whatif/observe.ts
@@ -1,8 +1,15 @@
-import type { SiteEvent } from "../bookkeeping/events.js";
-import { CURRENT, jobOfKey, rangeOfKey, readJob, readRange, type TaskRecord } from "../bookkeeping/records.js";
-import { Store } from "../bookkeeping/store.js";
-import { View } from "../bookkeeping/view.js";
-import { Cloud } from "../coordination/cloud.js";
+import type { ClusterEvent } from "../bookkeeping/events.js";
+import {
+  CURRENT_PREFIX,
+  decodeJobRecord,
+  decodeTaskRange,
+  jobOfKey,
+  type TaskRecord,
+  taskRangeOfKey,
+} from "../bookkeeping/records.js";
+import { KeyValueStore } from "../bookkeeping/store.js";
+import { WatchCache } from "../bookkeeping/view.js";
+import { CloudClient } from "../coordination/cloud.js";
 import type { ListedMachine, MachineType } from "../protocol/cloud.js";
 import type { Change } from "../protocol/state.js";
 import type { Settings } from "../settings/settings.js";
@@ -32,8 +39,8 @@
  * the time that ends may wait to be recorded; `record` in the operators' settings has them exactly.
  */
 export class SiteObserver {
-  private readonly view: View;
-  private readonly cloud: Cloud;
+  private readonly view: WatchCache;
+  private readonly cloud: CloudClient;
   private readonly seenJobs = new Set<string>();
   private readonly cancelled = new Set<string>();
   private readonly ranges = new Map<string, readonly TaskRecord[]>();
@@ -48,18 +55,18 @@
     log: Log,
     settings: Settings,
     random: () => number,
-    private readonly tell: (event: SiteEvent) => void,
+    private readonly tell: (event: ClusterEvent) => void,
   ) {
-    const store = new Store(
+    const store = new KeyValueStore(
       http,
-      settings.stateAddress,
+      settings.storeAddress,
       clock,
       log,
       { requestsPerS: STATE_RPS, writesPerS: 1, writesPerTransaction: 1 },
       random,
     );
-    this.view = new View(store, CURRENT, clock, log, FOLLOW_GAP, FOLLOW_GAP);
-    this.cloud = new Cloud(http, settings.cloudAddress, clock, log, CLOUD_RPS);
+    this.view = new WatchCache(store, CURRENT_PREFIX, clock, log, FOLLOW_GAP, FOLLOW_GAP);
+    this.cloud = new CloudClient(http, settings.cloudAddress, clock, log, CLOUD_RPS);
     this.view.onChange((change) => this.changed(change));
     this.listPeriod = Math.max(seconds(2), settings.cloud.listLag / 2) as Micros;
   }
@@ -69,11 +76,11 @@
   /** Resolves when the catalogue is known; goes on watching until stopped. */
   async start(): Promise<void> {
     while (this.types.length === 0 && !this.stopped) {
-      const reply = await this.cloud.types();
+      const reply = await this.cloud.listMachineTypes();
       if (reply.kind === "ok") this.types = reply.value.types;
       else await sleep(this.clock, seconds(1));
     }
-    void this.view.follow();
+    void this.view.run();
     void this.watchMachines();
   }
 
@@ -85,7 +92,7 @@
     if (this.stopped) return;
     const job = jobOfKey(change.key);
     if (job !== null && change.kind === "put") {
-      const record = readJob(change.value);
+      const record = decodeJobRecord(change.value);
       if (!this.seenJobs.has(job)) {
         this.seenJobs.add(job);
         this.tell({ kind: "job seen", spec: record.spec });
@@ -96,10 +103,10 @@
       }
       return;
     }
-    const range = rangeOfKey(change.key);
+    const range = taskRangeOfKey(change.key);
     if (range === null) return;
     if (change.kind === "delete") this.endRange(change.key, range.id);
-    else this.rangeChanged(change.key, range.id, range.range, readRange(change.value));
+    else this.rangeChanged(change.key, range.id, range.range, decodeTaskRange(change.value));
   }
 
   private rangeChanged(key: string, job: string, number: number, tasks: readonly TaskRecord[]): void {
@@ -134,7 +141,7 @@
     let awaySince: Micros | null = null;
     while (!this.stopped) {
       const asked = this.clock.now();
-      const reply = await this.cloud.list();
+      const reply = await this.cloud.listMachines();
       if (reply.kind === "ok") {
         if (awaySince !== null) this.tell({ kind: "cloud away", span: (asked - awaySince) as Micros });
         awaySince = null;
--- a/src/whatif/translate.ts
+++ b/src/whatif/translate.ts
@@ -1,7 +1,7 @@
-import type { SiteEvent } from "../bookkeeping/events.js";
+import type { ClusterEvent } from "../bookkeeping/events.js";
 import { S, type SiteSpec, type Submission } from "../model/index.js";
 import type { MachineType } from "../protocol/cloud.js";
-import { submissionOf } from "../protocol/user.js";
+import { encodeSubmission } from "../protocol/user.js";
 import type { Settings } from "../settings/settings.js";
 import { TRACE_VERSION, type TraceEvent, type TraceHeader } from "./format.js";
 
@@ -11,10 +11,10 @@
 const GANG_PEER = 8 * S;
 
 /** What a trace says for what a holder saw. `at` is when it saw it. */
-export const traceEventOf = (event: SiteEvent, at: number): TraceEvent => {
+export const traceEventOf = (event: ClusterEvent, at: number): TraceEvent => {
   switch (event.kind) {
     case "job seen":
-      return { at, event: "submit", job: submissionOf(event.spec) as unknown as Submission };
+      return { at, event: "submit", job: encodeSubmission(event.spec) as unknown as Submission };
     case "job cancelled":
       return { at, event: "abort", job: event.job };
     case "job follows":
@@ -55,7 +55,7 @@
 export const siteOf = (settings: Settings, types: Iterable<MachineType>): SiteSpec => {
   const known = [...types];
   const zones = [...new Set([...settings.zones, ...known.flatMap((type) => type.zones)])];
-  const siblings = settings.siblings.map(({ zone }) => zone);
+  const siblings = settings.peers.map(({ zone }) => zone);
   return {
     name: settings.label,
     zones,
@@ -91,19 +91,19 @@
       share,
     })),
     workers: {
-      reportUs: settings.workers.report,
+      reportUs: settings.workers.heartbeatInterval,
       leaseUs: settings.workers.lease,
-      cancelUs: settings.workers.cancel,
+      cancelUs: settings.workers.cancellationBound,
       gangWaitUs: GANG_WAIT,
       gangPeerUs: GANG_PEER,
     },
     state: {
-      rps: settings.state.rps,
-      writeRps: settings.state.writeRps,
-      valueKb: settings.state.valueBytes / 1_024,
-      txnOps: Math.max(4, settings.state.transactionWrites),
+      rps: settings.store.requestsPerS,
+      writeRps: settings.store.writesPerS,
+      valueKb: settings.store.valueBytes / 1_024,
+      txnOps: Math.max(4, settings.store.transactionWrites),
     },
-    cloud: { rps: settings.cloud.rps, listLagUs: settings.cloud.listLag },
+    cloud: { rps: settings.cloud.requestsPerS, listLagUs: settings.cloud.listLag },
     quota: { cpuShare: 1, memMb: settings.quota.memoryMb, maxConnections: settings.quota.maxConnections },
   };
 };
--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Chains } from "../src/bookkeeping/chains.js";
-import { endKey, jobKey } from "../src/bookkeeping/records.js";
+import { DependencyGraph } from "../src/bookkeeping/chains.js";
+import { encodeJobRecord, jobKey, outcomeKey } from "../src/bookkeeping/records.js";
 import type { Services } from "../src/coordination/context.js";
-import { FrontDoor } from "../src/coordination/front-door.js";
+import { JobApi } from "../src/coordination/front-door.js";
 import { HostClock, S, World } from "../src/model/index.js";
 import type { Entry } from "../src/protocol/state.js";
-import { readSubmission } from "../src/protocol/user.js";
+import { decodeSubmission } from "../src/protocol/user.js";
 import { parseSettings } from "../src/settings/settings.js";
 import type { Response } from "../src/transport/http.js";
 import { bigType, settingsText } from "./fixtures.js";
@@ -24,19 +24,19 @@
     clock: new HostClock(world, 1, 0),
     settings: parseSettings(settingsText(0)),
     log: { info: () => undefined, error: () => undefined },
-    view: { entries, loaded: true, sync: async () => !away },
+    cache: { entries, loaded: true, sync: async () => !away },
     store: {
       get: async (key: string) => {
         during.lookUp();
         return key in ended ? { kind: "ok", value: { key, value: ended[key], version: 3 } } : { kind: "missing" };
       },
     },
-    overload: { atLeast: () => false },
-    committer: { backlog: 0, valueBytes: 8_192 },
-    chains: new Chains(),
+    loadShedder: { atLeast: () => false },
+    transactions: { userWriteDelay: 0, maxValueBytes: 8_192 },
+    dependencies: new DependencyGraph(),
   } as unknown as Services;
   const types = new Map([["big", bigType(["east"])]]);
-  const door = new FrontDoor(services, types, { running: () => null, holds: () => false, withdrawn: () => false });
+  const door = new JobApi(services, types, { taskCounts: () => null, isLeader: () => false, isWithdrawn: () => false });
   /** Lookups keep a pace by the clock. */
   const handle = async (method: string, target: string, body = ""): Promise<Response> => {
     let over = false;
@@ -61,7 +61,7 @@
 
 test("a repeat of what was accepted once is answered with its state, whatever it asks for by now", async () => {
   // Refused by what is known of machine types now, before anybody had looked whether it had been accepted and ended long ago.
-  const { submit } = doorOn({ [endKey(JOB.ref)]: { phase: "done", done: 3 } });
+  const { submit } = doorOn({ [outcomeKey(JOB.ref)]: { phase: "done", done: 3 } });
   for (const odd of [
     { cpus: 100_000 },
     { flavors: ["gone"] },
@@ -90,6 +90,7 @@
 test("a job accepted while it was looked up among the ended ones is not unknown", async () => {
   const { put, during, ask } = doorOn({});
   assert.equal(await ask(JOB.ref), 404);
-  during.lookUp = () => put(jobKey(JOB.ref), { spec: readSubmission(JOB), block: 0, cancelled: false });
+  during.lookUp = () =>
+    put(jobKey(JOB.ref), encodeJobRecord({ spec: decodeSubmission(JOB), shard: 0, cancelled: false }));
   assert.equal(await ask(JOB.ref), 200);
 });
--- a/test/appointments.test.ts
+++ b/test/appointments.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Services } from "../src/coordination/context.js";
-import { FrontDoor } from "../src/coordination/front-door.js";
-import { Overload } from "../src/coordination/overload.js";
+import { JobApi } from "../src/coordination/front-door.js";
+import { LoadShedder } from "../src/coordination/overload.js";
 import { HostClock, World } from "../src/model/index.js";
 import { parseSettings } from "../src/settings/settings.js";
 import type { Request } from "../src/transport/http.js";
@@ -18,15 +18,15 @@
     clock,
     log,
     settings: parseSettings(settingsText(0)),
-    committer: { backlog: 10_000_000, rate: 2.5, fullRate: 25, valueBytes: 8_192 },
-    view: { loaded: true, entries: new Map() },
-    overload: new Overload(clock, log, null),
+    transactions: { userWriteDelay: 10_000_000, writesPerSecond: 2.5, fullWritesPerSecond: 25, maxValueBytes: 8_192 },
+    cache: { loaded: true, entries: new Map() },
+    loadShedder: new LoadShedder(clock, log, null),
   } as unknown as Services;
   const type = bigType(["east"]);
-  const door = new FrontDoor(services, new Map([[type.name, type]]), {
-    running: () => null,
-    holds: () => false,
-    withdrawn: () => false,
+  const door = new JobApi(services, new Map([[type.name, type]]), {
+    taskCounts: () => null,
+    isLeader: () => false,
+    isWithdrawn: () => false,
   });
   const waits: number[] = [];
   for (let at = 0; at < 40; at += 1) {
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -11,7 +11,7 @@
 
 // The deadline of a confirmed cancellation ------------------------------------------------------------------------
 
-type Refusal = (cluster: Cluster, holder: number) => void;
+type Refusal = (cluster: Cluster, leader: number) => void;
 
 const REFUSALS: Readonly<Record<string, Refusal>> = {
   refuses: (c, at) => c.state.refuse(c.site.nodeAddress(at), REFUSED),
--- a/test/chain-orders.test.ts
+++ b/test/chain-orders.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Chains, type Ended } from "../src/bookkeeping/chains.js";
+import { DependencyGraph, type TerminalPhase } from "../src/bookkeeping/chains.js";
 
 /**
  * All orders of what may happen to three jobs, of which the second awaits the first and the third both: checks before acceptance
@@ -13,7 +13,7 @@
 const JOBS = Object.keys(AWAITS);
 
 type Records = Readonly<Record<string, { readonly cancelled: boolean; readonly version: number }>>;
-type Ends = Readonly<Record<string, Ended>>;
+type Ends = Readonly<Record<string, TerminalPhase>>;
 
 interface Moment {
   readonly current: Records;
@@ -40,20 +40,20 @@
 };
 
 /** What a node concludes that has read these. */
-const chainsOf = (current: Records, ends: Ends): Chains => {
-  const chains = new Chains();
-  for (const [id, { cancelled }] of Object.entries(current)) chains.put(id, AWAITS[id] ?? [], cancelled);
-  for (const [id, end] of Object.entries(ends)) if (!(id in current)) chains.learn(id, end);
-  return chains;
+const chainsOf = (current: Records, ends: Ends): DependencyGraph => {
+  const dependencies = new DependencyGraph();
+  for (const [id, { cancelled }] of Object.entries(current)) dependencies.upsert(id, AWAITS[id] ?? [], cancelled);
+  for (const [id, end] of Object.entries(ends)) if (!(id in current)) dependencies.recordTerminalPhase(id, end);
+  return dependencies;
 };
 
 interface Functions {
-  readonly mayBegin: (chains: Chains, id: string) => boolean;
+  readonly mayBegin: (dependencies: DependencyGraph, id: string) => boolean;
   /** Whether last words are looked up before a state is told. */
   readonly settles: boolean;
 }
 
-const REAL: Functions = { mayBegin: (chains, id) => chains.mayBegin(id), settles: true };
+const REAL: Functions = { mayBegin: (dependencies, id) => dependencies.isReady(id), settles: true };
 
 /** What any node tells: from all that is current, and the last words on which that rests. */
 const tell = (f: Functions, m: Moment, id: string): string => {
@@ -61,19 +61,19 @@
   if (end !== undefined) return end;
   const record = m.current[id];
   if (record === undefined) return "unknown";
-  const chains = chainsOf(m.current, {});
+  const dependencies = chainsOf(m.current, {});
   if (f.settles) {
-    for (let open = chains.questionsOf(id); open.length > 0; open = chains.questionsOf(id)) {
-      for (const other of open) chains.learn(other, m.ended[other] ?? "done");
+    for (let open = dependencies.unresolvedFor(id); open.length > 0; open = dependencies.unresolvedFor(id)) {
+      for (const other of open) dependencies.recordTerminalPhase(other, m.ended[other] ?? "done");
     }
   }
-  return chains.isWithdrawn(id) ? "cancelled" : "open";
+  return dependencies.isCancelled(id) ? "cancelled" : "open";
 };
 
 const steps = (f: Functions, m: Moment): readonly (readonly [string, Moment])[] => {
   const found: [string, Moment][] = [];
   const write = (change: Partial<Moment>): Moment => ({ ...m, version: m.version + 1, ...change });
-  const holder = chainsOf(m.seen, m.learnt);
+  const leader = chainsOf(m.seen, m.learnt);
   const without = (id: string): Records => {
     const { [id]: _, ...rest } = m.current;
     return rest;
@@ -95,13 +95,13 @@
       found.push([`cancel ${id}`, write({ current: { ...m.current, [id]: entry } })]);
     }
     const seen = m.seen[id];
-    if (seen !== undefined && !m.begun.includes(id) && !seen.cancelled && !holder.isWithdrawn(id)) {
-      if (f.mayBegin(holder, id)) found.push([`begin ${id}`, { ...m, begun: [...m.begun, id] }]);
+    if (seen !== undefined && !m.begun.includes(id) && !seen.cancelled && !leader.isCancelled(id)) {
+      if (f.mayBegin(leader, id)) found.push([`begin ${id}`, { ...m, begun: [...m.begun, id] }]);
     }
     // Both ends are conditional on the version that the holder has seen.
     if (record !== undefined && record.version === seen?.version) {
-      const called = seen.cancelled || holder.isWithdrawn(id);
-      const end: Ended | null = called ? "cancelled" : m.begun.includes(id) ? "done" : null;
+      const called = seen.cancelled || leader.isCancelled(id);
+      const end: TerminalPhase | null = called ? "cancelled" : m.begun.includes(id) ? "done" : null;
       if (end !== null) {
         const learnt = { ...m.learnt, [id]: end };
         found.push([`end ${id}`, write({ current: without(id), ended: { ...m.ended, [id]: end }, learnt })]);
@@ -109,9 +109,9 @@
     }
   }
   found.push(["read", { ...m, seen: m.current }]);
-  const questions = holder.questions().filter((id) => id in m.ended);
+  const questions = leader.unresolved().filter((id) => id in m.ended);
   for (const id of questions) {
-    found.push([`look up ${id}`, { ...m, learnt: { ...m.learnt, [id]: m.ended[id] as Ended } }]);
+    found.push([`look up ${id}`, { ...m, learnt: { ...m.learnt, [id]: m.ended[id] as TerminalPhase } }]);
   }
   found.push(["takeover", { ...m, seen: m.current, learnt: {} }]);
   return found;
@@ -164,11 +164,11 @@
 test("a holder that takes what is gone for done is caught, and so is an answer without the last words", () => {
   const gone: Functions = {
     ...REAL,
-    mayBegin: (chains, id) => chains.awaitsOf(id).every((other) => !known(chains, other)),
+    mayBegin: (dependencies, id) => dependencies.dependenciesOf(id).every((other) => !known(dependencies, other)),
   };
   assert.match(explore(gone).found ?? "", /begun before/);
   assert.match(explore({ ...REAL, settles: false }).found ?? "", /cancelled/);
 });
 
 /** Whether the chains have the job as a current one. */
-const known = (chains: Chains, id: string): boolean => !chains.questions().includes(id);
+const known = (dependencies: DependencyGraph, id: string): boolean => !dependencies.unresolved().includes(id);
--- a/test/chains.test.ts
+++ b/test/chains.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Chains } from "../src/bookkeeping/chains.js";
-import { endKey, jobKey } from "../src/bookkeeping/records.js";
+import { DependencyGraph } from "../src/bookkeeping/chains.js";
+import { encodeJobRecord, jobKey, outcomeKey } from "../src/bookkeeping/records.js";
 import { FastSite, jobBehaviour, nobody, S, sampleSite } from "../src/model/index.js";
-import { readSubmission } from "../src/protocol/user.js";
+import { decodeSubmission } from "../src/protocol/user.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
 import { Cluster, plainJob, type Submission, trueJob } from "./sim/cluster.js";
 
@@ -82,7 +82,7 @@
   assert.equal(cluster.checker.finalOf(idOf(42)), "withdrawn");
   await cluster.run(60 * S);
   assert.equal(cluster.checker.finalOf(idOf(0)), "done");
-  for (let at = 1; at < 43; at += 1) assert.notEqual(cluster.state.value(endKey(idOf(at))), undefined, idOf(at));
+  for (let at = 1; at < 43; at += 1) assert.notEqual(cluster.state.value(outcomeKey(idOf(at))), undefined, idOf(at));
 });
 
 test("a job that names a cancelled one is accepted and withdrawn, one that names a done one begins", async () => {
@@ -154,7 +154,7 @@
   const count = 900;
   for (let number = 0; number < count; number += 1) {
     // All but one have ended long ago.
-    cluster.state.put(endKey(idOf(number)), { phase: "done", done: 2 });
+    cluster.state.put(outcomeKey(idOf(number)), { phase: "done", done: 2 });
     cluster.checker.jobs.set(idOf(number), { ...never0, id: idOf(number) });
     cluster.users.heardOf(link(number, []));
     for (const at of [0, 1]) cluster.checker.taskDone(`${idOf(number)}/${at}`);
@@ -193,31 +193,31 @@
 
 test("what is told of a chain follows from records alone, in any order in which they are learnt", () => {
   // Accept, end and cancel in all orders that records allow, read in any order by two nodes.
-  const chains = new Chains();
+  const dependencies = new DependencyGraph();
   const withdrawn: string[] = [];
   const begin: string[] = [];
-  chains.onWithdrawn = (id) => withdrawn.push(id);
-  chains.onMayBegin = (id) => begin.push(id);
-  chains.put("b", ["a"], false);
-  assert.deepEqual(chains.questions(), ["a"]);
-  chains.put("a", [], false);
-  assert.deepEqual(chains.questions(), []);
-  assert.equal(chains.mayBegin("b"), false);
-  chains.put("c", ["b", "a"], false);
-  chains.remove("a");
-  assert.deepEqual(chains.questionsOf("c"), ["a"]);
-  chains.learn("a", "done");
-  assert.deepEqual([begin, chains.mayBegin("b"), chains.mayBegin("c")], [["b"], true, false]);
-  chains.put("b", ["a"], true);
-  assert.deepEqual([withdrawn, chains.isWithdrawn("c"), chains.isWithdrawn("b")], [["c"], true, true]);
-  chains.remove("b");
-  chains.put("d", ["c"], false);
-  assert.equal(chains.isWithdrawn("d"), true);
+  dependencies.onCancelledByDependency = (id) => withdrawn.push(id);
+  dependencies.onReady = (id) => begin.push(id);
+  dependencies.upsert("b", ["a"], false);
+  assert.deepEqual(dependencies.unresolved(), ["a"]);
+  dependencies.upsert("a", [], false);
+  assert.deepEqual(dependencies.unresolved(), []);
+  assert.equal(dependencies.isReady("b"), false);
+  dependencies.upsert("c", ["b", "a"], false);
+  dependencies.remove("a");
+  assert.deepEqual(dependencies.unresolvedFor("c"), ["a"]);
+  dependencies.recordTerminalPhase("a", "done");
+  assert.deepEqual([begin, dependencies.isReady("b"), dependencies.isReady("c")], [["b"], true, false]);
+  dependencies.upsert("b", ["a"], true);
+  assert.deepEqual([withdrawn, dependencies.isCancelled("c"), dependencies.isCancelled("b")], [["c"], true, true]);
+  dependencies.remove("b");
+  dependencies.upsert("d", ["c"], false);
+  assert.equal(dependencies.isCancelled("d"), true);
   // A chain of a hundred thousand, walked without recursion.
-  const deep = new Chains();
-  for (let at = 0; at < 100_000; at += 1) deep.put(`j${at}`, at === 0 ? [] : [`j${at - 1}`], false);
-  deep.put("j0", [], true);
-  assert.equal(deep.isWithdrawn("j99999"), true);
+  const deep = new DependencyGraph();
+  for (let at = 0; at < 100_000; at += 1) deep.upsert(`j${at}`, at === 0 ? [] : [`j${at - 1}`], false);
+  deep.upsert("j0", [], true);
+  assert.equal(deep.isCancelled("j99999"), true);
 });
 
 test("a job counts with the rank of those that need it, for as long as they do, and with the time that they leave it", async () => {
@@ -225,13 +225,13 @@
   const due = { rank: "high", dueS: 300, guessS: 10 } as const;
   submitInTurn(cluster, [link(0, [], { guessS: 20 }), link(1, [0], { guessS: 30 }), link(2, [1], due)], 60 * S);
   await cluster.run(20 * S);
-  const job = (number: number) => cluster.site.controllerAt(cluster.holder())?.jobAt(idOf(number));
-  assert.deepEqual([job(0)?.rank, job(1)?.rank, job(2)?.rank], [1, 1, 1]);
-  const [first, second, last] = [0, 1, 2].map((number) => job(number)?.dueAt ?? 0);
+  const job = (number: number) => cluster.site.controllerAt(cluster.holder())?.findJob(idOf(number));
+  assert.deepEqual([job(0)?.effectiveRank, job(1)?.effectiveRank, job(2)?.effectiveRank], [1, 1, 1]);
+  const [first, second, last] = [0, 1, 2].map((number) => job(number)?.effectiveDeadline ?? 0);
   assert.ok(first === (second ?? 0) - 30 * S && second === (last ?? 0) - 10 * S, `${first} ${second} ${last}`);
   cluster.users.cancel(idOf(2));
   await cluster.run(10 * S);
-  assert.deepEqual([job(0)?.rank, job(0)?.dueAt], [3, null]);
+  assert.deepEqual([job(0)?.effectiveRank, job(0)?.effectiveDeadline], [3, null]);
 });
 
 test("the fast model keeps chains, too, and what is called off takes what needs it along", () => {
@@ -286,7 +286,7 @@
   const cluster = new Cluster(40);
   await cluster.run(5 * S);
   const job = link(1, [9]);
-  cluster.state.put(jobKey(job.ref), { spec: readSubmission(job), block: 0, cancelled: false });
+  cluster.state.put(jobKey(job.ref), encodeJobRecord({ spec: decodeSubmission(job), shard: 0, cancelled: false }));
   cluster.checker.jobs.set(job.ref, trueJob(job));
   await cluster.run(3 * S);
   for (const node of [0, 1, 2]) {
@@ -305,13 +305,13 @@
   cluster.rooms.ordinary = 40;
   const chains = 300;
   const on = (job: Submission): void => {
-    cluster.state.put(jobKey(job.ref), { spec: readSubmission(job), block: 0, cancelled: false });
+    cluster.state.put(jobKey(job.ref), encodeJobRecord({ spec: decodeSubmission(job), shard: 0, cancelled: false }));
     cluster.checker.jobs.set(job.ref, trueJob(job));
     cluster.site.truth.behaviours.set(job.ref, { ...jobBehaviour(job), ...RUN });
   };
   for (let at = 0; at < chains; at += 1) {
     const first = idOf(2 * at);
-    cluster.state.put(endKey(first), { phase: "done", done: 2 });
+    cluster.state.put(outcomeKey(first), { phase: "done", done: 2 });
     cluster.checker.jobs.set(first, { ...never0, id: first });
     for (const task of [0, 1]) cluster.checker.taskDone(`${first}/${task}`);
     on(link(2 * at + 1, [2 * at], { shards: 1 }));
--- a/test/commands.test.ts
+++ b/test/commands.test.ts
@@ -1,26 +1,26 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Machine } from "../src/bookkeeping/picture.js";
-import { Commander } from "../src/coordination/commander.js";
-import { Observer } from "../src/coordination/observer.js";
+import { CommandDispatcher } from "../src/coordination/commander.js";
+import { HeartbeatProcessor } from "../src/coordination/observer.js";
 import { makeBlock, placedTask, report, SPEC } from "./block-fixtures.js";
 
 const scene = () => {
   const { block, context, recorder } = makeBlock(1);
   const machine = [...block.machines.values()][0] as Machine;
   const task = placedTask(block, machine);
-  return { machine, task, commander: new Commander(context, new Observer(context, recorder)) };
+  return { machine, task, commander: new CommandDispatcher(context, new HeartbeatProcessor(context, recorder)) };
 };
 
 test("an attempt that has ended is forgotten only once its end is on record", () => {
   // Forgotten before, its end would be known to nobody once the holder ends: the next one would start it again.
   const { machine, task, commander } = scene();
-  machine.exited = new Map([[task.name, 1]]);
-  machine.launchFence = -1;
-  task.want = { kind: "done" };
-  assert.deepEqual(commander.forgets(machine), []);
-  task.durable = { kind: "done" };
-  assert.deepEqual(commander.forgets(machine), [{ op: "forget", task: task.name, attempt: 1 }]);
+  machine.exitedTasks = new Map([[task.name, 1]]);
+  machine.startFencingSequence = -1;
+  task.desired = { kind: "done" };
+  assert.deepEqual(commander.forgetCommands(machine), []);
+  task.recorded = { kind: "done" };
+  assert.deepEqual(commander.forgetCommands(machine), [{ op: "forget", task: task.name, attempt: 1 }]);
 });
 
 test("stops owed go first, are never cut off, and are not said twice", () => {
@@ -31,11 +31,14 @@
   );
   task.state = "running";
   task.job.cancelled = true;
-  machine.strays = new Map([["wk-9/7", 1]]);
+  machine.unexpectedTasks = new Map([["wk-9/7", 1]]);
   const own = { op: "stop", task: task.name, attempt: 1, graceS: 0 } as const;
-  assert.deepEqual(commander.standing(machine, owed), owed);
-  assert.deepEqual(commander.standing(machine, [own]), [own, { op: "stop", task: "wk-9/7", attempt: 1, graceS: 0 }]);
-  assert.deepEqual(commander.standing(machine, owed.slice(5, 10)), [...owed.slice(5, 10), own]);
+  assert.deepEqual(commander.repeatableCommands(machine, owed), owed);
+  assert.deepEqual(commander.repeatableCommands(machine, [own]), [
+    own,
+    { op: "stop", task: "wk-9/7", attempt: 1, graceS: 0 },
+  ]);
+  assert.deepEqual(commander.repeatableCommands(machine, owed.slice(5, 10)), [...owed.slice(5, 10), own]);
 });
 
 test("what a new holder takes over beyond a team's limit is not started again where it was", () => {
@@ -45,29 +48,29 @@
   const machine = [...block.machines.values()][0] as Machine;
   const job = block.addJob({ ...SPEC, team: "capped", tasks: 6 }, 1, false);
   const records = Array.from({ length: 6 }, () => [1, machine.name]);
-  block.restoreRange(job, 0, 1, { t: records }, 65_535);
+  block.restoreTaskRange(job, 0, 1, { t: records }, 65_535);
   // Four tasks of four CPUs are the limit.
-  assert.equal(block.teamUse("capped").cpu, 24_000);
-  new Observer(context, recorder).observe(machine, report({ sequence: 2 }), { kind: "report" });
-  assert.equal(block.teamUse("capped").cpu, 16_000);
-  assert.deepEqual([job.placed.size, job.waiting.size], [4, 2]);
+  assert.equal(block.teamUsage("capped").cpu, 24_000);
+  new HeartbeatProcessor(context, recorder).process(machine, report({ sequence: 2 }), { kind: "report" });
+  assert.equal(block.teamUsage("capped").cpu, 16_000);
+  assert.deepEqual([job.placedTasks.size, job.waitingTasks.size], [4, 2]);
 });
 
 test("what a new holder takes over is not started again where its job's other tasks keep it out of the zone", () => {
   // Ranges of a large job are written one by one, so that a takeover may find two moments of it: by one all tasks had been in
   // the east, by the other, newer one they are in the west.
-  for (const rule of [{ oneZone: true }, { spread: true, shape: "service" as const }]) {
+  for (const rule of [{ singleZone: true }, { spread: true, shape: "service" as const }]) {
     const { block, context, recorder } = makeBlock(2);
     const [east, west] = [...block.machines.values()] as [Machine, Machine];
     const job = block.addJob({ ...SPEC, ...rule, tasks: 130, demand: { cpu: 100, gpu: 0, ram: 1 } }, 1, false);
     const at = (machine: Machine, count: number) => ({ t: Array.from({ length: count }, () => [1, machine.name]) });
     // Spread over both zones as it should be, but for the one in the second range.
-    const first = "oneZone" in rule ? at(west, 128) : { t: [...at(east, 65).t, ...at(west, 63).t] };
-    block.restoreRange(job, 0, 1, first, 65_535);
-    block.restoreRange(job, 1, 1, at(east, 2), 65_535);
-    const observer = new Observer(context, recorder);
-    observer.observe(east, report({ sequence: 2 }), { kind: "report" });
-    const inEast = [...job.placed].filter(({ on }) => on === east).length;
-    assert.equal(inEast, "oneZone" in rule ? 0 : 65);
+    const first = "singleZone" in rule ? at(west, 128) : { t: [...at(east, 65).t, ...at(west, 63).t] };
+    block.restoreTaskRange(job, 0, 1, first, 65_535);
+    block.restoreTaskRange(job, 1, 1, at(east, 2), 65_535);
+    const heartbeats = new HeartbeatProcessor(context, recorder);
+    heartbeats.process(east, report({ sequence: 2 }), { kind: "report" });
+    const inEast = [...job.placedTasks].filter(({ machine }) => machine === east).length;
+    assert.equal(inEast, "singleZone" in rule ? 0 : 65);
   }
 });
--- a/test/evidence.test.ts
+++ b/test/evidence.test.ts
@@ -1,17 +1,22 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Machine, Task } from "../src/bookkeeping/picture.js";
-import { Commander } from "../src/coordination/commander.js";
-import { answerTokenOf, type BlockContext, firstToken, tokenOf } from "../src/coordination/context.js";
+import { CommandDispatcher } from "../src/coordination/commander.js";
+import { fencingTokenOf, firstFencingToken, responseTokenOf, type ShardContext } from "../src/coordination/context.js";
 import { unready } from "../src/coordination/decisions/eligibility.js";
-import { type Known, maybeOvertaken, type Said, weigh } from "../src/coordination/decisions/evidence.js";
-import type { Picture } from "../src/coordination/decisions/picture.js";
-import { answersReach, heardBack, isDeaf, reportCame } from "../src/coordination/decisions/reach.js";
-import { Observer } from "../src/coordination/observer.js";
+import {
+  classifyHeartbeat,
+  type HeartbeatCounters,
+  mayBeOvertaken,
+  type WorkerCounters,
+} from "../src/coordination/decisions/evidence.js";
+import type { SchedulerSnapshot } from "../src/coordination/decisions/picture.js";
+import { isOneWay, recordHeartbeat, recordResponse, responsesArrive } from "../src/coordination/decisions/reach.js";
+import { HeartbeatProcessor } from "../src/coordination/observer.js";
 import { json } from "../src/model/index.js";
-import type { Report, TaskReport } from "../src/protocol/worker.js";
+import type { Heartbeat, TaskStatus } from "../src/protocol/worker.js";
 import type { Micros } from "../src/transport/clock.js";
-import type { Outcome } from "../src/transport/http.js";
+import type { HttpOutcome } from "../src/transport/http.js";
 import { makeBlock, placedTask, report } from "./block-fixtures.js";
 
 const REPORT = { kind: "report" } as const;
@@ -22,27 +27,34 @@
   const machine = [...block.machines.values()][0] as Machine;
   const asked: Machine[] = [];
   const shown: Machine[] = [];
-  Object.assign(context, { inquire: (m: Machine) => asked.push(m), introduce: (m: Machine) => shown.push(m) });
-  return { block, context, machine, asked, shown, world, observer: new Observer(context, recorder) };
+  Object.assign(context, {
+    queryStatus: (m: Machine) => asked.push(m),
+    announceFencingToken: (m: Machine) => shown.push(m),
+  });
+  return { block, context, machine, asked, shown, world, observer: new HeartbeatProcessor(context, recorder) };
 };
 
 /** As a new holder knows a machine: by name only. */
 const unknown = (machine: Machine): void => {
-  Object.assign(machine, { state: "booting", session: null, seenToken: 0, timely: false });
+  Object.assign(machine, { state: "booting", incarnation: null, highestToken: 0, verified: false });
 };
 
 test("what may be a late copy is no sign of life, no room and no notice to a new holder", () => {
   const { machine, observer, world, context } = scene();
   unknown(machine);
-  const before = machine.lastHeard;
+  const before = machine.lastHeartbeatAt;
   world.now += 20_000_000;
   // From before the takeover: it was `up`, it was heard, and its notice drained a machine that had none any more.
-  assert.equal(observer.observe(machine, report({ token: 7, noticeS: 10 }), REPORT), "unproven");
+  assert.equal(observer.process(machine, report({ token: 7, reclaimNoticeS: 10 }), REPORT), "unproven");
   assert.equal(machine.state, "booting");
-  assert.equal(machine.lastHeard, before);
-  assert.equal(machine.noticeUntil, null);
-  const picture = { now: context.clock.now(), silentAfter: 1e9, firstToken: TOKEN } as unknown as Picture;
-  assert.notEqual(unready(machine, picture), null);
+  assert.equal(machine.lastHeartbeatAt, before);
+  assert.equal(machine.reclaimAt, null);
+  const snapshot = {
+    now: context.clock.now(),
+    heartbeatTimeout: 1e9,
+    firstFencingToken: TOKEN,
+  } as unknown as SchedulerSnapshot;
+  assert.notEqual(unready(machine, snapshot), null);
 });
 
 test("a worker first reached in a session that reports had named before has a whole lease from then on", () => {
@@ -50,96 +62,103 @@
   // what had been started in it was called lost a second later and started elsewhere.
   const { machine, observer, world, context } = scene();
   unknown(machine);
-  observer.observe(machine, report({ session: 2, sequence: 5, token: 7 }), REPORT);
+  observer.process(machine, report({ incarnation: 2, sequence: 5, token: 7 }), REPORT);
   world.now += 19_000_000;
   const answer = { kind: "answer", askedAt: context.clock.now() } as const;
-  assert.equal(observer.observe(machine, report({ session: 2, sequence: 9, token: 7 }), answer), "timely");
-  assert.equal(machine.leaseBase, context.clock.now());
+  assert.equal(observer.process(machine, report({ incarnation: 2, sequence: 9, token: 7 }), answer), "timely");
+  assert.equal(machine.leaseRenewedAt, context.clock.now());
 });
 
 test("what was missed while nothing got to a machine is not held against it once it answers again", () => {
   const { machine } = scene();
-  const { reach } = machine;
-  Object.assign(reach, { unanswered: 3, asked: TOKEN + 1, toldAt: 5 as Micros });
-  for (let lost = 0; lost < 3; lost += 1) reportCame(reach, TOKEN, true);
-  assert.equal(isDeaf(reach), true);
-  heardBack(reach, 10 as Micros);
+  const { reachability } = machine;
+  Object.assign(reachability, { consecutiveTimeouts: 3, probeToken: TOKEN + 1, probeSentAt: 5 as Micros });
+  for (let lost = 0; lost < 3; lost += 1) recordHeartbeat(reachability, TOKEN, true);
+  assert.equal(isOneWay(reachability), true);
+  recordResponse(reachability, 10 as Micros);
   // Its answers have yet to be seen, but it is neither deaf nor to be given up: it was, ten seconds after a cut.
-  assert.equal(isDeaf(reach), false);
-  assert.equal(answersReach(reach), true);
+  assert.equal(isOneWay(reachability), false);
+  assert.equal(responsesArrive(reachability), true);
   // Where questions are answered all the time, reports without the token go on counting.
-  reportCame(reach, TOKEN, true);
-  reach.toldAt = 11 as Micros;
-  for (let lost = 0; lost < 2; lost += 1) reportCame(reach, TOKEN, true);
-  heardBack(reach, 20 as Micros);
-  assert.equal(answersReach(reach), false);
+  recordHeartbeat(reachability, TOKEN, true);
+  reachability.probeSentAt = 11 as Micros;
+  for (let lost = 0; lost < 2; lost += 1) recordHeartbeat(reachability, TOKEN, true);
+  recordResponse(reachability, 20 as Micros);
+  assert.equal(responsesArrive(reachability), false);
 });
 
 test("a late copy that finds newer evidence changes nothing", () => {
   const { machine, observer } = scene();
-  observer.observe(machine, report({ session: 2, sequence: 40 }), REPORT);
+  observer.process(machine, report({ incarnation: 2, sequence: 40 }), REPORT);
   const before = { ...machine };
   for (const old of [
-    { session: 2, sequence: 39, noticeS: 5 },
-    { session: 1, sequence: 90 },
-    { session: 2, sequence: 40 },
+    { incarnation: 2, sequence: 39, reclaimNoticeS: 5 },
+    { incarnation: 1, sequence: 90 },
+    { incarnation: 2, sequence: 40 },
   ]) {
-    const evidence = observer.observe(machine, report(old), REPORT);
-    assert.ok(evidence === "old" || evidence === "doubtful", evidence);
+    const freshness = observer.process(machine, report(old), REPORT);
+    assert.ok(freshness === "old" || freshness === "doubtful", freshness);
   }
-  assert.deepEqual({ ...machine, doubts: 0, doubtedAt: 0 }, { ...before, doubts: 0, doubtedAt: 0 });
+  assert.deepEqual(
+    { ...machine, suspectHeartbeats: 0, suspectedAt: 0 },
+    { ...before, suspectHeartbeats: 0, suspectedAt: 0 },
+  );
 });
 
 test("a job is not bound for ever to a machine whose session turned while a start for it was lost", () => {
   const { block, machine, observer } = scene();
-  observer.observe(machine, report({ sequence: 1 }), REPORT);
+  observer.process(machine, report({ sequence: 1 }), REPORT);
   const task = placedTask(block, machine);
-  task.launch = { kind: "unsure", token: TOKEN };
+  task.startCommand = { kind: "unsure", token: TOKEN };
   // No answer gets there, so its token never rises; it was waited for for ever.
-  for (let sequence = 2; sequence < 5; sequence += 1) observer.observe(machine, report({ sequence }), REPORT);
-  assert.equal(task.on, machine);
-  observer.observe(machine, report({ session: 2, sequence: 5 }), REPORT);
-  assert.equal(task.on, null);
+  for (let sequence = 2; sequence < 5; sequence += 1) observer.process(machine, report({ sequence }), REPORT);
+  assert.equal(task.machine, machine);
+  observer.process(machine, report({ incarnation: 2, sequence: 5 }), REPORT);
+  assert.equal(task.machine, null);
 });
 
 test("a start that commands cannot bring is given to another machine once it cannot arrive any more", () => {
   const { block, machine, observer } = scene();
-  observer.observe(machine, report({ sequence: 1 }), REPORT);
+  observer.process(machine, report({ sequence: 1 }), REPORT);
   const task = placedTask(block, machine);
-  task.launch = { kind: "unsure", token: TOKEN };
-  machine.reach.unanswered = 2;
+  task.startCommand = { kind: "unsure", token: TOKEN };
+  machine.reachability.consecutiveTimeouts = 2;
   // Answers to reports get there: the token rises. It was tried again on the same machine, for as long as that lasted.
-  observer.observe(machine, report({ sequence: 2, token: TOKEN + 1 }), REPORT);
-  assert.equal(task.on, null);
+  observer.process(machine, report({ sequence: 2, token: TOKEN + 1 }), REPORT);
+  assert.equal(task.machine, null);
 });
 
 test("a worker whose counters begin anew is asked, fenced, and only then believed", () => {
   const { block, context, machine, asked, shown, observer, world } = scene();
-  observer.observe(machine, report({ session: 3, sequence: 80 }), REPORT);
+  observer.process(machine, report({ incarnation: 3, sequence: 80 }), REPORT);
   const task = placedTask(block, machine);
-  task.launch = { kind: "seen" };
+  task.startCommand = { kind: "seen" };
   // Two reports that look old; they were dropped for ever.
-  for (const sequence of [1, 2]) observer.observe(machine, report({ session: 1, sequence, token: 0 }), REPORT);
+  for (const sequence of [1, 2]) observer.process(machine, report({ incarnation: 1, sequence, token: 0 }), REPORT);
   assert.deepEqual(asked, [machine]);
   world.now += 10;
   const answer = { kind: "answer", askedAt: context.clock.now() } as const;
-  assert.equal(observer.observe(machine, report({ session: 1, sequence: 3, token: 0 }), answer), "anew");
+  assert.equal(observer.process(machine, report({ incarnation: 1, sequence: 3, token: 0 }), answer), "anew");
   assert.deepEqual(shown, [machine]);
   // A start of before may land once more: the session's number is the same, and any token will do.
-  assert.equal(task.on, machine);
-  observer.observe(machine, report({ session: 1, sequence: 4, token: TOKEN }), REPORT);
-  assert.equal(task.on, machine);
-  observer.observe(machine, report({ session: 1, sequence: 5, token: tokenOf(context.lease, machine) }), REPORT);
-  assert.equal(task.launch.kind, "none");
+  assert.equal(task.machine, machine);
+  observer.process(machine, report({ incarnation: 1, sequence: 4, token: TOKEN }), REPORT);
+  assert.equal(task.machine, machine);
+  observer.process(
+    machine,
+    report({ incarnation: 1, sequence: 5, token: fencingTokenOf(context.lease, machine) }),
+    REPORT,
+  );
+  assert.equal(task.startCommand.kind, "none");
 });
 
 test("an answer overtaken by a newer report is not taken for counters that began anew", () => {
   const { machine, observer, world, context } = scene();
   const askedAt = context.clock.now();
   world.now += 1_000;
-  observer.observe(machine, report({ sequence: 9 }), REPORT);
-  assert.equal(observer.observe(machine, report({ sequence: 8 }), { kind: "answer", askedAt }), "old");
-  assert.equal(machine.sequence, 9);
+  observer.process(machine, report({ sequence: 9 }), REPORT);
+  assert.equal(observer.process(machine, report({ sequence: 8 }), { kind: "answer", askedAt }), "old");
+  assert.equal(machine.heartbeatSequence, 9);
 });
 
 test("no message is believed more when it is older, shows less of our tokens, or is not an answer", () => {
@@ -150,20 +169,30 @@
     for (const seenToken of [0, 5, 10])
       for (const timely of [false, true])
         for (const staleSession of [null, 1])
-          for (const said of values.flatMap((s) =>
-            values.flatMap((q) => [0, 5, 10, 15].map((t): Said => ({ session: s, sequence: q, token: t }))),
+          for (const heartbeat of values.flatMap((s) =>
+            values.flatMap((q) =>
+              [0, 5, 10, 15].map((t): HeartbeatCounters => ({ incarnation: s, sequence: q, token: t })),
+            ),
           )) {
-            const known: Known = { session, sequence: 2, seenToken, staleSession, learntAt: 100 as Micros, timely };
-            const asReport = weigh(known, said, REPORT, 10);
-            const asAnswer = weigh(known, said, { kind: "answer", askedAt: 100 as Micros }, 10);
-            const asOldAnswer = weigh(known, said, { kind: "answer", askedAt: 99 as Micros }, 10);
+            const known: WorkerCounters = {
+              incarnation: session,
+              heartbeatSequence: 2,
+              highestToken: seenToken,
+              expiredIncarnation: staleSession,
+              countersLearnedAt: 100 as Micros,
+              verified: timely,
+            };
+            const asReport = classifyHeartbeat(known, heartbeat, REPORT, 10);
+            const asAnswer = classifyHeartbeat(known, heartbeat, { kind: "answer", askedAt: 100 as Micros }, 10);
+            const asOldAnswer = classifyHeartbeat(known, heartbeat, { kind: "answer", askedAt: 99 as Micros }, 10);
             weighed += 1;
-            assert.ok(rank[asAnswer] >= rank[asReport], JSON.stringify({ known, said }));
+            assert.ok(rank[asAnswer] >= rank[asReport], JSON.stringify({ known, said: heartbeat }));
             assert.ok(rank[asAnswer] >= rank[asOldAnswer]);
             assert.notEqual(asReport, "anew");
             assert.notEqual(asOldAnswer, "anew");
-            if (asReport === "news") assert.ok(said.token >= 10 && (session === null || said.session >= session));
-            if (asReport === "turned") assert.ok(timely && session !== null && said.session > session);
+            if (asReport === "news")
+              assert.ok(heartbeat.token >= 10 && (session === null || heartbeat.incarnation >= session));
+            if (asReport === "turned") assert.ok(timely && session !== null && heartbeat.incarnation > session);
           }
   assert.ok(weighed > 1_500);
 });
@@ -206,12 +235,12 @@
     return [...this.known.values()].includes("running");
   }
 
-  report(): Report {
+  report(): Heartbeat {
     this.tick += 1;
-    const tasks = [...this.known].map(([task, state]): TaskReport => {
+    const tasks = [...this.known].map(([task, state]): TaskStatus => {
       return { task, attempt: 1, state, reason: state === "exited" ? "stopped" : null };
     });
-    return report({ session: this.session, sequence: this.tick, token: this.token, tasks });
+    return report({ incarnation: this.session, sequence: this.tick, token: this.token, tasks });
   }
 
   execute(order: Order): boolean {
@@ -227,13 +256,13 @@
   }
 }
 
-const wire = (said: Report): string =>
+const wire = (said: Heartbeat): string =>
   JSON.stringify({
     host: said.machine,
     addr: said.address,
     flavor: said.type,
     area: said.zone,
-    tenure: said.session,
+    tenure: said.incarnation,
     tick: said.sequence,
     baton: said.token,
     shards: said.tasks.map(({ task, attempt, state }) => ({
@@ -247,46 +276,49 @@
 /** Plays one order of events with the production code for evidence, observation and commands. */
 class Play {
   readonly worker = new TinyWorker();
-  private readonly past: Report[] = [];
+  private readonly past: Heartbeat[] = [];
   private readonly late: Order[] = [];
   private carriedOut: Order | null = null;
   private number = 0;
   private fate: "ok" | "no answer" | "late" = "ok";
   private now = 0;
-  private context!: BlockContext;
+  private context!: ShardContext;
   private machine!: Machine;
   private task!: Task;
-  private observer!: Observer;
-  private commander!: Commander;
+  private observer!: HeartbeatProcessor;
+  private commander!: CommandDispatcher;
   private freed = false;
 
-  constructor(private readonly believe: (observer: Observer, machine: Machine) => Observer = (observer) => observer) {
+  constructor(
+    private readonly believe: (heartbeats: HeartbeatProcessor, machine: Machine) => HeartbeatProcessor = (heartbeats) =>
+      heartbeats,
+  ) {
     this.hold(null);
   }
 
-  private hold(launch: Task["launch"] | null): void {
+  private hold(startCommand: Task["startCommand"] | null): void {
     this.number += 1;
     const { block, context, recorder, world } = makeBlock(1);
     world.now = this.now;
-    const lease = { ...context.lease, number: this.number };
+    const lease = { ...context.lease, epoch: this.number };
     Object.assign(context, {
       lease,
       clock: { ...context.clock, now: () => this.now as Micros, after: () => ({ cancel: () => undefined }) },
       http: { call: async (_: string, { target, body }: { target: string; body: string }) => this.call(target, body) },
-      introduce: () => undefined,
+      announceFencingToken: () => undefined,
     });
     this.context = context;
     this.machine = [...block.machines.values()][0] as Machine;
     unknown(this.machine);
     this.task = placedTask(block, this.machine);
-    this.task.launch = launch ?? { kind: "none" };
+    this.task.startCommand = startCommand ?? { kind: "none" };
     // By the records it has been placed elsewhere since.
-    if (this.freed) block.vacate(this.task);
-    this.observer = this.believe(new Observer(context, recorder), this.machine);
-    this.commander = new Commander(context, this.observer);
+    if (this.freed) block.releaseTask(this.task);
+    this.observer = this.believe(new HeartbeatProcessor(context, recorder), this.machine);
+    this.commander = new CommandDispatcher(context, this.observer);
   }
 
-  private call(target: string, body: string): Outcome {
+  private call(target: string, body: string): HttpOutcome {
     if (target === "/status") return this.answer(200);
     const { baton, tenure, orders } = JSON.parse(body) as {
       baton: number;
@@ -303,21 +335,23 @@
     return this.fate === "no answer" ? { kind: "lost" } : this.answer(done ? 200 : 409);
   }
 
-  private answer(status: number): Outcome {
+  private answer(status: number): HttpOutcome {
     return { kind: "answer", retryAfterS: null, ...json(status, {}), body: wire(this.worker.report()) };
   }
 
-  private deliver(said: Report, answered: boolean): void {
-    const overtaken = maybeOvertaken(this.machine, said);
-    const evidence = this.observer.observe(this.machine, said, REPORT);
-    if (!answered || (evidence === "doubtful" && !overtaken)) return;
+  private deliver(said: Heartbeat, answered: boolean): void {
+    const overtaken = mayBeOvertaken(this.machine, said);
+    const freshness = this.observer.process(this.machine, said, REPORT);
+    if (!answered || (freshness === "doubtful" && !overtaken)) return;
     // As the steward answers: commands that may be repeated, and what may be forgotten, under one token.
-    const trusted = this.machine.seenToken >= firstToken(this.context.lease) && evidence !== "unproven";
-    const own = trusted ? [...this.commander.standing(this.machine), ...this.commander.forgets(this.machine)] : [];
+    const trusted = this.machine.highestToken >= firstFencingToken(this.context.lease) && freshness !== "unproven";
+    const own = trusted
+      ? [...this.commander.repeatableCommands(this.machine), ...this.commander.forgetCommands(this.machine)]
+      : [];
     const commands = own.map(({ op, task }) => ({ verb: op === "stop" ? "halt" : "forget", shard: task }));
     this.worker.execute({
-      token: answerTokenOf(this.context.lease, this.machine),
-      session: Number(said.session),
+      token: responseTokenOf(this.context.lease, this.machine),
+      session: Number(said.incarnation),
       commands,
     });
   }
@@ -341,7 +375,7 @@
       }
       case "ask":
         this.fate = "ok";
-        await this.commander.inquire(this.machine);
+        await this.commander.queryStatus(this.machine);
         break;
       case "command":
       case "command, no answer":
@@ -362,7 +396,7 @@
         worker.known.clear();
         break;
       case "to be stopped":
-        if (this.task.on !== null) this.task.stop = { graceS: 0 };
+        if (this.task.machine !== null) this.task.stopRequest = { graceS: 0 };
         break;
       case "back anew":
         Object.assign(worker, { session: 1, tick: 0, token: 0 });
@@ -375,12 +409,12 @@
         }
         break;
       case "takeover":
-        this.hold({ kind: "unsure", token: firstToken(this.context.lease) + 65_535 });
+        this.hold({ kind: "unsure", token: firstFencingToken(this.context.lease) + 65_535 });
     }
-    if (this.task.on === null) {
+    if (this.task.machine === null) {
       this.freed = true;
       // It is on record before anything follows from it.
-      this.task.durable = this.task.want;
+      this.task.recorded = this.task.desired;
     }
     // Once free it is started elsewhere: from then on it must not be here, whatever still lands.
     if (this.freed && worker.runs) throw new Error("runs where it was called gone");
@@ -436,29 +470,32 @@
 });
 
 /** Looks at each message in another way than it ought to. */
-const variant = (alter: (machine: Machine, said: Report) => Parameters<Observer["observe"]>[2] | null) => (): Play =>
-  new Play((observer, known) => {
-    const observe = observer.observe.bind(observer);
-    observer.observe = (machine, said, origin) => observe(machine, said, alter(known, said) ?? origin);
-    return observer;
-  });
+const variant =
+  (alter: (machine: Machine, said: Heartbeat) => Parameters<HeartbeatProcessor["process"]>[2] | null) => (): Play =>
+    new Play((heartbeats, known) => {
+      const observe = heartbeats.process.bind(heartbeats);
+      heartbeats.process = (machine, said, source) => observe(machine, said, alter(known, said) ?? source);
+      return heartbeats;
+    });
 
 const BROKEN: Readonly<Record<string, () => Play>> = {
   "copies are taken for what is so now": variant((machine) => {
-    machine.timely = true;
+    machine.verified = true;
     return null;
   }),
   "a start without an answer is called gone by the next report": variant((machine) => {
-    for (const task of machine.tasks) if (task.launch.kind === "unsure") task.launch = { kind: "unsure", token: -1 };
+    for (const task of machine.tasks)
+      if (task.startCommand.kind === "unsure") task.startCommand = { kind: "unsure", token: -1 };
     return null;
   }),
   "counters that began anew are believed without a fence": variant((machine) => {
-    machine.anewToken = 0;
-    for (const task of machine.tasks) if (task.launch.kind === "unsure") task.launch = { kind: "unsure", token: -1 };
+    machine.counterResetToken = 0;
+    for (const task of machine.tasks)
+      if (task.startCommand.kind === "unsure") task.startCommand = { kind: "unsure", token: -1 };
     return null;
   }),
   "attempts are forgotten below the token that they were started under": variant((machine) => {
-    machine.launchFence = -1;
+    machine.startFencingSequence = -1;
     return null;
   }),
 };
--- a/test/fixtures.ts
+++ b/test/fixtures.ts
@@ -1,8 +1,8 @@
-import { type MachineType, readTypes } from "../src/protocol/cloud.js";
+import { decodeMachineTypes, type MachineType } from "../src/protocol/cloud.js";
 
 /** A machine type of 16 CPUs, offered in these zones. */
 export const bigType = (areas: readonly string[]): MachineType =>
-  readTypes({
+  decodeMachineTypes({
     flavors: [
       {
         sku: "big",
--- a/test/json.test.ts
+++ b/test/json.test.ts
@@ -1,34 +1,34 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { formatJson, Malformed, parseJson, readWhole } from "../src/protocol/json.js";
-import { readChanges, transactionRequest } from "../src/protocol/state.js";
-import { readReport, reportAnswer } from "../src/protocol/worker.js";
+import { formatJson, MalformedMessageError, parseJson, readUint64 } from "../src/protocol/json.js";
+import { decodeChanges, encodeTransaction } from "../src/protocol/state.js";
+import { decodeHeartbeat, encodeHeartbeatResponse } from "../src/protocol/worker.js";
 
 test("integers up to 2^64 survive reading and writing, and compare rightly", () => {
   const big = 18_446_744_073_709_551_615n;
-  assert.equal(readWhole(parseJson(`{"n":${big}}`) as { n: unknown }, "n"), big);
+  assert.equal(readUint64(parseJson(`{"n":${big}}`) as { n: unknown }, "n"), big);
   assert.equal(formatJson({ n: big, m: 7 }), `{"n":${big},"m":7}`);
   assert.equal(
-    formatJson(transactionRequest(new Map([["k", big]]), [])),
+    formatJson(encodeTransaction(new Map([["k", big]]), [])),
     `{"if":[{"k":"k","stamp":${big}}],"writes":[]}`,
   );
-  const { changes, revision } = readChanges(
+  const { changes, revision } = decodeChanges(
     parseJson(`{"epoch":${big},"log":[{"remove":"a","stamp":9007199254740993}]}`),
   );
   assert.equal(revision, big);
   assert.equal(changes[0]?.version, 9_007_199_254_740_993n);
   assert.ok(revision > (changes[0]?.version ?? 0) && (changes[0]?.version ?? 0) > 5);
-  const report = readReport(
+  const heartbeat = decodeHeartbeat(
     parseJson(
       `{"host":"n-1","addr":"10.0.0.1:1","flavor":"a","area":"b","tenure":1,"tick":${big},"baton":0,"shards":[]}`,
     ),
   );
-  assert.equal(report.sequence, big);
-  assert.equal(formatJson(reportAnswer(big, [])), `{"baton":${big},"orders":[]}`);
+  assert.equal(heartbeat.sequence, big);
+  assert.equal(formatJson(encodeHeartbeatResponse(big, [])), `{"baton":${big},"orders":[]}`);
 });
 
 test("what is no count is refused", () => {
   for (const text of ['{"n":18446744073709551616}', '{"n":-1}', '{"n":1.5}', '{"n":"1"}', "{}"]) {
-    assert.throws(() => readWhole(parseJson(text) as { n: unknown }, "n"), Malformed, text);
+    assert.throws(() => readUint64(parseJson(text) as { n: unknown }, "n"), MalformedMessageError, text);
   }
 });
--- a/test/links.test.ts
+++ b/test/links.test.ts
@@ -6,7 +6,7 @@
 const RUN = 60;
 
 /** A site under a steady stream of short jobs, with machines to spare; the trouble comes at 60 s. */
-const day = async (seed: number, mesh: boolean, trouble: (cluster: Cluster, holder: number) => void) => {
+const day = async (seed: number, mesh: boolean, trouble: (cluster: Cluster, leader: number) => void) => {
   const cluster = new Cluster(seed, { mesh, idleReturnS: 600 });
   cluster.rooms.ordinary = 12;
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0 };
@@ -41,7 +41,7 @@
 
 for (const mode of MODES) {
   test(`a holder that loses the state service alone goes on through a sibling (${mode})`, async () => {
-    const cut = (cluster: Cluster, holder: number): void => cluster.site.cutFromState(holder, 40 * S, mode);
+    const cut = (cluster: Cluster, leader: number): void => cluster.site.cutFromState(leader, 40 * S, mode);
     const without = await day(51, false, cut);
     assert.ok(without.gap > 5, `without a mesh nothing started for ${without.gap} s only`);
     const result = await day(51, true, cut);
@@ -51,7 +51,7 @@
   });
 
   test(`a holder that loses the workers alone speaks to them through a sibling (${mode})`, async () => {
-    const cut = (cluster: Cluster, holder: number): void => cluster.site.cutFromWorkers(holder, 40 * S, mode);
+    const cut = (cluster: Cluster, leader: number): void => cluster.site.cutFromWorkers(leader, 40 * S, mode);
     const result = await day(52, true, cut);
     assert.equal(result.takeovers, 0);
     // Without a mesh the block is handed over, and all that is known of the machines is gathered anew.
@@ -65,8 +65,8 @@
 }
 
 test("a holder that the state service refuses alone goes on through a sibling", async () => {
-  const result = await day(53, true, (cluster, holder) =>
-    cluster.state.refuse(cluster.site.nodeAddress(holder), 40 * S),
+  const result = await day(53, true, (cluster, leader) =>
+    cluster.state.refuse(cluster.site.nodeAddress(leader), 40 * S),
   );
   assert.equal(result.takeovers, 0);
   assert.ok(result.gap < 3, `nothing started for ${result.gap} s`);
@@ -75,9 +75,9 @@
 
 test("crossed cut: the holder reaches the workers only, both others the state service only, and the service goes on", async () => {
   // Without a mesh the block went back and forth between two controllers that heard no machine.
-  const crossed = (cluster: Cluster, holder: number): void => {
-    cluster.state.refuse(cluster.site.nodeAddress(holder), 40 * S);
-    for (const at of [0, 1, 2]) if (at !== holder) cluster.site.cutFromWorkers(at, 40 * S, "reset");
+  const crossed = (cluster: Cluster, leader: number): void => {
+    cluster.state.refuse(cluster.site.nodeAddress(leader), 40 * S);
+    for (const at of [0, 1, 2]) if (at !== leader) cluster.site.cutFromWorkers(at, 40 * S, "reset");
   };
   const without = await day(54, false, crossed);
   assert.ok(without.gap > 8, `${without.gap} s`);
--- a/test/loops.test.ts
+++ b/test/loops.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Committer } from "../src/bookkeeping/committer.js";
-import type { Store } from "../src/bookkeeping/store.js";
-import { View } from "../src/bookkeeping/view.js";
-import { Commander } from "../src/coordination/commander.js";
-import type { BlockContext } from "../src/coordination/context.js";
-import { Observer } from "../src/coordination/observer.js";
-import type { Recorder } from "../src/coordination/recorder.js";
-import { Rounds } from "../src/coordination/rounds.js";
+import { TransactionBatcher } from "../src/bookkeeping/committer.js";
+import type { KeyValueStore } from "../src/bookkeeping/store.js";
+import { WatchCache } from "../src/bookkeeping/view.js";
+import { CommandDispatcher } from "../src/coordination/commander.js";
+import type { ShardContext } from "../src/coordination/context.js";
+import { HeartbeatProcessor } from "../src/coordination/observer.js";
+import type { TaskStateWriter } from "../src/coordination/recorder.js";
+import { Scheduler } from "../src/coordination/rounds.js";
 import { HostClock, World } from "../src/model/index.js";
 import type { JobSpec } from "../src/protocol/user.js";
 import type { Micros } from "../src/transport/clock.js";
@@ -18,25 +18,25 @@
   const machine = [...block.machines.values()][0];
   assert.ok(machine !== undefined);
   const task = placedTask(block, machine);
-  const observer = new Observer(context, recorder);
-  const commander = new Commander(context, observer);
-  await commander.send(machine);
-  assert.equal(task.launch.kind, "unsure");
-  machine.commandAfter = 0 as Micros;
-  await commander.send(machine);
+  const heartbeats = new HeartbeatProcessor(context, recorder);
+  const commands = new CommandDispatcher(context, heartbeats);
+  await commands.send(machine);
+  assert.equal(task.startCommand.kind, "unsure");
+  machine.nextCommandAt = 0 as Micros;
+  await commands.send(machine);
   // Taken for gone, it was placed elsewhere while the first command could still land here.
-  assert.equal(task.launch.kind, "unsure");
+  assert.equal(task.startCommand.kind, "unsure");
 });
 
 test("a worker that answers before its first report was answered has a whole lease", async () => {
   const { world, block, context, recorder } = makeBlock(1);
   const machine = [...block.machines.values()][0];
   assert.ok(machine !== undefined);
-  Object.assign(machine, { session: null, state: "booting" });
+  Object.assign(machine, { incarnation: null, state: "booting" });
   await world.run(20_000_000, nothing);
-  new Observer(context, recorder).observe(machine, report(), { kind: "report" });
+  new HeartbeatProcessor(context, recorder).process(machine, report(), { kind: "report" });
   // From when it was rented, its lease would be taken for over long before the worker ends anything.
-  assert.equal(machine.leaseBase, context.clock.now());
+  assert.equal(machine.leaseRenewedAt, context.clock.now());
 });
 
 test("whoever is told of a key read in a list can see all the others", async () => {
@@ -47,11 +47,11 @@
   const store = {
     list: async () => ({ kind: "ok", value: { entries, revision: 5 } }),
     watch: () => new Promise(() => undefined),
-  } as unknown as Store;
-  const view = new View(store, "c/", clock, quiet, 1_000 as Micros, 1_000 as Micros);
+  } as unknown as KeyValueStore;
+  const cache = new WatchCache(store, "c/", clock, quiet, 1_000 as Micros, 1_000 as Micros);
   const seen: number[] = [];
-  view.onChange(() => seen.push(view.entries.size));
-  void view.follow();
+  cache.onChange(() => seen.push(cache.entries.size));
+  void cache.run();
   await world.run(1_000, nothing);
   assert.deepEqual(seen, [3, 3, 3]);
 });
@@ -64,7 +64,7 @@
   // Refuses like a service that counts what it refuses, too: batches sent at once and again starved each other.
   const store = {
     budget: { requestsPerS: 100, writesPerS: 21, writesPerTransaction: 24 },
-    commit: async (_: unknown, writes: readonly unknown[]) => {
+    transact: async (_: unknown, writes: readonly unknown[]) => {
       tokens = Math.min(30, tokens + ((world.now - last) / 1_000_000) * 30) - writes.length;
       last = world.now;
       if (tokens < 0) {
@@ -74,14 +74,14 @@
       written += writes.length;
       return { kind: "ok", version: 1 };
     },
-  } as unknown as Store;
+  } as unknown as KeyValueStore;
   const clock = new HostClock(world, 1, 0);
-  const committers = [0, 1, 2].map((at) => new Committer(store, clock, () => (at + 1) / 4));
+  const committers = [0, 1, 2].map((at) => new TransactionBatcher(store, clock, () => (at + 1) / 4));
   let refused = 0;
   for (let count = 0; count < 300; count += 1) {
     const send = (tries: number): void => {
       const key = `c/job/wk-${count}`;
-      void committers[count % 3]?.propose(new Map([[key, 0]]), [{ kind: "put", key, value: {} }]).then((result) => {
+      void committers[count % 3]?.submit(new Map([[key, 0]]), [{ kind: "put", key, value: {} }]).then((result) => {
         if (result.kind === "ok") return;
         refused += 1;
         if (tries > 0) clock.after(1_000_000 as Micros, () => send(tries - 1));
@@ -98,16 +98,16 @@
   const world = new World();
   const store = {
     budget: { requestsPerS: 100, writesPerS: 10, writesPerTransaction: 5 },
-    commit: async () => ({ kind: "ok", version: 1 }),
-  } as unknown as Store;
-  return { world, committer: new Committer(store, new HostClock(world, 1, 0), () => 0.5) };
+    transact: async () => ({ kind: "ok", version: 1 }),
+  } as unknown as KeyValueStore;
+  return { world, committer: new TransactionBatcher(store, new HostClock(world, 1, 0), () => 0.5) };
 };
 
 test("a cancellation does not wait for the submissions that came before it", async () => {
   const { world, committer } = tightCommitter();
   const done: string[] = [];
   const write = (key: string, urgency: "cancel" | "user"): void => {
-    void committer.propose(new Map([[key, 0]]), [{ kind: "put", key, value: {} }], urgency).then(() => done.push(key));
+    void committer.submit(new Map([[key, 0]]), [{ kind: "put", key, value: {} }], urgency).then(() => done.push(key));
   };
   for (let count = 0; count < 60; count += 1) write(`c/job/wk-${count}`, "user");
   write("c/job/wk-old", "cancel");
@@ -121,15 +121,15 @@
   const done: string[] = [];
   const write = (key: string, urgency: "note" | "work"): void => {
     void committer
-      .proposeLater(new Map([[key, 0]]), [key], () => [{ kind: "put", key, value: {} }], urgency)
+      .submitDeferred(new Map([[key, 0]]), [key], () => [{ kind: "put", key, value: {} }], urgency)
       .then(() => done.push(key));
   };
   for (let count = 0; count < 200; count += 1) write(`c/range/wk-${count}/0`, "note");
   await world.run(100_000, nothing);
   write("c/range/wk-new/0", "work");
   // The range of a note that still waits is to take a placement: one write carries both, and it is waited for now.
-  committer.hurry("c/range/wk-190/0", "work");
-  committer.hurry("c/range/wk-none/0", "work");
+  committer.promote("c/range/wk-190/0", "work");
+  committer.promote("c/range/wk-none/0", "work");
   await world.run(900_000, nothing);
   assert.ok(done.includes("c/range/wk-new/0"));
   assert.ok(done.includes("c/range/wk-190/0"));
@@ -142,26 +142,30 @@
 test("rounds place no further ahead than records can be written, whatever else waits for the same writes", () => {
   const { block, context, recorder } = makeBlock(200);
   const marked: string[] = [];
-  const rounds = new Rounds(
+  const scheduler = new Scheduler(
     // Ten writes a second, and hundreds of ends of jobs waiting.
-    { ...context, committer: { ...context.committer, rate: 10, waiting: () => 500 } } as unknown as BlockContext,
+    {
+      ...context,
+      transactions: { ...context.transactions, writesPerSecond: 10, pendingCount: () => 500 },
+    } as unknown as ShardContext,
     {
       ...recorder,
-      mark: (range: { marked: Micros | null; job: { spec: JobSpec } }) => {
-        if (range.marked === null) marked.push(range.job.spec.id);
-        range.marked = context.clock.now();
+      recordPlacement: (range: { placementPendingSince: Micros | null; job: { spec: JobSpec } }) => {
+        if (range.placementPendingSince === null) marked.push(range.job.spec.id);
+        range.placementPendingSince = context.clock.now();
       },
-    } as unknown as Recorder,
+    } as unknown as TaskStateWriter,
   );
   for (let at = 0; at < 60; at += 1) block.addJob({ ...SPEC, id: `wk-${at}`, tasks: 20 }, 1, false);
-  rounds.run();
+  scheduler.runRound();
   assert.equal(marked.length, 20, "two seconds' writes");
   // Each of them whole: the fewer writes, the more tasks they carry.
-  assert.ok(marked.every((id) => block.jobs.get(id)?.placed.size === 20));
-  rounds.run();
+  assert.ok(marked.every((id) => block.jobs.get(id)?.placedTasks.size === 20));
+  scheduler.runRound();
   assert.equal(marked.length, 20, "nothing more until some are written");
-  for (const id of marked.slice(0, 5)) for (const range of block.jobs.get(id)?.ranges ?? []) range.marked = null;
-  rounds.run();
+  for (const id of marked.slice(0, 5))
+    for (const range of block.jobs.get(id)?.ranges ?? []) range.placementPendingSince = null;
+  scheduler.runRound();
   assert.equal(marked.length, 25);
 });
 
@@ -181,15 +185,15 @@
       false,
     );
   }
-  const rounds = new Rounds(context, recorder);
-  rounds.run();
-  const placed = [...block.jobs.values()].reduce((sum, job) => sum + job.placed.size, 0);
+  const scheduler = new Scheduler(context, recorder);
+  scheduler.runRound();
+  const placed = [...block.jobs.values()].reduce((sum, job) => sum + job.placedTasks.size, 0);
   assert.ok(placed > 10_000, `${placed} placed`);
   // Each task on each machine would be 17 million.
-  assert.ok(rounds.work.visited < 1_500_000, `${rounds.work.visited} looked at`);
-  const before = rounds.work.visited;
-  rounds.run();
-  const idle = rounds.work.visited - before;
+  assert.ok(scheduler.inspection.count < 1_500_000, `${scheduler.inspection.count} looked at`);
+  const before = scheduler.inspection.count;
+  scheduler.runRound();
+  const idle = scheduler.inspection.count - before;
   assert.ok(idle < 100_000, `${idle} looked at in a round with nothing to place`);
 });
 
@@ -198,7 +202,7 @@
   const at = new Map<string, number>();
   const write = (key: string, urgency: "user" | "prompt" | "work" | "note"): void => {
     void committer
-      .propose(new Map([[key, 0]]), [{ kind: "put", key, value: {} }], urgency)
+      .submit(new Map([[key, 0]]), [{ kind: "put", key, value: {} }], urgency)
       .then(() => at.set(key, world.now));
   };
   for (let count = 0; count < 300; count += 1) write(`guest-${count}`, "work");
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { blockKey, memberKey } from "../src/bookkeeping/records.js";
-import type { BlockLease, Services } from "../src/coordination/context.js";
+import { memberKey, shardKey } from "../src/bookkeeping/records.js";
+import type { Services, ShardLease } from "../src/coordination/context.js";
 import { Membership } from "../src/coordination/membership.js";
 import { HostClock, S, World } from "../src/model/index.js";
 import type { Entry } from "../src/protocol/state.js";
@@ -10,7 +10,7 @@
 import { settingsText } from "./fixtures.js";
 
 const settings = parseSettings(settingsText(0));
-const [ME, BLOCK] = [memberKey(settings.label), blockKey(0)];
+const [ME, BLOCK] = [memberKey(settings.label), shardKey(0)];
 
 test("a block leased to a join that came late, under a grant that nobody renews, is not acted for", async () => {
   // The first join has no answer; the second one stands. Then that one's key goes with an outage's end, and the first is carried
@@ -22,21 +22,21 @@
   let joins = 0;
   const store = {
     get: async () => ({ kind: "missing" }),
-    grant: async () => {
+    grantLease: async () => {
       grants += 1;
       return { kind: "ok", value: grants };
     },
-    commit: async () => {
+    transact: async () => {
       joins += 1;
       return joins === 1 ? { kind: "lost" } : { kind: "ok", version: 5 };
     },
-    touch: async () => ({ kind: "ok", value: true }),
+    renewLease: async () => ({ kind: "ok", value: true }),
   };
   let changed: () => void = nothing;
-  const view = {
+  const cache = {
     entries,
     loaded: true,
-    get freshAt() {
+    get freshAsOf() {
       return clock.now();
     },
     onChange: (listener: () => void) => {
@@ -44,9 +44,12 @@
     },
     sync: async () => true,
   };
-  const taken: BlockLease[] = [];
-  const services = { clock, log: quiet, settings, store, view } as unknown as Services;
-  const membership = new Membership(services, "inc-1", { taken: (lease) => taken.push(lease), dropped: nothing });
+  const taken: ShardLease[] = [];
+  const services = { clock, log: quiet, settings, store, cache } as unknown as Services;
+  const membership = new Membership(services, "inc-1", {
+    shardAcquired: (lease) => taken.push(lease),
+    shardReleased: nothing,
+  });
   void membership.run();
   await new Promise(setImmediate);
   await world.run(2 * S, nothing);
@@ -61,8 +64,8 @@
   assert.equal(taken.length, 0);
   put(ME, { lease: 2, incarnation: "inc-1" }, 9);
   assert.equal(taken.length, 1);
-  assert.equal(taken[0]?.valid(), true);
+  assert.equal(taken[0]?.isValid(), true);
   // And given up when its member's key is that of another grant.
   put(ME, { lease: 1, incarnation: "inc-1" }, 10);
-  assert.equal(taken[0]?.valid(), false);
+  assert.equal(taken[0]?.isValid(), false);
 });
--- a/test/mesh.test.ts
+++ b/test/mesh.test.ts
@@ -19,7 +19,7 @@
 } from "../src/mesh/index.js";
 import { HostClock, World } from "../src/model/index.js";
 import type { Micros } from "../src/transport/clock.js";
-import type { Outcome } from "../src/transport/http.js";
+import type { HttpOutcome } from "../src/transport/http.js";
 import { forSeeds, Random } from "./random.js";
 
 const BEAT: Frame = {
@@ -204,7 +204,7 @@
   const clock = new HostClock(world, 1, 0);
   const dialled: { at: number; wire: Wire; sent: Frame[] }[] = [];
   const called: string[] = [];
-  let outcome: Outcome = { kind: "unsent" };
+  let outcome: HttpOutcome = { kind: "unsent" };
   const mesh = meshWith({
     clock,
     log: { error: () => undefined, info: () => undefined, debug: () => undefined },
@@ -237,12 +237,12 @@
     },
     settings: {
       label: "a",
-      siblings: [{ label: "b", address: "b:1" }],
-      stateAddress: "state:1",
+      peers: [{ label: "b", address: "b:1" }],
+      storeAddress: "state:1",
       cloudAddress: "cloud:1",
-      workers: { report: 3_000_000 as Micros },
+      workers: { heartbeatInterval: 3_000_000 as Micros },
     },
-  })({ level: () => 0, holding: () => null, report: async () => ({ status: 503, body: "" }) });
+  })({ level: () => 0, leadership: () => null, handleHeartbeat: async () => ({ status: 503, body: "" }) });
   mesh.start();
   const say = (frame: Frame): void => dialled.at(-1)?.wire.onData(encode(frame));
   let sequence = 0;
@@ -258,7 +258,7 @@
   const asks = (): Extract<Frame, { type: "ask" }>[] =>
     (dialled.at(-1)?.sent ?? []).flatMap((frame) => (frame.type === "ask" ? [frame] : []));
   const pass = (s: number): Promise<void> => world.run(world.now + s * 1_000_000, () => undefined);
-  return { mesh, dialled, called, say, asks, pass, set: (next: Outcome) => (outcome = next) };
+  return { mesh, dialled, called, say, asks, pass, set: (next: HttpOutcome) => (outcome = next) };
 };
 
 const GET = { method: "GET", target: "/kv/x", body: "" };
@@ -272,7 +272,7 @@
 test("what fails by the own way goes through the sibling as it is, and comes back to the own way once that answers", async () => {
   const { mesh, called, say, asks, pass, set } = alone(true);
   await pass(2);
-  const call = (): Promise<Outcome> => mesh.client.call("state:1", GET, 2_000_000 as Micros);
+  const call = (): Promise<HttpOutcome> => mesh.client.call("state:1", GET, 2_000_000 as Micros);
   assert.deepEqual(await call(), { kind: "unsent" });
   const second = call();
   await pass(0.1);
@@ -299,7 +299,7 @@
 test("a call under way when the connection ends counts as lost, one that never left as not sent", async () => {
   const { mesh, dialled, pass } = alone(true);
   await pass(2);
-  const call = (): Promise<Outcome> => mesh.client.call("state:1", GET, 2_000_000 as Micros);
+  const call = (): Promise<HttpOutcome> => mesh.client.call("state:1", GET, 2_000_000 as Micros);
   await call();
   const under = call();
   await pass(0.1);
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { connect, type Socket } from "node:net";
 import { test } from "node:test";
-import { Lanes } from "../src/coordination/lanes.js";
-import { LEVELS, type Level, type Load, Overload } from "../src/coordination/overload.js";
+import { ConcurrencyPools } from "../src/coordination/lanes.js";
+import { LOAD_LEVELS, type LoadLevel, LoadShedder, type ProcessLoad } from "../src/coordination/overload.js";
 import { HostClock, World } from "../src/model/index.js";
-import { Malformed } from "../src/protocol/json.js";
-import { readReportText } from "../src/protocol/worker.js";
+import { MalformedMessageError } from "../src/protocol/json.js";
+import { decodeHeartbeatText } from "../src/protocol/worker.js";
 import { type Micros, seconds, systemClock } from "../src/transport/clock.js";
 import { HttpServer } from "../src/transport/http-server.js";
 import { playLoad } from "../src/whatif/index.js";
@@ -18,15 +18,15 @@
   const world = new World();
   const state = { lateUs: 0, memory: 0.3, sockets: 0.3 };
   const clock = new HostClock(world, 1, 0, (delay, run) => world.after(delay + state.lateUs, run));
-  const seen: Level[] = [];
+  const seen: LoadLevel[] = [];
   const log = {
     error: nothing,
     debug: nothing,
-    info: (_: string, fields?: Record<string, unknown>) => seen.push(fields?.level as Level),
+    info: (_: string, fields?: Record<string, unknown>) => seen.push(fields?.level as LoadLevel),
   };
-  const overload = new Overload(clock, log, (): Load => state);
+  const loadShedder = new LoadShedder(clock, log, (): ProcessLoad => state);
   const pass = (s: number): Promise<void> => world.run(world.now + s * 1_000_000, nothing);
-  return { state, seen, overload, pass };
+  return { state, seen, overload: loadShedder, pass };
 };
 
 test("load brings levels about one after the other, and they are left slowly, one at a time", async () => {
@@ -76,7 +76,7 @@
     await pass(1);
     assert.equal(overload.level, level, String(memory));
   }
-  assert.deepEqual(LEVELS, ["normal", "lean", "coarse", "full"]);
+  assert.deepEqual(LOAD_LEVELS, ["normal", "lean", "coarse", "full"]);
 });
 
 test("a thousand things to say take a bounded number of lanes, and slow hosts none of the others'", async () => {
@@ -85,7 +85,7 @@
   const running = { quick: 0, slow: 0, mostQuick: 0, mostSlow: 0 };
   const said = new Map<number, number>();
   const laneOf = (item: number): "quick" | "slow" => (item % 5 === 0 ? "slow" : "quick");
-  const lanes = new Lanes<number>(
+  const lanes = new ConcurrencyPools<number>(
     clock,
     async (item) => {
       const lane = laneOf(item);
@@ -117,23 +117,32 @@
 
 test("a list of tasks that has not changed is not read again, and any other is", () => {
   const shards = [{ shard: "wk-1/0", try: 1, phase: "running" }];
-  const first = readReportText(reportText(1, shards), () => null);
-  assert.equal(first.same, false);
+  const first = decodeHeartbeatText(reportText(1, shards), () => null);
+  assert.equal(first.taskListUnchanged, false);
   assert.equal(first.tasks.length, 1);
-  const known = (machine: string): string | null => (machine === "n-1" ? first.listing : null);
-  const second = readReportText(reportText(2, shards), known);
-  assert.deepEqual([second.same, second.sequence, second.tasks.length], [true, 2, 0]);
+  const known = (machine: string): string | null => (machine === "n-1" ? first.taskListText : null);
+  const second = decodeHeartbeatText(reportText(2, shards), known);
+  assert.deepEqual([second.taskListUnchanged, second.sequence, second.tasks.length], [true, 2, 0]);
   const ended = [{ shard: "wk-1/0", try: 1, phase: "exited", cause: "done" }];
-  assert.equal(readReportText(reportText(3, ended), known).same, false);
-  assert.equal(readReportText(reportText(3, ended), known).tasks[0]?.state, "exited");
+  assert.equal(decodeHeartbeatText(reportText(3, ended), known).taskListUnchanged, false);
+  assert.equal(decodeHeartbeatText(reportText(3, ended), known).tasks[0]?.state, "exited");
   // The letters of a list inside a text, or deeper in, are no list of this report.
   const hidden = reportText(4, shards).replace('"area":"east"', '"area":"x,\\"shards\\":[]}"');
-  assert.deepEqual([readReportText(hidden, known).same, readReportText(hidden, () => null).tasks.length], [true, 1]);
-  const deeper = reportText(5, shards).replace('"tick":5', `"more":{"a":1${first.listing?.slice(0, -1)}},"tick":5`);
-  assert.equal(readReportText(deeper, known).sequence, 5);
-  assert.equal(readReportText(deeper, known).tasks.length, 1);
-  assert.throws(() => readReportText(reportText(6, shards).replace('"tick":6', '"tick":-6'), known), Malformed);
-  assert.throws(() => readReportText(`${reportText(7, shards)}]`, known), SyntaxError);
+  assert.deepEqual(
+    [decodeHeartbeatText(hidden, known).taskListUnchanged, decodeHeartbeatText(hidden, () => null).tasks.length],
+    [true, 1],
+  );
+  const deeper = reportText(5, shards).replace(
+    '"tick":5',
+    `"more":{"a":1${first.taskListText?.slice(0, -1)}},"tick":5`,
+  );
+  assert.equal(decodeHeartbeatText(deeper, known).sequence, 5);
+  assert.equal(decodeHeartbeatText(deeper, known).tasks.length, 1);
+  assert.throws(
+    () => decodeHeartbeatText(reportText(6, shards).replace('"tick":6', '"tick":-6'), known),
+    MalformedMessageError,
+  );
+  assert.throws(() => decodeHeartbeatText(`${reportText(7, shards)}]`, known), SyntaxError);
 });
 
 test("reading reports with and without the shortcut gives the same, whatever the list", () => {
@@ -146,12 +155,12 @@
         phase: random.pick(["pulling", "running", "exited"]),
       }));
       const text = reportText(tick, shards, random.chance(0.2) ? ',"later":1' : "");
-      const quick = readReportText(text, () => last);
-      const whole = readReportText(text, () => null);
-      assert.deepEqual({ ...quick, tasks: [], same: false }, { ...whole, tasks: [] });
-      if (quick.same) assert.equal(whole.listing, last);
+      const quick = decodeHeartbeatText(text, () => last);
+      const whole = decodeHeartbeatText(text, () => null);
+      assert.deepEqual({ ...quick, tasks: [], taskListUnchanged: false }, { ...whole, tasks: [] });
+      if (quick.taskListUnchanged) assert.equal(whole.taskListText, last);
       else assert.deepEqual(quick.tasks, whole.tasks);
-      last = whole.listing;
+      last = whole.taskListText;
     }
   });
 });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,7 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { assign, type Component, choose, type Server, shortlist, weight } from "../src/coordination/placement/bfgp.js";
-import { type Ranked, Ranking } from "../src/coordination/placement/ranking.js";
+import {
+  assign,
+  type Component,
+  choose,
+  relativeSize,
+  type Server,
+  shortlist,
+} from "../src/coordination/placement/bfgp.js";
+import { type RankedServer, Ranking } from "../src/coordination/placement/ranking.js";
 import { forSeeds, type Random } from "./random.js";
 
 const IMAGES = ["a", "b", "c"];
@@ -92,15 +99,15 @@
 
 test("the weight of a demand is its largest share", () => {
   const reference = { cpu: 32_000, gpu: 0, ram: 64_000 };
-  assert.equal(weight({ cpu: 4_000, gpu: 0, ram: 32_000 }, reference), 0.5);
+  assert.equal(relativeSize({ cpu: 4_000, gpu: 0, ram: 32_000 }, reference), 0.5);
 });
 
 test("a run of equal tasks is placed as task by task, and looks at little", () => {
   forSeeds(300, (random) => {
-    const servers: Ranked[] = randomServers(random).map((server, order) => ({ ...server, order }));
+    const servers: RankedServer[] = randomServers(random).map((server, order) => ({ ...server, order }));
     const kappa = random.pick([0.1, 0.3, 0.5, 1]);
     const component = randomComponent(random);
-    const work = { visited: 0 };
+    const work = { count: 0 };
     const ranking = new Ranking(component, servers, servers.length, kappa, work);
     for (let step = 0; step < 40; step += 1) {
       const expected = literal(component, servers, kappa);
@@ -108,10 +115,10 @@
       assert.equal(chosen?.name, expected?.name);
       if (chosen === null) break;
       assign(component, chosen);
-      ranking.taken();
+      ranking.confirmChoice();
     }
   });
-  const many: Ranked[] = Array.from({ length: 1_500 }, (_, order) => ({
+  const many: RankedServer[] = Array.from({ length: 1_500 }, (_, order) => ({
     name: `m${order}`,
     order,
     capacity: { cpu: 32_000, gpu: 0, ram: 128_000 },
@@ -121,15 +128,15 @@
     fetchGbPerS: 1,
   }));
   const component: Component = { demand: { cpu: 4_000, gpu: 0, ram: 9_000 }, image: "a", imageGb: 1 };
-  const work = { visited: 0 };
+  const work = { count: 0 };
   const ranking = new Ranking(component, many, many.length, 0.5, work);
   let placed = 0;
   for (let server = ranking.choose(); server !== null && placed < 1_000; server = ranking.choose()) {
     assign(component, server);
-    ranking.taken();
+    ranking.confirmChoice();
     placed += 1;
   }
   assert.equal(placed, 1_000);
   // Looking at every machine for each task would be 1.5 million.
-  assert.ok(work.visited < 500_000, `${work.visited} looked at`);
+  assert.ok(work.count < 500_000, `${work.count} looked at`);
 });
--- a/test/polls.test.ts
+++ b/test/polls.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { jobKey, rangeKey, writeRange } from "../src/bookkeeping/records.js";
-import type { Store } from "../src/bookkeeping/store.js";
+import { encodeJobRecord, encodeTaskRange, jobKey, taskRangeKey } from "../src/bookkeeping/records.js";
+import type { KeyValueStore } from "../src/bookkeeping/store.js";
 import type { Services } from "../src/coordination/context.js";
-import { FrontDoor } from "../src/coordination/front-door.js";
-import { Lookups } from "../src/coordination/lookups.js";
+import { JobApi } from "../src/coordination/front-door.js";
+import { OutcomeReader } from "../src/coordination/lookups.js";
 import { HostClock, S, World } from "../src/model/index.js";
 import type { Entry } from "../src/protocol/state.js";
-import { readSubmission } from "../src/protocol/user.js";
+import { decodeSubmission } from "../src/protocol/user.js";
 import type { Micros } from "../src/transport/clock.js";
 import { Cluster, plainJob, SMALL } from "./sim/cluster.js";
 
@@ -61,27 +61,35 @@
     version,
     get value() {
       reads += 1;
-      return writeRange(Array.from({ length: 128 }, () => ({ kind: "placed", attempt: 1, machine: "n-1" })));
+      return encodeTaskRange(Array.from({ length: 128 }, () => ({ kind: "placed", attempt: 1, machine: "n-1" })));
     },
   });
   const entries = new Map<string, Entry>([
     [
       jobKey(job.ref),
-      { key: jobKey(job.ref), version: 1, value: { spec: readSubmission(job), block: 0, cancelled: false } },
+      {
+        key: jobKey(job.ref),
+        version: 1,
+        value: encodeJobRecord({ spec: decodeSubmission(job), shard: 0, cancelled: false }),
+      },
     ],
-    [rangeKey(job.ref, 0), range(2)],
-    [rangeKey(job.ref, 1), range(3)],
+    [taskRangeKey(job.ref, 0), range(2)],
+    [taskRangeKey(job.ref, 1), range(3)],
   ]);
-  const settings = { state: { rps: 150 }, controllers: 3 };
-  const services = { view: { entries, sync: async () => true }, settings } as unknown as Services;
-  const door = new FrontDoor(services, new Map(), { running: () => null, holds: () => false, withdrawn: () => false });
+  const settings = { store: { requestsPerS: 150 }, controllers: 3 };
+  const services = { cache: { entries, sync: async () => true }, settings } as unknown as Services;
+  const door = new JobApi(services, new Map(), {
+    taskCounts: () => null,
+    isLeader: () => false,
+    isWithdrawn: () => false,
+  });
   const ask = async (): Promise<unknown> =>
     JSON.parse((await door.handle({ method: "GET", target: `/v2/runs/${job.ref}`, body: "" })).body);
   for (let at = 0; at < 50; at += 1) {
     assert.deepEqual(await ask(), { ref: job.ref, phase: "running", done: 0, running: 256 });
   }
   assert.equal(reads, 2);
-  entries.set(rangeKey(job.ref, 1), range(4));
+  entries.set(taskRangeKey(job.ref, 1), range(4));
   await ask();
   assert.equal(reads, 3);
 });
@@ -108,10 +116,10 @@
       const entries = keys.slice(0, count).map(entry);
       return { kind: "ok", value: { entries, more: keys.length > count, revision: 1 } };
     },
-  } as unknown as Store;
+  } as unknown as KeyValueStore;
   const learnt = new Set<string>();
   const log = { error: () => undefined, info: () => undefined, debug: () => undefined };
-  const lookups = new Lookups(store, clock, log, 100_000 as Micros, (id) => learnt.add(id));
+  const lookups = new OutcomeReader(store, clock, log, 100_000 as Micros, (id) => learnt.add(id));
   return { world, ended, lookups, learnt, requests: () => requests };
 };
 
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Block } from "../src/bookkeeping/block.js";
+import { ShardState } from "../src/bookkeeping/block.js";
 import { newMachine } from "../src/bookkeeping/machines.js";
 import type { Job, Task } from "../src/bookkeeping/picture.js";
 import { attemptOf } from "../src/bookkeeping/tasks.js";
-import type { Picture } from "../src/coordination/decisions/picture.js";
-import { applyAction, decideRound, newMemory, type RoundAction } from "../src/coordination/decisions/round.js";
-import { MOST_ATTEMPTS } from "../src/coordination/decisions/shares.js";
+import type { SchedulerSnapshot } from "../src/coordination/decisions/picture.js";
+import { applyAction, decideRound, newRoundState, type RoundAction } from "../src/coordination/decisions/round.js";
+import { MAX_ATTEMPTS } from "../src/coordination/decisions/shares.js";
 import { HostClock, World } from "../src/model/index.js";
-import { readSubmission } from "../src/protocol/user.js";
+import { decodeSubmission } from "../src/protocol/user.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
 import { parseSettings } from "../src/settings/settings.js";
 import { seconds } from "../src/transport/clock.js";
@@ -24,53 +24,54 @@
 /** Machines, teams and a clock, and nobody between decision and effect: a stopped task is gone a moment later. */
 class Scene {
   readonly world = new World();
-  readonly block: Block;
+  readonly block: ShardState;
   readonly stops = new Map<string, number>();
   private readonly settings;
   private readonly clock;
-  private readonly memory = newMemory();
+  private readonly memory = newRoundState();
 
   constructor(machines: number, teams: string) {
     this.world.now = 1_000_000_000;
     this.clock = new HostClock(this.world, 1, 0);
     const text = settingsText(0).replace(/\[\[deployment\.teams\]\][\s\S]*?(?=\[\[deployment\.objectives)/, teams);
     this.settings = parseSettings(text);
-    this.block = new Block(this.clock, 128, this.settings.teams, () => new Map([[TYPE.name, TYPE]]));
+    this.block = new ShardState(this.clock, 128, this.settings.teams, () => new Map([[TYPE.name, TYPE]]));
     for (let at = 0; at < machines; at += 1) {
       const machine = newMachine(`n-${at}`, "big", TYPE, "east", false, this.clock.now());
-      Object.assign(machine, { state: "up", session: 1, seenToken: TOKEN });
+      Object.assign(machine, { state: "up", incarnation: 1, highestToken: TOKEN });
       this.block.machines.set(machine.name, machine);
     }
   }
 
   add(ref: string, fields: Parameters<typeof plainJob>[1]): Job {
-    return this.block.addJob(readSubmission(plainJob(ref, fields)), this.block.jobs.size + 1, false);
+    return this.block.addJob(decodeSubmission(plainJob(ref, fields)), this.block.jobs.size + 1, false);
   }
 
   /** The cpus that a team has running, without what has been told to stop. */
   staying(name: string): number {
     let cpu = 0;
-    for (const { spec, placed } of this.block.jobs.values()) {
-      if (spec.team === name) for (const { stop } of placed) if (stop === null) cpu += spec.demand.cpu;
+    for (const { spec, placedTasks } of this.block.jobs.values()) {
+      if (spec.team === name)
+        for (const { stopRequest } of placedTasks) if (stopRequest === null) cpu += spec.demand.cpu;
     }
     return cpu / 1_000;
   }
 
   /** One round; `check` sees every stop once it counts. */
   round(check: (action: RoundAction) => void = () => undefined): void {
-    const picture: Picture = {
+    const snapshot: SchedulerSnapshot = {
       now: this.clock.now(),
-      block: this.block,
+      shard: this.block,
       settings: this.settings,
       options: DEFAULT_OPTIONS,
-      silentAfter: seconds(5),
-      searches: 24,
-      records: { prompt: Number.POSITIVE_INFINITY, work: Number.POSITIVE_INFINITY },
-      guaranteesShort: this.memory.guaranteesShort,
-      firstToken: TOKEN,
-      work: { visited: 0 },
+      heartbeatTimeout: seconds(5),
+      maxPreemptionSearches: 24,
+      recordBudget: { prompt: Number.POSITIVE_INFINITY, work: Number.POSITIVE_INFINITY },
+      guaranteesOvercommitted: this.memory.guaranteesOvercommitted,
+      firstFencingToken: TOKEN,
+      inspection: { count: 0 },
     };
-    for (const action of decideRound(picture, this.memory)) {
+    for (const action of decideRound(snapshot, this.memory)) {
       applyAction(this.block, action);
       if (action.kind === "stop") {
         for (const { task } of action.victims) this.stops.set(task.name, (this.stops.get(task.name) ?? 0) + 1);
@@ -82,22 +83,22 @@
   /** Time passes: what was placed runs, what was stopped has gone, and what has run its time is done. */
   pass(us: number, runUs: (task: Task) => number = () => Number.POSITIVE_INFINITY): void {
     for (const job of this.block.jobs.values()) {
-      for (const task of [...job.placed]) {
-        if (task.stop !== null) {
-          task.want = { kind: "waiting", attempt: attemptOf(task.want) };
-          this.block.vacate(task);
+      for (const task of [...job.placedTasks]) {
+        if (task.stopRequest !== null) {
+          task.desired = { kind: "waiting", attempt: attemptOf(task.desired) };
+          this.block.releaseTask(task);
         } else if (task.runningSince === null) {
-          Object.assign(task, { launch: { kind: "seen" }, state: "running", runningSince: this.clock.now() });
+          Object.assign(task, { startCommand: { kind: "seen" }, state: "running", runningSince: this.clock.now() });
         } else if (this.clock.now() - task.runningSince >= runUs(task)) {
-          task.want = { kind: "done" };
-          this.block.vacate(task);
-          job.done += 1;
+          task.desired = { kind: "done" };
+          this.block.releaseTask(task);
+          job.completedTasks += 1;
         }
       }
-      if (job.done === job.spec.tasks) this.block.jobs.delete(job.spec.id);
+      if (job.completedTasks === job.spec.tasks) this.block.jobs.delete(job.spec.id);
     }
     this.world.now += us;
-    for (const machine of this.block.machines.values()) machine.lastHeard = this.clock.now();
+    for (const machine of this.block.machines.values()) machine.lastHeartbeatAt = this.clock.now();
   }
 }
 
@@ -130,7 +131,7 @@
     assert.ok(scene.staying("a") >= 16, "below its guarantee");
     scene.pass(500_000);
   }
-  assert.equal(entitled.placed.size, 4);
+  assert.equal(entitled.placedTasks.size, 4);
   assert.deepEqual([...scene.stops.values()], [1, 1, 1, 1]);
 });
 
@@ -184,7 +185,7 @@
     scene.round((action) => {
       if (action.kind !== "stop") return;
       for (const { task, reason } of action.victims) {
-        assert.ok(attemptOf(task.want) <= MOST_ATTEMPTS, "stopped once too often");
+        assert.ok(attemptOf(task.desired) <= MAX_ATTEMPTS, "stopped once too often");
         if (reason === "guarantee") assert.ok(scene.staying(task.job.spec.team) >= 16, "below its guarantee");
       }
     });
@@ -206,10 +207,10 @@
   assert.ok(said?.kind === "guarantees" && said.short && said.claimed === 24_000 && said.room === 16_000);
   scene.pass(1_000_000);
   // As room comes free it goes to the team that has less of its own guarantee, whoever asked first.
-  for (const task of [...large.placed].slice(0, 8)) task.stop = { graceS: 0 };
+  for (const task of [...large.placedTasks].slice(0, 8)) task.stopRequest = { graceS: 0 };
   scene.pass(1_000_000);
   round();
-  assert.equal(second.placed.size, 8);
+  assert.equal(second.placedTasks.size, 8);
   assert.equal(actions.filter(({ kind }) => kind === "guarantees").length, 1, "said once, not in every round");
 });
 
@@ -219,7 +220,7 @@
   scene.add("wk-1", { owner: "a", shards: 10, cpus: 4, guessS: 60 });
   scene.round();
   scene.pass(1_000_000);
-  for (const machine of scene.block.machines.values()) machine.seenToken = 0;
+  for (const machine of scene.block.machines.values()) machine.highestToken = 0;
   scene.add("wk-2", { owner: "a", shards: 1, cpus: 1 });
   const said: boolean[] = [];
   const listen = (action: RoundAction): void => {
@@ -228,7 +229,7 @@
   scene.round(listen);
   assert.deepEqual(said, []);
   // Once they are known, it is said where it is so.
-  for (const machine of scene.block.machines.values()) machine.seenToken = TOKEN;
+  for (const machine of scene.block.machines.values()) machine.highestToken = TOKEN;
   for (const [name] of [...scene.block.machines].slice(2)) scene.block.machines.delete(name);
   scene.round(listen);
   assert.deepEqual(said, [true]);
--- a/test/replay.test.ts
+++ b/test/replay.test.ts
@@ -4,7 +4,7 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { HostClock, jobOf, nobody, S, Site, type Witness, World } from "../src/model/index.js";
-import { readSubmission } from "../src/protocol/user.js";
+import { decodeSubmission } from "../src/protocol/user.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
 import {
   agreement,
@@ -153,7 +153,7 @@
     );
   }
   // What a controller records of such a job is a submission that awaits the same.
-  const spec = readSubmission(plainJob("wk-second", { awaits: ["wk-first"] }));
+  const spec = decodeSubmission(plainJob("wk-second", { awaits: ["wk-first"] }));
   const recorded = traceEventOf({ kind: "job seen", spec }, 5);
   assert.deepEqual(recorded.event === "submit" ? recorded.job.awaits : null, ["wk-first"]);
 });
--- a/test/rights.test.ts
+++ b/test/rights.test.ts
@@ -1,16 +1,16 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { allowedTo, mayAct, stopsOwed } from "../src/coordination/decisions/rights.js";
+import { isLeaseValid, pendingStops, permittedReplies } from "../src/coordination/decisions/rights.js";
 import { cancellationTerms } from "../src/settings/cancellation.js";
 import type { Micros } from "../src/transport/clock.js";
 
 test("nothing is allowed before anything was read, nor past the older of renewal and view", () => {
-  const right = { held: true, renewed: 100 as Micros, viewed: 90 as Micros, span: 50 as Micros };
-  assert.equal(mayAct(right, 139 as Micros), true);
-  assert.equal(mayAct(right, 140 as Micros), false);
-  assert.equal(mayAct({ ...right, viewed: 300 as Micros }, 150 as Micros), false);
-  assert.equal(mayAct({ ...right, viewed: null }, 10 as Micros), false);
-  assert.equal(mayAct({ ...right, held: false }, 100 as Micros), false);
+  const right = { isHolder: true, renewedAt: 100 as Micros, cacheFreshAsOf: 90 as Micros, duration: 50 as Micros };
+  assert.equal(isLeaseValid(right, 139 as Micros), true);
+  assert.equal(isLeaseValid(right, 140 as Micros), false);
+  assert.equal(isLeaseValid({ ...right, cacheFreshAsOf: 300 as Micros }, 150 as Micros), false);
+  assert.equal(isLeaseValid({ ...right, cacheFreshAsOf: null }, 10 as Micros), false);
+  assert.equal(isLeaseValid({ ...right, isHolder: false }, 100 as Micros), false);
 });
 
 test("stops are owed to all on the list whose job is withdrawn or over, and to nothing that has exited", () => {
@@ -31,7 +31,7 @@
     task("wk-c/7", "running"),
   ];
   assert.deepEqual(
-    stopsOwed(list, jobs).map((command) => command.task),
+    pendingStops(list, jobs).map((command) => command.task),
     ["wk-b/0", "wk-c/7"],
   );
 });
@@ -43,7 +43,7 @@
 const SPAN = (TTL - 0.51 * S) as Micros;
 const LEASE = 20 * S;
 const BOUND = cancellationTerms(
-  { report: (3 * S) as Micros, lease: LEASE as Micros, cancel: (45 * S) as Micros },
+  { heartbeatInterval: (3 * S) as Micros, lease: LEASE as Micros, cancellationBound: (45 * S) as Micros },
   TTL as Micros,
 ).total;
 
@@ -90,14 +90,19 @@
 
 /** The functions under test, or broken ones. */
 interface Functions {
-  readonly mayAct: typeof mayAct;
-  readonly allowedTo: typeof allowedTo;
-  readonly stopsOwed: typeof stopsOwed;
+  readonly mayAct: typeof isLeaseValid;
+  readonly allowedTo: typeof permittedReplies;
+  readonly stopsOwed: typeof pendingStops;
   /** From when a renewal counts. */
   readonly countsFrom: (sentAt: number, now: number) => number;
 }
 
-const REAL: Functions = { mayAct, allowedTo, stopsOwed, countsFrom: (sentAt) => sentAt };
+const REAL: Functions = {
+  mayAct: isLeaseValid,
+  allowedTo: permittedReplies,
+  stopsOwed: pendingStops,
+  countsFrom: (sentAt) => sentAt,
+};
 
 const BEGIN: Moment = {
   now: 100 * S,
@@ -113,23 +118,26 @@
 };
 
 const acts = (f: Functions, { renewed, viewed }: Holder, now: number): boolean =>
-  f.mayAct({ held: true, renewed: renewed as Micros, viewed: viewed as Micros, span: SPAN }, now as Micros);
+  f.mayAct(
+    { isHolder: true, renewedAt: renewed as Micros, cacheFreshAsOf: viewed as Micros, duration: SPAN },
+    now as Micros,
+  );
 
-const report = (f: Functions, m: Moment, holder: Holder | null): Moment => {
-  if (m.leaseFrom === null || holder === null || !acts(f, holder, m.now) || holder.number < m.token) return m;
-  const tokenSeen = m.token >= holder.number;
+const report = (f: Functions, m: Moment, leader: Holder | null): Moment => {
+  if (m.leaseFrom === null || leader === null || !acts(f, leader, m.now) || leader.number < m.token) return m;
+  const tokenSeen = m.token >= leader.number;
   const { renew, command } = f.allowedTo({
-    learnt: tokenSeen ? "news" : "unproven",
+    freshness: tokenSeen ? "news" : "unproven",
     tokenSeen,
-    deaf: false,
-    unprovenFor: 0 as Micros,
+    oneWay: false,
+    unverifiedFor: 0 as Micros,
     workerLease: LEASE as Micros,
   });
   if (!renew) return m;
-  const jobs = new Map([["wk-a", { cancelled: holder.knows }]]);
+  const jobs = new Map([["wk-a", { cancelled: leader.knows }]]);
   const owed = f.stopsOwed([{ task: "wk-a/0", attempt: 1, state: "running", reason: null }], jobs);
-  const stopped = owed.length > 0 || (command && holder.knows);
-  return { ...m, token: holder.number, leaseFrom: stopped ? null : m.now };
+  const stopped = owed.length > 0 || (command && leader.knows);
+  return { ...m, token: leader.number, leaseFrom: stopped ? null : m.now };
 };
 
 /** The same thing of the old holder is done by the new one once there is one: the old one is cut off from then on. */
@@ -140,8 +148,8 @@
   const ended = !m.away && m.now > m.grantUntil;
   const served = !m.away && (m.next !== null || !m.refused);
   const side = m.next === null ? "old" : "next";
-  const holder = m.next ?? m.old;
-  const change = (fields: Partial<Holder>): Moment => ({ ...m, [side]: { ...holder, ...fields } });
+  const leader = m.next ?? m.old;
+  const change = (fields: Partial<Holder>): Moment => ({ ...m, [side]: { ...leader, ...fields } });
   switch (action) {
     case "renew":
       if (!served || ended) return m;
@@ -150,16 +158,16 @@
       if (!served || ended) return m;
       return { ...change({ sent: { at: m.now, knows: m.confirmedAt !== null } }), grantUntil: m.now + TTL };
     case "their answers arrive": {
-      if (holder.sent === null) return m;
-      const from = f.countsFrom(holder.sent.at, m.now);
-      const [renewed, viewed] = [Math.max(holder.renewed, from), Math.max(holder.viewed, from)];
-      return change({ renewed, viewed, knows: holder.knows || holder.sent.knows, sent: null });
+      if (leader.sent === null) return m;
+      const from = f.countsFrom(leader.sent.at, m.now);
+      const [renewed, viewed] = [Math.max(leader.renewed, from), Math.max(leader.viewed, from)];
+      return change({ renewed, viewed, knows: leader.knows || leader.sent.knows, sent: null });
     }
     case "watch":
       // The block's key is gone with the grant: it learns that, too, and drops the block.
       if (!served) return m;
       if (ended) return change({ viewed: 0, renewed: 0 });
-      return change({ viewed: m.now, knows: holder.knows || m.confirmedAt !== null });
+      return change({ viewed: m.now, knows: leader.knows || m.confirmedAt !== null });
     case "report to the old holder":
       return report(f, m, m.old);
     case "report to the new holder":
@@ -242,11 +250,11 @@
   "renewals and watches count from the arrival of their answers": { ...REAL, countsFrom: (_, now) => now },
   "the right does not end with the view": {
     ...REAL,
-    mayAct: ({ renewed, span }, now) => now < renewed + span,
+    mayAct: ({ renewedAt, duration }, now) => now < renewedAt + duration,
   },
   "the right does not end with the grant": {
     ...REAL,
-    mayAct: ({ viewed, span }, now) => viewed !== null && now < viewed + span,
+    mayAct: ({ cacheFreshAsOf, duration }, now) => cacheFreshAsOf !== null && now < cacheFreshAsOf + duration,
   },
   "an answer renews without the stops owed before the token is seen": { ...REAL, stopsOwed: () => [] },
 };
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Block } from "../src/bookkeeping/block.js";
+import { ShardState } from "../src/bookkeeping/block.js";
 import { newMachine } from "../src/bookkeeping/machines.js";
 import type { Job, Task } from "../src/bookkeeping/picture.js";
 import { attemptOf } from "../src/bookkeeping/tasks.js";
-import { applyAction, decideRound, newMemory } from "../src/coordination/decisions/round.js";
+import { applyAction, decideRound, newRoundState } from "../src/coordination/decisions/round.js";
 import { HostClock, World } from "../src/model/index.js";
-import { readSubmission } from "../src/protocol/user.js";
+import { decodeSubmission } from "../src/protocol/user.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
 import { parseSettings } from "../src/settings/settings.js";
 import { type Micros, seconds } from "../src/transport/clock.js";
@@ -25,23 +25,23 @@
   readonly world = new World();
   readonly clock = new HostClock(this.world, 1, 0);
   readonly settings = parseSettings(settingsText(0));
-  readonly block = new Block(this.clock, 128, this.settings.teams, () => new Map([[TYPE.name, TYPE]]));
+  readonly block = new ShardState(this.clock, 128, this.settings.teams, () => new Map([[TYPE.name, TYPE]]));
   readonly all: { readonly job: Job; readonly runUs: number; readonly at: number }[] = [];
   private readonly firstPlaced = new Map<Job, number>();
-  readonly memory = newMemory();
+  readonly memory = newRoundState();
   stops = 0;
 
   constructor(machines: number) {
     this.world.now = 1_000_000_000;
     for (let at = 0; at < machines; at += 1) {
       const machine = newMachine(`n-${at}`, "big", TYPE, "east", false, this.clock.now());
-      Object.assign(machine, { state: "up", session: 1, seenToken: TOKEN });
+      Object.assign(machine, { state: "up", incarnation: 1, highestToken: TOKEN });
       this.block.machines.set(machine.name, machine);
     }
   }
 
   add({ runS, ...fields }: Fields): void {
-    const spec = readSubmission(
+    const spec = decodeSubmission(
       plainJob(`wk-${String(this.all.length).padStart(6, "0")}`, { guessS: runS, ...fields }),
     );
     this.all.push({
@@ -52,38 +52,38 @@
   }
 
   private end(task: Task): void {
-    task.want = { kind: "done" };
-    this.block.vacate(task);
-    task.job.done += 1;
-    if (task.job.done === task.job.spec.tasks) this.block.jobs.delete(task.job.spec.id);
+    task.desired = { kind: "done" };
+    this.block.releaseTask(task);
+    task.job.completedTasks += 1;
+    if (task.job.completedTasks === task.job.spec.tasks) this.block.jobs.delete(task.job.spec.id);
   }
 
   step(): void {
     this.world.now += STEP;
     const now = this.clock.now();
-    for (const machine of this.block.machines.values()) machine.lastHeard = now;
+    for (const machine of this.block.machines.values()) machine.lastHeartbeatAt = now;
     for (const { job, runUs } of this.all) {
-      for (const task of [...job.placed]) {
-        if (task.stop !== null) {
+      for (const task of [...job.placedTasks]) {
+        if (task.stopRequest !== null) {
           this.stops += 1;
-          task.want = { kind: "waiting", attempt: attemptOf(task.want) };
-          this.block.vacate(task);
+          task.desired = { kind: "waiting", attempt: attemptOf(task.desired) };
+          this.block.releaseTask(task);
         } else if (task.runningSince === null) {
-          Object.assign(task, { launch: { kind: "seen" }, state: "running", runningSince: now });
+          Object.assign(task, { startCommand: { kind: "seen" }, state: "running", runningSince: now });
         } else if (now - task.runningSince >= runUs) this.end(task);
       }
     }
     const picture = {
       now,
-      block: this.block,
+      shard: this.block,
       settings: this.settings,
       options: DEFAULT_OPTIONS,
-      silentAfter: seconds(5),
-      searches: 24,
-      records: { prompt: Number.POSITIVE_INFINITY, work: Number.POSITIVE_INFINITY },
-      guaranteesShort: false,
-      firstToken: TOKEN,
-      work: { visited: 0 },
+      heartbeatTimeout: seconds(5),
+      maxPreemptionSearches: 24,
+      recordBudget: { prompt: Number.POSITIVE_INFINITY, work: Number.POSITIVE_INFINITY },
+      guaranteesOvercommitted: false,
+      firstFencingToken: TOKEN,
+      inspection: { count: 0 },
     };
     for (const action of decideRound(picture, this.memory)) {
       applyAction(this.block, action);
@@ -104,7 +104,11 @@
   served(jobClass: string): { readonly begun: number; readonly done: number; readonly jobs: number } {
     const own = this.all.filter(({ job }) => job.spec.jobClass === jobClass);
     const share = (is: (job: Job) => boolean): number => own.filter(({ job }) => is(job)).length / own.length;
-    return { jobs: own.length, begun: share(({ begun }) => begun), done: share((job) => job.done === job.spec.tasks) };
+    return {
+      jobs: own.length,
+      begun: share(({ started }) => started),
+      done: share((job) => job.completedTasks === job.spec.tasks),
+    };
   }
 }
 
@@ -169,10 +173,10 @@
     if (at % 6 === 0) floor.add({ jobclass: "house", rank: "high", shards: 4, cpus: 2, runS: 30 });
     floor.step();
     const idle = floor.all.find(({ job }) => job.spec.jobClass === "idle")?.job;
-    most = Math.max(most, idle?.placed.size ?? 0);
+    most = Math.max(most, idle?.placedTasks.size ?? 0);
   }
   const idle = floor.all.find(({ job }) => job.spec.jobClass === "idle")?.job;
-  assert.equal(idle?.lifted, true);
+  assert.equal(idle?.boosted, true);
   // 64 CPUs in all.
   assert.ok(most >= 1 && most <= 6, `${most} CPUs`);
   assert.equal(floor.stops, 0);
@@ -185,7 +189,7 @@
     if (at % 15 === 0) floor.add({ jobclass: "idle", rank: "best_effort", shards: 2, cpus: 2, runS: 10 });
     floor.step();
   }
-  assert.ok(floor.all.every(({ job }) => !job.lifted));
+  assert.ok(floor.all.every(({ job }) => !job.boosted));
   assert.equal(floor.served("idle").begun, 1);
 });
 
@@ -235,5 +239,5 @@
   };
   // The first one, of a higher rank, finds all room kept. The second took that for its own and left it empty for as long.
   floor.step();
-  assert.deepEqual([first.job.placed.size, second.job.placed.size], [0, 1]);
+  assert.deepEqual([first.job.placedTasks.size, second.job.placedTasks.size], [0, 1]);
 });
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -5,7 +5,7 @@
 import { test } from "node:test";
 import { cancellationTerms } from "../src/settings/cancellation.js";
 import { DEFAULT_OPTIONS, loadOptions } from "../src/settings/options.js";
-import { blockLease, parseSettings, SettingsError } from "../src/settings/settings.js";
+import { parseSettings, SettingsError, shardLeaseDuration } from "../src/settings/settings.js";
 import { settingsText } from "./fixtures.js";
 
 const refused = (text: string, field: string): void => {
@@ -47,12 +47,17 @@
     [3, 7],
   ] as const) {
     const settings = parseSettings(withTimes(lease, cancel));
-    assert.ok(blockLease(settings) + settings.workers.lease * 1.001 + 300_000 < settings.workers.cancel);
+    assert.ok(
+      shardLeaseDuration(settings) + settings.workers.lease * 1.001 + 300_000 < settings.workers.cancellationBound,
+    );
     // With a start that was under way when the holder's right ended.
-    const { right, start, workerLease, total, left } = cancellationTerms(settings.workers, blockLease(settings));
+    const { right, start, workerLease, total, left } = cancellationTerms(
+      settings.workers,
+      shardLeaseDuration(settings),
+    );
     assert.equal(right + start + workerLease, total);
     assert.ok(start >= 1_800_000 && workerLease > settings.workers.lease);
-    assert.equal(total + left, settings.workers.cancel);
+    assert.equal(total + left, settings.workers.cancellationBound);
     assert.ok(left > 0, `${lease} of ${cancel}: ${left}`);
   }
   // Taken before, although a start that was held up could land after what was left of `cancel_s`.
--- a/test/silence.test.ts
+++ b/test/silence.test.ts
@@ -2,11 +2,11 @@
 import { test } from "node:test";
 import { newMachine } from "../src/bookkeeping/machines.js";
 import type { Machine } from "../src/bookkeeping/picture.js";
-import { readSilence } from "../src/bookkeeping/records.js";
-import type { BlockLease, Services } from "../src/coordination/context.js";
-import { Silences } from "../src/coordination/silence-record.js";
+import { decodeUnreachableZones } from "../src/bookkeeping/records.js";
+import type { Services, ShardLease } from "../src/coordination/context.js";
+import { UnreachableZones } from "../src/coordination/silence-record.js";
 import { HostClock, S, World } from "../src/model/index.js";
-import type { Write } from "../src/protocol/state.js";
+import type { WriteOperation } from "../src/protocol/state.js";
 import { forSeeds, type Random } from "./random.js";
 
 const nothing = (): undefined => undefined;
@@ -28,23 +28,26 @@
   }
 
   /** A holder that takes the block now, and its machines. */
-  hold(machines: readonly Machine[]): Silences {
+  hold(machines: readonly Machine[]): UnreachableZones {
     this.holders += 1;
-    const holder = this.holders;
+    const leader = this.holders;
     const off = this.random === null ? 0 : (this.random.next() * 2 - 1) * CLOCK_ERROR;
-    const clock = new HostClock(this.world, 1, holder * 1_000_000);
+    const clock = new HostClock(this.world, 1, leader * 1_000_000);
     const view = {
       entries: { get: () => (this.value === null ? undefined : { value: this.value, version: this.version }) },
       sync: async () => true,
     };
-    const propose = async (conditions: ReadonlyMap<string, unknown>, [write]: readonly Write[]): Promise<unknown> => {
+    const submit = async (
+      conditions: ReadonlyMap<string, unknown>,
+      [write]: readonly WriteOperation[],
+    ): Promise<unknown> => {
       await new Promise<void>((resolve) => this.world.after(5_000, resolve));
       // Conditional on the block's lease: a holder that was followed by another writes nothing.
-      if (holder !== this.holders) return { kind: "conflict", keys: ["c/block/0"] };
+      if (leader !== this.holders) return { kind: "conflict", keys: ["c/block/0"] };
       const fate = this.fate();
       if (fate === "refused" || write === undefined) return { kind: "refused" };
       const apply = (): boolean => {
-        if (holder !== this.holders || conditions.get("c/silence/0") !== this.version) return false;
+        if (leader !== this.holders || conditions.get("c/silence/0") !== this.version) return false;
         this.revision += 1;
         this.value = write.kind === "put" ? JSON.parse(JSON.stringify(write.value)) : null;
         // As the state service has it: what is not there has version 0, however often it was there before.
@@ -60,14 +63,14 @@
     };
     const services = {
       clock,
-      view,
-      committer: { propose },
+      cache: view,
+      transactions: { submit },
       log: { error: nothing, info: nothing, debug: nothing },
-      settings: { clockError: CLOCK_ERROR },
-      wall: () => WALL + (this.world.now + off) / 1_000,
+      settings: { maxClockError: CLOCK_ERROR },
+      wallClock: () => WALL + (this.world.now + off) / 1_000,
     } as unknown as Services;
-    const lease: BlockLease = { block: 0, number: holder, key: "c/block/0", version: holder, valid: () => true };
-    return new Silences(services, lease, () => machines);
+    const lease: ShardLease = { shard: 0, epoch: leader, key: "c/block/0", version: leader, isValid: () => true };
+    return new UnreachableZones(services, lease, () => machines);
   }
 
   /** A holder comes and goes that neither reads nor writes the record. */
@@ -75,14 +78,14 @@
     this.holders += 1;
   }
 
-  steady(holder: number): number {
-    return this.world.now + holder * 1_000_000;
+  steady(leader: number): number {
+    return this.world.now + leader * 1_000_000;
   }
 }
 
 const machineIn = (zone: string, base: number): Machine => {
   const machine = newMachine("n-1", "big", null, zone, false, 0 as never);
-  Object.assign(machine, { state: "up", leaseBase: base });
+  Object.assign(machine, { state: "up", leaseRenewedAt: base });
   return machine;
 };
 
@@ -92,35 +95,35 @@
   // Known from the records only: whoever held the block before may have answered it a moment ago.
   const unheard = machineIn("west", 0);
   unheard.state = "booting";
-  const silences = stage.hold([unheard]);
+  const unreachableZones = stage.hold([unheard]);
   await stage.world.run(taken + 6 * S, nothing);
-  silences.cut(new Set(["west"]));
+  unreachableZones.markUnreachable(new Set(["west"]));
   await stage.world.run(taken + 7 * S, nothing);
-  const since = readSilence(stage.value).zones.west ?? 0;
+  const since = decodeUnreachableZones(stage.value).unansweredSinceMs.west ?? 0;
   assert.ok(since >= WALL + taken / 1_000, `${since} is before the holder's beginning`);
 });
 
 test("answers stop before the record may stand, and come back once it surely does not", async () => {
   const stage = new Stage();
   const machine = machineIn("west", stage.steady(1));
-  const silences = stage.hold([machine]);
-  assert.equal(silences.open("west"), true);
-  silences.cut(new Set(["west"]));
-  assert.equal(silences.open("west"), false, "answered while the write was under way");
-  assert.equal(silences.open("east"), true);
+  const unreachableZones = stage.hold([machine]);
+  assert.equal(unreachableZones.mayAnswer("west"), true);
+  unreachableZones.markUnreachable(new Set(["west"]));
+  assert.equal(unreachableZones.mayAnswer("west"), false, "answered while the write was under way");
+  assert.equal(unreachableZones.mayAnswer("east"), true);
   await stage.world.run(stage.world.now + S, nothing);
   // Without an answer it may have been applied.
   stage.fate = () => "lost";
-  silences.heard("west");
+  unreachableZones.markReachable("west");
   await stage.world.run(stage.world.now + S, nothing);
-  assert.equal(silences.open("west"), false);
+  assert.equal(unreachableZones.mayAnswer("west"), false);
   stage.fate = () => "ok";
   for (let tick = 0; tick < 4; tick += 1) {
-    silences.cut(new Set());
+    unreachableZones.markUnreachable(new Set());
     await stage.world.run(stage.world.now + S, nothing);
   }
-  assert.equal(silences.open("west"), true);
-  assert.deepEqual(readSilence(stage.value).zones, {});
+  assert.equal(unreachableZones.mayAnswer("west"), true);
+  assert.deepEqual(decodeUnreachableZones(stage.value).unansweredSinceMs, {});
 });
 
 test("machines whose zone is not known yet are no zone", async () => {
@@ -128,45 +131,45 @@
   // and the next holder took the leases of all machines for over, since at first it knows no machine's zone.
   const stage = new Stage();
   const first = stage.hold([machineIn("", stage.steady(1)), machineIn("west", stage.steady(1))]);
-  first.cut(new Set(["", "west"]));
+  first.markUnreachable(new Set(["", "west"]));
   await stage.world.run(stage.world.now + S, nothing);
-  assert.deepEqual(Object.keys(readSilence(stage.value).zones), ["west"]);
+  assert.deepEqual(Object.keys(decodeUnreachableZones(stage.value).unansweredSinceMs), ["west"]);
   const second = stage.hold([]);
-  assert.equal(second.answeredBefore(""), null);
-  assert.equal(second.open(""), true);
+  assert.equal(second.lastAnsweredBefore(""), null);
+  assert.equal(second.mayAnswer(""), true);
 });
 
 test("a record is believed from the holder just before only", async () => {
   const stage = new Stage();
   const machine = machineIn("west", stage.steady(1));
   const first = stage.hold([machine]);
-  first.cut(new Set(["west"]));
+  first.markUnreachable(new Set(["west"]));
   await stage.world.run(stage.world.now + S, nothing);
   // In between, one of a version that knows no record, and so answers.
   stage.skip();
   const third = stage.hold([]);
-  assert.equal(third.answeredBefore("west"), null);
-  assert.equal(third.open("west"), true);
-  third.cut(new Set(["west"]));
+  assert.equal(third.lastAnsweredBefore("west"), null);
+  assert.equal(third.mayAnswer("west"), true);
+  third.markUnreachable(new Set(["west"]));
   await stage.world.run(stage.world.now + S, nothing);
   const fourth = stage.hold([]);
-  assert.notEqual(fourth.answeredBefore("west"), null);
-  assert.equal(fourth.open("west"), false);
+  assert.notEqual(fourth.lastAnsweredBefore("west"), null);
+  assert.equal(fourth.mayAnswer("west"), false);
   await stage.world.run(stage.world.now + S, nothing);
   // It has put it under its own number by itself.
-  assert.notEqual(stage.hold([]).answeredBefore("west"), null);
+  assert.notEqual(stage.hold([]).lastAnsweredBefore("west"), null);
 });
 
 test("a zone of dead machines in which one has just come up is answered, and stays so", async () => {
   const stage = new Stage();
-  const silences = stage.hold([machineIn("west", stage.steady(1))]);
+  const unreachableZones = stage.hold([machineIn("west", stage.steady(1))]);
   let answered = 0;
   for (let tick = 0; tick < 200; tick += 1) {
     // Of the machines known to be up nothing is heard; a new one reports every three seconds.
-    silences.cut(new Set(["west"]));
+    unreachableZones.markUnreachable(new Set(["west"]));
     if (tick % 12 === 11) {
-      if (silences.open("west")) answered += 1;
-      silences.heard("west");
+      if (unreachableZones.mayAnswer("west")) answered += 1;
+      unreachableZones.markReachable("west");
     }
     await stage.world.run(stage.world.now + 250_000, nothing);
   }
@@ -182,26 +185,26 @@
       /** True time of the last answer in the zone, by any holder. */
       let answered = stage.world.now;
       let recorded = 0;
-      for (let holder = 1; holder <= 5; holder += 1) {
+      for (let leader = 1; leader <= 5; leader += 1) {
         const machine = machineIn("west", 0);
         machine.state = "booting";
-        const silences = stage.hold([machine]);
-        const believed = silences.answeredBefore("west");
+        const unreachableZones = stage.hold([machine]);
+        const believed = unreachableZones.lastAnsweredBefore("west");
         if (believed !== null) {
           recorded += 1;
-          const trueTime = believed - holder * 1_000_000;
-          assert.ok(trueTime >= answered, `holder ${holder} believes ${trueTime}, answered ${answered}`);
+          const trueTime = believed - leader * 1_000_000;
+          assert.ok(trueTime >= answered, `holder ${leader} believes ${trueTime}, answered ${answered}`);
         }
         let cut = false;
         for (let step = random.int(1, 25); step > 0; step -= 1) {
           if (random.chance(0.2)) cut = !cut;
-          if (cut) silences.cut(new Set(["west"]));
+          if (cut) unreachableZones.markUnreachable(new Set(["west"]));
           else {
-            silences.cut(new Set());
-            if (silences.open("west")) {
+            unreachableZones.markUnreachable(new Set());
+            if (unreachableZones.mayAnswer("west")) {
               answered = stage.world.now;
-              Object.assign(machine, { state: "up", leaseBase: stage.steady(holder) });
-            } else silences.heard("west");
+              Object.assign(machine, { state: "up", leaseRenewedAt: stage.steady(leader) });
+            } else unreachableZones.markReachable("west");
           }
           await stage.world.run(stage.world.now + random.int(1, 2_000_000), nothing);
         }
