--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -1,5 +1,5 @@
-import type { SiteEvent } from "../../src/bookkeeping/events.js";
-import { jobKey, readJob } from "../../src/bookkeeping/records.js";
+import type { ClusterEvent } from "../../src/bookkeeping/events.js";
+import { decodeJobRecord, jobKey } from "../../src/bookkeeping/records.js";
 import { graphsWith } from "../../src/graphs/index.js";
 import {
   type Behaviour,
@@ -17,10 +17,10 @@
   type TypeSpec,
   type Witness,
 } from "../../src/model/index.js";
-import { submissionOf } from "../../src/protocol/user.js";
+import { encodeSubmission } from "../../src/protocol/user.js";
 import { cancellationTerms } from "../../src/settings/cancellation.js";
 import { DEFAULT_OPTIONS, type Options } from "../../src/settings/options.js";
-import { blockLease, parseSettings } from "../../src/settings/settings.js";
+import { parseSettings, shardLeaseDuration } from "../../src/settings/settings.js";
 import type { Micros } from "../../src/transport/clock.js";
 import type { Request } from "../../src/transport/http.js";
 import { settingsText } from "../fixtures.js";
@@ -62,19 +62,19 @@
     capacity: [],
     objectives: [],
     workers: {
-      reportUs: truth.workers.report,
+      reportUs: truth.workers.heartbeatInterval,
       leaseUs: truth.workers.lease,
-      cancelUs: truth.workers.cancel,
+      cancelUs: truth.workers.cancellationBound,
       gangWaitUs: 30 * S,
       gangPeerUs: 8 * S,
     },
     state: {
-      rps: truth.state.rps,
-      writeRps: truth.state.writeRps,
-      valueKb: truth.state.valueBytes / 1_024,
-      txnOps: truth.state.transactionWrites,
+      rps: truth.store.requestsPerS,
+      writeRps: truth.store.writesPerS,
+      valueKb: truth.store.valueBytes / 1_024,
+      txnOps: truth.store.transactionWrites,
     },
-    cloud: { rps: truth.cloud.rps, listLagUs: truth.cloud.listLag },
+    cloud: { rps: truth.cloud.requestsPerS, listLagUs: truth.cloud.listLag },
     quota: { cpuShare: 0.4, memMb: 256, maxConnections: 500 },
   };
 };
@@ -128,7 +128,7 @@
   private cancelsAtEnd = { share: 0, until: 0 };
   readonly log: string[] = [];
   /** What controllers would record, on sites that take graphs. */
-  readonly seen: { readonly at: number; readonly event: SiteEvent }[] = [];
+  readonly seen: { readonly at: number; readonly event: ClusterEvent }[] = [];
   /** Every start of a task, in order. */
   readonly begun: { readonly task: string; readonly at: number }[] = [];
   /** Machines of a kind that a zone holds, whatever their type. */
@@ -164,7 +164,7 @@
       },
       watch: (world) => {
         // The terms of a cancellation up to its last start, which then fetches its image for some seconds.
-        const { right, start } = cancellationTerms(truth.workers, blockLease(truth));
+        const { right, start } = cancellationTerms(truth.workers, shardLeaseDuration(truth));
         checker = new Checker(() => world.now, limits, spec.workers.cancelUs, right + start + FETCH);
         const { hearing } = checker;
         const witness: Witness = {
@@ -182,7 +182,7 @@
         return {
           witness,
           hearing,
-          ...(options.graphs ? { sink: (event: SiteEvent) => this.seen.push({ at: world.now, event }) } : {}),
+          ...(options.graphs ? { sink: (event: ClusterEvent) => this.seen.push({ at: world.now, event }) } : {}),
           log: (level, at, event, fields) => {
             const text = JSON.stringify(fields, (_, value: unknown) =>
               typeof value === "bigint" ? String(value) : value,
@@ -212,8 +212,8 @@
   private described(id: string): Behaviour | null {
     const value = this.state.value(jobKey(id));
     if (value === undefined) return null;
-    const { spec } = readJob(value);
-    const job = submissionOf(spec) as unknown as Submission;
+    const { spec } = decodeJobRecord(value);
+    const job = encodeSubmission(spec) as unknown as Submission;
     this.checker.jobs.set(id, trueJob(job));
     return { ...jobBehaviour(job), runUs: 3 * S, ...this.stepBehaviour(id) };
   }
--- a/test/sim/meetings.ts
+++ b/test/sim/meetings.ts
@@ -1,13 +1,13 @@
 import { S } from "../../src/model/index.js";
 import { cancellationTerms } from "../../src/settings/cancellation.js";
-import { blockLease, parseSettings } from "../../src/settings/settings.js";
+import { parseSettings, shardLeaseDuration } from "../../src/settings/settings.js";
 import { settingsText } from "../fixtures.js";
 import { type Cluster, plainJob } from "./cluster.js";
 import { busy, type Trouble } from "./night.js";
 
 const { workers } = parseSettings(settingsText(0));
 /** From a confirmed cancellation until the last of its tasks is gone, at most. */
-export const BOUND = cancellationTerms(workers, blockLease({ workers })).total;
+export const BOUND = cancellationTerms(workers, shardLeaseDuration({ workers })).total;
 
 const swallowed = ["requests", "answers"] as const;
 
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -8,42 +8,42 @@
 import { test } from "node:test";
 import { gunzipSync } from "node:zlib";
 import {
-  awaitedKey,
-  awaitsOf,
-  type BlockRecord,
-  blockKey,
-  END_REASONS,
-  type EndRecord,
-  endKey,
-  fullKey,
+  backpressureKey,
+  CANCELLATION_REASONS,
+  CLUSTER_LEADER_KEY,
+  decodeJobRecord,
+  decodeMemberRecord,
+  decodeOutcomeRecord,
+  decodeShardRecord,
+  decodeTaskRange,
+  decodeUnreachableZones,
+  dependencyListKey,
+  encodeJobRecord,
+  encodeMemberRecord,
+  encodeOutcomeRecord,
+  encodeShardRecord,
+  encodeTaskRange,
+  encodeUnreachableZones,
   type JobRecord,
   jobKey,
-  jobOfAwaitedKey,
+  jobOfDependencyListKey,
   jobOfKey,
-  LEADER_KEY,
+  MACHINE_TYPES_KEY,
   type MemberRecord,
   memberKey,
   memberOfKey,
-  NUMBER_KEY,
-  rangeBytes,
-  rangeKey,
-  rangeOfKey,
-  readBlock,
-  readEnd,
-  readJob,
-  readMember,
-  readRange,
-  readSilence,
-  type SilenceRecord,
-  silenceKey,
+  type OutcomeRecord,
+  outcomeKey,
+  recordedDependencies,
+  SHARD_EPOCH_KEY,
+  type ShardRecord,
+  shardKey,
   type TaskRecord,
-  TYPES_KEY,
-  writeBlock,
-  writeEnd,
-  writeJob,
-  writeMember,
-  writeRange,
-  writeSilence,
+  taskRangeBytes,
+  taskRangeKey,
+  taskRangeOfKey,
+  type UnreachableZonesRecord,
+  unreachableZonesKey,
 } from "../src/bookkeeping/records.js";
 import {
   DEFAULT_STEP,
@@ -98,14 +98,14 @@
   demand: { cpu: 1_500, gpu: 0, ram: 4_000 },
   types: null,
   zone: null,
-  oneZone: false,
+  singleZone: false,
   spread: false,
   spot: false,
   image: "img:1",
   imageGb: 1.5,
-  estimateS: 60,
-  checkpointS: 0,
-  saveS: 0,
+  estimatedRunS: 60,
+  checkpointIntervalS: 0,
+  checkpointDurationS: 0,
   deadlineS: null,
 };
 
@@ -117,37 +117,40 @@
   demand: { cpu: 2_000, gpu: 1_000, ram: 0 },
   types: ["big", "small"],
   zone: "east",
-  oneZone: true,
+  singleZone: true,
   spread: true,
   spot: true,
   image: 'img: \u00e9\u{1f600}"\\',
-  checkpointS: 30,
-  saveS: 2.5,
+  checkpointIntervalS: 30,
+  checkpointDurationS: 2.5,
   deadlineS: 600,
-  awaits: ["wk-a", "wk-b"],
-  origin: { graph: "dr-1", place: 7 },
+  dependencies: ["wk-a", "wk-b"],
+  origin: { graph: "dr-1", position: 7 },
 };
 
-const withSpec = (spec: JobSpec): JobRecord => ({ spec, block: 0, cancelled: false });
+const withSpec = (spec: JobSpec): JobRecord => ({ spec, shard: 0, cancelled: false });
 
 const jobs: Readonly<Record<string, JobRecord>> = {
   "job/plain": withSpec(plainSpec),
   "job/full": {
     spec: fullSpec,
-    block: 2,
+    shard: 2,
     cancelled: true,
-    awaited: { digest: "0123456789abcdef01234567", parts: 2 },
+    dependencyList: { digest: "0123456789abcdef01234567", parts: 2 },
     acceptedMs: 1_773_446_400_123,
-    why: "graph",
-    errors: { "0": 1, "12": 3 },
+    cancellationReason: "graph",
+    failuresByTask: { "0": 1, "12": 3 },
   },
   "job/service": withSpec({ ...plainSpec, id: "wk-service", shape: "service", priority: "high" }),
   "job/low": withSpec({ ...plainSpec, id: "wk-low", priority: "low" }),
-  "job/awaits": { ...withSpec({ ...plainSpec, awaits: ["wk-a"] }), acceptedMs: 0 },
-  "job/origin": { ...withSpec({ ...plainSpec, origin: { graph: "dr-2", place: 0 } }), errors: {} },
+  "job/awaits": { ...withSpec({ ...plainSpec, dependencies: ["wk-a"] }), acceptedMs: 0 },
+  "job/origin": { ...withSpec({ ...plainSpec, origin: { graph: "dr-2", position: 0 } }), failuresByTask: {} },
   "job/noTypes": withSpec({ ...plainSpec, types: [] }),
   ...Object.fromEntries(
-    END_REASONS.map((why): [string, JobRecord] => [`job/${why}`, { ...withSpec(plainSpec), cancelled: true, why }]),
+    CANCELLATION_REASONS.map((why): [string, JobRecord] => [
+      `job/${why}`,
+      { ...withSpec(plainSpec), cancelled: true, cancellationReason: why },
+    ]),
   ),
 };
 
@@ -155,12 +158,18 @@
 const jobsAsFirstWritten: Readonly<Record<string, JobRecord>> = {
   "job/accepted with a list of its own": {
     spec: plainSpec,
-    block: 0,
+    shard: 0,
     cancelled: false,
     acceptedMs: 1_773_446_400_123,
-    awaited: { digest: "0123456789abcdef01234567", parts: 2 },
+    dependencyList: { digest: "0123456789abcdef01234567", parts: 2 },
+  },
+  "job/given up": {
+    spec: plainSpec,
+    shard: 0,
+    cancelled: true,
+    failuresByTask: { "0": 1 },
+    cancellationReason: "error",
   },
-  "job/given up": { spec: plainSpec, block: 0, cancelled: true, errors: { "0": 1 }, why: "error" },
 };
 
 const tasks: readonly TaskRecord[] = [
@@ -238,22 +247,25 @@
   "upload/both": { parts: 2, have: [0, 1], plan: "0123456789abcdef", chunks: 0 },
 };
 const members: Readonly<Record<string, MemberRecord>> = {
-  "member/plain": { lease: 7, incarnation: "ab-1" },
-  "member/large lease": { lease: 18_446_744_073_709_551_615n, incarnation: "ab-2" },
+  "member/plain": { leaseId: 7, incarnation: "ab-1" },
+  "member/large lease": { leaseId: 18_446_744_073_709_551_615n, incarnation: "ab-2" },
 };
-const blocks: Readonly<Record<string, BlockRecord>> = {
-  "block/plain": { label: "ctl-0", incarnation: "ab-1", number: 12 },
+const blocks: Readonly<Record<string, ShardRecord>> = {
+  "block/plain": { label: "ctl-0", incarnation: "ab-1", epoch: 12 },
 };
-const ends: Readonly<Record<string, EndRecord>> = {
-  "end/done": { phase: "done", done: 3 },
-  "end/cancelled": { phase: "cancelled", done: 0 },
+const ends: Readonly<Record<string, OutcomeRecord>> = {
+  "end/done": { phase: "done", completedTasks: 3 },
+  "end/cancelled": { phase: "cancelled", completedTasks: 0 },
   ...Object.fromEntries(
-    END_REASONS.map((why): [string, EndRecord] => [`end/${why}`, { phase: "cancelled", done: 1, why }]),
+    CANCELLATION_REASONS.map((why): [string, OutcomeRecord] => [
+      `end/${why}`,
+      { phase: "cancelled", completedTasks: 1, cancellationReason: why },
+    ]),
   ),
 };
-const silences: Readonly<Record<string, SilenceRecord>> = {
-  "silence/none": { number: 1, zones: {} },
-  "silence/two": { number: 12, zones: { east: 1_773_446_400_123, west: 0 } },
+const silences: Readonly<Record<string, UnreachableZonesRecord>> = {
+  "silence/none": { epoch: 1, unansweredSinceMs: {} },
+  "silence/two": { epoch: 12, unansweredSinceMs: { east: 1_773_446_400_123, west: 0 } },
 };
 
 interface Form<T> {
@@ -272,55 +284,58 @@
 };
 
 test("records of jobs keep their stored form", () => {
-  checkForm({ values: jobs, write: writeJob, read: readJob });
+  checkForm({ values: jobs, write: encodeJobRecord, read: decodeJobRecord });
 });
 
 test("records of jobs keep the order of fields of their first writing", () => {
   for (const [name, record] of Object.entries(jobsAsFirstWritten)) {
-    records.matches(name, formatJson(writeJob(record)));
-    assert.deepEqual(readJob(parseJson(records.text(name))), record, name);
+    records.matches(name, formatJson(encodeJobRecord(record)));
+    assert.deepEqual(decodeJobRecord(parseJson(records.text(name))), record, name);
   }
 });
 
 test("a job's record that is read and written again has its optional fields in the order of reading", () => {
   for (const name of Object.keys(jobsAsFirstWritten)) {
-    records.matches(`${name}, written again`, formatJson(writeJob(readJob(parseJson(records.text(name))))));
+    records.matches(
+      `${name}, written again`,
+      formatJson(encodeJobRecord(decodeJobRecord(parseJson(records.text(name))))),
+    );
   }
 });
 
 test("a specification keeps fields that a newer version has stored, and has none that an older one has left out", () => {
   for (const name of ["job/newer specification", "job/older specification"]) {
-    records.matches(name, formatJson(writeJob(readJob(parseJson(records.text(name))))));
+    records.matches(name, formatJson(encodeJobRecord(decodeJobRecord(parseJson(records.text(name))))));
   }
   // Of the record's own fields, only those that are known are written again.
-  const newer = readJob(parseJson(records.text("job/newer record")));
-  records.matches("job/newer record, written again", formatJson(writeJob(newer)));
+  const newer = decodeJobRecord(parseJson(records.text("job/newer record")));
+  records.matches("job/newer record, written again", formatJson(encodeJobRecord(newer)));
 });
 
 test("records of task ranges keep their stored form", () => {
   for (const [name, range] of Object.entries({ "range/all": tasks, "range/none": [] })) {
-    records.matches(name, formatJson(writeRange(range)));
-    assert.deepEqual(readRange(parseJson(records.text(name))), range);
+    records.matches(name, formatJson(encodeTaskRange(range)));
+    assert.deepEqual(decodeTaskRange(parseJson(records.text(name))), range);
   }
-  assert.equal(rangeBytes(tasks), 26);
+  assert.equal(taskRangeBytes(tasks), 26);
 });
 
 test("records of members, leases, ends and unreachable zones keep their stored form", () => {
-  checkForm({ values: members, write: writeMember, read: readMember });
-  checkForm({ values: blocks, write: writeBlock, read: readBlock });
-  checkForm({ values: ends, write: writeEnd, read: readEnd });
-  checkForm({ values: silences, write: writeSilence, read: readSilence });
+  checkForm({ values: members, write: encodeMemberRecord, read: decodeMemberRecord });
+  checkForm({ values: blocks, write: encodeShardRecord, read: decodeShardRecord });
+  checkForm({ values: ends, write: encodeOutcomeRecord, read: decodeOutcomeRecord });
+  checkForm({ values: silences, write: encodeUnreachableZones, read: decodeUnreachableZones });
 });
 
 test("a list of awaited jobs in parts is read in their order", () => {
-  const record: JobRecord = { ...withSpec(plainSpec), awaited: { digest: "d", parts: 2 } };
+  const record: JobRecord = { ...withSpec(plainSpec), dependencyList: { digest: "d", parts: 2 } };
   const entries = new Map(
     [0, 1].map((part) => [
-      awaitedKey(plainSpec.id, "d", part),
+      dependencyListKey(plainSpec.id, "d", part),
       { value: parseJson(records.text(`awaited part/${part}`)) },
     ]),
   );
-  assert.deepEqual(awaitsOf(record, entries), ["wk-a", "wk-b", "wk-c"]);
+  assert.deepEqual(recordedDependencies(record, entries), ["wk-a", "wk-b", "wk-c"]);
 });
 
 test("records of graph runs keep their stored form", () => {
@@ -390,17 +405,17 @@
 
 test("keys keep their form and are read back", () => {
   const keys: Readonly<Record<string, string>> = {
-    "key/leader": LEADER_KEY,
-    "key/number": NUMBER_KEY,
-    "key/types": TYPES_KEY,
+    "key/leader": CLUSTER_LEADER_KEY,
+    "key/number": SHARD_EPOCH_KEY,
+    "key/types": MACHINE_TYPES_KEY,
     "key/member": memberKey("ctl-0"),
-    "key/block": blockKey(0),
+    "key/block": shardKey(0),
     "key/job": jobKey("wk-1"),
-    "key/range": rangeKey("wk-1", 12),
-    "key/full": fullKey(0),
-    "key/silence": silenceKey(0),
-    "key/awaited": awaitedKey("wk-1", "d", 3),
-    "key/end": endKey("wk-1"),
+    "key/range": taskRangeKey("wk-1", 12),
+    "key/full": backpressureKey(0),
+    "key/silence": unreachableZonesKey(0),
+    "key/awaited": dependencyListKey("wk-1", "d", 3),
+    "key/end": outcomeKey("wk-1"),
     "key/graph": graphKey("dr-1"),
     "key/summary": summaryKey("dr-1"),
     "key/ended run": endedKey("dr-1"),
@@ -416,8 +431,8 @@
   for (const [name, key] of Object.entries(keys)) records.matches(name, key);
   assert.equal(memberOfKey(records.text("key/member")), "ctl-0");
   assert.equal(jobOfKey(records.text("key/job")), "wk-1");
-  assert.deepEqual(rangeOfKey(records.text("key/range")), { id: "wk-1", range: 12 });
-  assert.equal(jobOfAwaitedKey(records.text("key/awaited")), "wk-1");
+  assert.deepEqual(taskRangeOfKey(records.text("key/range")), { id: "wk-1", range: 12 });
+  assert.equal(jobOfDependencyListKey(records.text("key/awaited")), "wk-1");
   assert.equal(graphOfKey(records.text("key/graph")), "dr-1");
   assert.equal(uploadOfKey(records.text("key/upload")), "dr-1");
   assert.deepEqual(partsOfJobId(records.text("key/job of a step")), { step: 40, attempt: 2 });
--- a/test/trial.test.ts
+++ b/test/trial.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import type { Job, Machine, Task } from "../src/bookkeeping/picture.js";
 import { waitingJobs } from "../src/coordination/decisions/order.js";
-import { acquit, mayTry, takeFailure } from "../src/coordination/decisions/trial.js";
+import { allowedStarts, attributeFailure, clearSuspicion } from "../src/coordination/decisions/trial.js";
 import { S } from "../src/model/index.js";
 import { type Micros, seconds } from "../src/transport/clock.js";
 import { makeBlock, SPEC } from "./block-fixtures.js";
@@ -13,20 +13,20 @@
   const all = [...block.machines.values()];
   const add = (id: string, tasks: number): Job => {
     const job = block.addJob({ ...SPEC, id, tasks }, 1, false);
-    block.openRange(job);
+    block.createNextTaskRange(job);
     return job;
   };
   const start = (job: Job, machine: Machine | undefined): Task => {
-    const [task] = job.waiting;
+    const [task] = job.waitingTasks;
     assert.ok(task !== undefined && machine !== undefined);
-    block.occupy(task, machine);
+    block.assignTask(task, machine);
     Object.assign(task, { state: "running", runningSince: context.clock.now() });
     return task;
   };
   const fail = (task: Task): string => {
-    const machine = task.on as Machine;
-    const verdict = takeFailure(task, machine, block.jobs, block.machines, context.clock.now());
-    block.vacate(task);
+    const machine = task.machine as Machine;
+    const verdict = attributeFailure(task, machine, block.jobs, block.machines, context.clock.now());
+    block.releaseTask(task);
     return verdict;
   };
   const pass = (s: number): void => {
@@ -43,11 +43,11 @@
   pass(1);
   const verdicts = tasks.map(fail);
   assert.ok(!verdicts.includes("machine"));
-  assert.ok(job.onTrial);
+  assert.ok(job.onProbation);
   // What kept the first machine free of work is over with the verdict.
-  for (const { avoidUntil, failures } of all) {
-    assert.ok(avoidUntil <= now());
-    assert.equal(failures.size, 0);
+  for (const { quarantinedUntil, recentFailures } of all) {
+    assert.ok(quarantinedUntil <= now());
+    assert.equal(recentFailures.size, 0);
   }
 });
 
@@ -71,24 +71,24 @@
 test("a job on trial is tried one task at a time, after ever longer pauses, and goes on once one does well", () => {
   const { block, all, add, start, fail, pass, now } = scene(4);
   const job = add("wk-1", 40);
-  assert.equal(mayTry(job, now()), Number.POSITIVE_INFINITY);
+  assert.equal(allowedStarts(job, now()), Number.POSITIVE_INFINITY);
   for (const task of [start(job, all[0]), start(job, all[1])]) fail(task);
   const trials: number[] = [];
   for (let at = 0; at < 1_200; at += 1) {
     pass(0.1);
-    if (job.retryAfter > now() || mayTry(job, now()) === 0) continue;
+    if (job.retryAfter > now() || allowedStarts(job, now()) === 0) continue;
     trials.push(at / 10);
     const task = start(job, all[at % 4]);
-    assert.equal(mayTry(job, now()), 0, "one at a time");
+    assert.equal(allowedStarts(job, now()), 0, "one at a time");
     assert.equal(fail(task), "job");
   }
   assert.ok(trials.length >= 5 && trials.length <= 10, `${trials.length} trials in two minutes: ${trials}`);
   const last = start(job, all[2]);
   pass(11);
   assert.equal(last.state, "running");
-  assert.equal(mayTry(job, now()), Number.POSITIVE_INFINITY);
-  acquit(job);
-  assert.equal(job.onTrial, false);
+  assert.equal(allowedStarts(job, now()), Number.POSITIVE_INFINITY);
+  clearSuspicion(job);
+  assert.equal(job.onProbation, false);
   assert.equal(block.jobs.size, 1);
 });
 
@@ -99,10 +99,10 @@
   pass(15);
   // The last of the wave has run for longer than ten seconds, but no longer than those that failed.
   for (const task of wave.slice(0, 2)) fail(task);
-  assert.ok(job.onTrial);
-  assert.equal(mayTry(job, now()), 0);
+  assert.ok(job.onProbation);
+  assert.equal(allowedStarts(job, now()), 0);
   pass(20);
-  assert.equal(mayTry(job, now()), Number.POSITIVE_INFINITY);
+  assert.equal(allowedStarts(job, now()), Number.POSITIVE_INFINITY);
 });
 
 test("what a job on trial has not been given is left to the team's other jobs", () => {
@@ -111,9 +111,14 @@
   const healthy = add("wk-2", 4);
   for (const task of [start(job, all[0]), start(job, all[1])]) fail(task);
   job.retryAfter = (now() + seconds(5)) as Micros;
-  const picture = { block, now: now(), settings: { teams: new Map(), objectives: [] }, guaranteesShort: false };
+  const snapshot = {
+    shard: block,
+    now: now(),
+    settings: { teams: new Map(), objectives: [] },
+    guaranteesOvercommitted: false,
+  };
   assert.deepEqual(
-    waitingJobs(picture as unknown as Parameters<typeof waitingJobs>[0]).map(({ spec }) => spec.id),
+    waitingJobs(snapshot as unknown as Parameters<typeof waitingJobs>[0]).map(({ spec }) => spec.id),
     [healthy.spec.id],
   );
 });
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,15 +1,16 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
-  readBlock,
-  readEnd,
-  readJob,
-  readMember,
-  readRange,
-  readSilence,
-  writeRange,
+  decodeJobRecord,
+  decodeMemberRecord,
+  decodeOutcomeRecord,
+  decodeShardRecord,
+  decodeTaskRange,
+  decodeUnreachableZones,
+  encodeTaskRange,
 } from "../src/bookkeeping/records.js";
 import { S } from "../src/model/index.js";
+import type { JobSpec } from "../src/protocol/user.js";
 import { parseSettings } from "../src/settings/settings.js";
 import { settingsText } from "./fixtures.js";
 import { Cluster, plainJob } from "./sim/cluster.js";
@@ -22,26 +23,53 @@
 const SPEC =
   '{"id":"wk-000412","jobClass":"train","team":"vision","shape":"array","priority":"high","tasks":16,"demand":{"cpu":8000,"gpu":1000,"ram":64000},"types":["g8"],"zone":null,"oneZone":true,"spread":false,"spot":true,"image":"img-07","imageGb":6.2,"estimateS":240,"checkpointS":30,"saveS":4,"deadlineS":900}';
 
+const SPEC_IN_MEMORY: JobSpec = {
+  id: "wk-000412",
+  jobClass: "train",
+  team: "vision",
+  shape: "array",
+  priority: "high",
+  tasks: 16,
+  demand: { cpu: 8_000, gpu: 1_000, ram: 64_000 },
+  types: ["g8"],
+  zone: null,
+  singleZone: true,
+  spread: false,
+  spot: true,
+  image: "img-07",
+  imageGb: 6.2,
+  estimatedRunS: 240,
+  checkpointIntervalS: 30,
+  checkpointDurationS: 4,
+  deadlineS: 900,
+};
+
 test("records of the old version are read as they were meant", () => {
-  const job = readJob(JSON.parse(`{"spec":${SPEC},"block":0,"cancelled":true}`));
-  assert.deepEqual(job, { spec: JSON.parse(SPEC), block: 0, cancelled: true });
-  assert.deepEqual(readRange(JSON.parse('{"t":[0,3,-1,[2,"n-000231"]]}')), [
+  const job = decodeJobRecord(JSON.parse(`{"spec":${SPEC},"block":0,"cancelled":true}`));
+  assert.deepEqual(job, { spec: SPEC_IN_MEMORY, shard: 0, cancelled: true });
+  assert.deepEqual(decodeTaskRange(JSON.parse('{"t":[0,3,-1,[2,"n-000231"]]}')), [
     { kind: "waiting", attempt: 0 },
     { kind: "waiting", attempt: 3 },
     { kind: "done" },
     { kind: "placed", attempt: 2, machine: "n-000231" },
   ]);
-  assert.deepEqual(readEnd(JSON.parse('{"phase":"cancelled","done":3,"why":"error"}')), {
+  assert.deepEqual(decodeOutcomeRecord(JSON.parse('{"phase":"cancelled","done":3,"why":"error"}')), {
     phase: "cancelled",
-    done: 3,
-    why: "error",
+    completedTasks: 3,
+    cancellationReason: "error",
+  });
+  assert.deepEqual(decodeMemberRecord(JSON.parse('{"lease":7,"incarnation":"abc"}')), {
+    leaseId: 7,
+    incarnation: "abc",
+  });
+  assert.deepEqual(decodeShardRecord(JSON.parse('{"label":"ctl-1","incarnation":"abc","number":12}')), {
+    label: "ctl-1",
+    incarnation: "abc",
+    epoch: 12,
   });
-  assert.deepEqual(readMember(JSON.parse('{"lease":7,"incarnation":"abc"}')), { lease: 7, incarnation: "abc" });
-  const block = { label: "ctl-1", incarnation: "abc", number: 12 };
-  assert.deepEqual(readBlock(JSON.parse(JSON.stringify(block))), block);
-  assert.deepEqual(readSilence(JSON.parse('{"number":4,"zones":{"east":1700000000000}}')), {
-    number: 4,
-    zones: { east: 1_700_000_000_000 },
+  assert.deepEqual(decodeUnreachableZones(JSON.parse('{"number":4,"zones":{"east":1700000000000}}')), {
+    epoch: 4,
+    unansweredSinceMs: { east: 1_700_000_000_000 },
   });
 });
 
@@ -60,7 +88,7 @@
   assert.deepEqual(keysOf("c/member/ctl-0"), ["incarnation", "lease"]);
   const kinds = new Set(cluster.state.keys("c/").map((key) => key.split("/")[1]));
   assert.deepEqual([...kinds].sort(), ["block", "job", "leader", "member", "number", "range", "types"]);
-  assert.deepEqual(writeRange([{ kind: "placed", attempt: 2, machine: "n-1" }]), { t: [[2, "n-1"]] });
+  assert.deepEqual(encodeTaskRange([{ kind: "placed", attempt: 2, machine: "n-1" }]), { t: [[2, "n-1"]] });
 });
 
 // Side by side ----------------------------------------------------------------------------------------------------------
@@ -196,15 +224,18 @@
 });
 
 test("settings: the lower limits hold, and what leaves too little is refused with the field's name", () => {
-  const { state } = parseSettings(next(settingsText(0)));
-  assert.deepEqual(state, {
-    rps: 150,
-    writeRps: 28,
+  const { store } = parseSettings(next(settingsText(0)));
+  assert.deepEqual(store, {
+    requestsPerS: 150,
+    writesPerS: 28,
     valueBytes: 2_048,
     transactionWrites: 6,
     layoutBytes: 8_192,
   });
-  assert.equal(parseSettings(next(settingsText(0)).replace("write_rps = 28.0", "write_rps = 90.0")).state.writeRps, 40);
+  assert.equal(
+    parseSettings(next(settingsText(0)).replace("write_rps = 28.0", "write_rps = 90.0")).store.writesPerS,
+    40,
+  );
   for (const [from, to, says] of [
     ["value_kb = 2.0", "value_kb = 0.5", /deployment\.state\.next\.value_kb: must be at least 1$/],
     ["txn_ops = 6", "txn_ops = 1", /deployment\.state\.next\.txn_ops: must be at least 2$/],
--- a/test/watch.test.ts
+++ b/test/watch.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Watch } from "../src/coordination/watch.js";
+import { FailureDetector } from "../src/coordination/watch.js";
 import { S } from "../src/model/index.js";
 import type { Micros } from "../src/transport/clock.js";
 import { makeBlock, nothing } from "./block-fixtures.js";
@@ -8,16 +8,19 @@
 test("a zone that has come down to one machine while questions there were open does not count as cut off for ever", () => {
   // It was rented nothing for 370 s: of fewer than three machines nobody was asked again, so no answer could end it.
   const { world, block, context } = makeBlock(7);
-  Object.assign(context, { view: { freshAt: null }, sink: null, deafChangedAt: () => null });
-  const rental = { cutZones: new Set<string>() as ReadonlySet<string>, remove: async () => undefined };
-  const watch = new Watch({
+  Object.assign(context, { cache: { freshAsOf: null }, eventListener: null, workerPathChangedAt: () => null });
+  const autoscaler = {
+    unreachableZones: new Set<string>() as ReadonlySet<string>,
+    deleteMachines: async () => undefined,
+  };
+  const failureDetector = new FailureDetector({
     context,
-    rental,
-    commander: { inquire: async () => undefined, send: async () => undefined },
-    observer: { lost: nothing },
-    silences: { answeredBefore: () => null, cut: nothing },
+    autoscaler,
+    commands: { queryStatus: async () => undefined, send: async () => undefined },
+    heartbeats: { machineLost: nothing },
+    unreachableZones: { lastAnsweredBefore: () => null, markUnreachable: nothing },
     guard: async () => undefined,
-    onDeaf: async () => undefined,
+    onUnreachable: async () => undefined,
   });
   const [east, west] = ["east", "west"].map((zone) => [...block.machines.values()].filter((m) => m.zone === zone));
   assert.ok(east?.length === 4 && west?.length === 3);
@@ -26,16 +29,17 @@
     for (let tick = 0; tick < seconds * 4; tick += 1) {
       world.now += S / 4;
       const now = context.clock.now();
-      for (const machine of block.machines.values()) machine.lastHeard = now;
-      for (const machine of east) machine.reach.answeredAt = now;
-      watch.silence();
+      for (const machine of block.machines.values()) machine.lastHeartbeatAt = now;
+      for (const machine of east) machine.reachability.lastResponseAt = now;
+      failureDetector.checkSilence();
     }
   };
-  for (const machine of west) machine.reach.unanswered = 1;
+  for (const machine of west) machine.reachability.consecutiveTimeouts = 1;
   pass(12);
-  assert.deepEqual([...rental.cutZones], ["west"]);
+  assert.deepEqual([...autoscaler.unreachableZones], ["west"]);
   for (const { name } of west.slice(1)) block.machines.delete(name);
-  for (const machine of west) Object.assign(machine.reach, { unanswered: 0, answeredAt: 0 as Micros });
+  for (const machine of west)
+    Object.assign(machine.reachability, { consecutiveTimeouts: 0, lastResponseAt: 0 as Micros });
   pass(5);
-  assert.deepEqual([...rental.cutZones], []);
+  assert.deepEqual([...autoscaler.unreachableZones], []);
 });
--- a/test/wire-forms.test.ts
+++ b/test/wire-forms.test.ts
@@ -5,31 +5,31 @@
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Store } from "../src/bookkeeping/store.js";
-import { Cloud } from "../src/coordination/cloud.js";
+import { KeyValueStore } from "../src/bookkeeping/store.js";
+import { CloudClient } from "../src/coordination/cloud.js";
 import type { ListedMachine, MachineType } from "../src/protocol/cloud.js";
-import { type Fields, formatJson, parseJson } from "../src/protocol/json.js";
+import { formatJson, type JsonObject, parseJson } from "../src/protocol/json.js";
 import { type LinkTable, linksAnswer, type MachineLinks } from "../src/protocol/links.js";
-import type { Change, Entry, Write } from "../src/protocol/state.js";
+import type { Change, Entry, WriteOperation } from "../src/protocol/state.js";
 import {
-  demandOf,
+  decodeSubmission,
+  encodePhase,
+  encodeStatus,
+  encodeSubmission,
   type JobPhase,
   type JobShape,
   type JobSpec,
   PRIORITIES,
-  phaseAnswer,
-  readSubmission,
-  statusAnswer,
-  submissionOf,
+  requestedResources,
 } from "../src/protocol/user.js";
 import {
   type Command,
-  commandRequest,
-  type Report,
-  readReportText,
-  redirectAnswer,
-  reportAnswer,
-  type TaskReport,
+  decodeHeartbeatText,
+  encodeCommandRequest,
+  encodeHeartbeatResponse,
+  encodeRedirect,
+  type Heartbeat,
+  type TaskStatus,
 } from "../src/protocol/worker.js";
 import { type Clock, type Micros, ms, seconds } from "../src/transport/clock.js";
 import type { HttpClient } from "../src/transport/http.js";
@@ -54,10 +54,10 @@
 };
 
 const BUDGET = { requestsPerS: 1_000, writesPerS: 1_000, writesPerTransaction: 10 };
-const storeFor = (name: string, status?: number): Store =>
-  new Store(scripted(name, status), "state:1", clock, log, BUDGET, () => 0);
-const cloudFor = (name: string, status?: number): Cloud =>
-  new Cloud(scripted(name, status), "cloud:1", clock, log, 100);
+const storeFor = (name: string, status?: number): KeyValueStore =>
+  new KeyValueStore(scripted(name, status), "state:1", clock, log, BUDGET, () => 0);
+const cloudFor = (name: string, status?: number): CloudClient =>
+  new CloudClient(scripted(name, status), "cloud:1", clock, log, 100);
 
 const LARGE = 18_446_744_073_709_551_615n;
 
@@ -88,7 +88,7 @@
 });
 
 test("transactions of the key-value store keep their form", async () => {
-  const writes: readonly Write[] = [
+  const writes: readonly WriteOperation[] = [
     { kind: "put", key: "c/a", value: { x: 1 } },
     { kind: "put", key: "c/b", value: [], lease: LARGE },
     { kind: "delete", key: "c/c" },
@@ -97,20 +97,20 @@
     ["c/a", 0],
     ["c/b", LARGE],
   ]);
-  assert.deepEqual(await storeFor("store/transaction").commit(conditions, writes), { kind: "ok", version: 10 });
-  assert.deepEqual(await storeFor("store/empty transaction").commit(new Map(), []), { kind: "ok", version: 10 });
-  assert.deepEqual(await storeFor("store/conflict", 409).commit(conditions, writes), {
+  assert.deepEqual(await storeFor("store/transaction").transact(conditions, writes), { kind: "ok", version: 10 });
+  assert.deepEqual(await storeFor("store/empty transaction").transact(new Map(), []), { kind: "ok", version: 10 });
+  assert.deepEqual(await storeFor("store/conflict", 409).transact(conditions, writes), {
     kind: "conflict",
     keys: ["c/a"],
   });
-  assert.deepEqual(await storeFor("store/no lease", 400).commit(conditions, writes), { kind: "refused" });
-  assert.deepEqual(await storeFor("store/too large", 400).commit(conditions, writes), { kind: "too large" });
+  assert.deepEqual(await storeFor("store/no lease", 400).transact(conditions, writes), { kind: "refused" });
+  assert.deepEqual(await storeFor("store/too large", 400).transact(conditions, writes), { kind: "too large" });
 });
 
 test("leases of the key-value store keep their form", async () => {
-  assert.deepEqual(await storeFor("store/grant").grant(seconds(20)), { kind: "ok", value: LARGE });
-  assert.deepEqual(await storeFor("store/renew").touch(LARGE), { kind: "ok", value: true });
-  assert.deepEqual(await storeFor("store/end").end(5), { kind: "ok", value: true });
+  assert.deepEqual(await storeFor("store/grant").grantLease(seconds(20)), { kind: "ok", value: LARGE });
+  assert.deepEqual(await storeFor("store/renew").renewLease(LARGE), { kind: "ok", value: true });
+  assert.deepEqual(await storeFor("store/end").revokeLease(5), { kind: "ok", value: true });
 });
 
 test("messages of the cloud keep their form", async () => {
@@ -136,7 +136,7 @@
       zones: [],
     },
   ];
-  const catalog = await cloudFor("cloud/types").types();
+  const catalog = await cloudFor("cloud/types").listMachineTypes();
   assert.ok(catalog.kind === "ok");
   assert.deepEqual(catalog.value.types, types);
   // Put on record as it came.
@@ -155,12 +155,12 @@
     { ...machine, name: "n-2", address: null, spot: false, state: "booting", ageS: 0 },
     { ...machine, name: "n-3", address: null, spot: false, state: "failed", ageS: 1 },
   ];
-  assert.deepEqual(await cloudFor("cloud/list").list(), { kind: "ok", value: machines });
-  const rented = await cloudFor("cloud/rent").rent("ask-1", "big", "east", true, 2);
+  assert.deepEqual(await cloudFor("cloud/list").listMachines(), { kind: "ok", value: machines });
+  const rented = await cloudFor("cloud/rent").provision("ask-1", "big", "east", true, 2);
   assert.deepEqual(rented, { kind: "ok", value: ["n-4", "n-5"] });
-  const refused = await cloudFor("cloud/no capacity", 503).rent("ask-2", "small", "west", false, 1);
+  const refused = await cloudFor("cloud/no capacity", 503).provision("ask-2", "small", "west", false, 1);
   assert.deepEqual(refused, { kind: "refused" });
-  assert.deepEqual(await cloudFor("cloud/delete").delete(["n-1", "n-2"]), { kind: "ok", value: true });
+  assert.deepEqual(await cloudFor("cloud/delete").deleteMachines(["n-1", "n-2"]), { kind: "ok", value: true });
 });
 
 const plainSpec: JobSpec = {
@@ -170,17 +170,17 @@
   shape: "array",
   priority: "normal",
   tasks: 3,
-  demand: demandOf(1.5, 0, 4),
+  demand: requestedResources(1.5, 0, 4),
   types: null,
   zone: null,
-  oneZone: false,
+  singleZone: false,
   spread: false,
   spot: false,
   image: "img:1",
   imageGb: 1.5,
-  estimateS: 60,
-  checkpointS: 0,
-  saveS: 0,
+  estimatedRunS: 60,
+  checkpointIntervalS: 0,
+  checkpointDurationS: 0,
   deadlineS: null,
 };
 const shapes: readonly JobShape[] = ["array", "gang", "service"];
@@ -188,16 +188,16 @@
   "user/plain": plainSpec,
   "user/full": {
     ...plainSpec,
-    demand: demandOf(2, 1, 0.5),
+    demand: requestedResources(2, 1, 0.5),
     types: ["big", "small"],
     zone: "east",
-    oneZone: true,
+    singleZone: true,
     spread: true,
     spot: true,
-    checkpointS: 30,
-    saveS: 2.5,
+    checkpointIntervalS: 30,
+    checkpointDurationS: 2.5,
     deadlineS: 600,
-    awaits: ["wk-a", "wk-b"],
+    dependencies: ["wk-a", "wk-b"],
   },
   ...Object.fromEntries(shapes.map((shape): [string, JobSpec] => [`user/${shape}`, { ...plainSpec, shape }])),
   ...Object.fromEntries(
@@ -207,36 +207,36 @@
 
 test("submissions of users keep their form and are read back", () => {
   for (const [name, spec] of Object.entries(specs)) {
-    messages.matches(name, formatJson(submissionOf(spec)));
-    assert.deepEqual(readSubmission(parseJson(messages.text(name))), spec, name);
+    messages.matches(name, formatJson(encodeSubmission(spec)));
+    assert.deepEqual(decodeSubmission(parseJson(messages.text(name))), spec, name);
   }
-  assert.deepEqual(readSubmission(parseJson(messages.text("user/fewest fields"))), plainSpec);
+  assert.deepEqual(decodeSubmission(parseJson(messages.text("user/fewest fields"))), plainSpec);
 });
 
 test("answers to users keep their form", () => {
   const phases: readonly JobPhase[] = ["queued", "running", "done", "cancelled"];
-  for (const phase of phases) messages.matches(`phase/${phase}`, formatJson(phaseAnswer("wk-1", phase)));
-  messages.matches("status/running", formatJson(statusAnswer("wk-1", "running", 1, 2)));
+  for (const phase of phases) messages.matches(`phase/${phase}`, formatJson(encodePhase("wk-1", phase)));
+  messages.matches("status/running", formatJson(encodeStatus("wk-1", "running", 1, 2)));
   const awaits = Array.from({ length: 21 }, (_, at) => `wk-${at}`);
-  messages.matches("status/awaits", formatJson(statusAnswer("wk-1", "queued", 0, 0, awaits)));
+  messages.matches("status/awaits", formatJson(encodeStatus("wk-1", "queued", 0, 0, awaits)));
 });
 
-const report: Report = {
+const heartbeat: Heartbeat = {
   machine: "n-1",
   address: "10.0.0.1:80",
   type: "big",
   zone: "east",
   spot: false,
-  session: 5,
+  incarnation: 5,
   sequence: 6,
   token: 0,
-  noticeS: null,
+  reclaimNoticeS: null,
   tasks: [],
-  listing: null,
-  same: false,
+  taskListText: null,
+  taskListUnchanged: false,
 };
-const running: TaskReport = { task: "wk-1/0", attempt: 1, state: "running", reason: null };
-const reportedTasks: readonly TaskReport[] = [
+const running: TaskStatus = { task: "wk-1/0", attempt: 1, state: "running", reason: null };
+const reportedTasks: readonly TaskStatus[] = [
   running,
   { ...running, attempt: LARGE, state: "fetching" },
   { ...running, state: "waiting" },
@@ -256,23 +256,23 @@
 
 test("workers' heartbeats are read from their form", () => {
   const none = (): null => null;
-  assert.deepEqual(readReportText(messages.text("report/fewest fields"), none), report);
+  assert.deepEqual(decodeHeartbeatText(messages.text("report/fewest fields"), none), heartbeat);
   const text = messages.text("report/full");
   const listing = text.slice(text.indexOf(',"shards":['));
-  const full: Report = {
-    ...report,
+  const full: Heartbeat = {
+    ...heartbeat,
     spot: true,
-    session: LARGE,
+    incarnation: LARGE,
     sequence: 9_007_199_254_740_993n,
     token: 7,
-    noticeS: 12.5,
+    reclaimNoticeS: 12.5,
     tasks: reportedTasks,
-    listing,
+    taskListText: listing,
   };
-  assert.deepEqual(readReportText(text, none), full);
+  assert.deepEqual(decodeHeartbeatText(text, none), full);
   assert.deepEqual(
-    readReportText(text, (machine) => (machine === "n-1" ? listing : null)),
-    { ...full, tasks: [], same: true },
+    decodeHeartbeatText(text, (machine) => (machine === "n-1" ? listing : null)),
+    { ...full, tasks: [], taskListUnchanged: true },
   );
 });
 
@@ -282,12 +282,12 @@
     { op: "stop", task: "wk-1/1", attempt: LARGE, graceS: 2.5 },
     { op: "forget", task: "wk-1/2", attempt: 0 },
   ];
-  const sent: Readonly<Record<string, Fields>> = {
-    "worker/answer": reportAnswer(LARGE, commands),
-    "worker/answer without commands": reportAnswer(0, []),
-    "worker/commands": commandRequest(7, LARGE, commands),
-    "worker/redirect": redirectAnswer("10.0.0.1:8080"),
-    "worker/redirect to nobody": redirectAnswer(null),
+  const sent: Readonly<Record<string, JsonObject>> = {
+    "worker/answer": encodeHeartbeatResponse(LARGE, commands),
+    "worker/answer without commands": encodeHeartbeatResponse(0, []),
+    "worker/commands": encodeCommandRequest(7, LARGE, commands),
+    "worker/redirect": encodeRedirect("10.0.0.1:8080"),
+    "worker/redirect to nobody": encodeRedirect(null),
   };
   for (const [name, message] of Object.entries(sent)) messages.matches(name, formatJson(message));
 });
