--- a/src/bookkeeping/picture.ts
+++ b/src/cluster/entities.ts
@@ -1,14 +1,14 @@
 import type { MachineType } from "../protocol/cloud.js";
+import type { JobSpec, Resources } from "../protocol/job.js";
 import type { Uint64 } from "../protocol/json.js";
-import type { JobSpec, Resources } from "../protocol/user.js";
 import type { TaskState } from "../protocol/worker.js";
+import type { CancellationReason, TaskRecord } from "../storage/records.js";
 import type { Micros } from "../transport/clock.js";
-import type { CancellationReason, TaskRecord } from "./records.js";
 
 /** Why a machine takes no more tasks. */
 export type DrainReason = "returning" | "notice" | "faulty";
 
-/** Whether what is sent to a worker gets there, told from effects alone; kept with the machine (decisions/reach.ts). */
+/** Whether what is sent to a worker gets there, told from effects alone; kept with the machine (coordination/workers/reachability.ts). */
 export interface Reachability {
   /** Commands and questions in a row that got no answer. */
   consecutiveTimeouts: number;
@@ -49,7 +49,7 @@
   suspectedAt: Micros;
   /** Reports in a row that look older than what is known. */
   suspectHeartbeats: number;
-  /** Questions and commands without an answer, and answers without an effect (decisions/reach.ts). */
+  /** Questions and commands without an answer, and answers without an effect (coordination/workers/reachability.ts). */
   readonly reachability: Reachability;
   /** It was said that the machine is heard and not reached. */
   unreachableSince: Micros | null;
@@ -153,7 +153,7 @@
   withinGuarantee: boolean;
   /** A task of it has been placed at some time. */
   started: boolean;
-  /** Goes first, since too few of its class or team have begun (decisions/served.ts). */
+  /** Goes first, since too few of its class or team have begun (coordination/scheduling/starvation.ts). */
   boosted: boolean;
   /** Since when it waits: when it was first seen here, or when the last job that it awaits was on record as done. */
   waitingSince: Micros;
@@ -169,7 +169,7 @@
   outcomePending: boolean;
   /** Machines on which a task of it failed since one last succeeded. */
   readonly failedMachines: Set<string>;
-  /** Fails wherever it is started, as far as is known: one task at a time is tried (decisions/trial.ts). */
+  /** Fails wherever it is started, as far as is known: one task at a time is tried (coordination/workers/failure-attribution.ts). */
   onProbation: boolean;
   /** The longest that a task of it ran before it failed, since one last succeeded. */
   longestFailedRun: Micros;
--- a/src/bookkeeping/machines.ts
+++ b/src/cluster/machine-usage.ts
@@ -1,7 +1,7 @@
 import type { MachineType } from "../protocol/cloud.js";
-import type { JobSpec } from "../protocol/user.js";
+import type { JobSpec } from "../protocol/job.js";
 import type { Micros } from "../transport/clock.js";
-import type { Machine } from "./picture.js";
+import type { Machine } from "./entities.js";
 
 export const newMachine = (
   name: string,
--- a/src/bookkeeping/block.ts
+++ b/src/cluster/shard-state.ts
@@ -1,11 +1,11 @@
 import type { MachineType } from "../protocol/cloud.js";
+import { type JobSpec, priorityRank } from "../protocol/job.js";
 import type { Uint64 } from "../protocol/json.js";
-import { type JobSpec, priorityRank } from "../protocol/user.js";
 import type { Team } from "../settings/settings.js";
+import { decodeTaskRange, type TaskRecord, taskRangeBytes } from "../storage/records.js";
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
-import { addTaskUsage, newMachine, rememberImage } from "./machines.js";
-import type { Job, Machine, Task, TaskRange } from "./picture.js";
-import { decodeTaskRange, type TaskRecord, taskRangeBytes } from "./records.js";
+import type { Job, Machine, Task, TaskRange } from "./entities.js";
+import { addTaskUsage, newMachine, rememberImage } from "./machine-usage.js";
 
 /**
  * Nothing speaks against it. Not the present time: ranges come into being in the midst of a round, and by the time that
--- a/src/bookkeeping/tasks.ts
+++ b/src/cluster/task-records.ts
@@ -1,5 +1,5 @@
-import type { Task } from "./picture.js";
-import type { TaskRecord } from "./records.js";
+import type { TaskRecord } from "../storage/records.js";
+import type { Task } from "./entities.js";
 
 export const attemptOf = (record: TaskRecord): number => (record.kind === "done" ? 0 : record.attempt);
 
--- a/src/commands/graph-limits.ts
+++ b/src/commands/graph-limits.ts
@@ -1,5 +1,5 @@
 import { readFileSync } from "node:fs";
-import { neverRuns } from "../coordination/decisions/eligibility.js";
+import { neverRuns } from "../coordination/scheduling/eligibility.js";
 import type { Plan } from "../graphs/index.js";
 import { decodeMachineTypes, type MachineType } from "../protocol/cloud.js";
 import { MalformedMessageError, parseJson } from "../protocol/json.js";
--- a/src/commands/serving.ts
+++ b/src/commands/serving.ts
@@ -1,9 +1,9 @@
 import { randomBytes } from "node:crypto";
 import { getHeapStatistics } from "node:v8";
-import type { ClusterEventListener } from "../bookkeeping/events.js";
-import { CloudClient } from "../coordination/cloud.js";
-import { Controller, type MeshFactory } from "../coordination/controller.js";
-import type { ProcessLoad } from "../coordination/overload.js";
+import type { ClusterEventListener } from "../cluster/events.js";
+import { CloudClient } from "../coordination/autoscaling/cloud-client.js";
+import { Controller, type MeshFactory } from "../coordination/leadership/controller.js";
+import type { ProcessLoad } from "../coordination/overload/load-shedder.js";
 import { shareConnections } from "../settings/connections.js";
 import { loadOptions } from "../settings/options.js";
 import { loadSettings, SettingsError } from "../settings/settings.js";
--- a/src/commands/whatif-traces.ts
+++ b/src/commands/whatif-traces.ts
@@ -97,7 +97,7 @@
 const catalogue = async (address: string) => {
   const [{ NetHttpClient }, { CloudClient }, { systemClock }] = await Promise.all([
     import("../transport/http-client.js"),
-    import("../coordination/cloud.js"),
+    import("../coordination/autoscaling/cloud-client.js"),
     import("../transport/clock.js"),
   ]);
   const reply = await new CloudClient(
--- a/src/coordination/front-door.ts
+++ b/src/coordination/api/job-api.ts
@@ -1,3 +1,15 @@
+import type { MachineType } from "../../protocol/cloud.js";
+import {
+  decodeSubmission,
+  encodePhase,
+  encodeStatus,
+  isJobId,
+  type JobPhase,
+  type JobSpec,
+} from "../../protocol/job.js";
+import { jobSpecCodec } from "../../protocol/job-spec-codec.js";
+import { formatJson, MalformedMessageError, parseJson } from "../../protocol/json.js";
+import type { Entry } from "../../protocol/key-value-store.js";
 import {
   backpressureKey,
   decodeJobRecord,
@@ -11,19 +23,14 @@
   outcomeKey,
   shardOf,
   taskRangeKey,
-} from "../bookkeeping/records.js";
-import { requestInterval } from "../bookkeeping/view.js";
-import type { MachineType } from "../protocol/cloud.js";
-import { jobSpecCodec } from "../protocol/job-spec-form.js";
-import { formatJson, MalformedMessageError, parseJson } from "../protocol/json.js";
-import type { Entry } from "../protocol/state.js";
-import { decodeSubmission, encodePhase, encodeStatus, isJobId, type JobPhase, type JobSpec } from "../protocol/user.js";
-import { type Micros, ms, seconds } from "../transport/clock.js";
-import type { Request, Response } from "../transport/http.js";
-import { DependencyResolver, type TerminalState, withoutDependencies } from "./awaited.js";
-import type { Services } from "./context.js";
-import { neverRuns } from "./decisions/eligibility.js";
-import { OutcomeReader } from "./lookups.js";
+} from "../../storage/records.js";
+import { requestInterval } from "../../storage/watch-cache.js";
+import { type Micros, ms, seconds } from "../../transport/clock.js";
+import type { Request, Response } from "../../transport/http.js";
+import type { Services } from "../context.js";
+import { DependencyResolver, type TerminalState, withoutDependencies } from "../jobs/dependency-resolver.js";
+import { OutcomeReader } from "../jobs/outcome-reader.js";
+import { neverRuns } from "../scheduling/eligibility.js";
 
 const MAX_REMEMBERED_OUTCOMES = 5_000;
 /** A view older than this cannot be counted on for answers: say so to the load balancer. */
--- a/src/coordination/rental.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,13 +1,15 @@
-import { eventFieldsOf } from "../bookkeeping/events.js";
-import { newMachine } from "../bookkeeping/machines.js";
-import type { Machine } from "../bookkeeping/picture.js";
-import type { ListedMachine } from "../protocol/cloud.js";
-import type { JobSpec } from "../protocol/user.js";
-import { type Micros, ms, seconds, sleep } from "../transport/clock.js";
-import type { CloudClient } from "./cloud.js";
-import { exponentialBackoff, type ShardContext } from "./context.js";
-import { chooseMachineToConsolidate } from "./decisions/emptying.js";
-import type { SchedulerSnapshot } from "./decisions/picture.js";
+import type { Machine } from "../../cluster/entities.js";
+import { eventFieldsOf } from "../../cluster/events.js";
+import { newMachine } from "../../cluster/machine-usage.js";
+import type { ListedMachine } from "../../protocol/cloud.js";
+import type { JobSpec } from "../../protocol/job.js";
+import { type Micros, ms, seconds, sleep } from "../../transport/clock.js";
+import { exponentialBackoff, type ShardContext } from "../context.js";
+import type { Scheduler } from "../scheduling/scheduler.js";
+import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
+import type { HeartbeatProcessor } from "../workers/heartbeat-processor.js";
+import type { CloudClient } from "./cloud-client.js";
+import { chooseMachineToConsolidate } from "./consolidation.js";
 import {
   CapacityBackoff,
   type CloudOffers,
@@ -16,9 +18,7 @@
   offerKey,
   planScaling,
   type ScaleOutRequest,
-} from "./decisions/rental.js";
-import type { HeartbeatProcessor } from "./observer.js";
-import type { Scheduler } from "./rounds.js";
+} from "./scale-plan.js";
 
 const SCALE_INTERVAL = ms(400);
 /** Under load, plans and lists are made so much less often. */
--- a/src/coordination/cloud.ts
+++ b/src/coordination/autoscaling/cloud-client.ts
@@ -6,12 +6,12 @@
   encodeProvisioningRequest,
   type ListedMachine,
   type MachineType,
-} from "../protocol/cloud.js";
-import { formatJson, MalformedMessageError, parseJson } from "../protocol/json.js";
-import { type Clock, type Micros, ms, sleep } from "../transport/clock.js";
-import type { HttpClient } from "../transport/http.js";
-import type { Log } from "../transport/log.js";
-import { RateLimit } from "../transport/rate-limit.js";
+} from "../../protocol/cloud.js";
+import { formatJson, MalformedMessageError, parseJson } from "../../protocol/json.js";
+import { type Clock, type Micros, ms, sleep } from "../../transport/clock.js";
+import type { HttpClient } from "../../transport/http.js";
+import type { Log } from "../../transport/log.js";
+import { RateLimit } from "../../transport/rate-limit.js";
 
 /** `refused`: no capacity. `failed`: anything else; a rental may have happened, or may yet. */
 export type CloudResult<T> = { readonly kind: "ok"; readonly value: T } | { readonly kind: "refused" | "failed" };
--- a/src/coordination/decisions/emptying.ts
+++ b/src/coordination/autoscaling/consolidation.ts
@@ -1,9 +1,9 @@
-import type { Job, Machine } from "../../bookkeeping/picture.js";
-import { fits, subtractResources } from "../placement/bfgp.js";
-import { allows, zoneAllowed, zoneCounts } from "./eligibility.js";
-import { type Candidate, listCandidates } from "./floor.js";
-import type { SchedulerSnapshot } from "./picture.js";
-import { type DemandHistory, headroomDemand, MIN_CHARGED_TIME } from "./rental.js";
+import type { Job, Machine } from "../../cluster/entities.js";
+import { type Candidate, listCandidates } from "../scheduling/candidate-index.js";
+import { allows, zoneAllowed, zoneCounts } from "../scheduling/eligibility.js";
+import { fits, subtractResources } from "../scheduling/placement/bfgp.js";
+import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
+import { type DemandHistory, headroomDemand, MIN_CHARGED_TIME } from "./scale-plan.js";
 
 /** Machines looked at in one go for whether their replicas could go elsewhere. */
 const MAX_MACHINES_TRIED = 4;
--- a/src/coordination/decisions/rental.ts
+++ b/src/coordination/autoscaling/scale-plan.ts
@@ -1,13 +1,13 @@
-import type { Job, Machine } from "../../bookkeeping/picture.js";
+import type { Job, Machine } from "../../cluster/entities.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { JobSpec, Resources } from "../../protocol/user.js";
+import type { JobSpec, Resources } from "../../protocol/job.js";
 import { type Micros, seconds } from "../../transport/clock.js";
-import { countThatFit, fits, subtractResources } from "../placement/bfgp.js";
-import { allows, readyMachines, zoneAllowed, zoneCounts } from "./eligibility.js";
-import { waitingJobs } from "./order.js";
-import type { SchedulerSnapshot } from "./picture.js";
-import { MAX_QUEUE_SHARE, maxQueueTime } from "./promptness.js";
-import { allowedStarts } from "./trial.js";
+import { allows, readyMachines, zoneAllowed, zoneCounts } from "../scheduling/eligibility.js";
+import { waitingJobs } from "../scheduling/job-order.js";
+import { countThatFit, fits, subtractResources } from "../scheduling/placement/bfgp.js";
+import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
+import { MAX_QUEUE_SHARE, maxQueueTime } from "../scheduling/start-deadline.js";
+import { allowedStarts } from "../workers/failure-attribution.js";
 
 /** The cloud charges at least about so long. */
 export const MIN_CHARGED_TIME = seconds(58);
--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -1,19 +1,19 @@
-import type { ShardState } from "../bookkeeping/block.js";
-import type { DependencyGraph } from "../bookkeeping/chains.js";
-import type { TransactionBatcher } from "../bookkeeping/committer.js";
-import type { ClusterEventListener } from "../bookkeeping/events.js";
-import type { Job, Machine, Task } from "../bookkeeping/picture.js";
-import type { OutcomeRecord } from "../bookkeeping/records.js";
-import type { KeyValueStore } from "../bookkeeping/store.js";
-import type { WatchCache } from "../bookkeeping/view.js";
+import type { DependencyGraph } from "../cluster/dependency-graph.js";
+import type { Job, Machine, Task } from "../cluster/entities.js";
+import type { ClusterEventListener } from "../cluster/events.js";
+import type { ShardState } from "../cluster/shard-state.js";
 import type { Uint64 } from "../protocol/json.js";
 import type { ExitReason } from "../protocol/worker.js";
 import type { Options } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
+import type { KeyValueStore } from "../storage/key-value-store.js";
+import type { OutcomeRecord } from "../storage/records.js";
+import type { TransactionBatcher } from "../storage/transaction-batcher.js";
+import type { WatchCache } from "../storage/watch-cache.js";
 import type { Clock, Micros } from "../transport/clock.js";
 import type { HttpClient } from "../transport/http.js";
 import type { Log } from "../transport/log.js";
-import type { LoadShedder } from "./overload.js";
+import type { LoadShedder } from "./overload/load-shedder.js";
 
 /** What every part of the program is handed. */
 export interface Services {
--- a/src/coordination/awaited.ts
+++ b/src/coordination/jobs/dependency-resolver.ts
@@ -1,4 +1,7 @@
 import { createHash } from "node:crypto";
+import type { JobSpec } from "../../protocol/job.js";
+import { formatJson, type Uint64 } from "../../protocol/json.js";
+import type { Change } from "../../protocol/key-value-store.js";
 import {
   decodeJobRecord,
   dependencyListKey,
@@ -8,13 +11,10 @@
   jobOfKey,
   type OutcomeRecord,
   recordedDependencies,
-} from "../bookkeeping/records.js";
-import { formatJson, type Uint64 } from "../protocol/json.js";
-import type { Change } from "../protocol/state.js";
-import type { JobSpec } from "../protocol/user.js";
-import { ms, sleep } from "../transport/clock.js";
-import { describeError } from "../transport/log.js";
-import type { Services } from "./context.js";
+} from "../../storage/records.js";
+import { ms, sleep } from "../../transport/clock.js";
+import { describeError } from "../../transport/log.js";
+import type { Services } from "../context.js";
 
 /** Last words looked up at once: more are kept waiting here than in the queue that all questions share. */
 const MAX_CONCURRENT_READS = 48;
--- a/src/coordination/chained.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -1,8 +1,8 @@
-import type { Job } from "../bookkeeping/picture.js";
-import { dependencyListKey, type OutcomeRecord } from "../bookkeeping/records.js";
-import { priorityRank } from "../protocol/user.js";
-import { type Micros, seconds } from "../transport/clock.js";
-import type { ShardContext } from "./context.js";
+import type { Job } from "../../cluster/entities.js";
+import { priorityRank } from "../../protocol/job.js";
+import { dependencyListKey, type OutcomeRecord } from "../../storage/records.js";
+import { type Micros, seconds } from "../../transport/clock.js";
+import type { ShardContext } from "../context.js";
 
 /**
  * Jobs of a block that await others: which of them may begin, and with which rank and by when they count, which both follow from
--- a/src/coordination/jobs-feed.ts
+++ b/src/coordination/jobs/job-watcher.ts
@@ -1,4 +1,5 @@
-import type { Job } from "../bookkeeping/picture.js";
+import type { Job } from "../../cluster/entities.js";
+import type { Change, Entry } from "../../protocol/key-value-store.js";
 import {
   CURRENT_PREFIX,
   decodeJobRecord,
@@ -6,14 +7,13 @@
   jobOfDependencyListKey,
   jobOfKey,
   taskRangeOfKey,
-} from "../bookkeeping/records.js";
-import type { Change, Entry } from "../protocol/state.js";
-import { seconds } from "../transport/clock.js";
-import type { DependencyTracker } from "./chained.js";
-import { firstFencingToken, type ShardContext } from "./context.js";
-import type { Extension } from "./extension.js";
-import type { HeartbeatProcessor } from "./observer.js";
-import type { TaskStateWriter } from "./recorder.js";
+} from "../../storage/records.js";
+import { seconds } from "../../transport/clock.js";
+import { firstFencingToken, type ShardContext } from "../context.js";
+import type { Extension } from "../extension.js";
+import type { HeartbeatProcessor } from "../workers/heartbeat-processor.js";
+import type { DependencyTracker } from "./dependency-tracker.js";
+import type { TaskStateWriter } from "./task-state-writer.js";
 
 /** Nobody who submits waits for longer than a minute, and no transaction is as late as this. */
 const ORPHANED_LIST_AGE = seconds(600);
--- a/src/coordination/lookups.ts
+++ b/src/coordination/jobs/outcome-reader.ts
@@ -1,8 +1,8 @@
-import { outcomeKey } from "../bookkeeping/records.js";
-import type { KeyValueStore } from "../bookkeeping/store.js";
-import type { Entry } from "../protocol/state.js";
-import { type Clock, type Micros, sleep } from "../transport/clock.js";
-import type { Log } from "../transport/log.js";
+import type { Entry } from "../../protocol/key-value-store.js";
+import type { KeyValueStore } from "../../storage/key-value-store.js";
+import { outcomeKey } from "../../storage/records.js";
+import { type Clock, type Micros, sleep } from "../../transport/clock.js";
+import type { Log } from "../../transport/log.js";
 
 /** Waiting for longer than this, a question had better be asked again: users give up after two seconds anyhow. */
 const MAX_QUEUE_DELAY_S = 30;
--- a/src/coordination/recorder.ts
+++ b/src/coordination/jobs/task-state-writer.ts
@@ -1,4 +1,7 @@
-import type { Job, TaskRange } from "../bookkeeping/picture.js";
+import type { Job, TaskRange } from "../../cluster/entities.js";
+import { isPlacementRecorded, isSameRecord } from "../../cluster/task-records.js";
+import type { Uint64 } from "../../protocol/json.js";
+import type { WriteOperation } from "../../protocol/key-value-store.js";
 import {
   decodeTaskRange,
   encodeOutcomeRecord,
@@ -9,13 +12,10 @@
   type TaskRecord,
   taskRangeBytes,
   taskRangeKey,
-} from "../bookkeeping/records.js";
-import { isPlacementRecorded, isSameRecord } from "../bookkeeping/tasks.js";
-import type { Uint64 } from "../protocol/json.js";
-import type { WriteOperation } from "../protocol/state.js";
-import { type Micros, ms, seconds } from "../transport/clock.js";
-import type { ShardContext } from "./context.js";
-import { writePriorityOf } from "./decisions/promptness.js";
+} from "../../storage/records.js";
+import { type Micros, ms, seconds } from "../../transport/clock.js";
+import type { ShardContext } from "../context.js";
+import { writePriorityOf } from "../scheduling/start-deadline.js";
 
 /** Recording what has ended takes about this share of the state service's writes, each range in turn. */
 const END_WRITE_SHARE = 0.3;
--- a/src/coordination/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -1,26 +1,26 @@
-import { DependencyGraph } from "../bookkeeping/chains.js";
-import { TransactionBatcher } from "../bookkeeping/committer.js";
-import type { ClusterEventListener } from "../bookkeeping/events.js";
-import type { Job } from "../bookkeeping/picture.js";
-import { CURRENT_PREFIX, MACHINE_TYPES_KEY, shardOf } from "../bookkeeping/records.js";
-import { KeyValueStore } from "../bookkeeping/store.js";
-import { requestInterval, SYNC_REQUEST_SHARE, WATCH_REQUEST_SHARE, WatchCache } from "../bookkeeping/view.js";
-import { decodeMachineTypes, type MachineType } from "../protocol/cloud.js";
-import { formatJson, MalformedMessageError } from "../protocol/json.js";
-import { type LinkTable, linksAnswer } from "../protocol/links.js";
-import { decodeHeartbeatText, encodeHeartbeatResponse, encodeRedirect, type Heartbeat } from "../protocol/worker.js";
-import type { Options } from "../settings/options.js";
-import type { Settings } from "../settings/settings.js";
-import { type Clock, type Micros, seconds, sleep } from "../transport/clock.js";
-import type { HttpClient, Request, Response } from "../transport/http.js";
-import { describeError, type Log } from "../transport/log.js";
-import { CloudClient } from "./cloud.js";
-import type { Services, ShardLease } from "./context.js";
-import type { Extension, ExtensionFactory } from "./extension.js";
-import { JobApi } from "./front-door.js";
+import { DependencyGraph } from "../../cluster/dependency-graph.js";
+import type { Job } from "../../cluster/entities.js";
+import type { ClusterEventListener } from "../../cluster/events.js";
+import { decodeMachineTypes, type MachineType } from "../../protocol/cloud.js";
+import { formatJson, MalformedMessageError } from "../../protocol/json.js";
+import { type LinkTable, linksAnswer } from "../../protocol/links.js";
+import { decodeHeartbeatText, encodeHeartbeatResponse, encodeRedirect, type Heartbeat } from "../../protocol/worker.js";
+import type { Options } from "../../settings/options.js";
+import type { Settings } from "../../settings/settings.js";
+import { KeyValueStore } from "../../storage/key-value-store.js";
+import { CURRENT_PREFIX, MACHINE_TYPES_KEY, shardOf } from "../../storage/records.js";
+import { TransactionBatcher } from "../../storage/transaction-batcher.js";
+import { requestInterval, SYNC_REQUEST_SHARE, WATCH_REQUEST_SHARE, WatchCache } from "../../storage/watch-cache.js";
+import { type Clock, type Micros, seconds, sleep } from "../../transport/clock.js";
+import type { HttpClient, Request, Response } from "../../transport/http.js";
+import { describeError, type Log } from "../../transport/log.js";
+import { JobApi } from "../api/job-api.js";
+import { CloudClient } from "../autoscaling/cloud-client.js";
+import type { Services, ShardLease } from "../context.js";
+import type { Extension, ExtensionFactory } from "../extension.js";
+import { LOAD_LEVELS, LoadShedder, type LoadSource } from "../overload/load-shedder.js";
 import { Membership } from "./membership.js";
-import { LOAD_LEVELS, LoadShedder, type LoadSource } from "./overload.js";
-import { ShardLeader } from "./steward.js";
+import { ShardLeader } from "./shard-leader.js";
 
 /**
  * Both limits of the state service are shared by all controllers, whose shares of the work differ: nearly all writes
--- a/src/coordination/decisions/rights.ts
+++ b/src/coordination/leadership/lease-authority.ts
@@ -1,7 +1,7 @@
-import type { Job } from "../../bookkeeping/picture.js";
+import type { Job } from "../../cluster/entities.js";
 import type { Command, Heartbeat } from "../../protocol/worker.js";
 import type { Micros } from "../../transport/clock.js";
-import type { HeartbeatFreshness } from "./evidence.js";
+import type { HeartbeatFreshness } from "../workers/heartbeat-freshness.js";
 
 /** What a controller's right to act for a block rests on, by its own steady clock (docs/meetings.md). */
 export interface LeaseState {
--- a/src/coordination/membership.ts
+++ b/src/coordination/leadership/membership.ts
@@ -1,3 +1,6 @@
+import type { Uint64 } from "../../protocol/json.js";
+import type { Entry, WriteOperation } from "../../protocol/key-value-store.js";
+import { shardLeaseDuration } from "../../settings/settings.js";
 import {
   CLUSTER_LEADER_KEY,
   decodeMemberRecord,
@@ -10,14 +13,11 @@
   SHARD_EPOCH_KEY,
   type ShardRecord,
   shardKey,
-} from "../bookkeeping/records.js";
-import type { Uint64 } from "../protocol/json.js";
-import type { Entry, WriteOperation } from "../protocol/state.js";
-import { shardLeaseDuration } from "../settings/settings.js";
-import { type Clock, type Micros, ms, seconds, sleep } from "../transport/clock.js";
-import { describeError } from "../transport/log.js";
-import type { Services, ShardLease } from "./context.js";
-import { isLeaseValid } from "./decisions/rights.js";
+} from "../../storage/records.js";
+import { type Clock, type Micros, ms, seconds, sleep } from "../../transport/clock.js";
+import { describeError } from "../../transport/log.js";
+import type { Services, ShardLease } from "../context.js";
+import { isLeaseValid } from "./lease-authority.js";
 
 const RENEWALS_PER_LEASE = 12;
 const JOIN_RETRY_DELAY = ms(100);
--- a/src/coordination/fullness.ts
+++ b/src/coordination/overload/backpressure-signal.ts
@@ -1,5 +1,5 @@
-import { backpressureKey } from "../bookkeeping/records.js";
-import type { Services, ShardLease } from "./context.js";
+import { backpressureKey } from "../../storage/records.js";
+import type { Services, ShardLease } from "../context.js";
 
 /** Tells the other controllers, by a key, to accept nothing more for a block, or that they may again. */
 export class BackpressureSignal {
--- a/src/coordination/overload.ts
+++ b/src/coordination/overload/load-shedder.ts
@@ -1,5 +1,5 @@
-import { type Clock, type Micros, ms, seconds } from "../transport/clock.js";
-import type { Log } from "../transport/log.js";
+import { type Clock, type Micros, ms, seconds } from "../../transport/clock.js";
+import type { Log } from "../../transport/log.js";
 
 /**
  * What a controller leaves out as its load grows, each level beside what the ones before it do (docs/overload.md):
--- a/src/coordination/decisions/floor.ts
+++ b/src/coordination/scheduling/candidate-index.ts
@@ -1,14 +1,14 @@
-import type { Job, Machine } from "../../bookkeeping/picture.js";
+import type { Job, Machine } from "../../cluster/entities.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { Resources } from "../../protocol/user.js";
+import type { Resources } from "../../protocol/job.js";
 import type { Micros } from "../../transport/clock.js";
-import { countThatFit, fits, type Images, subtractResources } from "../placement/bfgp.js";
-import type { RankedServer } from "../placement/ranking.js";
+import { mayBackfill, type Reservation } from "./capacity-reservation.js";
 import { allows, readyMachines, unready, zoneAllowed, zoneCounts } from "./eligibility.js";
-import { waitingJobs } from "./order.js";
-import type { SchedulerSnapshot } from "./picture.js";
-import { mayBackfill, type Reservation } from "./reservation.js";
-import type { GuaranteeUsage } from "./shares.js";
+import type { GuaranteeUsage } from "./guarantee-usage.js";
+import { waitingJobs } from "./job-order.js";
+import { countThatFit, fits, type Images, subtractResources } from "./placement/bfgp.js";
+import type { RankedServer } from "./placement/ranking.js";
+import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 export interface Candidate extends RankedServer {
   readonly machine: Machine;
--- a/src/coordination/decisions/reservation.ts
+++ b/src/coordination/scheduling/capacity-reservation.ts
@@ -1,9 +1,9 @@
-import type { Job, Machine, Task } from "../../bookkeeping/picture.js";
-import type { JobSpec, Resources } from "../../protocol/user.js";
+import type { Job, Machine, Task } from "../../cluster/entities.js";
+import type { JobSpec, Resources } from "../../protocol/job.js";
 import { type Micros, seconds } from "../../transport/clock.js";
-import { addResources, countThatFit, subtractResources } from "../placement/bfgp.js";
 import { allows, zoneAllowed, zoneCounts } from "./eligibility.js";
-import type { SchedulerSnapshot } from "./picture.js";
+import { addResources, countThatFit, subtractResources } from "./placement/bfgp.js";
+import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 /** Beyond this nothing is kept for a job: the room is worth more to others, and the wait is somebody else's to mend. */
 const MAX_RESERVATION = seconds(100);
--- a/src/coordination/decisions/eligibility.ts
+++ b/src/coordination/scheduling/eligibility.ts
@@ -1,10 +1,10 @@
-import type { Job, Machine } from "../../bookkeeping/picture.js";
+import type { Job, Machine } from "../../cluster/entities.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { JobSpec } from "../../protocol/user.js";
+import type { JobSpec } from "../../protocol/job.js";
 import type { Settings } from "../../settings/settings.js";
-import { fits } from "../placement/bfgp.js";
-import type { SchedulerSnapshot } from "./picture.js";
-import { isReachable } from "./reach.js";
+import { isReachable } from "../workers/reachability.js";
+import { fits } from "./placement/bfgp.js";
+import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 /** May the job use such a machine at all? */
 export const allows = (spec: JobSpec, typeName: string, zone: string, spot: boolean): boolean =>
--- a/src/coordination/decisions/shares.ts
+++ b/src/coordination/scheduling/guarantee-usage.ts
@@ -1,6 +1,6 @@
-import type { Task } from "../../bookkeeping/picture.js";
-import { attemptOf } from "../../bookkeeping/tasks.js";
-import type { SchedulerSnapshot } from "./picture.js";
+import type { Task } from "../../cluster/entities.js";
+import { attemptOf } from "../../cluster/task-records.js";
+import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 /**
  * A task that was started so often is not stopped for others any more. Attempts are on record, so the bound holds
--- a/src/coordination/decisions/order.ts
+++ b/src/coordination/scheduling/job-order.ts
@@ -1,8 +1,8 @@
-import type { Job } from "../../bookkeeping/picture.js";
+import type { Job } from "../../cluster/entities.js";
 import type { Team } from "../../settings/settings.js";
-import { relativeSize } from "../placement/bfgp.js";
-import type { SchedulerSnapshot } from "./picture.js";
-import { allowedStarts } from "./trial.js";
+import { allowedStarts } from "../workers/failure-attribution.js";
+import { relativeSize } from "./placement/bfgp.js";
+import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 /** Of its guarantee, what the team uses now, by the resource of which it uses most. */
 const guaranteeUsed = (used: { readonly cpu: number; readonly gpu: number }, team: Team | undefined): number => {
--- a/src/coordination/decisions/round.ts
+++ b/src/coordination/scheduling/placement-round.ts
@@ -1,8 +1,7 @@
-import type { ShardState } from "../../bookkeeping/block.js";
-import type { Job, Machine, Task } from "../../bookkeeping/picture.js";
-import { attemptOf } from "../../bookkeeping/tasks.js";
-import { assign } from "../placement/bfgp.js";
-import { zoneCounts } from "./eligibility.js";
+import type { Job, Machine, Task } from "../../cluster/entities.js";
+import type { ShardState } from "../../cluster/shard-state.js";
+import { attemptOf } from "../../cluster/task-records.js";
+import { allowedStarts } from "../workers/failure-attribution.js";
 import {
   buildCandidateIndex,
   type Candidate,
@@ -11,22 +10,23 @@
   isKnownExhausted,
   markExhausted,
   zoneWithMostCapacity,
-} from "./floor.js";
-import { waitingJobs } from "./order.js";
-import type { SchedulerSnapshot } from "./picture.js";
-import { type PreemptAction, PreemptionBudget, type PreemptionState, preemptFor } from "./preemption.js";
-import { writePriorityOf } from "./promptness.js";
+} from "./candidate-index.js";
 import {
   hasStarted,
   isLimitReserved,
   type ReservationAction,
   type ReservationState,
   reserveCapacity,
-} from "./reservation.js";
-import { createTaskPlacer } from "./run.js";
-import { type BoostedJobs, boostStarvedJobs, START_BOUND, StartHistory } from "./served.js";
-import { GuaranteeUsage } from "./shares.js";
-import { allowedStarts } from "./trial.js";
+} from "./capacity-reservation.js";
+import { zoneCounts } from "./eligibility.js";
+import { GuaranteeUsage } from "./guarantee-usage.js";
+import { waitingJobs } from "./job-order.js";
+import { assign } from "./placement/bfgp.js";
+import { type PreemptAction, PreemptionBudget, type PreemptionState, preemptFor } from "./preemption.js";
+import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
+import { writePriorityOf } from "./start-deadline.js";
+import { type BoostedJobs, boostStarvedJobs, START_BOUND, StartHistory } from "./starvation.js";
+import { createTaskPlacer } from "./task-placer.js";
 
 /** Why tasks of a job go on waiting after a round. */
 export type WaitReason =
--- a/src/coordination/decisions/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,15 +1,15 @@
-import type { Job, Machine, Task } from "../../bookkeeping/picture.js";
-import { attemptOf } from "../../bookkeeping/tasks.js";
+import type { Job, Machine, Task } from "../../cluster/entities.js";
+import { attemptOf } from "../../cluster/task-records.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { Resources } from "../../protocol/user.js";
+import type { Resources } from "../../protocol/job.js";
 import { type Micros, seconds } from "../../transport/clock.js";
-import { addResources, fits, subtractResources } from "../placement/bfgp.js";
+import { allowedStarts } from "../workers/failure-attribution.js";
+import { type CandidateIndex, zonesWithCapacity } from "./candidate-index.js";
 import { allows, zoneAllowed, zoneCounts } from "./eligibility.js";
-import { type CandidateIndex, zonesWithCapacity } from "./floor.js";
-import type { SchedulerSnapshot } from "./picture.js";
-import { maxQueueTime } from "./promptness.js";
-import type { VictimTally } from "./shares.js";
-import { allowedStarts } from "./trial.js";
+import type { VictimTally } from "./guarantee-usage.js";
+import { addResources, fits, subtractResources } from "./placement/bfgp.js";
+import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
+import { maxQueueTime } from "./start-deadline.js";
 
 const PREEMPT_PAUSE = seconds(3);
 const MOVE_PAUSE = seconds(0.3);
--- a/src/coordination/decisions/picture.ts
+++ b/src/coordination/scheduling/scheduler-snapshot.ts
@@ -1,8 +1,8 @@
-import type { ShardState } from "../../bookkeeping/block.js";
+import type { ShardState } from "../../cluster/shard-state.js";
 import type { Options } from "../../settings/options.js";
 import type { Settings } from "../../settings/settings.js";
 import type { Micros } from "../../transport/clock.js";
-import type { InspectionCounter } from "../placement/ranking.js";
+import type { InspectionCounter } from "./placement/ranking.js";
 
 /**
  * What decisions are made from. They change nothing in it: what is to happen comes out as actions with their reasons,
--- a/src/coordination/rounds.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,11 +1,11 @@
-import type { Micros } from "../transport/clock.js";
-import { firstFencingToken, type ShardContext } from "./context.js";
-import { summarizePools } from "./decisions/floor.js";
-import type { SchedulerSnapshot } from "./decisions/picture.js";
-import { writePriorityOf } from "./decisions/promptness.js";
-import { applyAction, decideRound, newRoundState, type RoundAction } from "./decisions/round.js";
+import type { Micros } from "../../transport/clock.js";
+import { firstFencingToken, type ShardContext } from "../context.js";
+import type { TaskStateWriter } from "../jobs/task-state-writer.js";
+import { summarizePools } from "./candidate-index.js";
 import type { InspectionCounter } from "./placement/ranking.js";
-import type { TaskStateWriter } from "./recorder.js";
+import { applyAction, decideRound, newRoundState, type RoundAction } from "./placement-round.js";
+import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
+import { writePriorityOf } from "./start-deadline.js";
 
 /** Looks for something to stop, a round; fewer where the processor is short. */
 export const MAX_PREEMPTION_SEARCHES = 24;
--- a/src/coordination/decisions/served.ts
+++ b/src/coordination/scheduling/starvation.ts
@@ -1,9 +1,9 @@
 import { quantile } from "simple-statistics";
-import type { Job } from "../../bookkeeping/picture.js";
-import type { JobSpec } from "../../protocol/user.js";
+import type { Job } from "../../cluster/entities.js";
+import type { JobSpec } from "../../protocol/job.js";
 import { seconds } from "../../transport/clock.js";
-import type { SchedulerSnapshot } from "./picture.js";
-import { cpuToStart, hasStarted } from "./reservation.js";
+import { cpuToStart, hasStarted } from "./capacity-reservation.js";
+import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 /** Fewer than this of a class's or team's jobs begun: then those that have waited longest go first for a while. */
 const MIN_STARTED_SHARE = 0.6;
--- a/src/coordination/decisions/run.ts
+++ b/src/coordination/scheduling/task-placer.ts
@@ -1,10 +1,10 @@
-import type { Job } from "../../bookkeeping/picture.js";
-import { fits } from "../placement/bfgp.js";
-import { Ranking } from "../placement/ranking.js";
+import type { Job } from "../../cluster/entities.js";
+import type { Candidate, CandidateIndex } from "./candidate-index.js";
+import { mayBackfill } from "./capacity-reservation.js";
 import { allows, zoneAllowed } from "./eligibility.js";
-import type { Candidate, CandidateIndex } from "./floor.js";
-import type { SchedulerSnapshot } from "./picture.js";
-import { mayBackfill } from "./reservation.js";
+import { fits } from "./placement/bfgp.js";
+import { Ranking } from "./placement/ranking.js";
+import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 /** One of the narrowings of S_i that are tried in turn. */
 interface Narrowing {
--- a/src/coordination/commander.ts
+++ b/src/coordination/workers/command-dispatcher.ts
@@ -1,14 +1,14 @@
-import type { Machine, StartCommandState, Task } from "../bookkeeping/picture.js";
-import { attemptOf, isActive, isPlacementRecorded } from "../bookkeeping/tasks.js";
-import { formatJson, parseJson, type Uint64 } from "../protocol/json.js";
-import { type Command, decodeHeartbeat, encodeCommandRequest } from "../protocol/worker.js";
-import { type Micros, ms, seconds } from "../transport/clock.js";
-import type { HttpOutcome } from "../transport/http.js";
-import { WORKER_REQUEST_TIMEOUT } from "../transport/patience.js";
-import { fencingTokenOf, firstFencingToken, hasFencingSequencesLeft, type ShardContext } from "./context.js";
-import { decideEvictions } from "./decisions/drain.js";
-import { recordResponse, recordTimeout } from "./decisions/reach.js";
-import type { HeartbeatProcessor } from "./observer.js";
+import type { Machine, StartCommandState, Task } from "../../cluster/entities.js";
+import { attemptOf, isActive, isPlacementRecorded } from "../../cluster/task-records.js";
+import { formatJson, parseJson, type Uint64 } from "../../protocol/json.js";
+import { type Command, decodeHeartbeat, encodeCommandRequest } from "../../protocol/worker.js";
+import { type Micros, ms, seconds } from "../../transport/clock.js";
+import type { HttpOutcome } from "../../transport/http.js";
+import { WORKER_REQUEST_TIMEOUT } from "../../transport/timeouts.js";
+import { fencingTokenOf, firstFencingToken, hasFencingSequencesLeft, type ShardContext } from "../context.js";
+import { decideEvictions } from "./graceful-eviction.js";
+import type { HeartbeatProcessor } from "./heartbeat-processor.js";
+import { recordResponse, recordTimeout } from "./reachability.js";
 
 const RETRY_DELAY = ms(500);
 /** Between two times that ended attempts are forgotten on one machine. */
--- a/src/coordination/lanes.ts
+++ b/src/coordination/workers/concurrency-pools.ts
@@ -1,4 +1,4 @@
-import type { Clock, Micros } from "../transport/clock.js";
+import type { Clock, Micros } from "../../transport/clock.js";
 
 export type PoolName = "quick" | "slow";
 
--- a/src/coordination/decisions/trial.ts
+++ b/src/coordination/workers/failure-attribution.ts
@@ -1,4 +1,4 @@
-import type { Job, Machine, Task } from "../../bookkeeping/picture.js";
+import type { Job, Machine, Task } from "../../cluster/entities.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 
 /** A task that ran so long has got over its earlier failures. */
--- a/src/coordination/watch.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -1,12 +1,12 @@
-import { eventFieldsOf } from "../bookkeeping/events.js";
-import type { Machine } from "../bookkeeping/picture.js";
-import { type Micros, seconds } from "../transport/clock.js";
-import type { CommandDispatcher } from "./commander.js";
-import type { ShardContext } from "./context.js";
-import { commandsArrive, isOneWay, isReachable, responsesArrive } from "./decisions/reach.js";
-import type { HeartbeatProcessor } from "./observer.js";
-import type { Autoscaler } from "./rental.js";
-import type { UnreachableZones } from "./silence-record.js";
+import type { Machine } from "../../cluster/entities.js";
+import { eventFieldsOf } from "../../cluster/events.js";
+import { type Micros, seconds } from "../../transport/clock.js";
+import type { Autoscaler } from "../autoscaling/autoscaler.js";
+import type { ShardContext } from "../context.js";
+import type { CommandDispatcher } from "./command-dispatcher.js";
+import type { HeartbeatProcessor } from "./heartbeat-processor.js";
+import { commandsArrive, isOneWay, isReachable, responsesArrive } from "./reachability.js";
+import type { UnreachableZones } from "./unreachable-zones.js";
 
 /** Time to ask all machines for their state after a handover; before, silence says nothing. */
 const SETTLING_TIME = seconds(5);
--- a/src/coordination/decisions/drain.ts
+++ b/src/coordination/workers/graceful-eviction.ts
@@ -1,5 +1,5 @@
-import type { Machine, Task } from "../../bookkeeping/picture.js";
-import { isActive } from "../../bookkeeping/tasks.js";
+import type { Machine, Task } from "../../cluster/entities.js";
+import { isActive } from "../../cluster/task-records.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 
 /** Of the time left, so much may be counted on: estimates are often wrong by half. */
--- a/src/coordination/observer.ts
+++ b/src/coordination/workers/heartbeat-processor.ts
@@ -1,21 +1,21 @@
-import { eventFieldsOf } from "../bookkeeping/events.js";
-import type { Machine, Task } from "../bookkeeping/picture.js";
-import { attemptOf } from "../bookkeeping/tasks.js";
-import type { Uint64 } from "../protocol/json.js";
-import type { ExitReason, Heartbeat, TaskStatus } from "../protocol/worker.js";
-import { type Micros, seconds } from "../transport/clock.js";
+import type { Machine, Task } from "../../cluster/entities.js";
+import { eventFieldsOf } from "../../cluster/events.js";
+import { attemptOf } from "../../cluster/task-records.js";
+import type { Uint64 } from "../../protocol/json.js";
+import type { ExitReason, Heartbeat, TaskStatus } from "../../protocol/worker.js";
+import { type Micros, seconds } from "../../transport/clock.js";
 import {
   exponentialBackoff,
   FENCING_SEQUENCES,
   fencingTokenOf,
   firstFencingToken,
   type ShardContext,
-} from "./context.js";
-import { zoneAllowed, zoneCounts } from "./decisions/eligibility.js";
-import { classifyHeartbeat, type HeartbeatFreshness, type HeartbeatSource } from "./decisions/evidence.js";
-import { commandsArrive, isReachable, recordHeartbeat, recordStatusReply, responsesArrive } from "./decisions/reach.js";
-import { attributeFailure, clearSuspicion, STABLE_RUN_TIME } from "./decisions/trial.js";
-import type { TaskStateWriter } from "./recorder.js";
+} from "../context.js";
+import type { TaskStateWriter } from "../jobs/task-state-writer.js";
+import { zoneAllowed, zoneCounts } from "../scheduling/eligibility.js";
+import { attributeFailure, clearSuspicion, STABLE_RUN_TIME } from "./failure-attribution.js";
+import { classifyHeartbeat, type HeartbeatFreshness, type HeartbeatSource } from "./heartbeat-freshness.js";
+import { commandsArrive, isReachable, recordHeartbeat, recordStatusReply, responsesArrive } from "./reachability.js";
 
 const MIN_RETRY_DELAY = seconds(0.5);
 const MAX_RETRY_DELAY = seconds(30);
@@ -62,7 +62,7 @@
     private readonly taskStates: Pick<TaskStateWriter, "recordSoon" | "finishIfComplete">,
   ) {}
 
-  /** Nothing is concluded beyond what the message is evidence of (decisions/evidence.ts). */
+  /** Nothing is concluded beyond what the message is evidence of (coordination/workers/heartbeat-freshness.ts). */
   process(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource): HeartbeatFreshness {
     const { clock, lease, log } = this.context;
     const needed = Math.max(firstFencingToken(lease), machine.counterResetToken);
--- a/src/coordination/inquiries.ts
+++ b/src/coordination/workers/status-query-queue.ts
@@ -1,6 +1,6 @@
-import type { Machine } from "../bookkeeping/picture.js";
-import type { CommandDispatcher } from "./commander.js";
-import { firstFencingToken, type Services, type ShardLease } from "./context.js";
+import type { Machine } from "../../cluster/entities.js";
+import { firstFencingToken, type Services, type ShardLease } from "../context.js";
+import type { CommandDispatcher } from "./command-dispatcher.js";
 
 /** Machines asked for their state at once after a handover. */
 const MAX_QUERIES = 48;
--- a/src/coordination/silence-record.ts
+++ b/src/coordination/workers/unreachable-zones.ts
@@ -1,14 +1,14 @@
-import type { Machine } from "../bookkeeping/picture.js";
+import type { Machine } from "../../cluster/entities.js";
+import type { Uint64 } from "../../protocol/json.js";
+import type { WriteOperation } from "../../protocol/key-value-store.js";
 import {
   decodeUnreachableZones,
   encodeUnreachableZones,
   type UnreachableZonesRecord,
   unreachableZonesKey,
-} from "../bookkeeping/records.js";
-import type { Uint64 } from "../protocol/json.js";
-import type { WriteOperation } from "../protocol/state.js";
-import { type Micros, seconds } from "../transport/clock.js";
-import type { Services, ShardLease } from "./context.js";
+} from "../../storage/records.js";
+import { type Micros, seconds } from "../../transport/clock.js";
+import type { Services, ShardLease } from "../context.js";
 
 /** Beyond the bound on both clocks' errors: for rounding, and for what the steady clocks drift meanwhile. */
 const CLOCK_MARGIN = 50_000;
--- a/src/graphs/description/compile.ts
+++ b/src/graphs/description/compile.ts
@@ -1,5 +1,5 @@
+import { decodeSubmission } from "../../protocol/job.js";
 import { MalformedMessageError } from "../../protocol/json.js";
-import { decodeSubmission } from "../../protocol/user.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
 import type { Plan, Step, StepKind, WeightRule } from "../run/plan.js";
 import type { TriggerRule } from "../run/rules.js";
--- a/src/graphs/run/plan.ts
+++ b/src/graphs/run/plan.ts
@@ -2,7 +2,7 @@
 import { sha256 } from "@noble/hashes/sha2.js";
 import { bytesToHex } from "@noble/hashes/utils.js";
 import type { JsonObject } from "../../protocol/json.js";
-import { RecordCodec } from "../../protocol/record-form.js";
+import { RecordCodec } from "../../protocol/record-codec.js";
 import type { TriggerRule } from "./rules.js";
 
 export const WEIGHT_RULES = ["downstream", "upstream", "absolute"] as const;
--- a/src/graphs/run/spec.ts
+++ b/src/graphs/run/spec.ts
@@ -1,4 +1,4 @@
-import { decodeSubmission, isJobId, type JobSpec } from "../../protocol/user.js";
+import { decodeSubmission, isJobId, type JobSpec } from "../../protocol/job.js";
 import type { Plan, Step } from "./plan.js";
 
 /** Of steps that run the same job, the first one: what holds of it holds of all. */
--- a/src/graphs/service/door.ts
+++ b/src/graphs/service/door.ts
@@ -1,11 +1,11 @@
-import { shardOf } from "../../bookkeeping/records.js";
 import type { Services } from "../../coordination/context.js";
-import { neverRuns } from "../../coordination/decisions/eligibility.js";
+import { neverRuns } from "../../coordination/scheduling/eligibility.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import { jobSpecCodec } from "../../protocol/job-spec-form.js";
+import { jobSpecCodec } from "../../protocol/job-spec-codec.js";
 import { asArray, MalformedMessageError, parseJson, type Uint64 } from "../../protocol/json.js";
-import type { WriteOperation } from "../../protocol/state.js";
+import type { WriteOperation } from "../../protocol/key-value-store.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
+import { shardOf } from "../../storage/records.js";
 import type { Request, Response } from "../../transport/http.js";
 import { GraphError, problemText } from "../description/problem.js";
 import type { Submission } from "../description/requests.js";
--- a/src/graphs/service/job-notes.ts
+++ b/src/graphs/service/job-notes.ts
@@ -1,11 +1,11 @@
+import type { ShardContext } from "../../coordination/context.js";
 import {
   type CancellationReason,
   decodeJobRecord,
   encodeJobRecord,
   type JobRecord,
   jobKey,
-} from "../../bookkeeping/records.js";
-import type { ShardContext } from "../../coordination/context.js";
+} from "../../storage/records.js";
 import { ms } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 
--- a/src/graphs/service/loading.ts
+++ b/src/graphs/service/loading.ts
@@ -1,5 +1,5 @@
-import { decodeOutcomeRecord, jobKey, outcomeKey } from "../../bookkeeping/records.js";
-import type { KeyValueStore } from "../../bookkeeping/store.js";
+import type { KeyValueStore } from "../../storage/key-value-store.js";
+import { decodeOutcomeRecord, jobKey, outcomeKey } from "../../storage/records.js";
 import type { Outcome, Past } from "../run/dag-run.js";
 import { decodePlan, type Plan } from "../run/plan.js";
 import {
--- a/src/graphs/service/parts.ts
+++ b/src/graphs/service/parts.ts
@@ -1,7 +1,7 @@
 import { gunzipSync, gzipSync } from "node:zlib";
 import type { Services } from "../../coordination/context.js";
 import { parseJson, type Uint64 } from "../../protocol/json.js";
-import type { WriteOperation } from "../../protocol/state.js";
+import type { WriteOperation } from "../../protocol/key-value-store.js";
 import type { Response } from "../../transport/http.js";
 import { describeError } from "../../transport/log.js";
 import type { Part, Submission } from "../description/requests.js";
--- a/src/graphs/service/past-runs.ts
+++ b/src/graphs/service/past-runs.ts
@@ -1,4 +1,4 @@
-import type { KeyValueStore } from "../../bookkeeping/store.js";
+import type { KeyValueStore } from "../../storage/key-value-store.js";
 import type { DagRun, PastRun } from "../run/dag-run.js";
 import type { Plan } from "../run/plan.js";
 import type { StepState } from "../run/states.js";
--- a/src/graphs/service/records.ts
+++ b/src/graphs/service/records.ts
@@ -2,10 +2,10 @@
 import { sha256 } from "@noble/hashes/sha2.js";
 import { bytesToHex } from "@noble/hashes/utils.js";
 import { TypedFastBitSet } from "typedfastbitset";
-import type { OutcomeRecord } from "../../bookkeeping/records.js";
 import { asArray, asObject, type JsonObject, readNonNegative, readOptional, readString } from "../../protocol/json.js";
-import { RecordCodec, type ValueCodec } from "../../protocol/record-form.js";
-import type { WriteOperation } from "../../protocol/state.js";
+import type { WriteOperation } from "../../protocol/key-value-store.js";
+import { RecordCodec, type ValueCodec } from "../../protocol/record-codec.js";
+import type { OutcomeRecord } from "../../storage/records.js";
 import type { Outcome } from "../run/dag-run.js";
 import { FINALS, type FinalState } from "../run/states.js";
 
--- a/src/graphs/service/run-writes.ts
+++ b/src/graphs/service/run-writes.ts
@@ -1,6 +1,6 @@
 import type { ShardContext } from "../../coordination/context.js";
 import type { Uint64 } from "../../protocol/json.js";
-import type { WriteOperation } from "../../protocol/state.js";
+import type { WriteOperation } from "../../protocol/key-value-store.js";
 import { ms, seconds } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import { closure } from "../run/closure.js";
--- a/src/graphs/service/runner.ts
+++ b/src/graphs/service/runner.ts
@@ -1,3 +1,10 @@
+import type { ShardContext } from "../../coordination/context.js";
+import type { ShardControls, ShardExtension } from "../../coordination/extension.js";
+import type { JobSpec } from "../../protocol/job.js";
+import type { Uint64 } from "../../protocol/json.js";
+import type { Change } from "../../protocol/key-value-store.js";
+import type { ExitReason } from "../../protocol/worker.js";
+import type { GraphOptions } from "../../settings/graph-options.js";
 import {
   decodeJobRecord,
   decodeOutcomeRecord,
@@ -7,14 +14,7 @@
   jobOfKey,
   outcomeKey,
   shardOf,
-} from "../../bookkeeping/records.js";
-import type { ShardContext } from "../../coordination/context.js";
-import type { ShardControls, ShardExtension } from "../../coordination/extension.js";
-import type { Uint64 } from "../../protocol/json.js";
-import type { Change } from "../../protocol/state.js";
-import type { JobSpec } from "../../protocol/user.js";
-import type { ExitReason } from "../../protocol/worker.js";
-import type { GraphOptions } from "../../settings/graph-options.js";
+} from "../../storage/records.js";
 import { type Micros, ms } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import { DagRun, tryOf } from "../run/dag-run.js";
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -2,7 +2,7 @@
 import { type Clock, type Micros, ms, seconds, type Timer } from "../transport/clock.js";
 import type { HttpClient, HttpOutcome, Request, Response } from "../transport/http.js";
 import type { Log } from "../transport/log.js";
-import { RELAY_ALLOWANCE } from "../transport/patience.js";
+import { RELAY_ALLOWANCE } from "../transport/timeouts.js";
 import { BadFrame, type Beat, type Frame, FrameReader, MAX_FRAME, NEVER } from "./frames.js";
 import { BEAT_PERIOD, Peer } from "./peer.js";
 import { ownWayStands, type PeerView, routeFor, type Standing, type Ways } from "./route.js";
--- a/src/model/door.ts
+++ b/src/model/door.ts
@@ -1,4 +1,4 @@
-import type { ProcessLoad } from "../coordination/overload.js";
+import type { ProcessLoad } from "../coordination/overload/load-shedder.js";
 import type { Micros } from "../transport/clock.js";
 import type { Timeline } from "./world.js";
 
--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -1,31 +1,36 @@
-import { ShardState } from "../bookkeeping/block.js";
-import { DependencyGraph } from "../bookkeeping/chains.js";
-import { newMachine } from "../bookkeeping/machines.js";
-import type { Job, Machine, TaskRange } from "../bookkeeping/picture.js";
-import type { TaskRecord } from "../bookkeeping/records.js";
-import { attemptOf, isActive, isPlacementRecorded } from "../bookkeeping/tasks.js";
-import { DependencyTracker } from "../coordination/chained.js";
-import type { ShardLease } from "../coordination/context.js";
-import { decideEvictions } from "../coordination/decisions/drain.js";
-import { neverRuns } from "../coordination/decisions/eligibility.js";
-import { chooseMachineToConsolidate } from "../coordination/decisions/emptying.js";
-import type { SchedulerSnapshot } from "../coordination/decisions/picture.js";
+import { DependencyGraph } from "../cluster/dependency-graph.js";
+import type { Job, Machine, TaskRange } from "../cluster/entities.js";
+import { newMachine } from "../cluster/machine-usage.js";
+import { ShardState } from "../cluster/shard-state.js";
+import { attemptOf, isActive, isPlacementRecorded } from "../cluster/task-records.js";
+import { chooseMachineToConsolidate } from "../coordination/autoscaling/consolidation.js";
 import {
   CapacityBackoff,
   type CloudOffers,
   DemandHistory,
   type MachineOffer,
   planScaling,
-} from "../coordination/decisions/rental.js";
-import { applyAction, decideRound, newRoundState, type RoundAction } from "../coordination/decisions/round.js";
-import { HeartbeatProcessor } from "../coordination/observer.js";
-import { LoadShedder } from "../coordination/overload.js";
-import { MAX_PREEMPTION_SEARCHES } from "../coordination/rounds.js";
+} from "../coordination/autoscaling/scale-plan.js";
+import type { ShardLease } from "../coordination/context.js";
+import { DependencyTracker } from "../coordination/jobs/dependency-tracker.js";
+import { LoadShedder } from "../coordination/overload/load-shedder.js";
+import { neverRuns } from "../coordination/scheduling/eligibility.js";
+import {
+  applyAction,
+  decideRound,
+  newRoundState,
+  type RoundAction,
+} from "../coordination/scheduling/placement-round.js";
+import { MAX_PREEMPTION_SEARCHES } from "../coordination/scheduling/scheduler.js";
+import type { SchedulerSnapshot } from "../coordination/scheduling/scheduler-snapshot.js";
+import { decideEvictions } from "../coordination/workers/graceful-eviction.js";
+import { HeartbeatProcessor } from "../coordination/workers/heartbeat-processor.js";
 import { decodeMachineTypes, type MachineType } from "../protocol/cloud.js";
+import { decodeSubmission, type JobSpec } from "../protocol/job.js";
 import { MalformedMessageError } from "../protocol/json.js";
-import { decodeSubmission, type JobSpec } from "../protocol/user.js";
 import type { Options } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
+import type { TaskRecord } from "../storage/records.js";
 import type { Micros } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
 import { RateLimit } from "../transport/rate-limit.js";
--- a/src/model/site.ts
+++ b/src/model/site.ts
@@ -1,6 +1,6 @@
-import type { ClusterEvent } from "../bookkeeping/events.js";
-import { Controller, type ControllerEnvironment } from "../coordination/controller.js";
+import type { ClusterEvent } from "../cluster/events.js";
 import type { ExtensionFactory } from "../coordination/extension.js";
+import { Controller, type ControllerEnvironment } from "../coordination/leadership/controller.js";
 import { meshWith } from "../mesh/index.js";
 import type { Options } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,3 +1,4 @@
+import { availableResources, type Resources } from "./job.js";
 import {
   asArray,
   asObject,
@@ -8,7 +9,6 @@
   readOptional,
   readString,
 } from "./json.js";
-import { availableResources, type Resources } from "./user.js";
 
 export interface MachineType {
   readonly name: string;
--- a/src/protocol/job-spec-form.ts
+++ b/src/protocol/job-spec-codec.ts
@@ -1,5 +1,5 @@
-import { RecordCodec } from "./record-form.js";
-import type { GraphOrigin, JobSpec, Resources } from "./user.js";
+import type { GraphOrigin, JobSpec, Resources } from "./job.js";
+import { RecordCodec } from "./record-codec.js";
 
 const resourcesCodec = new RecordCodec<Resources>({ cpu: "cpu", gpu: "gpu", ram: "ram" });
 
--- a/src/protocol/links.ts
+++ b/src/protocol/links.ts
@@ -1,5 +1,5 @@
 import type { JsonObject } from "./json.js";
-import { RecordCodec } from "./record-form.js";
+import { RecordCodec } from "./record-codec.js";
 
 /** Links of one controller as it sees them, in words for operators. */
 export interface LinkTable {
--- a/src/settings/cancellation.ts
+++ b/src/settings/cancellation.ts
@@ -1,5 +1,5 @@
 import { type Micros, seconds } from "../transport/clock.js";
-import { RELAY_ALLOWANCE, WORKER_REQUEST_TIMEOUT } from "../transport/patience.js";
+import { RELAY_ALLOWANCE, WORKER_REQUEST_TIMEOUT } from "../transport/timeouts.js";
 import type { Settings } from "./settings.js";
 
 /** From a command's leaving to the moment from which answers show a token that drops it if it still comes. */
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from "node:fs";
 import { parse } from "smol-toml";
-import { availableResources, type Resources } from "../protocol/user.js";
+import { availableResources, type Resources } from "../protocol/job.js";
 import { type Micros, seconds } from "../transport/clock.js";
 import { cancellationTerms, maxWorkerLease, START_COMMAND_IN_FLIGHT, WORKER_KILL_DELAY } from "./cancellation.js";
 
--- a/src/bookkeeping/store.ts
+++ b/src/storage/key-value-store.ts
@@ -10,7 +10,7 @@
   type Entry,
   encodeTransaction,
   type WriteOperation,
-} from "../protocol/state.js";
+} from "../protocol/key-value-store.js";
 import { type Clock, type Micros, ms, sleep } from "../transport/clock.js";
 import type { HttpClient, HttpOutcome } from "../transport/http.js";
 import type { Log } from "../transport/log.js";
--- a/src/bookkeeping/records.ts
+++ b/src/storage/records.ts
@@ -1,4 +1,5 @@
-import { jobSpecCodec } from "../protocol/job-spec-form.js";
+import type { JobSpec } from "../protocol/job.js";
+import { jobSpecCodec } from "../protocol/job-spec-codec.js";
 import {
   asArray,
   asObject,
@@ -9,8 +10,7 @@
   readUint64,
   type Uint64,
 } from "../protocol/json.js";
-import { RecordCodec } from "../protocol/record-form.js";
-import type { JobSpec } from "../protocol/user.js";
+import { RecordCodec } from "../protocol/record-codec.js";
 
 /**
  * Keys. All that is still going on lies below `c/`, so that a start-up list and the watch do not grow with the
--- a/src/bookkeeping/view.ts
+++ b/src/storage/watch-cache.ts
@@ -1,8 +1,8 @@
 import type { Uint64 } from "../protocol/json.js";
-import type { Change, Entry } from "../protocol/state.js";
+import type { Change, Entry } from "../protocol/key-value-store.js";
 import { type Clock, type Micros, ms, seconds, sleep } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
-import type { KeyValueStore } from "./store.js";
+import type { KeyValueStore } from "./key-value-store.js";
 
 /** Short, so that an idle watch still proves every second or so that nothing has been missed. */
 const WATCH_TIMEOUT = ms(1_000);
--- a/src/whatif/convert.ts
+++ b/src/whatif/convert.ts
@@ -1,6 +1,6 @@
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline";
-import type { ClusterEvent } from "../bookkeeping/events.js";
+import type { ClusterEvent } from "../cluster/events.js";
 import type { TraceEvent, TraceHeader } from "./format.js";
 import { mend, type Remark, readTrace, type Trace, TraceError } from "./trace.js";
 import { headerOf, traceEventOf } from "./translate.js";
--- a/src/whatif/file-recorder.ts
+++ b/src/whatif/file-recorder.ts
@@ -1,6 +1,6 @@
 import { appendFile, mkdir, readdir, rename, rm, writeFile } from "node:fs/promises";
 import { join } from "node:path";
-import type { ClusterEvent } from "../bookkeeping/events.js";
+import type { ClusterEvent } from "../cluster/events.js";
 import type { RecordOptions } from "../settings/options.js";
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
 import { describeError, type Log } from "../transport/log.js";
--- a/src/whatif/graph-load.ts
+++ b/src/whatif/graph-load.ts
@@ -1,5 +1,4 @@
 import { build, type Histogram } from "hdr-histogram-js";
-import { decodeJobRecord, jobKey } from "../bookkeeping/records.js";
 import { call, graphBodies } from "../client.js";
 import { describing, downstreamOf, graphsWith, type Plan, partsOfJobId } from "../graphs/index.js";
 import {
@@ -14,9 +13,10 @@
   type Submission,
   type Witness,
 } from "../model/index.js";
-import { encodeSubmission } from "../protocol/user.js";
+import { encodeSubmission } from "../protocol/job.js";
 import { DEFAULT_GRAPHS, type GraphOptions } from "../settings/graph-options.js";
 import { DEFAULT_OPTIONS } from "../settings/options.js";
+import { decodeJobRecord, jobKey } from "../storage/records.js";
 import type { Micros } from "../transport/clock.js";
 
 export const GRAPH_SHAPES = ["wide", "chain", "layered", "mapped", "many"] as const;
--- a/src/whatif/observe.ts
+++ b/src/whatif/observe.ts
@@ -1,4 +1,9 @@
-import type { ClusterEvent } from "../bookkeeping/events.js";
+import type { ClusterEvent } from "../cluster/events.js";
+import { CloudClient } from "../coordination/autoscaling/cloud-client.js";
+import type { ListedMachine, MachineType } from "../protocol/cloud.js";
+import type { Change } from "../protocol/key-value-store.js";
+import type { Settings } from "../settings/settings.js";
+import { KeyValueStore } from "../storage/key-value-store.js";
 import {
   CURRENT_PREFIX,
   decodeJobRecord,
@@ -6,13 +11,8 @@
   jobOfKey,
   type TaskRecord,
   taskRangeOfKey,
-} from "../bookkeeping/records.js";
-import { KeyValueStore } from "../bookkeeping/store.js";
-import { WatchCache } from "../bookkeeping/view.js";
-import { CloudClient } from "../coordination/cloud.js";
-import type { ListedMachine, MachineType } from "../protocol/cloud.js";
-import type { Change } from "../protocol/state.js";
-import type { Settings } from "../settings/settings.js";
+} from "../storage/records.js";
+import { WatchCache } from "../storage/watch-cache.js";
 import { type Clock, type Micros, ms, seconds, sleep } from "../transport/clock.js";
 import type { HttpClient } from "../transport/http.js";
 import type { Log } from "../transport/log.js";
--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DependencyGraph } from "../src/bookkeeping/chains.js";
-import { encodeJobRecord, jobKey, outcomeKey } from "../src/bookkeeping/records.js";
+import { DependencyGraph } from "../src/cluster/dependency-graph.js";
+import { JobApi } from "../src/coordination/api/job-api.js";
 import type { Services } from "../src/coordination/context.js";
-import { JobApi } from "../src/coordination/front-door.js";
 import { HostClock, S, World } from "../src/model/index.js";
-import type { Entry } from "../src/protocol/state.js";
-import { decodeSubmission } from "../src/protocol/user.js";
+import { decodeSubmission } from "../src/protocol/job.js";
+import type { Entry } from "../src/protocol/key-value-store.js";
 import { parseSettings } from "../src/settings/settings.js";
+import { encodeJobRecord, jobKey, outcomeKey } from "../src/storage/records.js";
 import type { Response } from "../src/transport/http.js";
 import { bigType, settingsText } from "./fixtures.js";
 import { plainJob } from "./sim/cluster.js";
--- a/test/appointments.test.ts
+++ b/test/appointments.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import { JobApi } from "../src/coordination/api/job-api.js";
 import type { Services } from "../src/coordination/context.js";
-import { JobApi } from "../src/coordination/front-door.js";
-import { LoadShedder } from "../src/coordination/overload.js";
+import { LoadShedder } from "../src/coordination/overload/load-shedder.js";
 import { HostClock, World } from "../src/model/index.js";
 import { parseSettings } from "../src/settings/settings.js";
 import type { Request } from "../src/transport/http.js";
--- a/test/chain-orders.test.ts
+++ b/test/chain-orders.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DependencyGraph, type TerminalPhase } from "../src/bookkeeping/chains.js";
+import { DependencyGraph, type TerminalPhase } from "../src/cluster/dependency-graph.js";
 
 /**
  * All orders of what may happen to three jobs, of which the second awaits the first and the third both: checks before acceptance
--- a/test/chains.test.ts
+++ b/test/chains.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DependencyGraph } from "../src/bookkeeping/chains.js";
-import { encodeJobRecord, jobKey, outcomeKey } from "../src/bookkeeping/records.js";
+import { DependencyGraph } from "../src/cluster/dependency-graph.js";
 import { FastSite, jobBehaviour, nobody, S, sampleSite } from "../src/model/index.js";
-import { decodeSubmission } from "../src/protocol/user.js";
+import { decodeSubmission } from "../src/protocol/job.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
+import { encodeJobRecord, jobKey, outcomeKey } from "../src/storage/records.js";
 import { Cluster, plainJob, type Submission, trueJob } from "./sim/cluster.js";
 
 const link = (number: number, awaits: readonly number[], fields: Partial<Submission> = {}): Submission =>
--- a/test/commands.test.ts
+++ b/test/commands.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Machine } from "../src/bookkeeping/picture.js";
-import { CommandDispatcher } from "../src/coordination/commander.js";
-import { HeartbeatProcessor } from "../src/coordination/observer.js";
+import type { Machine } from "../src/cluster/entities.js";
+import { CommandDispatcher } from "../src/coordination/workers/command-dispatcher.js";
+import { HeartbeatProcessor } from "../src/coordination/workers/heartbeat-processor.js";
 import { makeBlock, placedTask, report, SPEC } from "./block-fixtures.js";
 
 const scene = () => {
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -1,15 +1,20 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { ShardState } from "../src/bookkeeping/block.js";
-import { newMachine } from "../src/bookkeeping/machines.js";
-import type { Job, Machine, Task } from "../src/bookkeeping/picture.js";
-import { decideEvictions } from "../src/coordination/decisions/drain.js";
-import { neverRuns, type Unready, unready } from "../src/coordination/decisions/eligibility.js";
-import type { SchedulerSnapshot } from "../src/coordination/decisions/picture.js";
-import { CapacityBackoff, type CloudOffers, DemandHistory, planScaling } from "../src/coordination/decisions/rental.js";
-import { decideRound, newRoundState, type RoundAction } from "../src/coordination/decisions/round.js";
+import type { Job, Machine, Task } from "../src/cluster/entities.js";
+import { newMachine } from "../src/cluster/machine-usage.js";
+import { ShardState } from "../src/cluster/shard-state.js";
+import {
+  CapacityBackoff,
+  type CloudOffers,
+  DemandHistory,
+  planScaling,
+} from "../src/coordination/autoscaling/scale-plan.js";
+import { neverRuns, type Unready, unready } from "../src/coordination/scheduling/eligibility.js";
+import { decideRound, newRoundState, type RoundAction } from "../src/coordination/scheduling/placement-round.js";
+import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
+import { decideEvictions } from "../src/coordination/workers/graceful-eviction.js";
 import { HostClock, World } from "../src/model/index.js";
-import { decodeSubmission, type JobSpec } from "../src/protocol/user.js";
+import { decodeSubmission, type JobSpec } from "../src/protocol/job.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
 import { parseSettings } from "../src/settings/settings.js";
 import { type Micros, seconds } from "../src/transport/clock.js";
--- a/test/evidence.test.ts
+++ b/test/evidence.test.ts
@@ -1,18 +1,23 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Machine, Task } from "../src/bookkeeping/picture.js";
-import { CommandDispatcher } from "../src/coordination/commander.js";
+import type { Machine, Task } from "../src/cluster/entities.js";
 import { fencingTokenOf, firstFencingToken, responseTokenOf, type ShardContext } from "../src/coordination/context.js";
-import { unready } from "../src/coordination/decisions/eligibility.js";
+import { unready } from "../src/coordination/scheduling/eligibility.js";
+import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
+import { CommandDispatcher } from "../src/coordination/workers/command-dispatcher.js";
 import {
   classifyHeartbeat,
   type HeartbeatCounters,
   mayBeOvertaken,
   type WorkerCounters,
-} from "../src/coordination/decisions/evidence.js";
-import type { SchedulerSnapshot } from "../src/coordination/decisions/picture.js";
-import { isOneWay, recordHeartbeat, recordResponse, responsesArrive } from "../src/coordination/decisions/reach.js";
-import { HeartbeatProcessor } from "../src/coordination/observer.js";
+} from "../src/coordination/workers/heartbeat-freshness.js";
+import { HeartbeatProcessor } from "../src/coordination/workers/heartbeat-processor.js";
+import {
+  isOneWay,
+  recordHeartbeat,
+  recordResponse,
+  responsesArrive,
+} from "../src/coordination/workers/reachability.js";
 import { json } from "../src/model/index.js";
 import type { Heartbeat, TaskStatus } from "../src/protocol/worker.js";
 import type { Micros } from "../src/transport/clock.js";
--- a/test/json.test.ts
+++ b/test/json.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { formatJson, MalformedMessageError, parseJson, readUint64 } from "../src/protocol/json.js";
-import { decodeChanges, encodeTransaction } from "../src/protocol/state.js";
+import { decodeChanges, encodeTransaction } from "../src/protocol/key-value-store.js";
 import { decodeHeartbeat, encodeHeartbeatResponse } from "../src/protocol/worker.js";
 
 test("integers up to 2^64 survive reading and writing, and compare rightly", () => {
--- a/test/loops.test.ts
+++ b/test/loops.test.ts
@@ -1,15 +1,15 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { TransactionBatcher } from "../src/bookkeeping/committer.js";
-import type { KeyValueStore } from "../src/bookkeeping/store.js";
-import { WatchCache } from "../src/bookkeeping/view.js";
-import { CommandDispatcher } from "../src/coordination/commander.js";
 import type { ShardContext } from "../src/coordination/context.js";
-import { HeartbeatProcessor } from "../src/coordination/observer.js";
-import type { TaskStateWriter } from "../src/coordination/recorder.js";
-import { Scheduler } from "../src/coordination/rounds.js";
+import type { TaskStateWriter } from "../src/coordination/jobs/task-state-writer.js";
+import { Scheduler } from "../src/coordination/scheduling/scheduler.js";
+import { CommandDispatcher } from "../src/coordination/workers/command-dispatcher.js";
+import { HeartbeatProcessor } from "../src/coordination/workers/heartbeat-processor.js";
 import { HostClock, World } from "../src/model/index.js";
-import type { JobSpec } from "../src/protocol/user.js";
+import type { JobSpec } from "../src/protocol/job.js";
+import type { KeyValueStore } from "../src/storage/key-value-store.js";
+import { TransactionBatcher } from "../src/storage/transaction-batcher.js";
+import { WatchCache } from "../src/storage/watch-cache.js";
 import type { Micros } from "../src/transport/clock.js";
 import { makeBlock, nothing, placedTask, quiet, report, SPEC } from "./block-fixtures.js";
 
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { memberKey, shardKey } from "../src/bookkeeping/records.js";
 import type { Services, ShardLease } from "../src/coordination/context.js";
-import { Membership } from "../src/coordination/membership.js";
+import { Membership } from "../src/coordination/leadership/membership.js";
 import { HostClock, S, World } from "../src/model/index.js";
-import type { Entry } from "../src/protocol/state.js";
+import type { Entry } from "../src/protocol/key-value-store.js";
 import { parseSettings } from "../src/settings/settings.js";
+import { memberKey, shardKey } from "../src/storage/records.js";
 import { nothing, quiet } from "./block-fixtures.js";
 import { settingsText } from "./fixtures.js";
 
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -1,8 +1,13 @@
 import assert from "node:assert/strict";
 import { connect, type Socket } from "node:net";
 import { test } from "node:test";
-import { ConcurrencyPools } from "../src/coordination/lanes.js";
-import { LOAD_LEVELS, type LoadLevel, LoadShedder, type ProcessLoad } from "../src/coordination/overload.js";
+import {
+  LOAD_LEVELS,
+  type LoadLevel,
+  LoadShedder,
+  type ProcessLoad,
+} from "../src/coordination/overload/load-shedder.js";
+import { ConcurrencyPools } from "../src/coordination/workers/concurrency-pools.js";
 import { HostClock, World } from "../src/model/index.js";
 import { MalformedMessageError } from "../src/protocol/json.js";
 import { decodeHeartbeatText } from "../src/protocol/worker.js";
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -7,8 +7,8 @@
   relativeSize,
   type Server,
   shortlist,
-} from "../src/coordination/placement/bfgp.js";
-import { type RankedServer, Ranking } from "../src/coordination/placement/ranking.js";
+} from "../src/coordination/scheduling/placement/bfgp.js";
+import { type RankedServer, Ranking } from "../src/coordination/scheduling/placement/ranking.js";
 import { forSeeds, type Random } from "./random.js";
 
 const IMAGES = ["a", "b", "c"];
--- a/test/polls.test.ts
+++ b/test/polls.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { encodeJobRecord, encodeTaskRange, jobKey, taskRangeKey } from "../src/bookkeeping/records.js";
-import type { KeyValueStore } from "../src/bookkeeping/store.js";
+import { JobApi } from "../src/coordination/api/job-api.js";
 import type { Services } from "../src/coordination/context.js";
-import { JobApi } from "../src/coordination/front-door.js";
-import { OutcomeReader } from "../src/coordination/lookups.js";
+import { OutcomeReader } from "../src/coordination/jobs/outcome-reader.js";
 import { HostClock, S, World } from "../src/model/index.js";
-import type { Entry } from "../src/protocol/state.js";
-import { decodeSubmission } from "../src/protocol/user.js";
+import { decodeSubmission } from "../src/protocol/job.js";
+import type { Entry } from "../src/protocol/key-value-store.js";
+import type { KeyValueStore } from "../src/storage/key-value-store.js";
+import { encodeJobRecord, encodeTaskRange, jobKey, taskRangeKey } from "../src/storage/records.js";
 import type { Micros } from "../src/transport/clock.js";
 import { Cluster, plainJob, SMALL } from "./sim/cluster.js";
 
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -1,14 +1,19 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { ShardState } from "../src/bookkeeping/block.js";
-import { newMachine } from "../src/bookkeeping/machines.js";
-import type { Job, Task } from "../src/bookkeeping/picture.js";
-import { attemptOf } from "../src/bookkeeping/tasks.js";
-import type { SchedulerSnapshot } from "../src/coordination/decisions/picture.js";
-import { applyAction, decideRound, newRoundState, type RoundAction } from "../src/coordination/decisions/round.js";
-import { MAX_ATTEMPTS } from "../src/coordination/decisions/shares.js";
+import type { Job, Task } from "../src/cluster/entities.js";
+import { newMachine } from "../src/cluster/machine-usage.js";
+import { ShardState } from "../src/cluster/shard-state.js";
+import { attemptOf } from "../src/cluster/task-records.js";
+import { MAX_ATTEMPTS } from "../src/coordination/scheduling/guarantee-usage.js";
+import {
+  applyAction,
+  decideRound,
+  newRoundState,
+  type RoundAction,
+} from "../src/coordination/scheduling/placement-round.js";
+import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
 import { HostClock, World } from "../src/model/index.js";
-import { decodeSubmission } from "../src/protocol/user.js";
+import { decodeSubmission } from "../src/protocol/job.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
 import { parseSettings } from "../src/settings/settings.js";
 import { seconds } from "../src/transport/clock.js";
--- a/test/rights.test.ts
+++ b/test/rights.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { isLeaseValid, pendingStops, permittedReplies } from "../src/coordination/decisions/rights.js";
+import { isLeaseValid, pendingStops, permittedReplies } from "../src/coordination/leadership/lease-authority.js";
 import { cancellationTerms } from "../src/settings/cancellation.js";
 import type { Micros } from "../src/transport/clock.js";
 
--- a/test/silence.test.ts
+++ b/test/silence.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { newMachine } from "../src/bookkeeping/machines.js";
-import type { Machine } from "../src/bookkeeping/picture.js";
-import { decodeUnreachableZones } from "../src/bookkeeping/records.js";
+import type { Machine } from "../src/cluster/entities.js";
+import { newMachine } from "../src/cluster/machine-usage.js";
 import type { Services, ShardLease } from "../src/coordination/context.js";
-import { UnreachableZones } from "../src/coordination/silence-record.js";
+import { UnreachableZones } from "../src/coordination/workers/unreachable-zones.js";
 import { HostClock, S, World } from "../src/model/index.js";
-import type { WriteOperation } from "../src/protocol/state.js";
+import type { WriteOperation } from "../src/protocol/key-value-store.js";
+import { decodeUnreachableZones } from "../src/storage/records.js";
 import { forSeeds, type Random } from "./random.js";
 
 const nothing = (): undefined => undefined;
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -1,5 +1,4 @@
-import type { ClusterEvent } from "../../src/bookkeeping/events.js";
-import { decodeJobRecord, jobKey } from "../../src/bookkeeping/records.js";
+import type { ClusterEvent } from "../../src/cluster/events.js";
 import { graphsWith } from "../../src/graphs/index.js";
 import {
   type Behaviour,
@@ -17,10 +16,11 @@
   type TypeSpec,
   type Witness,
 } from "../../src/model/index.js";
-import { encodeSubmission } from "../../src/protocol/user.js";
+import { encodeSubmission } from "../../src/protocol/job.js";
 import { cancellationTerms } from "../../src/settings/cancellation.js";
 import { DEFAULT_OPTIONS, type Options } from "../../src/settings/options.js";
 import { parseSettings, shardLeaseDuration } from "../../src/settings/settings.js";
+import { decodeJobRecord, jobKey } from "../../src/storage/records.js";
 import type { Micros } from "../../src/transport/clock.js";
 import type { Request } from "../../src/transport/http.js";
 import { settingsText } from "../fixtures.js";
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -7,44 +7,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { gunzipSync } from "node:zlib";
-import {
-  backpressureKey,
-  CANCELLATION_REASONS,
-  CLUSTER_LEADER_KEY,
-  decodeJobRecord,
-  decodeMemberRecord,
-  decodeOutcomeRecord,
-  decodeShardRecord,
-  decodeTaskRange,
-  decodeUnreachableZones,
-  dependencyListKey,
-  encodeJobRecord,
-  encodeMemberRecord,
-  encodeOutcomeRecord,
-  encodeShardRecord,
-  encodeTaskRange,
-  encodeUnreachableZones,
-  type JobRecord,
-  jobKey,
-  jobOfDependencyListKey,
-  jobOfKey,
-  MACHINE_TYPES_KEY,
-  type MemberRecord,
-  memberKey,
-  memberOfKey,
-  type OutcomeRecord,
-  outcomeKey,
-  recordedDependencies,
-  SHARD_EPOCH_KEY,
-  type ShardRecord,
-  shardKey,
-  type TaskRecord,
-  taskRangeBytes,
-  taskRangeKey,
-  taskRangeOfKey,
-  type UnreachableZonesRecord,
-  unreachableZonesKey,
-} from "../src/bookkeeping/records.js";
 import {
   DEFAULT_STEP,
   decodePlan,
@@ -81,8 +43,46 @@
   writeUpload,
 } from "../src/graphs/index.js";
 import { encode, type Frame, FrameReader, NEVER } from "../src/mesh/frames.js";
+import type { JobSpec } from "../src/protocol/job.js";
 import { formatJson, parseJson } from "../src/protocol/json.js";
-import type { JobSpec } from "../src/protocol/user.js";
+import {
+  backpressureKey,
+  CANCELLATION_REASONS,
+  CLUSTER_LEADER_KEY,
+  decodeJobRecord,
+  decodeMemberRecord,
+  decodeOutcomeRecord,
+  decodeShardRecord,
+  decodeTaskRange,
+  decodeUnreachableZones,
+  dependencyListKey,
+  encodeJobRecord,
+  encodeMemberRecord,
+  encodeOutcomeRecord,
+  encodeShardRecord,
+  encodeTaskRange,
+  encodeUnreachableZones,
+  type JobRecord,
+  jobKey,
+  jobOfDependencyListKey,
+  jobOfKey,
+  MACHINE_TYPES_KEY,
+  type MemberRecord,
+  memberKey,
+  memberOfKey,
+  type OutcomeRecord,
+  outcomeKey,
+  recordedDependencies,
+  SHARD_EPOCH_KEY,
+  type ShardRecord,
+  shardKey,
+  type TaskRecord,
+  taskRangeBytes,
+  taskRangeKey,
+  taskRangeOfKey,
+  type UnreachableZonesRecord,
+  unreachableZonesKey,
+} from "../src/storage/records.js";
 import { FixtureLines } from "./fixture-lines.js";
 
 const records = new FixtureLines("records.txt");
--- a/test/trial.test.ts
+++ b/test/trial.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Job, Machine, Task } from "../src/bookkeeping/picture.js";
-import { waitingJobs } from "../src/coordination/decisions/order.js";
-import { allowedStarts, attributeFailure, clearSuspicion } from "../src/coordination/decisions/trial.js";
+import type { Job, Machine, Task } from "../src/cluster/entities.js";
+import { waitingJobs } from "../src/coordination/scheduling/job-order.js";
+import { allowedStarts, attributeFailure, clearSuspicion } from "../src/coordination/workers/failure-attribution.js";
 import { S } from "../src/model/index.js";
 import { type Micros, seconds } from "../src/transport/clock.js";
 import { makeBlock, SPEC } from "./block-fixtures.js";
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,5 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import { S } from "../src/model/index.js";
+import type { JobSpec } from "../src/protocol/job.js";
+import { parseSettings } from "../src/settings/settings.js";
 import {
   decodeJobRecord,
   decodeMemberRecord,
@@ -8,10 +11,7 @@
   decodeTaskRange,
   decodeUnreachableZones,
   encodeTaskRange,
-} from "../src/bookkeeping/records.js";
-import { S } from "../src/model/index.js";
-import type { JobSpec } from "../src/protocol/user.js";
-import { parseSettings } from "../src/settings/settings.js";
+} from "../src/storage/records.js";
 import { settingsText } from "./fixtures.js";
 import { Cluster, plainJob } from "./sim/cluster.js";
 import { longJobs } from "./sim/meetings.js";
--- a/test/watch.test.ts
+++ b/test/watch.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { FailureDetector } from "../src/coordination/watch.js";
+import { FailureDetector } from "../src/coordination/workers/failure-detector.js";
 import { S } from "../src/model/index.js";
 import type { Micros } from "../src/transport/clock.js";
 import { makeBlock, nothing } from "./block-fixtures.js";
--- a/test/wire-forms.test.ts
+++ b/test/wire-forms.test.ts
@@ -5,12 +5,8 @@
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { KeyValueStore } from "../src/bookkeeping/store.js";
-import { CloudClient } from "../src/coordination/cloud.js";
+import { CloudClient } from "../src/coordination/autoscaling/cloud-client.js";
 import type { ListedMachine, MachineType } from "../src/protocol/cloud.js";
-import { formatJson, type JsonObject, parseJson } from "../src/protocol/json.js";
-import { type LinkTable, linksAnswer, type MachineLinks } from "../src/protocol/links.js";
-import type { Change, Entry, WriteOperation } from "../src/protocol/state.js";
 import {
   decodeSubmission,
   encodePhase,
@@ -21,7 +17,10 @@
   type JobSpec,
   PRIORITIES,
   requestedResources,
-} from "../src/protocol/user.js";
+} from "../src/protocol/job.js";
+import { formatJson, type JsonObject, parseJson } from "../src/protocol/json.js";
+import type { Change, Entry, WriteOperation } from "../src/protocol/key-value-store.js";
+import { type LinkTable, linksAnswer, type MachineLinks } from "../src/protocol/links.js";
 import {
   type Command,
   decodeHeartbeatText,
@@ -31,6 +30,7 @@
   type Heartbeat,
   type TaskStatus,
 } from "../src/protocol/worker.js";
+import { KeyValueStore } from "../src/storage/key-value-store.js";
 import { type Clock, type Micros, ms, seconds } from "../src/transport/clock.js";
 import type { HttpClient } from "../src/transport/http.js";
 import type { Log } from "../src/transport/log.js";
