--- a/src/cluster/entities.ts
+++ b/src/cluster/entities.ts
@@ -6,7 +6,7 @@
 import type { Micros } from "../transport/clock.js";
 
 /** Why a machine takes no more tasks. */
-export type DrainReason = "returning" | "notice" | "faulty";
+export type DrainReason = "scale-in" | "reclaim-notice" | "faulty";
 
 /** Whether what is sent to a worker gets there, told from effects alone; kept with the machine (coordination/workers/reachability.ts). */
 export interface Reachability {
@@ -30,8 +30,8 @@
   typeName: string;
   type: MachineType | null;
   address: string | null;
-  /** `booting`: not heard of yet. `rumoured`: only a report names it that may be a late copy. */
-  state: "booting" | "rumoured" | "up" | "gone";
+  /** `booting`: not heard of yet. `unconfirmed`: only a report names it that may be a late copy. */
+  state: "booting" | "unconfirmed" | "up" | "deleted";
   provisionedAt: Micros;
   incarnation: Uint64 | null;
   heartbeatSequence: Uint64;
@@ -99,8 +99,8 @@
  * arrive. `seen`: the worker has listed the attempt.
  */
 export type StartCommandState =
-  | { readonly kind: "none" | "sending" | "seen" }
-  | { readonly kind: "unsure"; readonly token: number };
+  | { readonly kind: "none" | "sending" | "observed" }
+  | { readonly kind: "uncertain"; readonly token: number };
 
 export interface Task {
   readonly job: Job;
--- a/src/cluster/shard-state.ts
+++ b/src/cluster/shard-state.ts
@@ -81,7 +81,7 @@
       const record = task.recorded;
       if (record.kind !== "placed") continue;
       this.assignTask(task, this.machineByName(record.machine));
-      task.startCommand = { kind: "unsure", token: lostBelow };
+      task.startCommand = { kind: "uncertain", token: lostBelow };
     }
   }
 
--- a/src/coordination/api/job-api.ts
+++ b/src/coordination/api/job-api.ts
@@ -67,7 +67,7 @@
 type JobLookup =
   | { readonly kind: "current"; readonly entry: Entry }
   | { readonly kind: "ended"; readonly end: OutcomeRecord }
-  | { readonly kind: "never" }
+  | { readonly kind: "not-found" }
   | { readonly kind: "unknown" };
 
 /** What this controller holds, as far as users' questions go. */
@@ -123,7 +123,7 @@
   private health(): Response {
     const { cache, clock, loadShedder } = this.services;
     // Workers can only be answered here, users anywhere: they are sent to the others while there are any.
-    if (loadShedder.atLeast("coarse") && this.localShards.isLeader() && this.hasPeers())
+    if (loadShedder.atLeast("degraded") && this.localShards.isLeader() && this.hasPeers())
       return retryLater("busy with workers");
     const fresh = cache.freshAsOf !== null && clock.now() - cache.freshAsOf < MAX_CACHE_AGE;
     return fresh && this.types.size > 0 ? jsonResponse(200, { up: true }) : retryLater("not ready");
@@ -181,11 +181,11 @@
     if (cache.entries.has(jobKey(spec.id)) || this.recentOutcomes.has(spec.id)) return this.status(spec.id);
     const permanentRefusal = this.refusal(spec, body);
     if (permanentRefusal !== null) return this.refuseUnlessAccepted(spec.id, permanentRefusal);
-    const full = loadShedder.atLeast("full") || cache.entries.has(backpressureKey(shardOf(spec.team)));
+    const full = loadShedder.atLeast("saturated") || cache.entries.has(backpressureKey(shardOf(spec.team)));
     if (full && !this.admitUnderPressure(spec.jobClass)) return retryLater("overloaded", OVERLOAD_RETRY_AFTER_S);
     if (transactions.userWriteDelay > MAX_USER_WRITE_DELAY) return this.assignRetrySlot();
     const checked = await this.dependencyResolver.check(spec.dependencies ?? []);
-    if (checked.kind === "never") {
+    if (checked.kind === "not-found") {
       return this.refuseUnlessAccepted(
         spec.id,
         jsonResponse(422, { error: `awaits: ${checked.id} was never accepted` }),
@@ -219,7 +219,7 @@
   /** What was accepted once, perhaps under other machine types, is never refused, and may have ended long ago. */
   private async refuseUnlessAccepted(id: string, refusal: Response): Promise<Response> {
     const found = await this.findJob(id);
-    return found.kind === "never" ? refusal : this.status(id, found);
+    return found.kind === "not-found" ? refusal : this.status(id, found);
   }
 
   /** Why nothing like it is accepted, whoever asks. */
@@ -241,7 +241,7 @@
     if (known !== undefined) return { kind: "ended", end: known };
     const reply = await this.outcomeReader.find(id);
     if (reply.kind === "ok") return { kind: "ended", end: decodeOutcomeRecord(reply.value.value) };
-    return { kind: reply.kind === "missing" ? "never" : "unknown" };
+    return { kind: reply.kind === "missing" ? "not-found" : "unknown" };
   }
 
   /** No older than the question: what any controller has told anybody before is known to the answer. */
@@ -253,10 +253,10 @@
     const entry = cache.entries.get(jobKey(id));
     if (entry !== undefined) return { kind: "current", entry };
     const terminalState = await this.readTerminalState(id);
-    if (terminalState.kind !== "never") return terminalState;
+    if (terminalState.kind !== "not-found") return terminalState;
     // Accepted while it was looked up: others may have been told so before this answer gets there.
     const since = cache.entries.get(jobKey(id));
-    return since === undefined ? { kind: "never" } : { kind: "current", entry: since };
+    return since === undefined ? { kind: "not-found" } : { kind: "current", entry: since };
   }
 
   private rememberOutcome(id: string, end: OutcomeRecord): void {
@@ -285,7 +285,7 @@
     switch (found.kind) {
       case "unknown":
         return retryLater("state service unavailable");
-      case "never":
+      case "not-found":
         return jsonResponse(404, { error: "no such job" });
       case "ended":
         return jsonResponse(200, encodeStatus(id, found.end.phase, found.end.completedTasks, 0));
@@ -336,7 +336,7 @@
       if (entry === undefined) {
         const found = await this.findJob(id);
         if (found.kind === "current") continue;
-        if (found.kind === "never") return jsonResponse(404, { error: "no such job" });
+        if (found.kind === "not-found") return jsonResponse(404, { error: "no such job" });
         if (found.kind === "unknown") return retryLater("state service unavailable");
         return jsonResponse(200, encodePhase(id, found.end.phase));
       }
@@ -347,7 +347,7 @@
       const result = await transactions.submit(
         new Map([[entry.key, entry.version]]),
         [{ kind: "put", key: entry.key, value: encodeJobRecord(value) }],
-        "cancel",
+        "cancellation",
       );
       if (result.kind === "ok") return jsonResponse(200, encodePhase(id, "cancelled"));
       if (result.kind !== "conflict") return retryLater("state service unavailable");
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -99,7 +99,7 @@
       } catch (error) {
         this.context.log.error("rental step failed", { error: String(error) });
       }
-      const coarse = this.context.loadShedder.atLeast("coarse");
+      const coarse = this.context.loadShedder.atLeast("degraded");
       await sleep(this.context.clock, (coarse ? period() * SLOWDOWN_UNDER_LOAD : period()) as Micros);
     }
   }
@@ -143,7 +143,7 @@
     machine.zone = listed.zone;
     machine.spot = listed.spot;
     machine.address ??= listed.address;
-    if (machine.state === "rumoured") machine.state = "booting";
+    if (machine.state === "unconfirmed") machine.state = "booting";
     // After a handover this finds the machines at once, long before their workers have found us.
     if (listed.state === "running" && machine.state === "booting") this.context.queryStatus(machine);
     if (listed.state === "failed" && !machine.deleting) {
@@ -181,7 +181,7 @@
     }
     if (this.stopped) return;
     for (const machine of machines) {
-      machine.state = "gone";
+      machine.state = "deleted";
       shard.deletedMachines.add(machine.name);
       this.context.eventListener?.({ kind: "machine deleted", ...eventFieldsOf(machine) });
       this.heartbeats.machineLost(machine, "deleted");
@@ -209,10 +209,10 @@
     this.scheduler.reportInspections();
     const { loadShedder } = this.context;
     // Machines beyond what can be carried would only come to be lost.
-    if (!loadShedder.atLeast("full")) this.rent(scaleOut);
+    if (!loadShedder.atLeast("saturated")) this.rent(scaleOut);
     if (scaleIn.length > 0)
       void this.deleteMachines(scaleIn.slice(0, MAX_DELETIONS_PER_REQUEST).map(({ machine }) => machine));
-    if (!loadShedder.atLeast("lean")) this.consolidate(snapshot);
+    if (!loadShedder.atLeast("reduced")) this.consolidate(snapshot);
     await this.sendPendingRequests();
   }
 
@@ -274,7 +274,7 @@
     this.nextConsolidation = (snapshot.now + CONSOLIDATION_CHECK_INTERVAL) as Micros;
     const machine = chooseMachineToConsolidate(snapshot, this.demandHistory);
     if (machine === null) return;
-    machine.drainReason = "returning";
+    machine.drainReason = "scale-in";
     this.nextConsolidation = (snapshot.now + CONSOLIDATION_INTERVAL) as Micros;
     this.context.log.info("machine emptied", { machine: machine.name, tasks: machine.tasks.size });
   }
--- a/src/coordination/autoscaling/scale-plan.ts
+++ b/src/coordination/autoscaling/scale-plan.ts
@@ -363,7 +363,7 @@
       if (age > boot) back.push({ machine, reason: "boot given up" });
       continue;
     }
-    if (machine.state === "rumoured") {
+    if (machine.state === "unconfirmed") {
       if (age > MIN_CHARGED_TIME) back.push({ machine, reason: "boot given up" });
       continue;
     }
--- a/src/coordination/jobs/dependency-resolver.ts
+++ b/src/coordination/jobs/dependency-resolver.ts
@@ -27,12 +27,12 @@
 /** A job's last word on record; `never`: neither current nor ended. */
 export type TerminalState =
   | { readonly kind: "ended"; readonly end: OutcomeRecord }
-  | { readonly kind: "never" | "unknown" };
+  | { readonly kind: "not-found" | "unknown" };
 
 /** What is to be said of a list of awaited jobs. `withdrawn`: one of them is, for good. */
 export type DependencyCheck =
-  | { readonly kind: "fine"; readonly cancelled: boolean }
-  | { readonly kind: "never"; readonly id: string }
+  | { readonly kind: "resolved"; readonly cancelled: boolean }
+  | { readonly kind: "not-found"; readonly id: string }
   | { readonly kind: "unknown" };
 
 /** A record that fits, and what has to be as it was when its transaction is carried out. */
@@ -115,7 +115,7 @@
   /** May a job that awaits these be accepted? Rests on reads that left after the question came. */
   async check(awaits: readonly string[]): Promise<DependencyCheck> {
     const { cache } = this.services;
-    if (awaits.length === 0) return { kind: "fine", cancelled: false };
+    if (awaits.length === 0) return { kind: "resolved", cancelled: false };
     if (!(await cache.sync())) return { kind: "unknown" };
     const others = awaits.filter((id) => !cache.entries.has(jobKey(id)));
     let withdrawn = false;
@@ -126,10 +126,10 @@
         const id = batch[at] ?? "";
         if (terminalState.kind === "ended") withdrawn ||= terminalState.end.phase === "cancelled";
         else if (cache.entries.has(jobKey(id))) continue;
-        else return terminalState.kind === "never" ? { kind: "never", id } : { kind: "unknown" };
+        else return terminalState.kind === "not-found" ? { kind: "not-found", id } : { kind: "unknown" };
       }
     }
-    return { kind: "fine", cancelled: withdrawn };
+    return { kind: "resolved", cancelled: withdrawn };
   }
 
   /** The record as it fits: a list that is too long for it is written first, in parts. Null: not to be had now. */
--- a/src/coordination/jobs/job-watcher.ts
+++ b/src/coordination/jobs/job-watcher.ts
@@ -98,7 +98,7 @@
           [key, version],
           [jobKey(id), 0],
         ]);
-        void transactions.submit(conditions, [{ kind: "delete", key }], "upkeep");
+        void transactions.submit(conditions, [{ kind: "delete", key }], "maintenance");
       }
     });
   }
--- a/src/coordination/jobs/task-state-writer.ts
+++ b/src/coordination/jobs/task-state-writer.ts
@@ -143,7 +143,7 @@
       range.placementPendingSince = null;
       return [{ kind: "put", key, value: encodeTaskRange(snapshot) }];
     };
-    const urgency = range.placementPendingSince === null ? "note" : writePriorityOf(job, context.settings);
+    const urgency = range.placementPendingSince === null ? "deferred" : writePriorityOf(job, context.settings);
     const result = await context.transactions.submitDeferred(conditions, [key], build, urgency);
     range.writing = false;
     switch (result.kind) {
@@ -244,7 +244,7 @@
       { kind: "delete", key: jobKey(job.spec.id) },
     ];
     // Ranges without a job tell nothing: they may go later, as long as they do not pile up.
-    const later = context.transactions.waiting("upkeep") < MAX_PENDING_DELETIONS;
+    const later = context.transactions.waiting("maintenance") < MAX_PENDING_DELETIONS;
     for (const range of here) {
       const key = taskRangeKey(job.spec.id, range.index);
       conditions.set(key, range.version);
@@ -291,7 +291,7 @@
   deleteKeys(keys: readonly string[]): void {
     const { transactions, lease } = this.context;
     for (const key of keys) {
-      void transactions.submit(new Map([[lease.key, lease.version]]), [{ kind: "delete", key }], "upkeep");
+      void transactions.submit(new Map([[lease.key, lease.version]]), [{ kind: "delete", key }], "maintenance");
     }
   }
 }
--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -110,7 +110,7 @@
       requestInterval(WATCH_REQUEST_SHARE, requestsPerS, settings.controllers),
       requestInterval(SYNC_REQUEST_SHARE, requestsPerS, settings.controllers),
       // Polls may lag by seconds: under load they share longer intervals.
-      () => (loadShedder.atLeast("coarse") ? 5 : loadShedder.atLeast("lean") ? 2 : 1),
+      () => (loadShedder.atLeast("degraded") ? 5 : loadShedder.atLeast("reduced") ? 2 : 1),
     );
     const transactions = new TransactionBatcher(store, clock, random);
     const eventListener = outside.eventListener ?? null;
--- a/src/coordination/leadership/lease-authority.ts
+++ b/src/coordination/leadership/lease-authority.ts
@@ -49,7 +49,7 @@
   unverifiedFor,
   workerLease,
 }: WorkerStanding): PermittedReplies => {
-  const proven = freshness !== "unproven";
+  const proven = freshness !== "unverified";
   return { renew: !oneWay && (proven || unverifiedFor < workerLease / 2), command: tokenSeen && proven };
 };
 
--- a/src/coordination/leadership/shard-leader.ts
+++ b/src/coordination/leadership/shard-leader.ts
@@ -28,7 +28,7 @@
 import { type PermittedReplies, pendingStops, permittedReplies } from "./lease-authority.js";
 
 const TICK_INTERVAL = ms(250);
-const FROM_HEARTBEAT: HeartbeatSource = { kind: "report" };
+const FROM_HEARTBEAT: HeartbeatSource = { kind: "heartbeat" };
 const MIN_ROUND_INTERVAL = ms(10);
 /** Whether an answer got to its worker is asked so long after it. */
 const PROBE_VERIFICATION_DELAY = seconds(1);
@@ -129,8 +129,8 @@
     this.commandPools = new ConcurrencyPools(
       clock,
       (machine) => this.guard(this.stopped ? Promise.resolve() : this.commands.send(machine)),
-      (machine) => (clock.now() - machine.lastHeartbeatAt > late ? "slow" : "quick"),
-      { quick: RESPONSIVE_POOL_SIZE, slow: SILENT_POOL_SIZE },
+      (machine) => (clock.now() - machine.lastHeartbeatAt > late ? "silent" : "responsive"),
+      { responsive: RESPONSIVE_POOL_SIZE, silent: SILENT_POOL_SIZE },
     );
     this.unreachableZones = new UnreachableZones(services, lease, () => shard.machines.values());
     this.autoscaler.unreachableZones = this.unreachableZones.inheritedZones;
@@ -194,7 +194,7 @@
     }
     const overtaken = mayBeOvertaken(machine, heartbeat);
     const freshness = this.heartbeats.process(machine, heartbeat, FROM_HEARTBEAT);
-    if (freshness === "doubtful" && !overtaken) return null;
+    if (freshness === "suspect" && !overtaken) return null;
     const permittedReplies = this.allowed(machine, freshness);
     if (!permittedReplies.command) this.statusQueries.announceFencingToken(machine);
     else if (this.commands.hasUrgentCommands(machine)) this.scheduleCommands(machine);
@@ -218,7 +218,7 @@
 
   private allowed(machine: Machine, freshness: HeartbeatFreshness): PermittedReplies {
     const { clock, settings } = this.services;
-    if (freshness !== "unproven") machine.unverifiedSince = null;
+    if (freshness !== "unverified") machine.unverifiedSince = null;
     else machine.unverifiedSince ??= clock.now();
     return permittedReplies({
       freshness,
@@ -273,7 +273,7 @@
     if (machine === undefined) {
       machine = newMachine(heartbeat.machine, heartbeat.type, null, heartbeat.zone, heartbeat.spot, clock.now());
       // It may be gone for long: no room until it is heard of otherwise.
-      machine.state = "rumoured";
+      machine.state = "unconfirmed";
       shard.machines.set(heartbeat.machine, machine);
       log.info("machine reported", { machine: heartbeat.machine });
     }
@@ -333,7 +333,7 @@
       } catch (error) {
         this.services.log.error("round failed", { error: describeError(error) });
       }
-      const least = this.services.loadShedder.atLeast("coarse") ? ROUND_INTERVAL_UNDER_LOAD : MIN_ROUND_INTERVAL;
+      const least = this.services.loadShedder.atLeast("degraded") ? ROUND_INTERVAL_UNDER_LOAD : MIN_ROUND_INTERVAL;
       this.roundGap = Math.max(least, ROUND_REST_FACTOR * (clock.now() - this.lastRound)) as Micros;
       this.scheduleRound(ms(this.services.options.roundMs));
     });
--- a/src/coordination/overload/backpressure-signal.ts
+++ b/src/coordination/overload/backpressure-signal.ts
@@ -15,7 +15,7 @@
     const { cache, transactions, loadShedder } = this.services;
     const key = backpressureKey(this.lease.shard);
     const entry = cache.entries.get(key);
-    const full = loadShedder.atLeast("full");
+    const full = loadShedder.atLeast("saturated");
     if (this.publishing || full === (entry !== undefined)) return;
     this.publishing = true;
     const { key: lease, version } = this.lease;
@@ -25,7 +25,7 @@
     ]);
     const write = full ? ({ kind: "put", key, value: {} } as const) : ({ kind: "delete", key } as const);
     // Whatever becomes of it, the next tick looks again.
-    const said = transactions.submit(conditions, [write], "cancel").then(() => cache.sync());
+    const said = transactions.submit(conditions, [write], "cancellation").then(() => cache.sync());
     void this.guard(said).then(() => {
       this.publishing = false;
     });
--- a/src/coordination/overload/load-shedder.ts
+++ b/src/coordination/overload/load-shedder.ts
@@ -3,12 +3,12 @@
 
 /**
  * What a controller leaves out as its load grows, each level beside what the ones before it do (docs/overload.md):
- * `lean`: optional work (emptying machines, moving replicas, most searches for something to stop, asking machines for
- * their state); `coarse`: rounds and rental plans are made less often, and a holder sends the load balancer's new
- * users to the others; `full`: nothing more is accepted or rented. Reports and stops go on at every level: an answer
+ * `reduced`: optional work (emptying machines, moving replicas, most searches for something to stop, asking machines for
+ * their state); `degraded`: rounds and rental plans are made less often, and a holder sends the load balancer's new
+ * users to the others; `saturated`: nothing more is accepted or rented. Reports and stops go on at every level: an answer
  * to a report is the cheapest thing that keeps a machine's tasks alive.
  */
-export const LOAD_LEVELS = ["normal", "lean", "coarse", "full"] as const;
+export const LOAD_LEVELS = ["normal", "reduced", "degraded", "saturated"] as const;
 export type LoadLevel = (typeof LOAD_LEVELS)[number];
 
 /** How near a process is to its limits; all but `late` as shares of the limit. */
@@ -60,7 +60,7 @@
   }
 
   get level(): LoadLevel {
-    return LOAD_LEVELS[this.levelIndex] ?? "full";
+    return LOAD_LEVELS[this.levelIndex] ?? "saturated";
   }
 
   atLeast(level: LoadLevel): boolean {
--- a/src/coordination/scheduling/candidate-index.ts
+++ b/src/coordination/scheduling/candidate-index.ts
@@ -72,7 +72,7 @@
   /** Room that is kept for one job. */
   reservation: Reservation | null;
   preemptionSearches: number;
-  readonly recordBudget: Record<"prompt" | "work", number>;
+  readonly recordBudget: Record<"urgent" | "normal", number>;
 }
 
 /** Machines that can take tasks now, with what is left on them. */
--- a/src/coordination/scheduling/placement-round.ts
+++ b/src/coordination/scheduling/placement-round.ts
@@ -222,8 +222,8 @@
         yield { kind: "wait", job, reason: "records" };
         return null;
       }
-      candidateIndex.recordBudget.work -= 1;
-      if (lane === "prompt") candidateIndex.recordBudget.prompt -= 1;
+      candidateIndex.recordBudget.normal -= 1;
+      if (lane === "urgent") candidateIndex.recordBudget.urgent -= 1;
     }
     yield { kind: "place", task, machine: candidate.machine };
     assign(spec, candidate);
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -152,7 +152,7 @@
   /** Moved where that is possible: it costs the least. */
   reason(victim: Task): PreemptionReason | null {
     const known = this.reasons.get(victim.job);
-    if (known === undefined || victim.stopRequest !== null || victim.startCommand.kind !== "seen") return null;
+    if (known === undefined || victim.stopRequest !== null || victim.startCommand.kind !== "observed") return null;
     const { guarantees } = this.floor;
     if (known.moves && !guarantees.startedTooOften(victim, 1) && hasCapacityElsewhere(victim, this.floor))
       return "moved";
--- a/src/coordination/scheduling/scheduler-snapshot.ts
+++ b/src/coordination/scheduling/scheduler-snapshot.ts
@@ -23,7 +23,7 @@
   /** So many looks for something to stop a round may take. */
   readonly maxPreemptionSearches: number;
   /** So many more ranges may come to wait for their placements to be on record: of urgent work, and of other work. */
-  readonly recordBudget: Readonly<Record<"prompt" | "work", number>>;
+  readonly recordBudget: Readonly<Record<"urgent" | "normal", number>>;
   /** Counts what is looked at. */
   readonly inspection: InspectionCounter;
 }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -33,7 +33,7 @@
   /**
    * What is known now, for decisions. `records`: only a round uses it, and it takes a walk over all jobs, so plans do without.
    */
-  snapshot(records: SchedulerSnapshot["recordBudget"] = { prompt: 0, work: 0 }): SchedulerSnapshot {
+  snapshot(records: SchedulerSnapshot["recordBudget"] = { urgent: 0, normal: 0 }): SchedulerSnapshot {
     const { shard, clock, settings, options, lease, loadShedder } = this.context;
     return {
       now: clock.now(),
@@ -42,7 +42,9 @@
       options,
       heartbeatTimeout: settings.workers.heartbeatInterval * options.silentReports,
       firstFencingToken: firstFencingToken(lease),
-      maxPreemptionSearches: loadShedder.atLeast("lean") ? MAX_PREEMPTION_SEARCHES_UNDER_LOAD : MAX_PREEMPTION_SEARCHES,
+      maxPreemptionSearches: loadShedder.atLeast("reduced")
+        ? MAX_PREEMPTION_SEARCHES_UNDER_LOAD
+        : MAX_PREEMPTION_SEARCHES,
       recordBudget: records,
       guaranteesOvercommitted: this.roundState.guaranteesOvercommitted,
       inspection: this.inspection,
@@ -61,17 +63,17 @@
    * jobs wait in the same queues, and must not keep all starts out.
    */
   private recordBudget(): SchedulerSnapshot["recordBudget"] {
-    const waiting = { prompt: 0, work: 0 };
+    const waiting = { urgent: 0, normal: 0 };
     for (const job of this.context.shard.jobs.values()) {
       if (job.cancelled || job.outcomePending) continue;
       const lane = writePriorityOf(job, this.context.settings);
       for (const { placementPendingSince } of job.ranges) if (placementPendingSince !== null) waiting[lane] += 1;
     }
     const ahead = this.context.transactions.writesPerSecond * this.recordsAheadS();
-    const left = { prompt: ahead - waiting.prompt, work: ahead - waiting.prompt - waiting.work };
+    const left = { urgent: ahead - waiting.urgent, normal: ahead - waiting.urgent - waiting.normal };
     return {
-      prompt: Math.floor(left.prompt),
-      work: Math.floor(Math.max(left.work, ahead * NON_URGENT_SHARE - waiting.work)),
+      urgent: Math.floor(left.urgent),
+      normal: Math.floor(Math.max(left.normal, ahead * NON_URGENT_SHARE - waiting.normal)),
     };
   }
 
--- a/src/coordination/scheduling/start-deadline.ts
+++ b/src/coordination/scheduling/start-deadline.ts
@@ -46,4 +46,4 @@
 export const writePriorityOf = (
   job: Pick<Job, "spec" | "withinGuarantee" | "effectiveRank">,
   settings: Pick<Settings, "objectives" | "teams">,
-): "prompt" | "work" => (isUrgent(job, settings) ? "prompt" : "work");
+): "urgent" | "normal" => (isUrgent(job, settings) ? "urgent" : "normal");
--- a/src/coordination/workers/command-dispatcher.ts
+++ b/src/coordination/workers/command-dispatcher.ts
@@ -75,7 +75,7 @@
   hasUrgentCommands(machine: Machine): boolean {
     if (machine.unexpectedTasks.size > 0) return true;
     for (const task of machine.tasks) {
-      if (task.startCommand.kind === "none" || task.startCommand.kind === "unsure") return true;
+      if (task.startCommand.kind === "none" || task.startCommand.kind === "uncertain") return true;
       if ((task.stopRequest !== null || task.job.cancelled) && isActive(task)) return true;
     }
     return false;
@@ -99,7 +99,7 @@
     const starts: Task[] = [];
     if (!this.context.mayStartTasks(machine)) return starts;
     for (const task of machine.tasks) {
-      const open = task.startCommand.kind === "none" || (task.startCommand.kind === "unsure" && task.state === null);
+      const open = task.startCommand.kind === "none" || (task.startCommand.kind === "uncertain" && task.state === null);
       if (open && isPlacementRecorded(task) && !task.job.cancelled && task.stopRequest === null) starts.push(task);
     }
     return starts.slice(0, MAX_COMMANDS);
@@ -137,11 +137,11 @@
     this.updateReachability(machine, outcome, askedAt);
     const still = starts.filter((task) => task.machine === machine && task.startCommand.kind === "sending");
     if (outcome.kind === "answer" && (outcome.status === 200 || outcome.status === 409)) {
-      for (const task of still) task.startCommand = outcome.status === 200 ? { kind: "seen" } : launchBefore(task);
+      for (const task of still) task.startCommand = outcome.status === 200 ? { kind: "observed" } : launchBefore(task);
       try {
         const heartbeat = decodeHeartbeat(parseJson(outcome.body));
         if (heartbeat.machine !== machine.name) throw new Error("another machine's report");
-        this.heartbeats.process(machine, heartbeat, { kind: "answer", askedAt });
+        this.heartbeats.process(machine, heartbeat, { kind: "status-reply", askedAt });
       } catch (error) {
         log.error("malformed answer of a worker", { machine: machine.name, error: String(error) });
         this.startsLost(machine, token, still);
@@ -170,7 +170,7 @@
     try {
       const heartbeat = decodeHeartbeat(parseJson(outcome.body));
       if (heartbeat.machine !== machine.name) return;
-      this.heartbeats.process(machine, heartbeat, { kind: "answer", askedAt });
+      this.heartbeats.process(machine, heartbeat, { kind: "status-reply", askedAt });
       if (machine.highestToken < firstFencingToken(lease)) await this.send(machine, true);
     } catch (error) {
       log.error("malformed answer of a worker", { machine: machine.name, error: String(error) });
@@ -184,7 +184,7 @@
       recordResponse(machine.reachability, clock.now());
       return;
     }
-    if (machine.state !== "up" || clock.now() - askedAt < IMMEDIATE_FAILURE || loadShedder.atLeast("lean")) return;
+    if (machine.state !== "up" || clock.now() - askedAt < IMMEDIATE_FAILURE || loadShedder.atLeast("reduced")) return;
     recordTimeout(machine.reachability);
   }
 
@@ -195,17 +195,17 @@
   private startsLost(machine: Machine, token: number, starts: readonly Task[]): void {
     // Stops name an attempt that has been seen: late or twice, they do no harm.
     if (starts.length === 0) return;
-    for (const task of starts) task.startCommand = { kind: "unsure", token };
+    for (const task of starts) task.startCommand = { kind: "uncertain", token };
     machine.fencingSequence += 1;
   }
 
   /** Stops tasks that cannot end well where they are. */
   evict(machine: Machine): void {
     for (const action of decideEvictions(machine, this.context.clock.now())) {
-      if (action.kind === "gone") this.heartbeats.taskGone(action.task);
+      if (action.kind === "release") this.heartbeats.taskGone(action.task);
       else action.task.stopRequest = { graceS: action.graceS };
     }
-    const leaving = machine.reclaimAt !== null || machine.drainReason === "returning";
+    const leaving = machine.reclaimAt !== null || machine.drainReason === "scale-in";
     if (leaving && this.repeatableCommands(machine).length > 0) this.context.scheduleCommands(machine);
   }
 }
--- a/src/coordination/workers/concurrency-pools.ts
+++ b/src/coordination/workers/concurrency-pools.ts
@@ -1,6 +1,6 @@
 import type { Clock, Micros } from "../../transport/clock.js";
 
-export type PoolName = "quick" | "slow";
+export type PoolName = "responsive" | "silent";
 
 /**
  * Runs one piece of work for each of many items, so many at once. An item that is added again while it waits is run
@@ -8,8 +8,8 @@
  * took all connections that the process may have; and items that are known to be slow get lanes of their own.
  */
 export class ConcurrencyPools<Item> {
-  private readonly waiting: Readonly<Record<PoolName, Set<Item>>> = { quick: new Set(), slow: new Set() };
-  private readonly running: Record<PoolName, number> = { quick: 0, slow: 0 };
+  private readonly waiting: Readonly<Record<PoolName, Set<Item>>> = { responsive: new Set(), silent: new Set() };
+  private readonly running: Record<PoolName, number> = { responsive: 0, silent: 0 };
   private startScheduled = false;
 
   constructor(
@@ -21,15 +21,15 @@
 
   add(item: Item): void {
     const lane = this.poolOf(item);
-    this.waiting[lane === "quick" ? "slow" : "quick"].delete(item);
+    this.waiting[lane === "responsive" ? "silent" : "responsive"].delete(item);
     this.waiting[lane].add(item);
     if (this.startScheduled) return;
     // A moment later, so that what one event causes is said together.
     this.startScheduled = true;
     this.clock.after(0 as Micros, () => {
       this.startScheduled = false;
-      this.startWaiting("quick");
-      this.startWaiting("slow");
+      this.startWaiting("responsive");
+      this.startWaiting("silent");
     });
   }
 
--- a/src/coordination/workers/graceful-eviction.ts
+++ b/src/coordination/workers/graceful-eviction.ts
@@ -7,7 +7,7 @@
 
 export type EvictionAction =
   /** No start of it has left or can arrive: it need not be stopped. */
-  | { readonly kind: "gone"; readonly task: Task }
+  | { readonly kind: "release"; readonly task: Task }
   | { readonly kind: "stop"; readonly task: Task; readonly graceS: number };
 
 /** What is to leave a machine that is to be empty: tasks that will not end by themselves in time. */
@@ -15,14 +15,14 @@
   const notice = machine.reclaimAt;
   for (const task of [...machine.tasks]) {
     // Told to stop before it was ever started.
-    if (task.stopRequest !== null && task.startCommand.kind === "none") yield { kind: "gone", task };
+    if (task.stopRequest !== null && task.startCommand.kind === "none") yield { kind: "release", task };
   }
   // A faulty machine fails what it starts; what runs there already is left alone.
-  if (notice === null && machine.drainReason !== "returning") return;
+  if (notice === null && machine.drainReason !== "scale-in") return;
   for (const task of [...machine.tasks]) {
     if (task.stopRequest !== null) continue;
     if (task.startCommand.kind === "none") {
-      yield { kind: "gone", task };
+      yield { kind: "release", task };
       continue;
     }
     if (!isActive(task)) continue;
--- a/src/coordination/workers/heartbeat-freshness.ts
+++ b/src/coordination/workers/heartbeat-freshness.ts
@@ -22,7 +22,9 @@
 }
 
 /** A report may be a late copy; an answer to a question of our own was written after the question left. */
-export type HeartbeatSource = { readonly kind: "report" } | { readonly kind: "answer"; readonly askedAt: Micros };
+export type HeartbeatSource =
+  | { readonly kind: "heartbeat" }
+  | { readonly kind: "status-reply"; readonly askedAt: Micros };
 
 /**
  * What may follow from a worker's message (docs/evidence.md):
@@ -32,7 +34,14 @@
  * older tokens may still arrive, so that what is missing in its list is not gone. `turned`: timely, and its earlier session
  * is over with all tasks and commands of it. `news`: timely, and only commands under our own tokens can still arrive.
  */
-export type HeartbeatFreshness = "old" | "doubtful" | "unproven" | "anew" | "timely" | "turned" | "news";
+export type HeartbeatFreshness =
+  | "stale"
+  | "suspect"
+  | "unverified"
+  | "counters-reset"
+  | "verified"
+  | "new-incarnation"
+  | "fenced";
 
 /** Sessions first, then ticks: negative where `said` was written before what is known. */
 const compareCounters = (known: WorkerCounters, heartbeat: HeartbeatCounters): number => {
@@ -53,14 +62,15 @@
   const place = compareCounters(known, heartbeat);
   // Neither ticks nor tokens ever go down in one life of a worker.
   if (over || place <= 0 || heartbeat.token < known.highestToken) {
-    if (source.kind === "report") return place === 0 && heartbeat.token === known.highestToken ? "old" : "doubtful";
-    return source.askedAt >= known.countersLearnedAt ? "anew" : "old";
+    if (source.kind === "heartbeat") return place === 0 && heartbeat.token === known.highestToken ? "stale" : "suspect";
+    return source.askedAt >= known.countersLearnedAt ? "counters-reset" : "stale";
   }
   const ours = heartbeat.token >= needed;
-  if (!known.verified && source.kind === "report" && !ours) return "unproven";
+  if (!known.verified && source.kind === "heartbeat" && !ours) return "unverified";
   // Whoever is known to have been in an earlier session in our time has had no command of anybody else's since.
-  if (known.verified && known.incarnation !== null && heartbeat.incarnation > known.incarnation) return "turned";
-  return ours ? "news" : "timely";
+  if (known.verified && known.incarnation !== null && heartbeat.incarnation > known.incarnation)
+    return "new-incarnation";
+  return ours ? "fenced" : "verified";
 };
 
 /**
--- a/src/coordination/workers/heartbeat-processor.ts
+++ b/src/coordination/workers/heartbeat-processor.ts
@@ -39,7 +39,7 @@
 >;
 
 const allStartsObserved = (machine: Machine): boolean => {
-  for (const { startCommand } of machine.tasks) if (startCommand.kind !== "seen") return false;
+  for (const { startCommand } of machine.tasks) if (startCommand.kind !== "observed") return false;
   return true;
 };
 
@@ -68,9 +68,9 @@
     const needed = Math.max(firstFencingToken(lease), machine.counterResetToken);
     const freshness = classifyHeartbeat(machine, heartbeat, source, needed);
     switch (freshness) {
-      case "old":
+      case "stale":
         return freshness;
-      case "doubtful":
+      case "suspect":
         this.suspectCount += 1;
         machine.suspectHeartbeats += 1;
         // One may have been overtaken on its way; a worker that has begun anew goes on like that.
@@ -80,7 +80,7 @@
           this.context.queryStatus(machine);
         }
         return freshness;
-      case "unproven":
+      case "unverified":
         // Whom to ask and in which session; no sign of life.
         this.unverifiedCount += 1;
         machine.address ??= heartbeat.address;
@@ -89,14 +89,14 @@
           machine.address = heartbeat.address;
         }
         return freshness;
-      case "anew":
+      case "counters-reset":
         this.handleCounterReset(machine, heartbeat);
         return freshness;
-      case "turned":
+      case "new-incarnation":
         this.startNewIncarnation(machine, heartbeat);
         break;
-      case "timely":
-      case "news":
+      case "verified":
+      case "fenced":
     }
     // A worker that has had no answer waits for four seconds before it tries elsewhere. What comes sooner has overtaken the
     // answer to a command: taken for a lost one, it cost a question and a token at every other start.
@@ -163,9 +163,9 @@
     const { lease, loadShedder } = this.context;
     const { reachability } = machine;
     // Answered late by ourselves, the worker has gone elsewhere.
-    if (loadShedder.atLeast("lean")) return;
-    if (source.kind === "answer") recordStatusReply(reachability, heartbeat.token, source.askedAt);
-    const ask = source.kind === "answer" ? skipped : recordHeartbeat(reachability, heartbeat.token, skipped);
+    if (loadShedder.atLeast("reduced")) return;
+    if (source.kind === "status-reply") recordStatusReply(reachability, heartbeat.token, source.askedAt);
+    const ask = source.kind === "status-reply" ? skipped : recordHeartbeat(reachability, heartbeat.token, skipped);
     if (ask) reachability.probeToken = fencingTokenOf(lease, machine) + 1;
   }
 
@@ -212,7 +212,7 @@
     const token = fencingTokenOf(lease, machine);
     for (const task of machine.tasks) {
       if (task.startCommand.kind === "none") continue;
-      task.startCommand = { kind: "unsure", token };
+      task.startCommand = { kind: "uncertain", token };
       this.context.shard.setReportedState(task, null);
       task.runningSince = null;
     }
@@ -286,7 +286,7 @@
       const attempt = attemptOf(task.desired);
       const entry = reconcileListed.get(task.name)?.find((candidate) => candidate.attempt === attempt);
       if (entry === undefined) {
-        vanished ||= task.startCommand.kind === "seen";
+        vanished ||= task.startCommand.kind === "observed";
         this.reconcileUnlisted(machine, task, heartbeat.token);
       } else {
         if (entry.state !== "exited") strays.delete(task.name);
@@ -310,7 +310,7 @@
       case "none":
       case "sending":
         return;
-      case "unsure":
+      case "uncertain":
         // Only a worker past the token under which the start was sent can no longer get it.
         if (token <= task.startCommand.token) return;
         task.startCommand = { kind: "none" };
@@ -327,10 +327,10 @@
           this.taskGone(task);
         else if (task.machine !== null) this.context.scheduleCommands(task.machine);
         return;
-      case "seen":
+      case "observed":
         // In one life of a worker no attempt vanishes that it was not told to forget. It has begun anew, and its start may
         // land there once more until a higher token is shown.
-        task.startCommand = { kind: "unsure", token: fencingTokenOf(this.context.lease, machine) };
+        task.startCommand = { kind: "uncertain", token: fencingTokenOf(this.context.lease, machine) };
         this.context.shard.setReportedState(task, null);
         task.runningSince = null;
     }
@@ -338,7 +338,7 @@
 
   private listed(machine: Machine, task: Task, entry: TaskStatus): void {
     const { clock } = this.context;
-    task.startCommand = { kind: "seen" };
+    task.startCommand = { kind: "observed" };
     if (entry.state === "exited") {
       this.taskExited(machine, task, entry.reason ?? "error");
       return;
--- a/src/coordination/workers/status-query-queue.ts
+++ b/src/coordination/workers/status-query-queue.ts
@@ -47,7 +47,7 @@
 
   private startQueries(): void {
     const { loadShedder } = this.dependencies;
-    const most = loadShedder.atLeast("lean") ? MAX_QUERIES_UNDER_LOAD : MAX_QUERIES;
+    const most = loadShedder.atLeast("reduced") ? MAX_QUERIES_UNDER_LOAD : MAX_QUERIES;
     while (!this.dependencies.stopped() && this.queriesInFlight < most) {
       const machine = this.dequeue();
       if (machine === undefined) return;
@@ -73,7 +73,7 @@
    * reports anew by itself within a second.
    */
   announceFencingToken(machine: Machine): void {
-    if (this.announcementsInFlight >= MAX_ANNOUNCEMENTS || this.dependencies.loadShedder.atLeast("lean")) return;
+    if (this.announcementsInFlight >= MAX_ANNOUNCEMENTS || this.dependencies.loadShedder.atLeast("reduced")) return;
     this.announcementsInFlight += 1;
     void this.dependencies.guard(this.dependencies.commands.send(machine, true)).then(() => {
       this.announcementsInFlight -= 1;
--- a/src/coordination/workers/unreachable-zones.ts
+++ b/src/coordination/workers/unreachable-zones.ts
@@ -132,7 +132,7 @@
       value: encodeUnreachableZones(this.buildRecord(desiredZones)),
     };
     transactions
-      .submit(conditions, [write], "cancel")
+      .submit(conditions, [write], "cancellation")
       .then(async (result) => {
         if (result.kind === "ok") {
           this.version = result.version;
--- a/src/graphs/service/door.ts
+++ b/src/graphs/service/door.ts
@@ -146,7 +146,7 @@
     const request = digestOf(canonical({ graph, params, ds }));
     const known = await this.find(id);
     if (known.kind !== "never") return this.repeated(id, known, request);
-    if (loadShedder.atLeast("full")) return comeBack("overloaded", BUSY_S);
+    if (loadShedder.atLeast("saturated")) return comeBack("overloaded", BUSY_S);
     if (transactions.userWriteDelay > MOST_BACKLOG) return comeBack("busy", BUSY_S);
     let runs = 0;
     for (const key of cache.entries.keys()) if (graphOfKey(key) !== null) runs += 1;
@@ -359,7 +359,7 @@
       const result = await transactions.submit(
         new Map([[graphKey(id), found.version]]),
         [{ kind: "put", key: graphKey(id), value: writeHeader(value) }],
-        "cancel",
+        "cancellation",
       );
       if (result.kind === "ok") return answer(200, { ref: id, phase: "withdrawn" });
       if (result.kind !== "conflict") return comeBack("state service unavailable");
--- a/src/graphs/service/job-notes.ts
+++ b/src/graphs/service/job-notes.ts
@@ -95,7 +95,7 @@
       [lease.key, lease.version],
       [entry.key, entry.version],
     ]);
-    const urgency = why === null ? "note" : "cancel";
+    const urgency = why === null ? "deferred" : "cancellation";
     const result = await transactions.submit(
       conditions,
       [{ kind: "put", key: entry.key, value: encodeJobRecord(value) }],
--- a/src/graphs/service/parts.ts
+++ b/src/graphs/service/parts.ts
@@ -139,7 +139,7 @@
       if (mark === undefined) return;
       const still = new Map([[mark.key, mark.version]]);
       for (const key of [...parts, mark.key]) {
-        const result = await transactions.submit(still, [{ kind: "delete", key }], "upkeep");
+        const result = await transactions.submit(still, [{ kind: "delete", key }], "maintenance");
         if (result.kind !== "ok") return;
       }
     } catch (error) {
--- a/src/graphs/service/run-writes.ts
+++ b/src/graphs/service/run-writes.ts
@@ -82,7 +82,7 @@
       const written = await this.context.transactions.submit(
         this.conditions(run).set(endedKey(run.id), 0),
         writes,
-        "work",
+        "normal",
       );
       if (written.kind !== "ok") {
         this.refused(run, written.kind === "conflict" ? written.keys : []);
@@ -111,7 +111,7 @@
     const written = await this.context.transactions.submit(
       this.conditions(run),
       segmentWrites(run.id, segments),
-      "work",
+      "normal",
     );
     if (written.kind === "ok") return true;
     this.refused(run, written.kind === "conflict" ? written.keys : []);
@@ -133,7 +133,7 @@
         ...segmentWrites(run.id, segments),
         { kind: "put", key: graphKey(run.id), value },
       ];
-      const written = await this.context.transactions.submit(this.conditions(run), writes, "work");
+      const written = await this.context.transactions.submit(this.conditions(run), writes, "normal");
       if (written.kind !== "ok") {
         this.refused(run, written.kind === "conflict" ? written.keys : []);
         return;
@@ -159,7 +159,7 @@
     const value = writeHeader(next);
     const write: WriteOperation = { kind: "put", key: graphKey(run.id), value };
     void this.guard(
-      this.context.transactions.submit(this.conditions(run), [write], "cancel").then((written) => {
+      this.context.transactions.submit(this.conditions(run), [write], "cancellation").then((written) => {
         run.writing = false;
         if (written.kind === "ok") this.around.seen(run.id, value, written.version);
         else this.refused(run, written.kind === "conflict" ? written.keys : []);
@@ -181,7 +181,7 @@
     const conditions = this.conditions(run).set(key, cache.entries.get(key)?.version ?? 0);
     const write: WriteOperation = { kind: "put", key, value: counts };
     void this.guard(
-      transactions.submit(conditions, [write], "note").then((written) => {
+      transactions.submit(conditions, [write], "deferred").then((written) => {
         if (written.kind !== "ok") run.summed = NOT_WRITTEN;
       }),
     );
--- a/src/graphs/service/runner.ts
+++ b/src/graphs/service/runner.ts
@@ -413,7 +413,7 @@
     const { settings, lease, loadShedder } = this.context;
     const most = settings.store.transactionWrites * IN_FLIGHT;
     // What users are turned away from, steps are kept from, too; what is ready waits for the next tick.
-    if (!lease.isValid() || loadShedder.atLeast("full")) return;
+    if (!lease.isValid() || loadShedder.atLeast("saturated")) return;
     for (const run of this.ring) {
       if (this.inFlight >= most || this.stopped) return;
       this.ring.delete(run);
--- a/src/graphs/service/uploads.ts
+++ b/src/graphs/service/uploads.ts
@@ -59,7 +59,7 @@
     const reply = await store.list(partPrefix(id));
     if (reply.kind !== "ok") return;
     for (const { key } of reply.value.entries.slice(0, AT_ONCE)) {
-      const result = await transactions.submit(still, [{ kind: "delete", key }], "upkeep");
+      const result = await transactions.submit(still, [{ kind: "delete", key }], "maintenance");
       if (result.kind !== "ok") return;
     }
     if (reply.value.entries.length > AT_ONCE) return;
@@ -70,11 +70,11 @@
       if (ended.kind !== "ok" && ended.kind !== "missing") return;
       for (let at = 0; ended.kind === "missing" && at < chunks; at += 1) {
         const key = planKey(id, plan, at);
-        const result = await transactions.submit(still, [{ kind: "delete", key }], "upkeep");
+        const result = await transactions.submit(still, [{ kind: "delete", key }], "maintenance");
         if (result.kind !== "ok") return;
       }
     }
-    await transactions.submit(still, [{ kind: "delete", key: marker.key }], "upkeep");
+    await transactions.submit(still, [{ kind: "delete", key: marker.key }], "maintenance");
     log.info("upload cleared away", { run: id });
   }
 }
--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -333,7 +333,7 @@
       this.block.machines.set(name, machine);
     }
     const before = machine.reclaimAt;
-    this.observer.process(machine, body.report(), { kind: "report" });
+    this.observer.process(machine, body.report(), { kind: "heartbeat" });
     for (const task of [...body.executor.list()]) {
       if (task.phase === "exited") body.executor.forget(task.shard, task.try);
     }
@@ -366,7 +366,7 @@
         task.stopRequest === null
       ) {
         body.executor.start(task.name, attempt);
-        task.startCommand = { kind: "seen" };
+        task.startCommand = { kind: "observed" };
       } else sent -= 1;
     }
     for (const [task, attempt] of machine.unexpectedTasks) body.executor.stop(task, Number(attempt), 0);
@@ -384,12 +384,12 @@
   private tick(): void {
     this.ticking = false;
     for (const machine of this.leaving) {
-      const leaves = machine.reclaimAt !== null || machine.drainReason === "returning";
+      const leaves = machine.reclaimAt !== null || machine.drainReason === "scale-in";
       const stops = leaves || [...machine.tasks].some(({ stopRequest }) => stopRequest !== null);
       if (!stops || !this.block.machines.has(machine.name)) this.leaving.delete(machine);
       else if (this.acting) {
         for (const action of decideEvictions(machine, this.clock.now())) {
-          if (action.kind === "gone") this.observer.taskGone(action.task);
+          if (action.kind === "release") this.observer.taskGone(action.task);
           else action.task.stopRequest = { graceS: action.graceS };
         }
         if ([...machine.tasks].some(({ stopRequest }) => stopRequest !== null)) this.command(machine);
@@ -415,7 +415,7 @@
   private forget(name: string): void {
     const machine = this.block.machines.get(name);
     if (machine === undefined) return;
-    machine.state = "gone";
+    machine.state = "deleted";
     this.observer.machineLost(machine, "deleted");
     this.block.machines.delete(name);
     this.stirred = true;
@@ -498,7 +498,7 @@
       options: this.setup.options,
       heartbeatTimeout: Number.POSITIVE_INFINITY,
       maxPreemptionSearches: MAX_PREEMPTION_SEARCHES,
-      recordBudget: { prompt: Number.POSITIVE_INFINITY, work: Number.POSITIVE_INFINITY },
+      recordBudget: { urgent: Number.POSITIVE_INFINITY, normal: Number.POSITIVE_INFINITY },
       guaranteesOvercommitted: this.memory.guaranteesOvercommitted,
       firstFencingToken: TOKEN,
       inspection: this.work,
@@ -580,7 +580,7 @@
     this.moveAfter = this.world.now + MOVE_LOOK;
     const machine = chooseMachineToConsolidate(snapshot, this.history);
     if (machine === null) return;
-    machine.drainReason = "returning";
+    machine.drainReason = "scale-in";
     this.moveAfter = this.world.now + MOVE_PERIOD;
     this.attend(machine);
   }
--- a/src/storage/transaction-batcher.ts
+++ b/src/storage/transaction-batcher.ts
@@ -11,16 +11,16 @@
  * first: with thousands of machines there were several times as many of them as writes, and starts waited for seconds.
  * Urgent starts shared one with all others: a swarm of a guest's single tasks kept them waiting for 2.3 s in the mean.
  */
-export const WRITE_PRIORITIES = ["cancel", "user", "prompt", "work", "note", "upkeep"] as const;
+export const WRITE_PRIORITIES = ["cancellation", "user", "urgent", "normal", "deferred", "maintenance"] as const;
 export type WritePriority = (typeof WRITE_PRIORITIES)[number];
 
 const forEachPriority = <T>(make: () => T): Record<WritePriority, T> => ({
-  cancel: make(),
+  cancellation: make(),
   user: make(),
-  prompt: make(),
-  work: make(),
-  note: make(),
-  upkeep: make(),
+  urgent: make(),
+  normal: make(),
+  deferred: make(),
+  maintenance: make(),
 });
 
 /**
@@ -28,10 +28,10 @@
  * Cancellations and users' writes come first anyway.
  */
 const OVERDUE_AFTER: ReadonlyMap<WritePriority, Micros> = new Map([
-  ["prompt", seconds(1)],
-  ["work", seconds(10)],
-  ["note", seconds(30)],
-  ["upkeep", seconds(60)],
+  ["urgent", seconds(1)],
+  ["normal", seconds(10)],
+  ["deferred", seconds(30)],
+  ["maintenance", seconds(60)],
 ]);
 const TURN_ORDER = [...OVERDUE_AFTER.keys()];
 /** One transaction in so many begins with what is overdue. */
@@ -132,28 +132,30 @@
   submit(
     conditions: ReadonlyMap<string, Uint64>,
     writes: readonly WriteOperation[],
-    urgency: WritePriority = "work",
+    urgency: WritePriority = "normal",
   ): Promise<SubmissionResult> {
     const keys = writes.map((write) => write.key);
     return this.submitDeferred(conditions, keys, () => writes, urgency);
   }
 
   /** What was proposed as a note of this key and still waits is now waited for. */
-  promote(key: string, urgency: "prompt" | "work"): void {
-    const at = this.queues.note.findIndex(({ keys }) => keys.includes(key));
+  promote(key: string, urgency: "urgent" | "normal"): void {
+    const at = this.queues.deferred.findIndex(({ keys }) => keys.includes(key));
     if (at < 0) return;
     const since = this.clock.now();
     this.queues[urgency].push(
-      ...this.queues.note.splice(at, 1).map((transaction) => ({ ...transaction, priority: urgency, queuedAt: since })),
+      ...this.queues.deferred
+        .splice(at, 1)
+        .map((transaction) => ({ ...transaction, priority: urgency, queuedAt: since })),
     );
     this.scheduleFlush(ms(2));
   }
 
   /** A note of this key that still waits is not wanted any more: it is answered as refused, and never sent. */
   cancelPending(key: string): void {
-    const at = this.queues.note.findIndex(({ keys }) => keys.includes(key));
+    const at = this.queues.deferred.findIndex(({ keys }) => keys.includes(key));
     if (at < 0) return;
-    for (const { resolve } of this.queues.note.splice(at, 1)) resolve({ kind: "refused" });
+    for (const { resolve } of this.queues.deferred.splice(at, 1)) resolve({ kind: "refused" });
   }
 
   /** Proposals of this urgency that wait. */
@@ -186,7 +188,7 @@
 
   /** Whose turn it is to begin a transaction; null: nothing waits. */
   private nextTransaction(): PendingTransaction | null {
-    const turn = this.queues.cancel.length === 0 && this.batchCount % TURN_INTERVAL === 0;
+    const turn = this.queues.cancellation.length === 0 && this.batchCount % TURN_INTERVAL === 0;
     const overdue = turn ? this.nextOverdue() : null;
     if (overdue !== null) return overdue;
     for (const urgency of WRITE_PRIORITIES) {
@@ -200,7 +202,7 @@
   private nextOverdue(): PendingTransaction | null {
     const now = this.clock.now();
     for (let step = 1; step <= TURN_ORDER.length; step += 1) {
-      const urgency = TURN_ORDER[(this.lastTurn + step) % TURN_ORDER.length] ?? "work";
+      const urgency = TURN_ORDER[(this.lastTurn + step) % TURN_ORDER.length] ?? "normal";
       const transaction = this.queues[urgency][0];
       if (transaction !== undefined && now - transaction.queuedAt > (OVERDUE_AFTER.get(urgency) ?? 0))
         return transaction;
@@ -248,24 +250,24 @@
       bytes: 0,
     };
     const most = Math.min(this.maxWritesPerTransaction, this.budget.available());
-    const { prompt, work, note, upkeep } = this.queues;
-    const others = work.length + note.length + upkeep.length > 0;
+    const { urgent, normal, deferred, maintenance } = this.queues;
+    const others = normal.length + deferred.length + maintenance.length > 0;
     const notReserved = most - this.budget.current * RESERVED_SHARE;
     // Whose turn it is gets one in any case, and no more than that before the others.
     this.fill(batch, beginWith, 0);
-    this.fill(batch, "cancel", most);
-    this.fill(batch, "user", prompt.length > 0 || others ? Math.floor(most * USER_WRITE_SHARE) : most);
-    this.fill(batch, "prompt", others ? Math.floor(most * URGENT_WRITE_SHARE) : most);
-    this.fill(batch, "work", most);
-    this.fill(batch, "note", notReserved);
-    this.fill(batch, "upkeep", notReserved);
+    this.fill(batch, "cancellation", most);
+    this.fill(batch, "user", urgent.length > 0 || others ? Math.floor(most * USER_WRITE_SHARE) : most);
+    this.fill(batch, "urgent", others ? Math.floor(most * URGENT_WRITE_SHARE) : most);
+    this.fill(batch, "normal", most);
+    this.fill(batch, "deferred", notReserved);
+    this.fill(batch, "maintenance", notReserved);
     this.budget.take(batch.writes.length);
     return batch;
   }
 
   /** What nobody waits for leaves part of the saved-up budget to a wave of starts, until it is overdue. */
   private reserveFor({ priority, queuedAt }: PendingTransaction): number {
-    if (priority !== "note" && priority !== "upkeep") return 0;
+    if (priority !== "deferred" && priority !== "maintenance") return 0;
     const overdue = this.clock.now() - queuedAt > (OVERDUE_AFTER.get(priority) ?? 0);
     return overdue ? 0 : this.budget.current * RESERVED_SHARE;
   }
--- a/test/commands.test.ts
+++ b/test/commands.test.ts
@@ -51,7 +51,7 @@
   block.restoreTaskRange(job, 0, 1, { t: records }, 65_535);
   // Four tasks of four CPUs are the limit.
   assert.equal(block.teamUsage("capped").cpu, 24_000);
-  new HeartbeatProcessor(context, recorder).process(machine, report({ sequence: 2 }), { kind: "report" });
+  new HeartbeatProcessor(context, recorder).process(machine, report({ sequence: 2 }), { kind: "heartbeat" });
   assert.equal(block.teamUsage("capped").cpu, 16_000);
   assert.deepEqual([job.placedTasks.size, job.waitingTasks.size], [4, 2]);
 });
@@ -69,7 +69,7 @@
     block.restoreTaskRange(job, 0, 1, first, 65_535);
     block.restoreTaskRange(job, 1, 1, at(east, 2), 65_535);
     const heartbeats = new HeartbeatProcessor(context, recorder);
-    heartbeats.process(east, report({ sequence: 2 }), { kind: "report" });
+    heartbeats.process(east, report({ sequence: 2 }), { kind: "heartbeat" });
     const inEast = [...job.placedTasks].filter(({ machine }) => machine === east).length;
     assert.equal(inEast, "singleZone" in rule ? 0 : 65);
   }
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -42,7 +42,7 @@
     options: DEFAULT_OPTIONS,
     heartbeatTimeout: seconds(5),
     maxPreemptionSearches: 24,
-    recordBudget: { prompt: Number.POSITIVE_INFINITY, work: Number.POSITIVE_INFINITY },
+    recordBudget: { urgent: Number.POSITIVE_INFINITY, normal: Number.POSITIVE_INFINITY },
     guaranteesOvercommitted: false,
     firstFencingToken: TOKEN,
     inspection: { count: 0 },
@@ -61,7 +61,7 @@
   };
   const running = (job: Job): void => {
     for (const task of job.placedTasks)
-      Object.assign(task, { startCommand: { kind: "seen" }, state: "running", runningSince: clock.now() });
+      Object.assign(task, { startCommand: { kind: "observed" }, state: "running", runningSince: clock.now() });
   };
   const [first] = shard.machines.values();
   return { world, clock, block: shard, settings, picture, add, round, running, machine: first as Machine };
@@ -237,7 +237,7 @@
   assert.deepEqual(
     actions.map((action) => [action.kind, action.task.job.spec.id, action.kind === "stop" ? action.graceS : 0]),
     [
-      ["gone", "wk-long", 0],
+      ["release", "wk-long", 0],
       ["stop", "wk-long", 2],
       ["stop", "wk-long", 2],
     ],
--- a/test/evidence.test.ts
+++ b/test/evidence.test.ts
@@ -24,7 +24,7 @@
 import type { HttpOutcome } from "../src/transport/http.js";
 import { makeBlock, placedTask, report } from "./block-fixtures.js";
 
-const REPORT = { kind: "report" } as const;
+const REPORT = { kind: "heartbeat" } as const;
 const TOKEN = 65_536;
 
 const scene = () => {
@@ -50,7 +50,7 @@
   const before = machine.lastHeartbeatAt;
   world.now += 20_000_000;
   // From before the takeover: it was `up`, it was heard, and its notice drained a machine that had none any more.
-  assert.equal(observer.process(machine, report({ token: 7, reclaimNoticeS: 10 }), REPORT), "unproven");
+  assert.equal(observer.process(machine, report({ token: 7, reclaimNoticeS: 10 }), REPORT), "unverified");
   assert.equal(machine.state, "booting");
   assert.equal(machine.lastHeartbeatAt, before);
   assert.equal(machine.reclaimAt, null);
@@ -69,8 +69,8 @@
   unknown(machine);
   observer.process(machine, report({ incarnation: 2, sequence: 5, token: 7 }), REPORT);
   world.now += 19_000_000;
-  const answer = { kind: "answer", askedAt: context.clock.now() } as const;
-  assert.equal(observer.process(machine, report({ incarnation: 2, sequence: 9, token: 7 }), answer), "timely");
+  const answer = { kind: "status-reply", askedAt: context.clock.now() } as const;
+  assert.equal(observer.process(machine, report({ incarnation: 2, sequence: 9, token: 7 }), answer), "verified");
   assert.equal(machine.leaseRenewedAt, context.clock.now());
 });
 
@@ -102,7 +102,7 @@
     { incarnation: 2, sequence: 40 },
   ]) {
     const freshness = observer.process(machine, report(old), REPORT);
-    assert.ok(freshness === "old" || freshness === "doubtful", freshness);
+    assert.ok(freshness === "stale" || freshness === "suspect", freshness);
   }
   assert.deepEqual(
     { ...machine, suspectHeartbeats: 0, suspectedAt: 0 },
@@ -114,7 +114,7 @@
   const { block, machine, observer } = scene();
   observer.process(machine, report({ sequence: 1 }), REPORT);
   const task = placedTask(block, machine);
-  task.startCommand = { kind: "unsure", token: TOKEN };
+  task.startCommand = { kind: "uncertain", token: TOKEN };
   // No answer gets there, so its token never rises; it was waited for for ever.
   for (let sequence = 2; sequence < 5; sequence += 1) observer.process(machine, report({ sequence }), REPORT);
   assert.equal(task.machine, machine);
@@ -126,7 +126,7 @@
   const { block, machine, observer } = scene();
   observer.process(machine, report({ sequence: 1 }), REPORT);
   const task = placedTask(block, machine);
-  task.startCommand = { kind: "unsure", token: TOKEN };
+  task.startCommand = { kind: "uncertain", token: TOKEN };
   machine.reachability.consecutiveTimeouts = 2;
   // Answers to reports get there: the token rises. It was tried again on the same machine, for as long as that lasted.
   observer.process(machine, report({ sequence: 2, token: TOKEN + 1 }), REPORT);
@@ -137,13 +137,13 @@
   const { block, context, machine, asked, shown, observer, world } = scene();
   observer.process(machine, report({ incarnation: 3, sequence: 80 }), REPORT);
   const task = placedTask(block, machine);
-  task.startCommand = { kind: "seen" };
+  task.startCommand = { kind: "observed" };
   // Two reports that look old; they were dropped for ever.
   for (const sequence of [1, 2]) observer.process(machine, report({ incarnation: 1, sequence, token: 0 }), REPORT);
   assert.deepEqual(asked, [machine]);
   world.now += 10;
-  const answer = { kind: "answer", askedAt: context.clock.now() } as const;
-  assert.equal(observer.process(machine, report({ incarnation: 1, sequence: 3, token: 0 }), answer), "anew");
+  const answer = { kind: "status-reply", askedAt: context.clock.now() } as const;
+  assert.equal(observer.process(machine, report({ incarnation: 1, sequence: 3, token: 0 }), answer), "counters-reset");
   assert.deepEqual(shown, [machine]);
   // A start of before may land once more: the session's number is the same, and any token will do.
   assert.equal(task.machine, machine);
@@ -162,12 +162,20 @@
   const askedAt = context.clock.now();
   world.now += 1_000;
   observer.process(machine, report({ sequence: 9 }), REPORT);
-  assert.equal(observer.process(machine, report({ sequence: 8 }), { kind: "answer", askedAt }), "old");
+  assert.equal(observer.process(machine, report({ sequence: 8 }), { kind: "status-reply", askedAt }), "stale");
   assert.equal(machine.heartbeatSequence, 9);
 });
 
 test("no message is believed more when it is older, shows less of our tokens, or is not an answer", () => {
-  const rank = { old: 0, doubtful: 0, unproven: 0, anew: 1, timely: 2, turned: 2, news: 3 } as const;
+  const rank = {
+    stale: 0,
+    suspect: 0,
+    unverified: 0,
+    "counters-reset": 1,
+    verified: 2,
+    "new-incarnation": 2,
+    fenced: 3,
+  } as const;
   const values = [1, 2, 3];
   let weighed = 0;
   for (const session of [null, ...values])
@@ -188,16 +196,22 @@
               verified: timely,
             };
             const asReport = classifyHeartbeat(known, heartbeat, REPORT, 10);
-            const asAnswer = classifyHeartbeat(known, heartbeat, { kind: "answer", askedAt: 100 as Micros }, 10);
-            const asOldAnswer = classifyHeartbeat(known, heartbeat, { kind: "answer", askedAt: 99 as Micros }, 10);
+            const asAnswer = classifyHeartbeat(known, heartbeat, { kind: "status-reply", askedAt: 100 as Micros }, 10);
+            const asOldAnswer = classifyHeartbeat(
+              known,
+              heartbeat,
+              { kind: "status-reply", askedAt: 99 as Micros },
+              10,
+            );
             weighed += 1;
             assert.ok(rank[asAnswer] >= rank[asReport], JSON.stringify({ known, said: heartbeat }));
             assert.ok(rank[asAnswer] >= rank[asOldAnswer]);
-            assert.notEqual(asReport, "anew");
-            assert.notEqual(asOldAnswer, "anew");
-            if (asReport === "news")
+            assert.notEqual(asReport, "counters-reset");
+            assert.notEqual(asOldAnswer, "counters-reset");
+            if (asReport === "fenced")
               assert.ok(heartbeat.token >= 10 && (session === null || heartbeat.incarnation >= session));
-            if (asReport === "turned") assert.ok(timely && session !== null && heartbeat.incarnation > session);
+            if (asReport === "new-incarnation")
+              assert.ok(timely && session !== null && heartbeat.incarnation > session);
           }
   assert.ok(weighed > 1_500);
 });
@@ -347,9 +361,9 @@
   private deliver(said: Heartbeat, answered: boolean): void {
     const overtaken = mayBeOvertaken(this.machine, said);
     const freshness = this.observer.process(this.machine, said, REPORT);
-    if (!answered || (freshness === "doubtful" && !overtaken)) return;
+    if (!answered || (freshness === "suspect" && !overtaken)) return;
     // As the steward answers: commands that may be repeated, and what may be forgotten, under one token.
-    const trusted = this.machine.highestToken >= firstFencingToken(this.context.lease) && freshness !== "unproven";
+    const trusted = this.machine.highestToken >= firstFencingToken(this.context.lease) && freshness !== "unverified";
     const own = trusted
       ? [...this.commander.repeatableCommands(this.machine), ...this.commander.forgetCommands(this.machine)]
       : [];
@@ -414,7 +428,7 @@
         }
         break;
       case "takeover":
-        this.hold({ kind: "unsure", token: firstFencingToken(this.context.lease) + 65_535 });
+        this.hold({ kind: "uncertain", token: firstFencingToken(this.context.lease) + 65_535 });
     }
     if (this.task.machine === null) {
       this.freed = true;
@@ -490,13 +504,13 @@
   }),
   "a start without an answer is called gone by the next report": variant((machine) => {
     for (const task of machine.tasks)
-      if (task.startCommand.kind === "unsure") task.startCommand = { kind: "unsure", token: -1 };
+      if (task.startCommand.kind === "uncertain") task.startCommand = { kind: "uncertain", token: -1 };
     return null;
   }),
   "counters that began anew are believed without a fence": variant((machine) => {
     machine.counterResetToken = 0;
     for (const task of machine.tasks)
-      if (task.startCommand.kind === "unsure") task.startCommand = { kind: "unsure", token: -1 };
+      if (task.startCommand.kind === "uncertain") task.startCommand = { kind: "uncertain", token: -1 };
     return null;
   }),
   "attempts are forgotten below the token that they were started under": variant((machine) => {
--- a/test/loops.test.ts
+++ b/test/loops.test.ts
@@ -21,11 +21,11 @@
   const heartbeats = new HeartbeatProcessor(context, recorder);
   const commands = new CommandDispatcher(context, heartbeats);
   await commands.send(machine);
-  assert.equal(task.startCommand.kind, "unsure");
+  assert.equal(task.startCommand.kind, "uncertain");
   machine.nextCommandAt = 0 as Micros;
   await commands.send(machine);
   // Taken for gone, it was placed elsewhere while the first command could still land here.
-  assert.equal(task.startCommand.kind, "unsure");
+  assert.equal(task.startCommand.kind, "uncertain");
 });
 
 test("a worker that answers before its first report was answered has a whole lease", async () => {
@@ -34,7 +34,7 @@
   assert.ok(machine !== undefined);
   Object.assign(machine, { incarnation: null, state: "booting" });
   await world.run(20_000_000, nothing);
-  new HeartbeatProcessor(context, recorder).process(machine, report(), { kind: "report" });
+  new HeartbeatProcessor(context, recorder).process(machine, report(), { kind: "heartbeat" });
   // From when it was rented, its lease would be taken for over long before the worker ends anything.
   assert.equal(machine.leaseRenewedAt, context.clock.now());
 });
@@ -106,11 +106,11 @@
 test("a cancellation does not wait for the submissions that came before it", async () => {
   const { world, committer } = tightCommitter();
   const done: string[] = [];
-  const write = (key: string, urgency: "cancel" | "user"): void => {
+  const write = (key: string, urgency: "cancellation" | "user"): void => {
     void committer.submit(new Map([[key, 0]]), [{ kind: "put", key, value: {} }], urgency).then(() => done.push(key));
   };
   for (let count = 0; count < 60; count += 1) write(`c/job/wk-${count}`, "user");
-  write("c/job/wk-old", "cancel");
+  write("c/job/wk-old", "cancellation");
   await world.run(500_000, nothing);
   assert.ok(done.includes("c/job/wk-old"));
   assert.ok(done.length < 40, `${done.length} written within the budget`);
@@ -119,17 +119,17 @@
 test("a start does not wait for what has ended, unless both are in one record", async () => {
   const { world, committer } = tightCommitter();
   const done: string[] = [];
-  const write = (key: string, urgency: "note" | "work"): void => {
+  const write = (key: string, urgency: "deferred" | "normal"): void => {
     void committer
       .submitDeferred(new Map([[key, 0]]), [key], () => [{ kind: "put", key, value: {} }], urgency)
       .then(() => done.push(key));
   };
-  for (let count = 0; count < 200; count += 1) write(`c/range/wk-${count}/0`, "note");
+  for (let count = 0; count < 200; count += 1) write(`c/range/wk-${count}/0`, "deferred");
   await world.run(100_000, nothing);
-  write("c/range/wk-new/0", "work");
+  write("c/range/wk-new/0", "normal");
   // The range of a note that still waits is to take a placement: one write carries both, and it is waited for now.
-  committer.promote("c/range/wk-190/0", "work");
-  committer.promote("c/range/wk-none/0", "work");
+  committer.promote("c/range/wk-190/0", "normal");
+  committer.promote("c/range/wk-none/0", "normal");
   await world.run(900_000, nothing);
   assert.ok(done.includes("c/range/wk-new/0"));
   assert.ok(done.includes("c/range/wk-190/0"));
@@ -200,20 +200,20 @@
 test("urgent starts go before a swarm's, and whatever waits too long gets a turn", async () => {
   const { world, committer } = tightCommitter();
   const at = new Map<string, number>();
-  const write = (key: string, urgency: "user" | "prompt" | "work" | "note"): void => {
+  const write = (key: string, urgency: "user" | "urgent" | "normal" | "deferred"): void => {
     void committer
       .submit(new Map([[key, 0]]), [{ kind: "put", key, value: {} }], urgency)
       .then(() => at.set(key, world.now));
   };
-  for (let count = 0; count < 300; count += 1) write(`guest-${count}`, "work");
-  write("note", "note");
+  for (let count = 0; count < 300; count += 1) write(`guest-${count}`, "normal");
+  write("note", "deferred");
   await world.run(1_000_000, nothing);
-  write("urgent", "prompt");
+  write("urgent", "urgent");
   await world.run(2_000_000, nothing);
   // In the order in which they came it took half a minute.
   assert.ok((at.get("urgent") ?? Number.POSITIVE_INFINITY) < 1_500_000);
   // From now on more is urgent than can be written at all.
-  for (let count = 0; count < 3_000; count += 1) write(`house-${count}`, count % 2 === 0 ? "user" : "prompt");
+  for (let count = 0; count < 3_000; count += 1) write(`house-${count}`, count % 2 === 0 ? "user" : "urgent");
   const before = [...at.keys()].filter((key) => key.startsWith("guest")).length;
   await world.run(60_000_000, nothing);
   const after = [...at.keys()].filter((key) => key.startsWith("guest")).length;
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -40,15 +40,15 @@
   assert.equal(overload.level, "normal");
   state.lateUs = 1_500_000;
   await pass(60);
-  assert.equal(overload.level, "full");
-  assert.deepEqual(seen, ["lean", "coarse", "full"]);
-  assert.ok(overload.atLeast("coarse") && overload.atLeast("full"));
+  assert.equal(overload.level, "saturated");
+  assert.deepEqual(seen, ["reduced", "degraded", "saturated"]);
+  assert.ok(overload.atLeast("degraded") && overload.atLeast("saturated"));
   state.lateUs = 0;
   await pass(4);
-  assert.equal(overload.level, "full", "a moment of calm says little");
+  assert.equal(overload.level, "saturated", "a moment of calm says little");
   await pass(30);
   assert.equal(overload.level, "normal");
-  assert.deepEqual(seen, ["lean", "coarse", "full", "coarse", "lean", "normal"]);
+  assert.deepEqual(seen, ["reduced", "degraded", "saturated", "degraded", "reduced", "normal"]);
 });
 
 test("one standstill is no load, and a level does not flap at its bound", async () => {
@@ -58,60 +58,60 @@
   await pass(0.2);
   state.lateUs = 0;
   await pass(40);
-  assert.ok(!seen.includes("coarse"), seen.join());
+  assert.ok(!seen.includes("degraded"), seen.join());
   seen.length = 0;
   for (let at = 0; at < 60; at += 1) {
-    // Around the bound of `lean`, now above and now below it.
+    // Around the bound of `reduced`, now above and now below it.
     state.lateUs = at % 2 === 0 ? 70_000 : 50_000;
     await pass(1);
   }
   assert.ok(seen.length <= 1, seen.join());
-  assert.equal(overload.level, "lean");
+  assert.equal(overload.level, "reduced");
 });
 
 test("memory alone ends what adds to it before the process ends", async () => {
   const { state, overload, pass } = underLoad();
   for (const [memory, level] of [
     [0.79, "normal"],
-    [0.81, "lean"],
-    [0.9, "coarse"],
-    [0.95, "full"],
+    [0.81, "reduced"],
+    [0.9, "degraded"],
+    [0.95, "saturated"],
   ] as const) {
     state.memory = memory;
     await pass(1);
     assert.equal(overload.level, level, String(memory));
   }
-  assert.deepEqual(LOAD_LEVELS, ["normal", "lean", "coarse", "full"]);
+  assert.deepEqual(LOAD_LEVELS, ["normal", "reduced", "degraded", "saturated"]);
 });
 
-test("a thousand things to say take a bounded number of lanes, and slow hosts none of the others'", async () => {
+test("a thousand things to say take a bounded number of pools, and slow hosts none of the others'", async () => {
   const world = new World();
   const clock = new HostClock(world, 1, 0);
-  const running = { quick: 0, slow: 0, mostQuick: 0, mostSlow: 0 };
+  const running = { responsive: 0, silent: 0, mostResponsive: 0, mostSilent: 0 };
   const said = new Map<number, number>();
-  const laneOf = (item: number): "quick" | "slow" => (item % 5 === 0 ? "slow" : "quick");
-  const lanes = new ConcurrencyPools<number>(
+  const poolOf = (item: number): "responsive" | "silent" => (item % 5 === 0 ? "silent" : "responsive");
+  const pools = new ConcurrencyPools<number>(
     clock,
     async (item) => {
-      const lane = laneOf(item);
-      running[lane] += 1;
-      running.mostQuick = Math.max(running.mostQuick, running.quick);
-      running.mostSlow = Math.max(running.mostSlow, running.slow);
-      await new Promise<void>((resolve) => world.after(lane === "slow" ? 1_500_000 : 3_000, resolve));
-      running[lane] -= 1;
+      const pool = poolOf(item);
+      running[pool] += 1;
+      running.mostResponsive = Math.max(running.mostResponsive, running.responsive);
+      running.mostSilent = Math.max(running.mostSilent, running.silent);
+      await new Promise<void>((resolve) => world.after(pool === "silent" ? 1_500_000 : 3_000, resolve));
+      running[pool] -= 1;
       said.set(item, (said.get(item) ?? 0) + 1);
     },
-    laneOf,
-    { quick: 8, slow: 2 },
+    poolOf,
+    { responsive: 8, silent: 2 },
   );
   for (let item = 0; item < 1_000; item += 1) {
-    lanes.add(item);
-    lanes.add(item);
+    pools.add(item);
+    pools.add(item);
   }
   await world.run(500_000, nothing);
   // All that answer have been told, though a fifth of the machines do not.
   assert.equal([...said.keys()].filter((item) => item % 5 !== 0).length, 800);
-  assert.deepEqual([running.mostQuick, running.mostSlow], [8, 2]);
+  assert.deepEqual([running.mostResponsive, running.mostSilent], [8, 2]);
   await world.run(200_000_000, nothing);
   assert.equal(said.size, 1_000);
   assert.ok([...said.values()].every((count) => count === 1));
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -71,7 +71,7 @@
       options: DEFAULT_OPTIONS,
       heartbeatTimeout: seconds(5),
       maxPreemptionSearches: 24,
-      recordBudget: { prompt: Number.POSITIVE_INFINITY, work: Number.POSITIVE_INFINITY },
+      recordBudget: { urgent: Number.POSITIVE_INFINITY, normal: Number.POSITIVE_INFINITY },
       guaranteesOvercommitted: this.memory.guaranteesOvercommitted,
       firstFencingToken: TOKEN,
       inspection: { count: 0 },
@@ -93,7 +93,7 @@
           task.desired = { kind: "waiting", attempt: attemptOf(task.desired) };
           this.block.releaseTask(task);
         } else if (task.runningSince === null) {
-          Object.assign(task, { startCommand: { kind: "seen" }, state: "running", runningSince: this.clock.now() });
+          Object.assign(task, { startCommand: { kind: "observed" }, state: "running", runningSince: this.clock.now() });
         } else if (this.clock.now() - task.runningSince >= runUs(task)) {
           task.desired = { kind: "done" };
           this.block.releaseTask(task);
--- a/test/rights.test.ts
+++ b/test/rights.test.ts
@@ -127,7 +127,7 @@
   if (m.leaseFrom === null || leader === null || !acts(f, leader, m.now) || leader.number < m.token) return m;
   const tokenSeen = m.token >= leader.number;
   const { renew, command } = f.allowedTo({
-    freshness: tokenSeen ? "news" : "unproven",
+    freshness: tokenSeen ? "fenced" : "unverified",
     tokenSeen,
     oneWay: false,
     unverifiedFor: 0 as Micros,
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -69,7 +69,7 @@
           task.desired = { kind: "waiting", attempt: attemptOf(task.desired) };
           this.block.releaseTask(task);
         } else if (task.runningSince === null) {
-          Object.assign(task, { startCommand: { kind: "seen" }, state: "running", runningSince: now });
+          Object.assign(task, { startCommand: { kind: "observed" }, state: "running", runningSince: now });
         } else if (now - task.runningSince >= runUs) this.end(task);
       }
     }
@@ -80,7 +80,7 @@
       options: DEFAULT_OPTIONS,
       heartbeatTimeout: seconds(5),
       maxPreemptionSearches: 24,
-      recordBudget: { prompt: Number.POSITIVE_INFINITY, work: Number.POSITIVE_INFINITY },
+      recordBudget: { urgent: Number.POSITIVE_INFINITY, normal: Number.POSITIVE_INFINITY },
       guaranteesOvercommitted: false,
       firstFencingToken: TOKEN,
       inspection: { count: 0 },
