--- a/src/cluster/shard-state.ts
+++ b/src/cluster/shard-state.ts
@@ -4,8 +4,9 @@
 import type { Team } from "../settings/settings.js";
 import { decodeTaskRange, type TaskRecord, taskRangeBytes } from "../storage/records.js";
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
-import type { Job, Machine, Task, TaskRange } from "./entities.js";
-import { addTaskUsage, newMachine, rememberImage } from "./machine-usage.js";
+import type { Job } from "./job.js";
+import { addTaskUsage, createMachine, type Machine, rememberImage } from "./machine.js";
+import type { Task, TaskRange } from "./task.js";
 
 /**
  * Nothing speaks against it. Not the present time: ranges come into being in the midst of a round, and by the time that
@@ -130,7 +131,7 @@
   machineByName(name: string): Machine {
     const known = this.machines.get(name);
     if (known !== undefined) return known;
-    const machine = newMachine(name, "", null, "", false, this.clock.now());
+    const machine = createMachine({ name, typeName: "", type: null, zone: "", spot: false }, this.clock.now());
     this.machines.set(name, machine);
     return machine;
   }
@@ -150,7 +151,7 @@
     if (machine === null) return;
     machine.tasks.delete(task);
     addTaskUsage(machine, task.job.spec, -1);
-    if (machine.tasks.size === 0) machine.idleSince = this.clock.now();
+    if (machine.tasks.size === 0) machine.load.idleSince = this.clock.now();
     task.machine = null;
     task.startCommand = { kind: "none" };
     this.setReportedState(task, null);
--- /dev/null
+++ b/src/cluster/task.ts
@@ -0,0 +1,70 @@
+/**
+ * Tasks and the ranges in which they are recorded, as the leader of their shard knows them.
+ */
+import type { Uint64 } from "../protocol/json.js";
+import type { TaskState } from "../protocol/worker.js";
+import type { TaskRecord } from "../storage/records.js";
+import type { Micros } from "../transport/clock.js";
+import type { Job } from "./job.js";
+import type { Machine } from "./machine.js";
+
+/**
+ * What is known of a start command.
+ * `none`: none can arrive any more. `sending`: under way. `uncertain`: one sent under at most `token` may yet
+ * arrive. `observed`: the worker has listed the attempt.
+ */
+export type StartCommandState =
+  | { readonly kind: "none" | "sending" | "observed" }
+  | { readonly kind: "uncertain"; readonly token: number };
+
+export interface Task {
+  readonly job: Job;
+  readonly range: TaskRange;
+  readonly index: number;
+  readonly name: string;
+  /** What the state service holds, as far as known. */
+  recorded: TaskRecord;
+  /** What it is to hold; the range's writer works off the difference. */
+  desired: TaskRecord;
+  /** The machine it may be on. Counts against room, quota and zones. */
+  machine: Machine | null;
+  startCommand: StartCommandState;
+  state: TaskState | null;
+  runningSince: Micros | null;
+  stopRequest: { readonly graceS: number } | null;
+  earliestStart: Micros;
+  failureCount: number;
+  waitingSince: Micros;
+  nextPreemptionSearch: Micros;
+}
+
+/** Consecutive tasks of one job whose states stand in one record. */
+export interface TaskRange {
+  readonly job: Job;
+  readonly index: number;
+  readonly tasks: readonly Task[];
+  version: Uint64;
+  writing: boolean;
+  dirty: boolean;
+  /** Since when a placement waits to be on record; null: none does. */
+  placementPendingSince: Micros | null;
+  /** When its next write is to begin, if that is set. */
+  writeDueAt: Micros | null;
+}
+
+export const attemptOf = (record: TaskRecord): number => (record.kind === "done" ? 0 : record.attempt);
+
+export const isSameRecord = (a: TaskRecord, b: TaskRecord): boolean =>
+  a.kind === b.kind &&
+  (a.kind === "done" || b.kind === "done" || a.attempt === b.attempt) &&
+  (a.kind !== "placed" || b.kind !== "placed" || a.machine === b.machine);
+
+/** Durably on its machine, and meant to be: only then may a start command leave. */
+export const isPlacementRecorded = (task: Task): boolean =>
+  task.recorded.kind === "placed" &&
+  task.machine?.name === task.recorded.machine &&
+  isSameRecord(task.recorded, task.desired);
+
+/** Reported on its machine, and not exited there. */
+export const isActive = (task: Task): boolean =>
+  task.machine !== null && task.state !== null && task.state !== "exited";
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,6 +1,5 @@
-import type { Machine } from "../../cluster/entities.js";
 import { eventFieldsOf } from "../../cluster/events.js";
-import { newMachine } from "../../cluster/machine-usage.js";
+import { createMachine, type Machine } from "../../cluster/machine.js";
 import type { ListedMachine } from "../../protocol/cloud.js";
 import type { JobSpec } from "../../protocol/job.js";
 import { type Micros, ms, seconds, sleep } from "../../transport/clock.js";
@@ -120,7 +119,7 @@
     for (const machine of [...shard.machines.values()]) {
       if (names.has(machine.name) || machine.tasks.size > 0) continue;
       // Absence is weak, so it only ends records that nothing depends on and that nobody has heard of for long.
-      const quiet = now - Math.max(machine.lastHeartbeatAt, machine.provisionedAt);
+      const quiet = now - Math.max(machine.reachability.lastHeartbeatAt, machine.lifecycle.provisionedAt);
       if (quiet > settings.workers.lease + 4 * settings.cloud.listLag + seconds(20))
         shard.machines.delete(machine.name);
     }
@@ -133,8 +132,11 @@
     const type = shard.machineTypes().get(listed.type) ?? null;
     let machine = shard.machines.get(listed.name);
     if (machine === undefined) {
-      machine = newMachine(listed.name, listed.type, type, listed.zone, listed.spot, clock.now());
-      machine.provisionedAt = (clock.now() - seconds(listed.ageS)) as Micros;
+      machine = createMachine(
+        { name: listed.name, typeName: listed.type, type, zone: listed.zone, spot: listed.spot },
+        clock.now(),
+      );
+      machine.lifecycle.provisionedAt = (clock.now() - seconds(listed.ageS)) as Micros;
       shard.machines.set(listed.name, machine);
       log.info("machine found", { machine: listed.name, state: listed.state });
     }
@@ -146,7 +148,7 @@
     if (machine.state === "unconfirmed") machine.state = "booting";
     // After a handover this finds the machines at once, long before their workers have found us.
     if (listed.state === "running" && machine.state === "booting") this.context.queryStatus(machine);
-    if (listed.state === "failed" && !machine.deleting) {
+    if (listed.state === "failed" && !machine.lifecycle.deleting) {
       log.info("machine failed", { machine: machine.name });
       this.context.eventListener?.({ kind: "machine failed", ...eventFieldsOf(machine) });
       this.heartbeats.machineLost(machine, "failed");
@@ -156,7 +158,7 @@
 
   /** One call at a time for all that is to go: a call for each few machines left no calls for rentals in a wave. */
   async deleteMachines(machines: readonly Machine[]): Promise<void> {
-    for (const machine of machines) machine.deleting = true;
+    for (const machine of machines) machine.lifecycle.deleting = true;
     this.pendingDeletions.push(...machines);
     if (this.deleting) return;
     this.deleting = true;
@@ -259,8 +261,8 @@
     for (const name of names) {
       const known = shard.machines.get(name);
       if (known !== undefined || shard.deletedMachines.has(name)) continue;
-      const machine = newMachine(name, type.name, type, zone, spot, clock.now());
-      machine.provisionedAt = request.since;
+      const machine = createMachine({ name, typeName: type.name, type, zone, spot }, clock.now());
+      machine.lifecycle.provisionedAt = request.since;
       shard.machines.set(name, machine);
     }
     this.capacityBackoff.recordGrant(request.offer, request.count, names.length, clock.now());
@@ -274,7 +276,7 @@
     this.nextConsolidation = (snapshot.now + CONSOLIDATION_CHECK_INTERVAL) as Micros;
     const machine = chooseMachineToConsolidate(snapshot, this.demandHistory);
     if (machine === null) return;
-    machine.drainReason = "scale-in";
+    machine.lifecycle.drainReason = "scale-in";
     this.nextConsolidation = (snapshot.now + CONSOLIDATION_INTERVAL) as Micros;
     this.context.log.info("machine emptied", { machine: machine.name, tasks: machine.tasks.size });
   }
--- a/src/coordination/autoscaling/consolidation.ts
+++ b/src/coordination/autoscaling/consolidation.ts
@@ -1,4 +1,5 @@
-import type { Job, Machine } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
+import type { Machine } from "../../cluster/machine.js";
 import { type Candidate, listCandidates } from "../scheduling/candidate-index.js";
 import { allows, zoneAllowed, zoneCounts } from "../scheduling/eligibility.js";
 import { fits, subtractResources } from "../scheduling/placement/bfgp.js";
@@ -27,7 +28,7 @@
       ({ machine, free, images }) =>
         fits(spec.demand, free) &&
         images.has(spec.image) &&
-        !machine.recentFailures.has(spec.id) &&
+        !machine.lifecycle.recentFailures.has(spec.id) &&
         allows(spec, machine.typeName, machine.zone, machine.spot) &&
         zoneAllowed(spec, counts, machine.zone),
     );
@@ -60,7 +61,7 @@
       (candidate) =>
         used(candidate) > 0 &&
         used(candidate) <= MAX_TASKS_MOVED &&
-        snapshot.now - candidate.machine.provisionedAt > MIN_CHARGED_TIME,
+        snapshot.now - candidate.machine.lifecycle.provisionedAt > MIN_CHARGED_TIME,
     )
     .filter(({ machine }) =>
       [...machine.tasks].every((task) => task.state === "running" && task.job.spec.shape === "service"),
--- a/src/coordination/autoscaling/scale-plan.ts
+++ b/src/coordination/autoscaling/scale-plan.ts
@@ -1,4 +1,5 @@
-import type { Job, Machine } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
+import type { Machine } from "../../cluster/machine.js";
 import type { MachineType } from "../../protocol/cloud.js";
 import type { JobSpec, Resources } from "../../protocol/job.js";
 import { type Micros, seconds } from "../../transport/clock.js";
@@ -119,15 +120,15 @@
   for (const [machine, type] of readyMachines(snapshot)) {
     const { zone, spot } = machine;
     const used = machine.tasks.size > 0;
-    const free = subtractResources(type.capacity, machine.usedResources);
+    const free = subtractResources(type.capacity, machine.load.used);
     groups[(used ? 0 : 2) + (spot ? 0 : 1)]?.push({ type, zone, spot, machine, free, used, reason: null });
   }
   for (const group of groups) inNameOrder(group);
   const bins: CapacityBin[] = groups.flat();
   for (const machine of snapshot.shard.machines.values()) {
     const { type } = machine;
-    if (type === null || machine.state !== "booting" || machine.deleting) continue;
-    if (snapshot.now - machine.provisionedAt > seconds(type.bootS * LATE_BOOT_FACTOR + 2)) continue;
+    if (type === null || machine.state !== "booting" || machine.lifecycle.deleting) continue;
+    if (snapshot.now - machine.lifecycle.provisionedAt > seconds(type.bootS * LATE_BOOT_FACTOR + 2)) continue;
     const { zone, spot } = machine;
     bins.push({ type, zone, spot, machine, free: type.capacity, used: false, reason: null });
   }
@@ -159,7 +160,8 @@
     if (spec.shape === "service" || spec.estimatedRunS <= 0) continue;
     const estimate = seconds(spec.estimatedRunS);
     for (const { runningSince, machine } of placedTasks) {
-      if (runningSince === null || machine === null || machine.type === null || machine.drainReason !== null) continue;
+      if (runningSince === null || machine === null || machine.type === null || machine.lifecycle.drainReason !== null)
+        continue;
       const left = Math.max(0, runningSince + estimate - now);
       if (left > longest) continue;
       list.push({ left, cpu: spec.demand.cpu, typeName: machine.typeName, zone: machine.zone, spot: machine.spot });
@@ -356,8 +358,8 @@
   for (const { used, machine } of bins) if (used && machine !== null && machine.tasks.size === 0) wanted.add(machine);
   const back: { machine: Machine; reason: ScaleInReason }[] = [];
   for (const machine of shard.machines.values()) {
-    if (machine.deleting || machine.tasks.size > 0) continue;
-    const age = now - machine.provisionedAt;
+    if (machine.lifecycle.deleting || machine.tasks.size > 0) continue;
+    const age = now - machine.lifecycle.provisionedAt;
     if (machine.state === "booting") {
       const boot = seconds((machine.type?.bootS ?? 60) * FAILED_BOOT_FACTOR + 15);
       if (age > boot) back.push({ machine, reason: "boot given up" });
@@ -367,12 +369,12 @@
       if (age > MIN_CHARGED_TIME) back.push({ machine, reason: "boot given up" });
       continue;
     }
-    if (machine.drainReason !== null || machine.type === null) {
+    if (machine.lifecycle.drainReason !== null || machine.type === null) {
       back.push({ machine, reason: machine.type === null ? "unknown type" : "drained" });
       continue;
     }
-    const idle = now - machine.idleSince > seconds(options.idleReturnS) && age > MIN_CHARGED_TIME;
-    if (idle && !wanted.has(machine) && machine.reclaimAt === null) back.push({ machine, reason: "idle" });
+    const idle = now - machine.load.idleSince > seconds(options.idleReturnS) && age > MIN_CHARGED_TIME;
+    if (idle && !wanted.has(machine) && machine.lifecycle.reclaimAt === null) back.push({ machine, reason: "idle" });
   }
   return back;
 };
--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -1,7 +1,9 @@
 import type { DependencyGraph } from "../cluster/dependency-graph.js";
-import type { Job, Machine, Task } from "../cluster/entities.js";
 import type { ClusterEventListener } from "../cluster/events.js";
+import type { Job } from "../cluster/job.js";
+import type { Machine } from "../cluster/machine.js";
 import type { ShardState } from "../cluster/shard-state.js";
+import type { Task } from "../cluster/task.js";
 import type { Uint64 } from "../protocol/json.js";
 import type { ExitReason } from "../protocol/worker.js";
 import type { Options } from "../settings/options.js";
@@ -75,8 +77,9 @@
 
 /** Tokens stay exact as plain numbers; both parts are checked. */
 export const fencingTokenOf = (lease: ShardLease, machine: Machine): number => {
-  if (machine.fencingSequence >= FENCING_SEQUENCES - 1 || lease.epoch >= 2 ** 36) throw new Error("token out of range");
-  return lease.epoch * FENCING_SEQUENCES + machine.fencingSequence;
+  if (machine.fencing.sequence >= FENCING_SEQUENCES - 1 || lease.epoch >= 2 ** 36)
+    throw new Error("token out of range");
+  return lease.epoch * FENCING_SEQUENCES + machine.fencing.sequence;
 };
 
 /** What answers to reports carry: where it is in doubt whether they get there, a token that nothing else shows. */
@@ -85,7 +88,7 @@
 
 /** Some are kept back for starts that get lost before the block is taken under a fresh number. */
 export const hasFencingSequencesLeft = (machine: Machine): boolean =>
-  machine.fencingSequence < FENCING_SEQUENCES - 1_000;
+  machine.fencing.sequence < FENCING_SEQUENCES - 1_000;
 
 export const firstFencingToken = (lease: ShardLease): number => lease.epoch * FENCING_SEQUENCES;
 
--- a/src/coordination/jobs/dependency-tracker.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -1,4 +1,4 @@
-import type { Job } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
 import { priorityRank } from "../../protocol/job.js";
 import { dependencyListKey, type OutcomeRecord } from "../../storage/records.js";
 import { type Micros, seconds } from "../../transport/clock.js";
--- a/src/coordination/jobs/job-watcher.ts
+++ b/src/coordination/jobs/job-watcher.ts
@@ -1,4 +1,4 @@
-import type { Job } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
 import type { Change, Entry } from "../../protocol/key-value-store.js";
 import {
   CURRENT_PREFIX,
--- a/src/coordination/jobs/task-state-writer.ts
+++ b/src/coordination/jobs/task-state-writer.ts
@@ -1,5 +1,5 @@
-import type { Job, TaskRange } from "../../cluster/entities.js";
-import { isPlacementRecorded, isSameRecord } from "../../cluster/task-records.js";
+import type { Job } from "../../cluster/job.js";
+import { isPlacementRecorded, isSameRecord, type TaskRange } from "../../cluster/task.js";
 import type { Uint64 } from "../../protocol/json.js";
 import type { WriteOperation } from "../../protocol/key-value-store.js";
 import {
--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -1,6 +1,6 @@
 import { DependencyGraph } from "../../cluster/dependency-graph.js";
-import type { Job } from "../../cluster/entities.js";
 import type { ClusterEventListener } from "../../cluster/events.js";
+import type { Job } from "../../cluster/job.js";
 import { decodeMachineTypes, type MachineType } from "../../protocol/cloud.js";
 import { formatJson, MalformedMessageError } from "../../protocol/json.js";
 import { type LinkTable, linksAnswer } from "../../protocol/links.js";
--- a/src/coordination/leadership/lease-authority.ts
+++ b/src/coordination/leadership/lease-authority.ts
@@ -1,4 +1,4 @@
-import type { Job } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
 import type { Command, Heartbeat } from "../../protocol/worker.js";
 import type { Micros } from "../../transport/clock.js";
 import type { HeartbeatFreshness } from "../workers/heartbeat-freshness.js";
--- a/src/coordination/leadership/shard-leader.ts
+++ b/src/coordination/leadership/shard-leader.ts
@@ -1,5 +1,5 @@
-import type { Job, Machine } from "../../cluster/entities.js";
-import { newMachine } from "../../cluster/machine-usage.js";
+import type { Job } from "../../cluster/job.js";
+import { createMachine, type Machine } from "../../cluster/machine.js";
 import { ShardState } from "../../cluster/shard-state.js";
 import type { MachineType } from "../../protocol/cloud.js";
 import type { Change } from "../../protocol/key-value-store.js";
@@ -129,7 +129,7 @@
     this.commandPools = new ConcurrencyPools(
       clock,
       (machine) => this.guard(this.stopped ? Promise.resolve() : this.commands.send(machine)),
-      (machine) => (clock.now() - machine.lastHeartbeatAt > late ? "silent" : "responsive"),
+      (machine) => (clock.now() - machine.reachability.lastHeartbeatAt > late ? "silent" : "responsive"),
       { responsive: RESPONSIVE_POOL_SIZE, silent: SILENT_POOL_SIZE },
     );
     this.unreachableZones = new UnreachableZones(services, lease, () => shard.machines.values());
@@ -188,19 +188,19 @@
     if (this.stopped || !this.lease.isValid() || shard.deletedMachines.has(heartbeat.machine)) return null;
     const machine = this.machineOf(heartbeat);
     if (!this.unreachableZones.mayAnswer(machine.zone)) {
-      machine.lastHeartbeatAt = clock.now();
+      machine.reachability.lastHeartbeatAt = clock.now();
       this.unreachableZones.markReachable(machine.zone);
       return null;
     }
-    const overtaken = mayBeOvertaken(machine, heartbeat);
+    const overtaken = mayBeOvertaken(machine.counters, machine.lease.expired, heartbeat);
     const freshness = this.heartbeats.process(machine, heartbeat, FROM_HEARTBEAT);
     if (freshness === "suspect" && !overtaken) return null;
     const permittedReplies = this.allowed(machine, freshness);
     if (!permittedReplies.command) this.statusQueries.announceFencingToken(machine);
     else if (this.commands.hasUrgentCommands(machine)) this.scheduleCommands(machine);
     if (!permittedReplies.renew) return null;
-    machine.leaseRenewedAt = clock.now();
-    machine.leaseExpired = false;
+    machine.lease.renewedAt = clock.now();
+    machine.lease.expired = false;
     const { reachability } = machine;
     if (reachability.probeToken !== null) {
       reachability.probeSentAt = clock.now();
@@ -218,13 +218,13 @@
 
   private allowed(machine: Machine, freshness: HeartbeatFreshness): PermittedReplies {
     const { clock, settings } = this.services;
-    if (freshness !== "unverified") machine.unverifiedSince = null;
-    else machine.unverifiedSince ??= clock.now();
+    if (freshness !== "unverified") machine.counters.unverifiedSince = null;
+    else machine.counters.unverifiedSince ??= clock.now();
     return permittedReplies({
       freshness,
-      tokenSeen: machine.highestToken >= firstFencingToken(this.lease),
+      tokenSeen: machine.counters.highestToken >= firstFencingToken(this.lease),
       oneWay: isOneWay(machine.reachability),
-      unverifiedFor: this.elapsedSince(machine.unverifiedSince ?? clock.now()),
+      unverifiedFor: this.elapsedSince(machine.counters.unverifiedSince ?? clock.now()),
       workerLease: settings.workers.lease,
     });
   }
@@ -254,7 +254,7 @@
 
   /** The list of tasks that the machine's last report gave, where a repetition of it would say nothing new. */
   knownTaskListOf(machine: string): string | null {
-    return this.context.shard.machines.get(machine)?.knownTaskList ?? null;
+    return this.context.shard.machines.get(machine)?.reported.taskListText ?? null;
   }
 
   findJob(id: string): Job | null {
@@ -271,7 +271,10 @@
     const { shard, clock, log } = this.context;
     let machine = shard.machines.get(heartbeat.machine);
     if (machine === undefined) {
-      machine = newMachine(heartbeat.machine, heartbeat.type, null, heartbeat.zone, heartbeat.spot, clock.now());
+      machine = createMachine(
+        { name: heartbeat.machine, typeName: heartbeat.type, type: null, zone: heartbeat.zone, spot: heartbeat.spot },
+        clock.now(),
+      );
       // It may be gone for long: no room until it is heard of otherwise.
       machine.state = "unconfirmed";
       shard.machines.set(heartbeat.machine, machine);
--- a/src/coordination/scheduling/candidate-index.ts
+++ b/src/coordination/scheduling/candidate-index.ts
@@ -1,4 +1,5 @@
-import type { Job, Machine } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
+import type { Machine } from "../../cluster/machine.js";
 import type { MachineType } from "../../protocol/cloud.js";
 import type { Resources } from "../../protocol/job.js";
 import type { Micros } from "../../transport/clock.js";
@@ -21,7 +22,9 @@
   constructor(private readonly machine: Machine) {}
 
   has(image: string): boolean {
-    return this.assigned === image || this.machine.cachedImages.has(image) || this.machine.imagesInUse.has(image);
+    return (
+      this.assigned === image || this.machine.load.cachedImages.has(image) || this.machine.load.imagesInUse.has(image)
+    );
   }
 
   add(image: string): void {
@@ -33,7 +36,7 @@
   name: machine.name,
   order,
   capacity: type.capacity,
-  free: subtractResources(type.capacity, machine.usedResources),
+  free: subtractResources(type.capacity, machine.load.used),
   busy: machine.tasks.size > 0,
   images: new MachineImages(machine),
   fetchGbPerS: type.fetchGbPerS,
@@ -120,8 +123,10 @@
       pools.push(pool);
     }
     pool.total += 1;
-    if (machine.replicaCount > 0) pool.withReplicas += 1;
-    const { usedResources } = machine;
+    if (machine.load.replicas > 0) pool.withReplicas += 1;
+    const {
+      load: { used: usedResources },
+    } = machine;
     const { capacity } = type;
     const room =
       least.cpu <= capacity.cpu - usedResources.cpu &&
@@ -211,9 +216,9 @@
     const pool = pools.get(key) ?? { machines: 0, free: 0, replicas: 0, others: 0 };
     pools.set(key, pool);
     pool.machines += 1;
-    pool.free += (type.capacity.cpu - machine.usedResources.cpu) / 1_000;
-    pool.replicas += machine.replicaCount;
-    pool.others += machine.tasks.size - machine.replicaCount;
+    pool.free += (type.capacity.cpu - machine.load.used.cpu) / 1_000;
+    pool.replicas += machine.load.replicas;
+    pool.others += machine.tasks.size - machine.load.replicas;
   }
   const waiting: Record<string, number> = {};
   for (const job of waitingJobs(snapshot)) {
--- a/src/coordination/scheduling/capacity-reservation.ts
+++ b/src/coordination/scheduling/capacity-reservation.ts
@@ -1,4 +1,6 @@
-import type { Job, Machine, Task } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
+import type { Machine } from "../../cluster/machine.js";
+import type { Task } from "../../cluster/task.js";
 import type { JobSpec, Resources } from "../../protocol/job.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import { allows, zoneAllowed, zoneCounts } from "./eligibility.js";
@@ -69,7 +71,7 @@
 ): { at: Micros; count: number } | null => {
   const { type } = machine;
   if (type === null) return null;
-  let free: Resources = subtractResources(type.capacity, machine.usedResources);
+  let free: Resources = subtractResources(type.capacity, machine.load.used);
   if (!all && countThatFit(spec.demand, free) > 0) return { at: now, count: 1 };
   const ends: { at: Micros; demand: Resources }[] = [];
   for (const task of machine.tasks) {
--- a/src/coordination/scheduling/eligibility.ts
+++ b/src/coordination/scheduling/eligibility.ts
@@ -1,4 +1,5 @@
-import type { Job, Machine } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
+import type { Machine } from "../../cluster/machine.js";
 import type { MachineType } from "../../protocol/cloud.js";
 import type { JobSpec } from "../../protocol/job.js";
 import type { Settings } from "../../settings/settings.js";
@@ -46,14 +47,14 @@
   const { now, heartbeatTimeout, firstFencingToken } = snapshot;
   if (machine.type === null) return "type unknown";
   if (machine.state !== "up") return "booting";
-  if (machine.drainReason !== null || machine.deleting) return "draining";
-  if (machine.reclaimAt !== null) return "notice";
-  if (machine.leaseExpired) return "lease over";
-  if (machine.unexpectedTasks.size > 0) return "strays";
-  if (machine.quarantinedUntil > now) return "avoided";
-  if (now - machine.lastHeartbeatAt > heartbeatTimeout) return "silent";
+  if (machine.lifecycle.drainReason !== null || machine.lifecycle.deleting) return "draining";
+  if (machine.lifecycle.reclaimAt !== null) return "notice";
+  if (machine.lease.expired) return "lease over";
+  if (machine.reported.unexpectedTasks.size > 0) return "strays";
+  if (machine.lifecycle.quarantinedUntil > now) return "avoided";
+  if (now - machine.reachability.lastHeartbeatAt > heartbeatTimeout) return "silent";
   if (!isReachable(machine.reachability)) return "not reached";
-  return machine.highestToken < firstFencingToken || machine.counterResetToken !== 0
+  return machine.counters.highestToken < firstFencingToken || machine.counters.resetToken !== 0
     ? "not heard under our token"
     : null;
 };
--- a/src/coordination/scheduling/guarantee-usage.ts
+++ b/src/coordination/scheduling/guarantee-usage.ts
@@ -1,5 +1,4 @@
-import type { Task } from "../../cluster/entities.js";
-import { attemptOf } from "../../cluster/task-records.js";
+import { attemptOf, type Task } from "../../cluster/task.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 /**
--- a/src/coordination/scheduling/job-order.ts
+++ b/src/coordination/scheduling/job-order.ts
@@ -1,4 +1,4 @@
-import type { Job } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
 import type { Team } from "../../settings/settings.js";
 import { allowedStarts } from "../workers/failure-attribution.js";
 import { relativeSize } from "./placement/bfgp.js";
--- a/src/coordination/scheduling/placement-round.ts
+++ b/src/coordination/scheduling/placement-round.ts
@@ -1,6 +1,7 @@
-import type { Job, Machine, Task } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
+import type { Machine } from "../../cluster/machine.js";
 import type { ShardState } from "../../cluster/shard-state.js";
-import { attemptOf } from "../../cluster/task-records.js";
+import { attemptOf, type Task } from "../../cluster/task.js";
 import { allowedStarts } from "../workers/failure-attribution.js";
 import {
   buildCandidateIndex,
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,5 +1,6 @@
-import type { Job, Machine, Task } from "../../cluster/entities.js";
-import { attemptOf } from "../../cluster/task-records.js";
+import type { Job } from "../../cluster/job.js";
+import type { Machine } from "../../cluster/machine.js";
+import { attemptOf, type Task } from "../../cluster/task.js";
 import type { MachineType } from "../../protocol/cloud.js";
 import type { Resources } from "../../protocol/job.js";
 import { type Micros, seconds } from "../../transport/clock.js";
@@ -220,7 +221,7 @@
     order.push({ task: victim, reason, loss: reason === "moved" ? 0 : preemptionCost(victim, now) });
   }
   order.sort((a, b) => b.task.job.effectiveRank - a.task.job.effectiveRank || a.loss - b.loss);
-  let free = subtractResources(type.capacity, machine.usedResources);
+  let free = subtractResources(type.capacity, machine.load.used);
   let cost = 0;
   const victims: { task: Task; reason: PreemptionReason }[] = [];
   const spared = found.tally();
--- a/src/coordination/scheduling/start-deadline.ts
+++ b/src/coordination/scheduling/start-deadline.ts
@@ -1,4 +1,4 @@
-import type { Job } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
 import type { JobSpec } from "../../protocol/job.js";
 import type { Settings } from "../../settings/settings.js";
 import { type Micros, seconds } from "../../transport/clock.js";
--- a/src/coordination/scheduling/starvation.ts
+++ b/src/coordination/scheduling/starvation.ts
@@ -1,5 +1,5 @@
 import { quantile } from "simple-statistics";
-import type { Job } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
 import type { JobSpec } from "../../protocol/job.js";
 import { seconds } from "../../transport/clock.js";
 import { cpuToStart, hasStarted } from "./capacity-reservation.js";
--- a/src/coordination/scheduling/task-placer.ts
+++ b/src/coordination/scheduling/task-placer.ts
@@ -1,4 +1,4 @@
-import type { Job } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
 import type { Candidate, CandidateIndex } from "./candidate-index.js";
 import { mayBackfill } from "./capacity-reservation.js";
 import { allows, zoneAllowed } from "./eligibility.js";
@@ -44,7 +44,7 @@
   const bound = spec.spread || spec.singleZone;
   const usable = candidateIndex.pools.filter((pool) => allows(spec, pool.typeName, pool.zone, pool.spot));
   const failed = ({ machine }: Candidate): boolean =>
-    machine.recentFailures.has(spec.id) || failedMachines.has(machine.name);
+    machine.lifecycle.recentFailures.has(spec.id) || failedMachines.has(machine.name);
   // Not where it has just failed, if there is anywhere else: a faulty machine is often the fullest one.
   const choosy = usable.some(({ candidates }) => candidates.some((s) => !failed(s) && fits(spec.demand, s.free)));
   const open = (): string =>
@@ -64,7 +64,7 @@
       if (bound && !zoneAllowed(spec, counts, pool.zone)) continue;
       total += narrowing.withReplicas ? pool.withReplicas : pool.total;
       for (const candidate of pool.candidates) {
-        if (narrowing.withReplicas && candidate.machine.replicaCount === 0) continue;
+        if (narrowing.withReplicas && candidate.machine.load.replicas === 0) continue;
         if (!mayBackfill(candidateIndex.reservation, job, candidate.machine, now)) continue;
         if (choosy && failed(candidate)) total -= 1;
         else servers.push(candidate);
@@ -96,7 +96,7 @@
       ranking?.confirmChoice();
       const { machine } = candidate;
       counts.set(machine.zone, Math.floor(counts.get(machine.zone) ?? 0) + 1);
-      if (spec.shape !== "service" || machine.replicaCount !== 1) return;
+      if (spec.shape !== "service" || machine.load.replicas !== 1) return;
       const pool = usable.find(
         ({ typeName, zone, spot }) => typeName === machine.typeName && zone === machine.zone && spot === machine.spot,
       );
--- a/src/coordination/workers/command-dispatcher.ts
+++ b/src/coordination/workers/command-dispatcher.ts
@@ -1,5 +1,5 @@
-import type { Machine, StartCommandState, Task } from "../../cluster/entities.js";
-import { attemptOf, isActive, isPlacementRecorded } from "../../cluster/task-records.js";
+import type { Machine } from "../../cluster/machine.js";
+import { attemptOf, isActive, isPlacementRecorded, type StartCommandState, type Task } from "../../cluster/task.js";
 import { formatJson, parseJson, type Uint64 } from "../../protocol/json.js";
 import { type Command, decodeHeartbeat, encodeCommandRequest } from "../../protocol/worker.js";
 import { type Micros, ms, seconds } from "../../transport/clock.js";
@@ -41,7 +41,7 @@
       if (task.job.cancelled) stop(task.name, attempt, 0);
       else if (task.stopRequest !== null && task.state !== "saving") stop(task.name, attempt, task.stopRequest.graceS);
     }
-    for (const [task, attempt] of machine.unexpectedTasks) stop(task, attempt, 0);
+    for (const [task, attempt] of machine.reported.unexpectedTasks) stop(task, attempt, 0);
     return commands.slice(0, Math.max(MAX_COMMANDS, owed.length));
   }
 
@@ -53,16 +53,16 @@
    */
   forgetCommands(machine: Machine): Command[] {
     const { clock, lease } = this.context;
-    if (machine.exitedTasks.size === 0) return [];
+    if (machine.reported.exitedTasks.size === 0) return [];
     const commands: Command[] = [];
-    for (const [name, attempt] of machine.exitedTasks) {
+    for (const [name, attempt] of machine.reported.exitedTasks) {
       if (this.mayForget(name, attempt)) commands.push({ op: "forget", task: name, attempt });
     }
-    if (commands.length === 0 || machine.startFencingSequence < machine.fencingSequence)
+    if (commands.length === 0 || machine.fencing.startSequence < machine.fencing.sequence)
       return commands.slice(0, MAX_COMMANDS);
-    if (machine.commandInFlight || clock.now() - machine.forgetSentAt < FORGET_INTERVAL) return [];
-    machine.forgetSentAt = clock.now();
-    machine.fencingSequence += 1;
+    if (machine.commands.inFlight || clock.now() - machine.fencing.forgetSentAt < FORGET_INTERVAL) return [];
+    machine.fencing.forgetSentAt = clock.now();
+    machine.fencing.sequence += 1;
     if (!hasFencingSequencesLeft(machine)) {
       this.context.log.info("fences used up, starting over", { machine: machine.name, number: lease.epoch });
       this.context.onInconsistent();
@@ -73,7 +73,7 @@
 
   /** Is there anything that cannot wait for the answer to the next report? */
   hasUrgentCommands(machine: Machine): boolean {
-    if (machine.unexpectedTasks.size > 0) return true;
+    if (machine.reported.unexpectedTasks.size > 0) return true;
     for (const task of machine.tasks) {
       if (task.startCommand.kind === "none" || task.startCommand.kind === "uncertain") return true;
       if ((task.stopRequest !== null || task.job.cancelled) && isActive(task)) return true;
@@ -108,19 +108,24 @@
   /** `probe`: send even without commands, to learn the worker's state under our token. */
   async send(machine: Machine, probe = false): Promise<void> {
     const { clock, lease, http, log } = this.context;
-    const { address, incarnation } = machine;
-    if (address === null || incarnation === null || machine.commandInFlight || !lease.isValid()) return;
-    if (!probe && (machine.state !== "up" || machine.leaseExpired)) return;
-    if (clock.now() < machine.nextCommandAt && !probe) return;
+    const {
+      address,
+      counters: { incarnation },
+    } = machine;
+    if (address === null || incarnation === null || machine.commands.inFlight || !lease.isValid()) return;
+    if (!probe && (machine.state !== "up" || machine.lease.expired)) return;
+    if (clock.now() < machine.commands.nextAt && !probe) return;
     // What was inherited is not started again before the worker has been heard under our token: until then the
     // attempt may have ended and be waiting for its place in the records.
     const trusted =
-      machine.state === "up" && machine.highestToken >= firstFencingToken(lease) && machine.counterResetToken === 0;
+      machine.state === "up" &&
+      machine.counters.highestToken >= firstFencingToken(lease) &&
+      machine.counters.resetToken === 0;
     const starts = trusted ? this.tasksToStart(machine) : [];
     const others = this.repeatableCommands(machine);
     if (starts.length === 0 && !probe && others.length === 0) return;
     const token = fencingTokenOf(lease, machine);
-    if (starts.length > 0) machine.startFencingSequence = machine.fencingSequence;
+    if (starts.length > 0) machine.fencing.startSequence = machine.fencing.sequence;
     const commands: Command[] = [
       ...others,
       ...starts.map((task): Command => ({ op: "start", task: task.name, attempt: attemptOf(task.desired) })),
@@ -129,11 +134,11 @@
     const before = new Map(starts.map((task) => [task, task.startCommand]));
     for (const task of starts) task.startCommand = { kind: "sending" };
     const launchBefore = (task: Task): StartCommandState => before.get(task) ?? { kind: "none" };
-    machine.commandInFlight = true;
+    machine.commands.inFlight = true;
     const body = formatJson(encodeCommandRequest(token, incarnation, commands));
     const askedAt = clock.now();
     const outcome = await http.call(address, { method: "POST", target: "/orders", body }, WORKER_REQUEST_TIMEOUT);
-    machine.commandInFlight = false;
+    machine.commands.inFlight = false;
     this.updateReachability(machine, outcome, askedAt);
     const still = starts.filter((task) => task.machine === machine && task.startCommand.kind === "sending");
     if (outcome.kind === "answer" && (outcome.status === 200 || outcome.status === 409)) {
@@ -146,13 +151,13 @@
         log.error("malformed answer of a worker", { machine: machine.name, error: String(error) });
         this.startsLost(machine, token, still);
       }
-      machine.nextCommandAt = (outcome.status === 200 ? clock.now() : clock.now() + RETRY_DELAY) as Micros;
+      machine.commands.nextAt = (outcome.status === 200 ? clock.now() : clock.now() + RETRY_DELAY) as Micros;
       if (this.tasksToStart(machine).length > 0 || this.repeatableCommands(machine).length > 0) {
         this.context.scheduleCommands(machine);
       }
       return;
     }
-    machine.nextCommandAt = (clock.now() + RETRY_DELAY) as Micros;
+    machine.commands.nextAt = (clock.now() + RETRY_DELAY) as Micros;
     if (outcome.kind === "unsent") for (const task of still) task.startCommand = launchBefore(task);
     else this.startsLost(machine, token, still);
     clock.after(RETRY_DELAY, () => this.context.scheduleCommands(machine));
@@ -171,7 +176,7 @@
       const heartbeat = decodeHeartbeat(parseJson(outcome.body));
       if (heartbeat.machine !== machine.name) return;
       this.heartbeats.process(machine, heartbeat, { kind: "status-reply", askedAt });
-      if (machine.highestToken < firstFencingToken(lease)) await this.send(machine, true);
+      if (machine.counters.highestToken < firstFencingToken(lease)) await this.send(machine, true);
     } catch (error) {
       log.error("malformed answer of a worker", { machine: machine.name, error: String(error) });
     }
@@ -196,7 +201,7 @@
     // Stops name an attempt that has been seen: late or twice, they do no harm.
     if (starts.length === 0) return;
     for (const task of starts) task.startCommand = { kind: "uncertain", token };
-    machine.fencingSequence += 1;
+    machine.fencing.sequence += 1;
   }
 
   /** Stops tasks that cannot end well where they are. */
@@ -205,7 +210,7 @@
       if (action.kind === "release") this.heartbeats.taskGone(action.task);
       else action.task.stopRequest = { graceS: action.graceS };
     }
-    const leaving = machine.reclaimAt !== null || machine.drainReason === "scale-in";
+    const leaving = machine.lifecycle.reclaimAt !== null || machine.lifecycle.drainReason === "scale-in";
     if (leaving && this.repeatableCommands(machine).length > 0) this.context.scheduleCommands(machine);
   }
 }
--- a/src/coordination/workers/failure-attribution.ts
+++ b/src/coordination/workers/failure-attribution.ts
@@ -1,4 +1,6 @@
-import type { Job, Machine, Task } from "../../cluster/entities.js";
+import type { Job } from "../../cluster/job.js";
+import type { Machine } from "../../cluster/machine.js";
+import type { Task } from "../../cluster/task.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 
 /** A task that ran so long has got over its earlier failures. */
@@ -51,20 +53,20 @@
     putOnProbation(job, machines, now);
     return "job";
   }
-  for (const [other, { at }] of machine.recentFailures)
-    if (now - at > FAILURE_RETENTION) machine.recentFailures.delete(other);
-  const known = machine.recentFailures.get(id);
+  for (const [other, { at }] of machine.lifecycle.recentFailures)
+    if (now - at > FAILURE_RETENTION) machine.lifecycle.recentFailures.delete(other);
+  const known = machine.lifecycle.recentFailures.get(id);
   const count = known === undefined ? 1 : known.at === now ? known.count : known.count + 1;
-  machine.recentFailures.set(id, { at: now, count });
-  machine.quarantinedUntil = Math.max(machine.quarantinedUntil, now + QUARANTINE_TIME) as Micros;
-  const soundThere = [...machine.recentFailures.keys()].some((other) => {
+  machine.lifecycle.recentFailures.set(id, { at: now, count });
+  machine.lifecycle.quarantinedUntil = Math.max(machine.lifecycle.quarantinedUntil, now + QUARANTINE_TIME) as Micros;
+  const soundThere = [...machine.lifecycle.recentFailures.keys()].some((other) => {
     const failed = jobs.get(other);
     return (
       failed !== undefined && !failed.onProbation && isStableElsewhere(failed, failed.longestFailedRun, machine, now)
     );
   });
   // A machine full of long-lived replicas may only ever get to see a single new job.
-  const faulty = (machine.recentFailures.size >= 2 && soundThere) || count >= (sound ? 2 : 3);
+  const faulty = (machine.lifecycle.recentFailures.size >= 2 && soundThere) || count >= (sound ? 2 : 3);
   return faulty ? "machine" : "undecided";
 };
 
@@ -79,8 +81,8 @@
   job.onProbation = true;
   for (const name of job.failedMachines) {
     const machine = machines.get(name);
-    if (machine === undefined || !machine.recentFailures.delete(job.spec.id)) continue;
-    if (machine.recentFailures.size === 0) machine.quarantinedUntil = now;
+    if (machine === undefined || !machine.lifecycle.recentFailures.delete(job.spec.id)) continue;
+    if (machine.lifecycle.recentFailures.size === 0) machine.lifecycle.quarantinedUntil = now;
   }
 };
 
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -1,5 +1,5 @@
-import type { Machine } from "../../cluster/entities.js";
 import { eventFieldsOf } from "../../cluster/events.js";
+import type { Machine } from "../../cluster/machine.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import type { Autoscaler } from "../autoscaling/autoscaler.js";
 import type { ShardContext } from "../context.js";
@@ -76,7 +76,7 @@
     return {
       up: up.length,
       heardNotReached: up.filter(({ reachability }) => !isReachable(reachability)).map(({ name }) => name),
-      silent: up.filter(({ lastHeartbeatAt }) => lastHeartbeatAt < late).map(({ name }) => name),
+      silent: up.filter(({ reachability: { lastHeartbeatAt } }) => lastHeartbeatAt < late).map(({ name }) => name),
       zonesCut: [...this.dependencies.autoscaler.unreachableZones],
     };
   }
@@ -100,14 +100,14 @@
     const { clock, settings } = this.dependencies.context;
     const span = Math.ceil(settings.workers.lease * 1.002) + seconds(0.5);
     for (const machine of this.dependencies.context.shard.machines.values()) {
-      if (machine.incarnation === null) {
+      if (machine.counters.incarnation === null) {
         const before = this.dependencies.unreachableZones.lastAnsweredBefore(machine.zone);
-        if (before !== null && before < machine.leaseRenewedAt) machine.leaseRenewedAt = before;
+        if (before !== null && before < machine.lease.renewedAt) machine.lease.renewedAt = before;
       }
-      if (machine.leaseExpired || clock.now() - machine.leaseRenewedAt <= span) continue;
-      machine.leaseExpired = true;
+      if (machine.lease.expired || clock.now() - machine.lease.renewedAt <= span) continue;
+      machine.lease.expired = true;
       // A message of the session that is over must not bring its tasks back into the picture.
-      if (machine.incarnation !== null) machine.expiredIncarnation = machine.incarnation;
+      if (machine.counters.incarnation !== null) machine.counters.expiredIncarnation = machine.counters.incarnation;
       this.dependencies.heartbeats.machineLost(machine, "worker lease over");
     }
   }
@@ -121,10 +121,10 @@
     const limit = settings.workers.heartbeatInterval * options.silentReports;
     // One that is only known from the records, and by now should have been heard of, counts like one fallen silent.
     const up = [...this.dependencies.context.shard.machines.values()].filter(
-      (machine) => (machine.state === "up" || machine.tasks.size > 0) && !machine.deleting,
+      (machine) => (machine.state === "up" || machine.tasks.size > 0) && !machine.lifecycle.deleting,
     );
-    const silent = up.filter((machine) => now - machine.lastHeartbeatAt > limit);
-    const newest = up.reduce((latest, machine) => Math.max(latest, machine.lastHeartbeatAt), 0);
+    const silent = up.filter((machine) => now - machine.reachability.lastHeartbeatAt > limit);
+    const newest = up.reduce((latest, machine) => Math.max(latest, machine.reachability.lastHeartbeatAt), 0);
     const stateHeard = now - (cache.freshAsOf ?? now) <= STORE_SILENCE_LIMIT;
     if (up.length >= 3 && now - newest > limit && stateHeard) {
       // Not one of many: the workers cannot reach this controller, while another may well be reached. Their leases
@@ -138,25 +138,29 @@
     const asked = new Set<string>();
     // Those that are heard and do not answer are asked again and again: by that they are taken back.
     const unsure = up.filter(
-      ({ reachability, lastHeartbeatAt }) => reachability.consecutiveTimeouts > 0 && now - lastHeartbeatAt <= limit,
+      ({ reachability, reachability: { lastHeartbeatAt } }) =>
+        reachability.consecutiveTimeouts > 0 && now - lastHeartbeatAt <= limit,
     );
     for (const machine of unsure) {
       if (probes >= MAX_PROBES) break;
-      if (now - machine.probedAt < (isReachable(machine.reachability) ? PROBE_TIMEOUT : UNREACHABLE_PROBE_INTERVAL))
+      if (
+        now - machine.reachability.probedAt <
+        (isReachable(machine.reachability) ? PROBE_TIMEOUT : UNREACHABLE_PROBE_INTERVAL)
+      )
         continue;
       probes += 1;
-      machine.probedAt = now;
+      machine.reachability.probedAt = now;
       asked.add(machine.zone);
       void this.dependencies.guard(this.dependencies.commands.send(machine, true));
     }
     for (const machine of silent) {
       if (probes >= MAX_PROBES) break;
-      if (machine.probedAt < machine.lastHeartbeatAt) {
+      if (machine.reachability.probedAt < machine.reachability.lastHeartbeatAt) {
         probes += 1;
-        machine.probedAt = now;
+        machine.reachability.probedAt = now;
         asked.add(machine.zone);
         const probe =
-          machine.incarnation === null
+          machine.counters.incarnation === null
             ? this.dependencies.commands.queryStatus(machine)
             : this.dependencies.commands.send(machine, true);
         void this.dependencies.guard(probe);
@@ -165,7 +169,7 @@
     const unanswered = this.queryZones(up, asked);
     // Where nobody at all has been heard since it was asked, the silence may be ours: with six machines one was given up
     // 3.6 s into a cut from all of them, before the cut was noticed.
-    const dead = silent.filter(({ probedAt, lastHeartbeatAt, zone }) => {
+    const dead = silent.filter(({ reachability: { probedAt }, reachability: { lastHeartbeatAt }, zone }) => {
       if (probedAt < lastHeartbeatAt || now - probedAt <= PROBE_TIMEOUT) return false;
       return up.length < MIN_ZONE_MACHINES || (newest > probedAt && !unanswered.has(zone));
     });
@@ -188,7 +192,7 @@
     if (dead.length === 0 || own) return;
     // Replicas in a zone that is cut off run on for as long as their worker's lease; the cut may well be over
     // before, and no proof that they are gone is worth ending them.
-    const lost = dead.filter((machine) => machine.replicaCount === 0 || !zones.has(machine.zone));
+    const lost = dead.filter((machine) => machine.load.replicas === 0 || !zones.has(machine.zone));
     if (lost.length === 0) return;
     log.info("machines silent", { machines: lost.map((machine) => machine.name), cut: [...zones] });
     for (const machine of lost) {
@@ -213,7 +217,7 @@
     for (const machine of up) {
       const known = latest.get(machine.zone) ?? { answeredAt: 0, heard: machine, count: 0 };
       known.answeredAt = Math.max(known.answeredAt, machine.reachability.lastResponseAt);
-      if (machine.lastHeartbeatAt > known.heard.lastHeartbeatAt) known.heard = machine;
+      if (machine.reachability.lastHeartbeatAt > known.heard.reachability.lastHeartbeatAt) known.heard = machine;
       known.count += 1;
       latest.set(machine.zone, known);
     }
@@ -261,7 +265,7 @@
     // Other ways to them may open meanwhile, and reports that come by those show the answers' effect.
     const stands =
       settings.workers.heartbeatInterval * MAX_HEARTBEAT_JITTER + WORKER_HEARTBEAT_TIMEOUT + WORKER_FAILOVER_TIME;
-    const lost = up.filter(({ reachability, unreachableSince, probedAt }) => {
+    const lost = up.filter(({ reachability, reachability: { unreachableSince }, reachability: { probedAt } }) => {
       if (unreachableSince === null || (!isOneWay(reachability) && responsesArrive(reachability))) return false;
       // Where questions are answered that showed it, there is nothing to wait for.
       if (commandsArrive(reachability)) return true;
@@ -278,7 +282,7 @@
     this.recentRemovals = this.recentRemovals.filter((at) => now - at < settings.workers.lease);
     const most = Math.max(2, Math.ceil(up.length * MAX_REMOVAL_SHARE)) - this.recentRemovals.length;
     const chosen = lost
-      .filter((machine) => machine.replicaCount === 0 || !cut.has(machine.zone))
+      .filter((machine) => machine.load.replicas === 0 || !cut.has(machine.zone))
       .sort((a, b) => b.tasks.size - a.tasks.size)
       .slice(0, Math.max(0, most));
     if (chosen.length === 0) return;
@@ -339,7 +343,10 @@
   private silentZones(up: readonly Machine[], limit: number): ReadonlySet<string> {
     const { clock } = this.dependencies.context;
     const zones = new Map<string, { machines: number; newest: Micros }>();
-    for (const { zone, lastHeartbeatAt } of up) {
+    for (const {
+      zone,
+      reachability: { lastHeartbeatAt },
+    } of up) {
       // Known from the records only: in no zone that anything could be concluded of.
       if (zone === "") continue;
       const known = zones.get(zone) ?? { machines: 0, newest: 0 as Micros };
--- a/src/coordination/workers/graceful-eviction.ts
+++ b/src/coordination/workers/graceful-eviction.ts
@@ -1,5 +1,5 @@
-import type { Machine, Task } from "../../cluster/entities.js";
-import { isActive } from "../../cluster/task-records.js";
+import type { Machine } from "../../cluster/machine.js";
+import { isActive, type Task } from "../../cluster/task.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 
 /** Of the time left, so much may be counted on: estimates are often wrong by half. */
@@ -12,13 +12,13 @@
 
 /** What is to leave a machine that is to be empty: tasks that will not end by themselves in time. */
 export function* decideEvictions(machine: Machine, now: Micros): Generator<EvictionAction> {
-  const notice = machine.reclaimAt;
+  const notice = machine.lifecycle.reclaimAt;
   for (const task of [...machine.tasks]) {
     // Told to stop before it was ever started.
     if (task.stopRequest !== null && task.startCommand.kind === "none") yield { kind: "release", task };
   }
   // A faulty machine fails what it starts; what runs there already is left alone.
-  if (notice === null && machine.drainReason !== "scale-in") return;
+  if (notice === null && machine.lifecycle.drainReason !== "scale-in") return;
   for (const task of [...machine.tasks]) {
     if (task.stopRequest !== null) continue;
     if (task.startCommand.kind === "none") {
--- a/src/coordination/workers/heartbeat-freshness.ts
+++ b/src/coordination/workers/heartbeat-freshness.ts
@@ -1,19 +1,11 @@
+import type { WorkerCounters } from "../../cluster/machine.js";
 import type { Uint64 } from "../../protocol/json.js";
 import type { Micros } from "../../transport/clock.js";
 
-/** What is known of a worker, by its own counters. */
-export interface WorkerCounters {
-  readonly incarnation: Uint64 | null;
-  readonly heartbeatSequence: Uint64;
-  /** Highest token that it has shown. */
-  readonly highestToken: Uint64;
-  /** Its lease in this session is surely over. */
-  readonly expiredIncarnation: Uint64 | null;
-  /** When this was learnt. */
-  readonly countersLearnedAt: Micros;
-  /** What is known was surely written since this holder began. */
-  readonly verified: boolean;
-}
+/** What is known of a worker by its own counters, as far as the freshness of a heartbeat depends on it. */
+export type KnownCounters = Readonly<
+  Pick<WorkerCounters, "incarnation" | "sequence" | "highestToken" | "expiredIncarnation" | "learnedAt" | "verified">
+>;
 
 export interface HeartbeatCounters {
   readonly incarnation: Uint64;
@@ -28,11 +20,11 @@
 
 /**
  * What may follow from a worker's message (docs/evidence.md):
- * `old`: nothing. `doubtful`: nothing, but a worker whose counters have begun anew looks the same, so it is worth a
- * question. `unproven`: nothing but whom to ask, since it may be from before our time. `anew`: the counters have begun
- * anew; commands of before may still arrive. `timely`: written in our time, so alive and in this session; commands under
- * older tokens may still arrive, so that what is missing in its list is not gone. `turned`: timely, and its earlier session
- * is over with all tasks and commands of it. `news`: timely, and only commands under our own tokens can still arrive.
+ * `stale`: nothing. `suspect`: nothing, but a worker whose counters have begun anew looks the same, so it is worth a
+ * question. `unverified`: nothing but whom to ask, since it may be from before our time. `counters-reset`: the counters have begun
+ * anew; commands of before may still arrive. `verified`: written in our time, so alive and in this session; commands under
+ * older tokens may still arrive, so that what is missing in its list is not gone. `new-incarnation`: verified, and its earlier session
+ * is over with all tasks and commands of it. `fenced`: verified, and only commands under our own tokens can still arrive.
  */
 export type HeartbeatFreshness =
   | "stale"
@@ -44,16 +36,16 @@
   | "fenced";
 
 /** Sessions first, then ticks: negative where `said` was written before what is known. */
-const compareCounters = (known: WorkerCounters, heartbeat: HeartbeatCounters): number => {
+const compareCounters = (known: KnownCounters, heartbeat: HeartbeatCounters): number => {
   if (known.incarnation === null) return 1;
   if (heartbeat.incarnation !== known.incarnation) return heartbeat.incarnation < known.incarnation ? -1 : 1;
-  if (heartbeat.sequence === known.heartbeatSequence) return 0;
-  return heartbeat.sequence < known.heartbeatSequence ? -1 : 1;
+  if (heartbeat.sequence === known.sequence) return 0;
+  return heartbeat.sequence < known.sequence ? -1 : 1;
 };
 
 /** `needed`: the least token that only this holder can have given, since the worker's counters last began. */
 export const classifyHeartbeat = (
-  known: WorkerCounters,
+  known: KnownCounters,
   heartbeat: HeartbeatCounters,
   source: HeartbeatSource,
   needed: Uint64,
@@ -63,7 +55,7 @@
   // Neither ticks nor tokens ever go down in one life of a worker.
   if (over || place <= 0 || heartbeat.token < known.highestToken) {
     if (source.kind === "heartbeat") return place === 0 && heartbeat.token === known.highestToken ? "stale" : "suspect";
-    return source.askedAt >= known.countersLearnedAt ? "counters-reset" : "stale";
+    return source.askedAt >= known.learnedAt ? "counters-reset" : "stale";
   }
   const ours = heartbeat.token >= needed;
   if (!known.verified && source.kind === "heartbeat" && !ours) return "unverified";
@@ -78,8 +70,5 @@
  * lower token: shown ours, a worker that has begun anew would look like the one before, with the commands to that still
  * about.
  */
-export const mayBeOvertaken = (
-  known: WorkerCounters & { readonly leaseExpired: boolean },
-  heartbeat: HeartbeatCounters,
-): boolean =>
-  !known.leaseExpired && heartbeat.incarnation === known.incarnation && heartbeat.token >= known.highestToken;
+export const mayBeOvertaken = (known: KnownCounters, leaseExpired: boolean, heartbeat: HeartbeatCounters): boolean =>
+  !leaseExpired && heartbeat.incarnation === known.incarnation && heartbeat.token >= known.highestToken;
--- a/src/coordination/workers/heartbeat-processor.ts
+++ b/src/coordination/workers/heartbeat-processor.ts
@@ -1,6 +1,6 @@
-import type { Machine, Task } from "../../cluster/entities.js";
 import { eventFieldsOf } from "../../cluster/events.js";
-import { attemptOf } from "../../cluster/task-records.js";
+import type { Machine } from "../../cluster/machine.js";
+import { attemptOf, type Task } from "../../cluster/task.js";
 import type { Uint64 } from "../../protocol/json.js";
 import type { ExitReason, Heartbeat, TaskStatus } from "../../protocol/worker.js";
 import { type Micros, seconds } from "../../transport/clock.js";
@@ -65,18 +65,18 @@
   /** Nothing is concluded beyond what the message is evidence of (coordination/workers/heartbeat-freshness.ts). */
   process(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource): HeartbeatFreshness {
     const { clock, lease, log } = this.context;
-    const needed = Math.max(firstFencingToken(lease), machine.counterResetToken);
-    const freshness = classifyHeartbeat(machine, heartbeat, source, needed);
+    const needed = Math.max(firstFencingToken(lease), machine.counters.resetToken);
+    const freshness = classifyHeartbeat(machine.counters, heartbeat, source, needed);
     switch (freshness) {
       case "stale":
         return freshness;
       case "suspect":
         this.suspectCount += 1;
-        machine.suspectHeartbeats += 1;
+        machine.counters.suspectHeartbeats += 1;
         // One may have been overtaken on its way; a worker that has begun anew goes on like that.
-        if (machine.suspectHeartbeats >= MAX_SUSPECT_HEARTBEATS) {
-          machine.suspectHeartbeats = 0;
-          machine.suspectedAt = clock.now();
+        if (machine.counters.suspectHeartbeats >= MAX_SUSPECT_HEARTBEATS) {
+          machine.counters.suspectHeartbeats = 0;
+          machine.counters.suspectedAt = clock.now();
           this.context.queryStatus(machine);
         }
         return freshness;
@@ -84,8 +84,8 @@
         // Whom to ask and in which session; no sign of life.
         this.unverifiedCount += 1;
         machine.address ??= heartbeat.address;
-        if (machine.incarnation === null || heartbeat.incarnation >= machine.incarnation) {
-          if (machine.counterResetToken === 0) this.updateCounters(machine, heartbeat);
+        if (machine.counters.incarnation === null || heartbeat.incarnation >= machine.counters.incarnation) {
+          if (machine.counters.resetToken === 0) this.updateCounters(machine, heartbeat);
           machine.address = heartbeat.address;
         }
         return freshness;
@@ -101,34 +101,34 @@
     // A worker that has had no answer waits for four seconds before it tries elsewhere. What comes sooner has overtaken the
     // answer to a command: taken for a lost one, it cost a question and a token at every other start.
     const skipped =
-      machine.verified &&
-      !machine.commandInFlight &&
-      clock.now() - machine.countersLearnedAt > WORKER_FAILOVER_DELAY &&
-      heartbeat.incarnation === machine.incarnation &&
-      Number(heartbeat.sequence) > Number(machine.heartbeatSequence) + 1;
-    const fresh = !machine.verified || heartbeat.incarnation !== machine.incarnation;
-    machine.verified = true;
-    machine.suspectHeartbeats = 0;
+      machine.counters.verified &&
+      !machine.commands.inFlight &&
+      clock.now() - machine.counters.learnedAt > WORKER_FAILOVER_DELAY &&
+      heartbeat.incarnation === machine.counters.incarnation &&
+      Number(heartbeat.sequence) > Number(machine.counters.sequence) + 1;
+    const fresh = !machine.counters.verified || heartbeat.incarnation !== machine.counters.incarnation;
+    machine.counters.verified = true;
+    machine.counters.suspectHeartbeats = 0;
     // A session begins with a whole lease, and may have begun just now: counted from when the machine was rented
     // or found, or from an answer that never got there, the leases of workers seemed over while they ran tasks.
-    if (fresh) machine.leaseRenewedAt = clock.now();
-    if (heartbeat.incarnation !== machine.incarnation || heartbeat.token !== machine.highestToken)
-      machine.knownTaskList = null;
+    if (fresh) machine.lease.renewedAt = clock.now();
+    if (heartbeat.incarnation !== machine.counters.incarnation || heartbeat.token !== machine.counters.highestToken)
+      machine.reported.taskListText = null;
     this.updateCounters(machine, heartbeat);
     this.updateReachability(machine, heartbeat, source, skipped);
     machine.address = heartbeat.address;
-    machine.lastHeartbeatAt = clock.now();
+    machine.reachability.lastHeartbeatAt = clock.now();
     this.logReachabilityChange(machine);
     if (machine.state !== "up") {
       machine.state = "up";
-      machine.idleSince = clock.now();
+      machine.load.idleSince = clock.now();
       log.info("machine up", { machine: machine.name, zone: machine.zone, spot: machine.spot });
       this.context.eventListener?.({ kind: "machine up", ...eventFieldsOf(machine) });
       this.context.scheduleRound();
     }
-    if (heartbeat.reclaimNoticeS === null) machine.reclaimAt = null;
-    else if (machine.reclaimAt === null) {
-      machine.reclaimAt = (clock.now() + seconds(heartbeat.reclaimNoticeS)) as Micros;
+    if (heartbeat.reclaimNoticeS === null) machine.lifecycle.reclaimAt = null;
+    else if (machine.lifecycle.reclaimAt === null) {
+      machine.lifecycle.reclaimAt = (clock.now() + seconds(heartbeat.reclaimNoticeS)) as Micros;
       this.context.log.info("machine notice", { machine: machine.name, leftS: heartbeat.reclaimNoticeS });
       this.context.eventListener?.({
         kind: "machine notice",
@@ -138,24 +138,24 @@
       this.context.scheduleRound();
     }
     if (heartbeat.token < needed) return freshness;
-    machine.counterResetToken = 0;
+    machine.counters.resetToken = 0;
     if (!heartbeat.taskListUnchanged) {
       this.reconcile(machine, heartbeat);
       // Only what the list did itself is known to follow from it: a start not seen yet may still be called lost by it.
-      machine.knownTaskList = allStartsObserved(machine) ? heartbeat.taskListText : null;
+      machine.reported.taskListText = allStartsObserved(machine) ? heartbeat.taskListText : null;
     }
     return freshness;
   }
 
   private updateCounters(machine: Machine, heartbeat: Heartbeat): void {
     const { clock, lease } = this.context;
-    machine.incarnation = heartbeat.incarnation;
-    machine.heartbeatSequence = heartbeat.sequence;
-    machine.highestToken = heartbeat.token;
-    machine.countersLearnedAt = clock.now();
+    machine.counters.incarnation = heartbeat.incarnation;
+    machine.counters.sequence = heartbeat.sequence;
+    machine.counters.highestToken = heartbeat.token;
+    machine.counters.learnedAt = clock.now();
     // Whatever token it shows of ours, commands under a lower one are dropped there.
     const fence = Number(heartbeat.token) - firstFencingToken(lease);
-    if (fence > machine.fencingSequence && fence < FENCING_SEQUENCES) machine.fencingSequence = fence;
+    if (fence > machine.fencing.sequence && fence < FENCING_SEQUENCES) machine.fencing.sequence = fence;
   }
 
   /** What the message tells of answers before it; `skipped`: messages before it went elsewhere or got lost. */
@@ -173,8 +173,8 @@
   private logReachabilityChange(machine: Machine): void {
     const { clock, log } = this.context;
     const reached = isReachable(machine.reachability);
-    if (reached === (machine.unreachableSince === null)) return;
-    machine.unreachableSince = reached ? null : clock.now();
+    if (reached === (machine.reachability.unreachableSince === null)) return;
+    machine.reachability.unreachableSince = reached ? null : clock.now();
     if (reached) {
       log.info("machine reached again", { machine: machine.name });
       this.context.scheduleRound();
@@ -197,8 +197,8 @@
       tasks: begun.length,
     });
     for (const task of begun) this.taskGone(task);
-    machine.unexpectedTasks = new Map();
-    machine.exitedTasks = new Map();
+    machine.reported.unexpectedTasks = new Map();
+    machine.reported.exitedTasks = new Map();
   }
 
   /**
@@ -216,29 +216,29 @@
       this.context.shard.setReportedState(task, null);
       task.runningSince = null;
     }
-    machine.fencingSequence += 1;
-    machine.counterResetToken = fencingTokenOf(lease, machine);
+    machine.fencing.sequence += 1;
+    machine.counters.resetToken = fencingTokenOf(lease, machine);
     Object.assign(machine.reachability, {
       consecutiveTimeouts: 0,
       probeToken: null,
       heartbeatsWithoutProbe: 0,
       probeSentAt: null,
     });
-    machine.expiredIncarnation = null;
-    machine.leaseExpired = false;
-    machine.leaseRenewedAt = clock.now();
-    machine.verified = false;
-    machine.suspectHeartbeats = 0;
-    machine.knownTaskList = null;
-    machine.unexpectedTasks = new Map();
-    machine.exitedTasks = new Map();
-    machine.cachedImages.clear();
-    machine.incarnation = heartbeat.incarnation;
-    machine.heartbeatSequence = heartbeat.sequence;
-    machine.highestToken = heartbeat.token;
-    machine.countersLearnedAt = clock.now();
+    machine.counters.expiredIncarnation = null;
+    machine.lease.expired = false;
+    machine.lease.renewedAt = clock.now();
+    machine.counters.verified = false;
+    machine.counters.suspectHeartbeats = 0;
+    machine.reported.taskListText = null;
+    machine.reported.unexpectedTasks = new Map();
+    machine.reported.exitedTasks = new Map();
+    machine.load.cachedImages.clear();
+    machine.counters.incarnation = heartbeat.incarnation;
+    machine.counters.sequence = heartbeat.sequence;
+    machine.counters.highestToken = heartbeat.token;
+    machine.counters.learnedAt = clock.now();
     machine.address = heartbeat.address;
-    machine.lastHeartbeatAt = clock.now();
+    machine.reachability.lastHeartbeatAt = clock.now();
     this.context.announceFencingToken(machine);
   }
 
@@ -256,9 +256,9 @@
       this.context.log.info("tasks lost", { machine: machine.name, why, tasks: machine.tasks.size });
     }
     for (const task of [...machine.tasks]) this.taskGone(task);
-    machine.knownTaskList = null;
-    machine.unexpectedTasks = new Map();
-    machine.exitedTasks = new Map();
+    machine.reported.taskListText = null;
+    machine.reported.unexpectedTasks = new Map();
+    machine.reported.exitedTasks = new Map();
   }
 
   /** Proved not to be on its machine. */
@@ -293,11 +293,11 @@
         this.listed(machine, task, entry);
       }
     }
-    machine.unexpectedTasks = strays;
-    machine.exitedTasks = exited;
+    machine.reported.unexpectedTasks = strays;
+    machine.reported.exitedTasks = exited;
     if (vanished) {
       this.context.log.info("tasks vanished", { machine: machine.name });
-      machine.fencingSequence += 1;
+      machine.fencing.sequence += 1;
       this.context.announceFencingToken(machine);
     }
     if (strays.size > 0) {
@@ -377,7 +377,8 @@
         exponentialBackoff(task.failureCount - 1, MIN_RETRY_DELAY, MAX_RETRY_DELAY)) as Micros;
       if (reason === "error") this.attributeFailure(machine, task, now);
       // A refusal for room means that our picture of the machine is off until the next report.
-      else machine.quarantinedUntil = Math.max(machine.quarantinedUntil, now + seconds(1)) as Micros;
+      else
+        machine.lifecycle.quarantinedUntil = Math.max(machine.lifecycle.quarantinedUntil, now + seconds(1)) as Micros;
     }
     this.taskGone(task);
   }
@@ -390,9 +391,9 @@
     this.failedStarts += 1;
     const verdict = attributeFailure(task, machine, shard.jobs, shard.machines, now);
     if (verdict === "job" && !before) log.info("job on trial", { job: job.spec.id, machines: [...job.failedMachines] });
-    if (verdict !== "machine" || machine.drainReason !== null) return;
-    machine.drainReason = "faulty";
-    log.info("machine faulty", { machine: machine.name, jobs: [...machine.recentFailures.keys()] });
+    if (verdict !== "machine" || machine.lifecycle.drainReason !== null) return;
+    machine.lifecycle.drainReason = "faulty";
+    log.info("machine faulty", { machine: machine.name, jobs: [...machine.lifecycle.recentFailures.keys()] });
     eventListener?.({ kind: "machine faulty", ...eventFieldsOf(machine) });
   }
 
--- a/src/coordination/workers/reachability.ts
+++ b/src/coordination/workers/reachability.ts
@@ -1,4 +1,4 @@
-import type { Reachability } from "../../cluster/entities.js";
+import type { Reachability } from "../../cluster/machine.js";
 import type { Uint64 } from "../../protocol/json.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 
--- a/src/coordination/workers/status-query-queue.ts
+++ b/src/coordination/workers/status-query-queue.ts
@@ -1,4 +1,4 @@
-import type { Machine } from "../../cluster/entities.js";
+import type { Machine } from "../../cluster/machine.js";
 import { firstFencingToken, type Services, type ShardLease } from "../context.js";
 import type { CommandDispatcher } from "./command-dispatcher.js";
 
@@ -31,7 +31,7 @@
     // Those that may have work on them first: what they ran is either still there or to be placed anew.
     const [withReplicas, withWork, others] = this.queues;
     for (const queue of this.queues) queue.delete(machine);
-    (machine.replicaCount > 0 ? withReplicas : machine.tasks.size > 0 ? withWork : others).add(machine);
+    (machine.load.replicas > 0 ? withReplicas : machine.tasks.size > 0 ? withWork : others).add(machine);
     this.startQueries();
   }
 
@@ -53,9 +53,9 @@
       if (machine === undefined) return;
       // Its own report came first, and nothing of it is in doubt.
       if (
-        machine.verified &&
-        machine.highestToken >= firstFencingToken(this.dependencies.lease) &&
-        machine.countersLearnedAt > machine.suspectedAt &&
+        machine.counters.verified &&
+        machine.counters.highestToken >= firstFencingToken(this.dependencies.lease) &&
+        machine.counters.learnedAt > machine.counters.suspectedAt &&
         machine.reachability.probeToken === null
       )
         continue;
--- a/src/coordination/workers/unreachable-zones.ts
+++ b/src/coordination/workers/unreachable-zones.ts
@@ -1,4 +1,4 @@
-import type { Machine } from "../../cluster/entities.js";
+import type { Machine } from "../../cluster/machine.js";
 import type { Uint64 } from "../../protocol/json.js";
 import type { WriteOperation } from "../../protocol/key-value-store.js";
 import {
@@ -163,7 +163,7 @@
       let latest: number = this.inheritedSince.get(zone) ?? this.startedAt;
       // One that has never been heard of runs nothing that was started.
       for (const machine of this.machines()) {
-        if (machine.zone === zone && machine.state === "up") latest = Math.max(latest, machine.leaseRenewedAt);
+        if (machine.zone === zone && machine.state === "up") latest = Math.max(latest, machine.lease.renewedAt);
       }
       const ago = Math.max(0, clock.now() - latest);
       since[zone] = Math.ceil((wallClock?.() ?? 0) - ago / 1_000);
--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -1,8 +1,8 @@
 import { DependencyGraph } from "../cluster/dependency-graph.js";
-import type { Job, Machine, TaskRange } from "../cluster/entities.js";
-import { newMachine } from "../cluster/machine-usage.js";
+import type { Job } from "../cluster/job.js";
+import { createMachine, type Machine } from "../cluster/machine.js";
 import { ShardState } from "../cluster/shard-state.js";
-import { attemptOf, isActive, isPlacementRecorded } from "../cluster/task-records.js";
+import { attemptOf, isActive, isPlacementRecorded, type TaskRange } from "../cluster/task.js";
 import { chooseMachineToConsolidate } from "../coordination/autoscaling/consolidation.js";
 import {
   CapacityBackoff,
@@ -329,15 +329,18 @@
     let machine = this.block.machines.get(name);
     if (machine === undefined) {
       // There from the beginning.
-      machine = newMachine(name, type, this.types.get(type) ?? null, zone, spot, this.clock.now());
+      machine = createMachine(
+        { name, typeName: type, type: this.types.get(type) ?? null, zone, spot },
+        this.clock.now(),
+      );
       this.block.machines.set(name, machine);
     }
-    const before = machine.reclaimAt;
+    const before = machine.lifecycle.reclaimAt;
     this.observer.process(machine, body.report(), { kind: "heartbeat" });
     for (const task of [...body.executor.list()]) {
       if (task.phase === "exited") body.executor.forget(task.shard, task.try);
     }
-    if (machine.reclaimAt !== null && before === null) this.attend(machine);
+    if (machine.lifecycle.reclaimAt !== null && before === null) this.attend(machine);
   }
 
   /** Coalesced: what one round places on a machine travels together. */
@@ -353,7 +356,7 @@
   }
 
   private carryCommands(machine: Machine, body: FastMachine): void {
-    let sent = machine.unexpectedTasks.size;
+    let sent = machine.reported.unexpectedTasks.size;
     for (const task of [...machine.tasks]) {
       const attempt = attemptOf(task.desired);
       const stops = isActive(task) && (task.job.cancelled || (task.stopRequest !== null && task.state !== "saving"));
@@ -369,7 +372,7 @@
         task.startCommand = { kind: "observed" };
       } else sent -= 1;
     }
-    for (const [task, attempt] of machine.unexpectedTasks) body.executor.stop(task, Number(attempt), 0);
+    for (const [task, attempt] of machine.reported.unexpectedTasks) body.executor.stop(task, Number(attempt), 0);
     // The answer is a report.
     if (sent > 0) this.heard(body);
   }
@@ -384,7 +387,7 @@
   private tick(): void {
     this.ticking = false;
     for (const machine of this.leaving) {
-      const leaves = machine.reclaimAt !== null || machine.drainReason === "scale-in";
+      const leaves = machine.lifecycle.reclaimAt !== null || machine.lifecycle.drainReason === "scale-in";
       const stops = leaves || [...machine.tasks].some(({ stopRequest }) => stopRequest !== null);
       if (!stops || !this.block.machines.has(machine.name)) this.leaving.delete(machine);
       else if (this.acting) {
@@ -431,7 +434,7 @@
     if (forUs <= this.silence) return;
     this.world.after(this.silence, () => {
       const machine = this.block.machines.get(name);
-      if (machine !== undefined && !machine.deleting) this.remove([machine]);
+      if (machine !== undefined && !machine.lifecycle.deleting) this.remove([machine]);
     });
   }
 
@@ -462,7 +465,7 @@
   }
 
   private remove(machines: readonly Machine[]): void {
-    for (const machine of machines) machine.deleting = true;
+    for (const machine of machines) machine.lifecycle.deleting = true;
     this.doomed.push(...machines);
     if (!this.removing) this.removePart();
   }
@@ -580,7 +583,7 @@
     this.moveAfter = this.world.now + MOVE_LOOK;
     const machine = chooseMachineToConsolidate(snapshot, this.history);
     if (machine === null) return;
-    machine.drainReason = "scale-in";
+    machine.lifecycle.drainReason = "scale-in";
     this.moveAfter = this.world.now + MOVE_PERIOD;
     this.attend(machine);
   }
@@ -605,8 +608,8 @@
       const known = this.setup.spec.types.find(({ name }) => name === type.name);
       const names = known === undefined ? [] : this.cloud.grant(known, zone, spot, ask.count);
       for (const name of names) {
-        const machine = newMachine(name, type.name, type, zone, spot, this.clock.now());
-        machine.provisionedAt = ask.since;
+        const machine = createMachine({ name, typeName: type.name, type, zone, spot }, this.clock.now());
+        machine.lifecycle.provisionedAt = ask.since;
         this.block.machines.set(name, machine);
       }
       this.refusals.recordGrant(ask.offer, ask.count, names.length, this.clock.now());
--- a/test/block-fixtures.ts
+++ b/test/block-fixtures.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
-import type { Machine, Task } from "../src/cluster/entities.js";
-import { newMachine } from "../src/cluster/machine-usage.js";
+import { createMachine, type Machine } from "../src/cluster/machine.js";
 import { ShardState } from "../src/cluster/shard-state.js";
+import type { Task } from "../src/cluster/task.js";
 import type { ShardContext } from "../src/coordination/context.js";
 import type { TaskStateWriter } from "../src/coordination/jobs/task-state-writer.js";
 import { LoadShedder } from "../src/coordination/overload/load-shedder.js";
@@ -62,8 +62,12 @@
   const shard = new ShardState(clock, 128, settings.teams, () => new Map(TYPES.map((type) => [type.name, type])));
   for (let at = 0; at < machines; at += 1) {
     const zone = at % 2 === 0 ? "east" : "west";
-    const machine = newMachine(`n-${at}`, "big", TYPES[0] ?? null, zone, at % 3 === 0, clock.now());
-    Object.assign(machine, { state: "up", address: "10.1.0.1:9000", incarnation: 1, highestToken: 65_536 });
+    const machine = createMachine(
+      { name: `n-${at}`, typeName: "big", type: TYPES[0] ?? null, zone, spot: at % 3 === 0 },
+      clock.now(),
+    );
+    Object.assign(machine, { state: "up", address: "10.1.0.1:9000" });
+    Object.assign(machine.counters, { incarnation: 1, highestToken: 65_536 });
     shard.machines.set(machine.name, machine);
   }
   const context = {
--- a/test/commands.test.ts
+++ b/test/commands.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Machine } from "../src/cluster/entities.js";
+import type { Machine } from "../src/cluster/machine.js";
 import { CommandDispatcher } from "../src/coordination/workers/command-dispatcher.js";
 import { HeartbeatProcessor } from "../src/coordination/workers/heartbeat-processor.js";
 import { makeBlock, placedTask, report, SPEC } from "./block-fixtures.js";
@@ -15,8 +15,8 @@
 test("an attempt that has ended is forgotten only once its end is on record", () => {
   // Forgotten before, its end would be known to nobody once the holder ends: the next one would start it again.
   const { machine, task, commander } = scene();
-  machine.exitedTasks = new Map([[task.name, 1]]);
-  machine.startFencingSequence = -1;
+  machine.reported.exitedTasks = new Map([[task.name, 1]]);
+  machine.fencing.startSequence = -1;
   task.desired = { kind: "done" };
   assert.deepEqual(commander.forgetCommands(machine), []);
   task.recorded = { kind: "done" };
@@ -31,7 +31,7 @@
   );
   task.state = "running";
   task.job.cancelled = true;
-  machine.unexpectedTasks = new Map([["wk-9/7", 1]]);
+  machine.reported.unexpectedTasks = new Map([["wk-9/7", 1]]);
   const own = { op: "stop", task: task.name, attempt: 1, graceS: 0 } as const;
   assert.deepEqual(commander.repeatableCommands(machine, owed), owed);
   assert.deepEqual(commander.repeatableCommands(machine, [own]), [
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -1,8 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Job, Machine, Task } from "../src/cluster/entities.js";
-import { newMachine } from "../src/cluster/machine-usage.js";
+import type { Job } from "../src/cluster/job.js";
+import { createMachine, type Machine } from "../src/cluster/machine.js";
 import { ShardState } from "../src/cluster/shard-state.js";
+import type { Task } from "../src/cluster/task.js";
 import {
   CapacityBackoff,
   type CloudOffers,
@@ -31,8 +32,12 @@
   const settings = parseSettings(settingsText(0));
   const shard = new ShardState(clock, 128, settings.teams, () => new Map([[TYPE.name, TYPE]]));
   for (let at = 0; at < machines; at += 1) {
-    const machine = newMachine(`n-${at}`, "big", TYPE, "east", false, clock.now());
-    Object.assign(machine, { state: "up", incarnation: 1, highestToken: TOKEN });
+    const machine = createMachine(
+      { name: `n-${at}`, typeName: "big", type: TYPE, zone: "east", spot: false },
+      clock.now(),
+    );
+    machine.state = "up";
+    Object.assign(machine.counters, { incarnation: 1, highestToken: TOKEN });
     shard.machines.set(machine.name, machine);
   }
   const picture = (): SchedulerSnapshot => ({
@@ -137,28 +142,28 @@
     false,
   );
   entitled.world.now += 7_000_000;
-  entitled.machine.lastHeartbeatAt = entitled.clock.now();
+  entitled.machine.reachability.lastHeartbeatAt = entitled.clock.now();
   const guarantee = entitled.round().find((action) => action.kind === "stop");
   assert.ok(guarantee?.kind === "stop" && guarantee.victims[0]?.reason === "guarantee");
 });
 
 test("a machine that takes nothing says why", () => {
-  const cases: [Partial<Machine>, Unready | null][] = [
-    [{}, null],
-    [{ type: null }, "type unknown"],
-    [{ state: "booting" }, "booting"],
-    [{ drainReason: "faulty" }, "draining"],
-    [{ deleting: true }, "draining"],
-    [{ reclaimAt: 1 as Micros }, "notice"],
-    [{ leaseExpired: true }, "lease over"],
-    [{ unexpectedTasks: new Map([["wk-1/0", 1]]) }, "strays"],
-    [{ quarantinedUntil: 2e9 as Micros }, "avoided"],
-    [{ lastHeartbeatAt: 1 as Micros }, "silent"],
-    [{ highestToken: 1 }, "not heard under our token"],
+  const cases: [(machine: Machine) => void, Unready | null][] = [
+    [() => undefined, null],
+    [(machine) => Object.assign(machine, { type: null }), "type unknown"],
+    [(machine) => Object.assign(machine, { state: "booting" }), "booting"],
+    [({ lifecycle }) => Object.assign(lifecycle, { drainReason: "faulty" }), "draining"],
+    [({ lifecycle }) => Object.assign(lifecycle, { deleting: true }), "draining"],
+    [({ lifecycle }) => Object.assign(lifecycle, { reclaimAt: 1 as Micros }), "notice"],
+    [({ lease }) => Object.assign(lease, { expired: true }), "lease over"],
+    [({ reported }) => Object.assign(reported, { unexpectedTasks: new Map([["wk-1/0", 1]]) }), "strays"],
+    [({ lifecycle }) => Object.assign(lifecycle, { quarantinedUntil: 2e9 as Micros }), "avoided"],
+    [({ reachability }) => Object.assign(reachability, { lastHeartbeatAt: 1 as Micros }), "silent"],
+    [({ counters }) => Object.assign(counters, { highestToken: 1 }), "not heard under our token"],
   ];
   for (const [change, reason] of cases) {
     const { machine, picture, add, round } = setUp(1);
-    Object.assign(machine, change);
+    change(machine);
     assert.equal(unready(machine, picture()), reason);
     add({ shards: 1 }, "wk-1");
     assert.equal(
@@ -192,7 +197,7 @@
     demandHistory: new DemandHistory(),
   };
   world.now += 200_000_000;
-  for (const machine of block.machines.values()) machine.lastHeartbeatAt = clock.now();
+  for (const machine of block.machines.values()) machine.reachability.lastHeartbeatAt = clock.now();
   const idle = planScaling(picture(), offers);
   assert.deepEqual(idle.scaleOut, []);
   assert.deepEqual(
@@ -232,7 +237,7 @@
   const [unstarted] = block.jobs.get("wk-long")?.placedTasks ?? [];
   (unstarted as Task).startCommand = { kind: "none" };
   assert.deepEqual([...decideEvictions(machine, clock.now())], []);
-  machine.reclaimAt = (clock.now() + seconds(20)) as Micros;
+  machine.lifecycle.reclaimAt = (clock.now() + seconds(20)) as Micros;
   const actions = [...decideEvictions(machine, clock.now())];
   assert.deepEqual(
     actions.map((action) => [action.kind, action.task.job.spec.id, action.kind === "stop" ? action.graceS : 0]),
@@ -243,7 +248,7 @@
     ],
   );
   // Too late to save.
-  machine.reclaimAt = (clock.now() + seconds(1)) as Micros;
+  machine.lifecycle.reclaimAt = (clock.now() + seconds(1)) as Micros;
   const late = [...decideEvictions(machine, clock.now())].filter(({ kind }) => kind === "stop");
   assert.deepEqual(
     late.map((action) => action.kind === "stop" && action.graceS),
--- a/test/evidence.test.ts
+++ b/test/evidence.test.ts
@@ -1,6 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Machine, Task } from "../src/cluster/entities.js";
+import type { Machine } from "../src/cluster/machine.js";
+import type { Task } from "../src/cluster/task.js";
 import { fencingTokenOf, firstFencingToken, responseTokenOf, type ShardContext } from "../src/coordination/context.js";
 import { unready } from "../src/coordination/scheduling/eligibility.js";
 import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
@@ -8,8 +9,8 @@
 import {
   classifyHeartbeat,
   type HeartbeatCounters,
+  type KnownCounters,
   mayBeOvertaken,
-  type WorkerCounters,
 } from "../src/coordination/workers/heartbeat-freshness.js";
 import { HeartbeatProcessor } from "../src/coordination/workers/heartbeat-processor.js";
 import {
@@ -41,19 +42,20 @@
 
 /** As a new holder knows a machine: by name only. */
 const unknown = (machine: Machine): void => {
-  Object.assign(machine, { state: "booting", incarnation: null, highestToken: 0, verified: false });
+  machine.state = "booting";
+  Object.assign(machine.counters, { incarnation: null, highestToken: 0, verified: false });
 };
 
 test("what may be a late copy is no sign of life, no room and no notice to a new holder", () => {
   const { machine, observer, world, context } = scene();
   unknown(machine);
-  const before = machine.lastHeartbeatAt;
+  const before = machine.reachability.lastHeartbeatAt;
   world.now += 20_000_000;
   // From before the takeover: it was `up`, it was heard, and its notice drained a machine that had none any more.
   assert.equal(observer.process(machine, report({ token: 7, reclaimNoticeS: 10 }), REPORT), "unverified");
   assert.equal(machine.state, "booting");
-  assert.equal(machine.lastHeartbeatAt, before);
-  assert.equal(machine.reclaimAt, null);
+  assert.equal(machine.reachability.lastHeartbeatAt, before);
+  assert.equal(machine.lifecycle.reclaimAt, null);
   const snapshot = {
     now: context.clock.now(),
     heartbeatTimeout: 1e9,
@@ -71,7 +73,7 @@
   world.now += 19_000_000;
   const answer = { kind: "status-reply", askedAt: context.clock.now() } as const;
   assert.equal(observer.process(machine, report({ incarnation: 2, sequence: 9, token: 7 }), answer), "verified");
-  assert.equal(machine.leaseRenewedAt, context.clock.now());
+  assert.equal(machine.lease.renewedAt, context.clock.now());
 });
 
 test("what was missed while nothing got to a machine is not held against it once it answers again", () => {
@@ -92,10 +94,15 @@
   assert.equal(responsesArrive(reachability), false);
 });
 
+const withoutSuspicion = (machine: Machine) => ({
+  ...machine,
+  counters: { ...machine.counters, suspectHeartbeats: 0, suspectedAt: 0 },
+});
+
 test("a late copy that finds newer evidence changes nothing", () => {
   const { machine, observer } = scene();
   observer.process(machine, report({ incarnation: 2, sequence: 40 }), REPORT);
-  const before = { ...machine };
+  const before = structuredClone(machine);
   for (const old of [
     { incarnation: 2, sequence: 39, reclaimNoticeS: 5 },
     { incarnation: 1, sequence: 90 },
@@ -104,10 +111,7 @@
     const freshness = observer.process(machine, report(old), REPORT);
     assert.ok(freshness === "stale" || freshness === "suspect", freshness);
   }
-  assert.deepEqual(
-    { ...machine, suspectHeartbeats: 0, suspectedAt: 0 },
-    { ...before, suspectHeartbeats: 0, suspectedAt: 0 },
-  );
+  assert.deepEqual(withoutSuspicion(machine), withoutSuspicion(before));
 });
 
 test("a job is not bound for ever to a machine whose session turned while a start for it was lost", () => {
@@ -163,7 +167,7 @@
   world.now += 1_000;
   observer.process(machine, report({ sequence: 9 }), REPORT);
   assert.equal(observer.process(machine, report({ sequence: 8 }), { kind: "status-reply", askedAt }), "stale");
-  assert.equal(machine.heartbeatSequence, 9);
+  assert.equal(machine.counters.sequence, 9);
 });
 
 test("no message is believed more when it is older, shows less of our tokens, or is not an answer", () => {
@@ -187,12 +191,12 @@
               [0, 5, 10, 15].map((t): HeartbeatCounters => ({ incarnation: s, sequence: q, token: t })),
             ),
           )) {
-            const known: WorkerCounters = {
+            const known: KnownCounters = {
               incarnation: session,
-              heartbeatSequence: 2,
+              sequence: 2,
               highestToken: seenToken,
               expiredIncarnation: staleSession,
-              countersLearnedAt: 100 as Micros,
+              learnedAt: 100 as Micros,
               verified: timely,
             };
             const asReport = classifyHeartbeat(known, heartbeat, REPORT, 10);
@@ -359,11 +363,12 @@
   }
 
   private deliver(said: Heartbeat, answered: boolean): void {
-    const overtaken = mayBeOvertaken(this.machine, said);
+    const overtaken = mayBeOvertaken(this.machine.counters, this.machine.lease.expired, said);
     const freshness = this.observer.process(this.machine, said, REPORT);
     if (!answered || (freshness === "suspect" && !overtaken)) return;
     // As the steward answers: commands that may be repeated, and what may be forgotten, under one token.
-    const trusted = this.machine.highestToken >= firstFencingToken(this.context.lease) && freshness !== "unverified";
+    const trusted =
+      this.machine.counters.highestToken >= firstFencingToken(this.context.lease) && freshness !== "unverified";
     const own = trusted
       ? [...this.commander.repeatableCommands(this.machine), ...this.commander.forgetCommands(this.machine)]
       : [];
@@ -499,7 +504,7 @@
 
 const BROKEN: Readonly<Record<string, () => Play>> = {
   "copies are taken for what is so now": variant((machine) => {
-    machine.verified = true;
+    machine.counters.verified = true;
     return null;
   }),
   "a start without an answer is called gone by the next report": variant((machine) => {
@@ -508,13 +513,13 @@
     return null;
   }),
   "counters that began anew are believed without a fence": variant((machine) => {
-    machine.counterResetToken = 0;
+    machine.counters.resetToken = 0;
     for (const task of machine.tasks)
       if (task.startCommand.kind === "uncertain") task.startCommand = { kind: "uncertain", token: -1 };
     return null;
   }),
   "attempts are forgotten below the token that they were started under": variant((machine) => {
-    machine.startFencingSequence = -1;
+    machine.fencing.startSequence = -1;
     return null;
   }),
 };
--- a/test/loops.test.ts
+++ b/test/loops.test.ts
@@ -22,7 +22,7 @@
   const commands = new CommandDispatcher(context, heartbeats);
   await commands.send(machine);
   assert.equal(task.startCommand.kind, "uncertain");
-  machine.nextCommandAt = 0 as Micros;
+  machine.commands.nextAt = 0 as Micros;
   await commands.send(machine);
   // Taken for gone, it was placed elsewhere while the first command could still land here.
   assert.equal(task.startCommand.kind, "uncertain");
@@ -32,11 +32,12 @@
   const { world, block, context, recorder } = makeBlock(1);
   const machine = [...block.machines.values()][0];
   assert.ok(machine !== undefined);
-  Object.assign(machine, { incarnation: null, state: "booting" });
+  machine.state = "booting";
+  machine.counters.incarnation = null;
   await world.run(20_000_000, nothing);
   new HeartbeatProcessor(context, recorder).process(machine, report(), { kind: "heartbeat" });
   // From when it was rented, its lease would be taken for over long before the worker ends anything.
-  assert.equal(machine.leaseRenewedAt, context.clock.now());
+  assert.equal(machine.lease.renewedAt, context.clock.now());
 });
 
 test("whoever is told of a key read in a list can see all the others", async () => {
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Job, Task } from "../src/cluster/entities.js";
-import { newMachine } from "../src/cluster/machine-usage.js";
+import type { Job } from "../src/cluster/job.js";
+import { createMachine } from "../src/cluster/machine.js";
 import { ShardState } from "../src/cluster/shard-state.js";
-import { attemptOf } from "../src/cluster/task-records.js";
+import { attemptOf, type Task } from "../src/cluster/task.js";
 import { MAX_ATTEMPTS } from "../src/coordination/scheduling/guarantee-usage.js";
 import {
   applyAction,
@@ -42,8 +42,12 @@
     this.settings = parseSettings(text);
     this.block = new ShardState(this.clock, 128, this.settings.teams, () => new Map([[TYPE.name, TYPE]]));
     for (let at = 0; at < machines; at += 1) {
-      const machine = newMachine(`n-${at}`, "big", TYPE, "east", false, this.clock.now());
-      Object.assign(machine, { state: "up", incarnation: 1, highestToken: TOKEN });
+      const machine = createMachine(
+        { name: `n-${at}`, typeName: "big", type: TYPE, zone: "east", spot: false },
+        this.clock.now(),
+      );
+      machine.state = "up";
+      Object.assign(machine.counters, { incarnation: 1, highestToken: TOKEN });
       this.block.machines.set(machine.name, machine);
     }
   }
@@ -103,7 +107,7 @@
       if (job.completedTasks === job.spec.tasks) this.block.jobs.delete(job.spec.id);
     }
     this.world.now += us;
-    for (const machine of this.block.machines.values()) machine.lastHeartbeatAt = this.clock.now();
+    for (const machine of this.block.machines.values()) machine.reachability.lastHeartbeatAt = this.clock.now();
   }
 }
 
@@ -225,7 +229,7 @@
   scene.add("wk-1", { owner: "a", shards: 10, cpus: 4, guessS: 60 });
   scene.round();
   scene.pass(1_000_000);
-  for (const machine of scene.block.machines.values()) machine.highestToken = 0;
+  for (const machine of scene.block.machines.values()) machine.counters.highestToken = 0;
   scene.add("wk-2", { owner: "a", shards: 1, cpus: 1 });
   const said: boolean[] = [];
   const listen = (action: RoundAction): void => {
@@ -234,7 +238,7 @@
   scene.round(listen);
   assert.deepEqual(said, []);
   // Once they are known, it is said where it is so.
-  for (const machine of scene.block.machines.values()) machine.highestToken = TOKEN;
+  for (const machine of scene.block.machines.values()) machine.counters.highestToken = TOKEN;
   for (const [name] of [...scene.block.machines].slice(2)) scene.block.machines.delete(name);
   scene.round(listen);
   assert.deepEqual(said, [true]);
--- a/test/served.test.ts
+++ b/test/served.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Job, Task } from "../src/cluster/entities.js";
-import { newMachine } from "../src/cluster/machine-usage.js";
+import type { Job } from "../src/cluster/job.js";
+import { createMachine } from "../src/cluster/machine.js";
 import { ShardState } from "../src/cluster/shard-state.js";
-import { attemptOf } from "../src/cluster/task-records.js";
+import { attemptOf, type Task } from "../src/cluster/task.js";
 import { applyAction, decideRound, newRoundState } from "../src/coordination/scheduling/placement-round.js";
 import { HostClock, World } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job.js";
@@ -34,8 +34,12 @@
   constructor(machines: number) {
     this.world.now = 1_000_000_000;
     for (let at = 0; at < machines; at += 1) {
-      const machine = newMachine(`n-${at}`, "big", TYPE, "east", false, this.clock.now());
-      Object.assign(machine, { state: "up", incarnation: 1, highestToken: TOKEN });
+      const machine = createMachine(
+        { name: `n-${at}`, typeName: "big", type: TYPE, zone: "east", spot: false },
+        this.clock.now(),
+      );
+      machine.state = "up";
+      Object.assign(machine.counters, { incarnation: 1, highestToken: TOKEN });
       this.block.machines.set(machine.name, machine);
     }
   }
@@ -61,7 +65,7 @@
   step(): void {
     this.world.now += STEP;
     const now = this.clock.now();
-    for (const machine of this.block.machines.values()) machine.lastHeartbeatAt = now;
+    for (const machine of this.block.machines.values()) machine.reachability.lastHeartbeatAt = now;
     for (const { job, runUs } of this.all) {
       for (const task of [...job.placedTasks]) {
         if (task.stopRequest !== null) {
--- a/test/silence.test.ts
+++ b/test/silence.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Machine } from "../src/cluster/entities.js";
-import { newMachine } from "../src/cluster/machine-usage.js";
+import { createMachine, type Machine } from "../src/cluster/machine.js";
 import type { Services, ShardLease } from "../src/coordination/context.js";
 import { UnreachableZones } from "../src/coordination/workers/unreachable-zones.js";
 import { HostClock, S, World } from "../src/model/index.js";
 import type { WriteOperation } from "../src/protocol/key-value-store.js";
 import { decodeUnreachableZones } from "../src/storage/records.js";
+import type { Micros } from "../src/transport/clock.js";
 import { forSeeds, type Random } from "./random.js";
 
 const nothing = (): undefined => undefined;
@@ -84,8 +84,9 @@
 }
 
 const machineIn = (zone: string, base: number): Machine => {
-  const machine = newMachine("n-1", "big", null, zone, false, 0 as never);
-  Object.assign(machine, { state: "up", leaseRenewedAt: base });
+  const machine = createMachine({ name: "n-1", typeName: "big", type: null, zone, spot: false }, 0 as never);
+  machine.state = "up";
+  machine.lease.renewedAt = base as Micros;
   return machine;
 };
 
@@ -203,7 +204,8 @@
             unreachableZones.markUnreachable(new Set());
             if (unreachableZones.mayAnswer("west")) {
               answered = stage.world.now;
-              Object.assign(machine, { state: "up", leaseRenewedAt: stage.steady(leader) });
+              machine.state = "up";
+              machine.lease.renewedAt = stage.steady(leader) as Micros;
             } else unreachableZones.markReachable("west");
           }
           await stage.world.run(stage.world.now + random.int(1, 2_000_000), nothing);
--- a/test/trial.test.ts
+++ b/test/trial.test.ts
@@ -1,6 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Job, Machine, Task } from "../src/cluster/entities.js";
+import type { Job } from "../src/cluster/job.js";
+import type { Machine } from "../src/cluster/machine.js";
+import type { Task } from "../src/cluster/task.js";
 import { waitingJobs } from "../src/coordination/scheduling/job-order.js";
 import { allowedStarts, attributeFailure, clearSuspicion } from "../src/coordination/workers/failure-attribution.js";
 import { S } from "../src/model/index.js";
@@ -45,7 +47,10 @@
   assert.ok(!verdicts.includes("machine"));
   assert.ok(job.onProbation);
   // What kept the first machine free of work is over with the verdict.
-  for (const { quarantinedUntil, recentFailures } of all) {
+  for (const {
+    lifecycle: { quarantinedUntil },
+    lifecycle: { recentFailures },
+  } of all) {
     assert.ok(quarantinedUntil <= now());
     assert.equal(recentFailures.size, 0);
   }
--- a/test/watch.test.ts
+++ b/test/watch.test.ts
@@ -29,7 +29,7 @@
     for (let tick = 0; tick < seconds * 4; tick += 1) {
       world.now += S / 4;
       const now = context.clock.now();
-      for (const machine of block.machines.values()) machine.lastHeartbeatAt = now;
+      for (const machine of block.machines.values()) machine.reachability.lastHeartbeatAt = now;
       for (const machine of east) machine.reachability.lastResponseAt = now;
       failureDetector.checkSilence();
     }
