--- a/src/cluster/entities.ts
+++ b/src/cluster/entities.ts
@@ -2,7 +2,8 @@
 import type { JobSpec, Resources } from "../protocol/job.js";
 import type { Uint64 } from "../protocol/json.js";
 import type { TaskState } from "../protocol/worker.js";
-import type { CancellationReason, TaskRecord } from "../storage/records.js";
+import type { CancellationReason } from "../storage/cancellation-reason.js";
+import type { TaskRecord } from "../storage/task-range-records.js";
 import type { Micros } from "../transport/clock.js";
 
 /** Why a machine takes no more tasks. */
--- a/src/cluster/shard-state.ts
+++ b/src/cluster/shard-state.ts
@@ -2,7 +2,7 @@
 import { type JobSpec, priorityRank } from "../protocol/job.js";
 import type { Uint64 } from "../protocol/json.js";
 import type { Team } from "../settings/settings.js";
-import { decodeTaskRange, type TaskRecord, taskRangeBytes } from "../storage/records.js";
+import { decodeTaskRange, type TaskRecord, taskRangeBytes } from "../storage/task-range-records.js";
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
 import type { Job, Machine, Task, TaskRange } from "./entities.js";
 import { addTaskUsage, newMachine, rememberImage } from "./machine-usage.js";
--- a/src/cluster/task-records.ts
+++ b/src/cluster/task-records.ts
@@ -1,4 +1,4 @@
-import type { TaskRecord } from "../storage/records.js";
+import type { TaskRecord } from "../storage/task-range-records.js";
 import type { Task } from "./entities.js";
 
 export const attemptOf = (record: TaskRecord): number => (record.kind === "done" ? 0 : record.attempt);
--- a/src/coordination/api/job-api.ts
+++ b/src/coordination/api/job-api.ts
@@ -10,20 +10,10 @@
 import { jobSpecCodec } from "../../protocol/job-spec-codec.js";
 import { formatJson, MalformedMessageError, parseJson } from "../../protocol/json.js";
 import type { Entry } from "../../protocol/key-value-store.js";
-import {
-  backpressureKey,
-  decodeJobRecord,
-  decodeOutcomeRecord,
-  decodeTaskRange,
-  encodeJobRecord,
-  type JobRecord,
-  jobKey,
-  memberOfKey,
-  type OutcomeRecord,
-  outcomeKey,
-  shardOf,
-  taskRangeKey,
-} from "../../storage/records.js";
+import { decodeJobRecord, encodeJobRecord, type JobRecord } from "../../storage/job-records.js";
+import { backpressureKey, jobKey, memberOfKey, outcomeKey, shardOf, taskRangeKey } from "../../storage/keys.js";
+import { decodeOutcomeRecord, type OutcomeRecord } from "../../storage/outcome-records.js";
+import { decodeTaskRange } from "../../storage/task-range-records.js";
 import { requestInterval } from "../../storage/watch-cache.js";
 import { type Micros, ms, seconds } from "../../transport/clock.js";
 import type { Request, Response } from "../../transport/http.js";
--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -7,7 +7,7 @@
 import type { Options } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
 import type { KeyValueStore } from "../storage/key-value-store.js";
-import type { OutcomeRecord } from "../storage/records.js";
+import type { OutcomeRecord } from "../storage/outcome-records.js";
 import type { TransactionBatcher } from "../storage/transaction-batcher.js";
 import type { WatchCache } from "../storage/watch-cache.js";
 import type { Clock, Micros } from "../transport/clock.js";
--- a/src/coordination/extension.ts
+++ b/src/coordination/extension.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from "../protocol/job.js";
 import type { Change } from "../protocol/key-value-store.js";
 import type { ExitReason } from "../protocol/worker.js";
-import type { OutcomeRecord } from "../storage/records.js";
+import type { OutcomeRecord } from "../storage/outcome-records.js";
 import type { Request, Response } from "../transport/http.js";
 import type { Services, ShardContext } from "./context.js";
 
--- a/src/coordination/jobs/dependency-resolver.ts
+++ b/src/coordination/jobs/dependency-resolver.ts
@@ -2,16 +2,9 @@
 import type { JobSpec } from "../../protocol/job.js";
 import { formatJson, type Uint64 } from "../../protocol/json.js";
 import type { Change } from "../../protocol/key-value-store.js";
-import {
-  decodeJobRecord,
-  dependencyListKey,
-  encodeJobRecord,
-  type JobRecord,
-  jobKey,
-  jobOfKey,
-  type OutcomeRecord,
-  recordedDependencies,
-} from "../../storage/records.js";
+import { decodeJobRecord, encodeJobRecord, type JobRecord, recordedDependencies } from "../../storage/job-records.js";
+import { dependencyListKey, jobKey, jobOfKey } from "../../storage/keys.js";
+import type { OutcomeRecord } from "../../storage/outcome-records.js";
 import { ms, sleep } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import type { Services } from "../context.js";
--- a/src/coordination/jobs/dependency-tracker.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -1,6 +1,7 @@
 import type { Job } from "../../cluster/entities.js";
 import { priorityRank } from "../../protocol/job.js";
-import { dependencyListKey, type OutcomeRecord } from "../../storage/records.js";
+import { dependencyListKey } from "../../storage/keys.js";
+import type { OutcomeRecord } from "../../storage/outcome-records.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import type { ShardContext } from "../context.js";
 
--- a/src/coordination/jobs/job-watcher.ts
+++ b/src/coordination/jobs/job-watcher.ts
@@ -1,13 +1,7 @@
 import type { Job } from "../../cluster/entities.js";
 import type { Change, Entry } from "../../protocol/key-value-store.js";
-import {
-  CURRENT_PREFIX,
-  decodeJobRecord,
-  jobKey,
-  jobOfDependencyListKey,
-  jobOfKey,
-  taskRangeOfKey,
-} from "../../storage/records.js";
+import { decodeJobRecord } from "../../storage/job-records.js";
+import { CURRENT_PREFIX, jobKey, jobOfDependencyListKey, jobOfKey, taskRangeOfKey } from "../../storage/keys.js";
 import { seconds } from "../../transport/clock.js";
 import { firstFencingToken, type ShardContext } from "../context.js";
 import type { Extension } from "../extension.js";
--- a/src/coordination/jobs/outcome-reader.ts
+++ b/src/coordination/jobs/outcome-reader.ts
@@ -1,6 +1,6 @@
 import type { Entry } from "../../protocol/key-value-store.js";
 import type { KeyValueStore } from "../../storage/key-value-store.js";
-import { outcomeKey } from "../../storage/records.js";
+import { outcomeKey } from "../../storage/keys.js";
 import { type Clock, type Micros, sleep } from "../../transport/clock.js";
 import type { Log } from "../../transport/log.js";
 
--- a/src/coordination/jobs/task-state-writer.ts
+++ b/src/coordination/jobs/task-state-writer.ts
@@ -2,17 +2,9 @@
 import { isPlacementRecorded, isSameRecord } from "../../cluster/task-records.js";
 import type { Uint64 } from "../../protocol/json.js";
 import type { WriteOperation } from "../../protocol/key-value-store.js";
-import {
-  decodeTaskRange,
-  encodeOutcomeRecord,
-  encodeTaskRange,
-  jobKey,
-  type OutcomeRecord,
-  outcomeKey,
-  type TaskRecord,
-  taskRangeBytes,
-  taskRangeKey,
-} from "../../storage/records.js";
+import { jobKey, outcomeKey, taskRangeKey } from "../../storage/keys.js";
+import { encodeOutcomeRecord, type OutcomeRecord } from "../../storage/outcome-records.js";
+import { decodeTaskRange, encodeTaskRange, type TaskRecord, taskRangeBytes } from "../../storage/task-range-records.js";
 import { type Micros, ms, seconds } from "../../transport/clock.js";
 import type { ShardContext } from "../context.js";
 import { writePriorityOf } from "../scheduling/start-deadline.js";
--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -8,7 +8,7 @@
 import type { Options } from "../../settings/options.js";
 import type { Settings } from "../../settings/settings.js";
 import { KeyValueStore } from "../../storage/key-value-store.js";
-import { CURRENT_PREFIX, MACHINE_TYPES_KEY, shardOf } from "../../storage/records.js";
+import { CURRENT_PREFIX, MACHINE_TYPES_KEY, shardOf } from "../../storage/keys.js";
 import { TransactionBatcher } from "../../storage/transaction-batcher.js";
 import { requestInterval, SYNC_REQUEST_SHARE, WATCH_REQUEST_SHARE, WatchCache } from "../../storage/watch-cache.js";
 import { type Clock, type Micros, seconds, sleep } from "../../transport/clock.js";
--- a/src/coordination/leadership/membership.ts
+++ b/src/coordination/leadership/membership.ts
@@ -3,17 +3,23 @@
 import { shardLeaseDuration } from "../../settings/settings.js";
 import {
   CLUSTER_LEADER_KEY,
-  decodeMemberRecord,
-  decodeShardRecord,
-  encodeMemberRecord,
-  encodeShardRecord,
   memberKey,
   memberOfKey,
   SHARD_COUNT,
   SHARD_EPOCH_KEY,
-  type ShardRecord,
   shardKey,
-} from "../../storage/records.js";
+} from "../../storage/keys.js";
+import {
+  decodeMemberRecord,
+  decodeShardEpochRecord,
+  decodeShardRecord,
+  encodeClusterLeaderRecord,
+  encodeMemberRecord,
+  encodeShardEpochRecord,
+  encodeShardRecord,
+  isClusterLeader,
+  type ShardRecord,
+} from "../../storage/membership-records.js";
 import { type Clock, type Micros, ms, seconds, sleep } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import type { Services, ShardLease } from "../context.js";
@@ -199,8 +205,7 @@
     try {
       const leader = cache.entries.get(CLUSTER_LEADER_KEY);
       if (leader === undefined) await this.electClusterLeader(me, this.memberLease);
-      else if ((leader.value as { incarnation?: unknown }).incarnation === this.incarnation)
-        await this.assignShards(leader);
+      else if (isClusterLeader(leader.value, this.incarnation)) await this.assignShards(leader);
     } catch (error) {
       log.error("leading failed", { error: describeError(error) });
     } finally {
@@ -211,7 +216,7 @@
 
   private async electClusterLeader(me: Entry, memberLease: MemberLease): Promise<void> {
     const { store, cache, settings, log } = this.services;
-    const value = { label: settings.label, incarnation: this.incarnation };
+    const value = encodeClusterLeaderRecord({ label: settings.label, incarnation: this.incarnation });
     const result = await store.transact(
       new Map([
         [CLUSTER_LEADER_KEY, 0],
@@ -231,11 +236,11 @@
       const member = this.chooseShardLeader();
       if (member === null) return;
       const counter = cache.entries.get(SHARD_EPOCH_KEY);
-      const number = Number((counter?.value as { number?: number } | undefined)?.number ?? 0) + 1;
+      const epoch = decodeShardEpochRecord(counter?.value).epoch + 1;
       const { leaseId, incarnation } = decodeMemberRecord(member.value);
-      const record: ShardRecord = { label: memberOfKey(member.key) ?? "", incarnation, epoch: number };
+      const record: ShardRecord = { label: memberOfKey(member.key) ?? "", incarnation, epoch };
       const writes: WriteOperation[] = [
-        { kind: "put", key: SHARD_EPOCH_KEY, value: { number } },
+        { kind: "put", key: SHARD_EPOCH_KEY, value: encodeShardEpochRecord({ epoch }) },
         { kind: "put", key, value: encodeShardRecord(record), lease: leaseId },
       ];
       const result = await store.transact(
@@ -247,7 +252,7 @@
         ]),
         writes,
       );
-      if (result.kind === "ok") log.info("block leased", { block: shard, number, holder: record.label });
+      if (result.kind === "ok") log.info("block leased", { block: shard, number: epoch, holder: record.label });
       await cache.sync();
     }
   }
--- a/src/coordination/leadership/shard-leader.ts
+++ b/src/coordination/leadership/shard-leader.ts
@@ -5,7 +5,7 @@
 import type { Change } from "../../protocol/key-value-store.js";
 import type { MachineLinks } from "../../protocol/links.js";
 import type { Command, Heartbeat } from "../../protocol/worker.js";
-import { MACHINE_TYPES_KEY } from "../../storage/records.js";
+import { MACHINE_TYPES_KEY } from "../../storage/keys.js";
 import { type Micros, ms, seconds, type Timer } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import { Autoscaler } from "../autoscaling/autoscaler.js";
--- a/src/coordination/overload/backpressure-signal.ts
+++ b/src/coordination/overload/backpressure-signal.ts
@@ -1,4 +1,4 @@
-import { backpressureKey } from "../../storage/records.js";
+import { backpressureKey } from "../../storage/keys.js";
 import type { Services, ShardLease } from "../context.js";
 
 /** Tells the other controllers, by a key, to accept nothing more for a block, or that they may again. */
--- a/src/coordination/workers/unreachable-zones.ts
+++ b/src/coordination/workers/unreachable-zones.ts
@@ -1,12 +1,12 @@
 import type { Machine } from "../../cluster/entities.js";
 import type { Uint64 } from "../../protocol/json.js";
 import type { WriteOperation } from "../../protocol/key-value-store.js";
+import { unreachableZonesKey } from "../../storage/keys.js";
 import {
   decodeUnreachableZones,
   encodeUnreachableZones,
   type UnreachableZonesRecord,
-  unreachableZonesKey,
-} from "../../storage/records.js";
+} from "../../storage/unreachable-zones-record.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import type { Services, ShardLease } from "../context.js";
 
--- a/src/graphs/service/door.ts
+++ b/src/graphs/service/door.ts
@@ -5,7 +5,7 @@
 import { asArray, MalformedMessageError, parseJson, type Uint64 } from "../../protocol/json.js";
 import type { WriteOperation } from "../../protocol/key-value-store.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
-import { shardOf } from "../../storage/records.js";
+import { shardOf } from "../../storage/keys.js";
 import type { Request, Response } from "../../transport/http.js";
 import { GraphError, problemText } from "../description/problem.js";
 import type { Submission } from "../description/requests.js";
--- a/src/graphs/service/job-notes.ts
+++ b/src/graphs/service/job-notes.ts
@@ -1,11 +1,7 @@
 import type { ShardContext } from "../../coordination/context.js";
-import {
-  type CancellationReason,
-  decodeJobRecord,
-  encodeJobRecord,
-  type JobRecord,
-  jobKey,
-} from "../../storage/records.js";
+import type { CancellationReason } from "../../storage/cancellation-reason.js";
+import { decodeJobRecord, encodeJobRecord, type JobRecord } from "../../storage/job-records.js";
+import { jobKey } from "../../storage/keys.js";
 import { ms } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 
--- a/src/graphs/service/loading.ts
+++ b/src/graphs/service/loading.ts
@@ -1,5 +1,6 @@
 import type { KeyValueStore } from "../../storage/key-value-store.js";
-import { decodeOutcomeRecord, jobKey, outcomeKey } from "../../storage/records.js";
+import { jobKey, outcomeKey } from "../../storage/keys.js";
+import { decodeOutcomeRecord } from "../../storage/outcome-records.js";
 import type { Outcome, Past } from "../run/dag-run.js";
 import { decodePlan, type Plan } from "../run/plan.js";
 import {
--- a/src/graphs/service/records.ts
+++ b/src/graphs/service/records.ts
@@ -5,7 +5,7 @@
 import { asArray, asObject, type JsonObject, readNonNegative, readOptional, readString } from "../../protocol/json.js";
 import type { WriteOperation } from "../../protocol/key-value-store.js";
 import { RecordCodec, type ValueCodec } from "../../protocol/record-codec.js";
-import type { OutcomeRecord } from "../../storage/records.js";
+import type { OutcomeRecord } from "../../storage/outcome-records.js";
 import type { Outcome } from "../run/dag-run.js";
 import { FINALS, type FinalState } from "../run/states.js";
 
--- a/src/graphs/service/runner.ts
+++ b/src/graphs/service/runner.ts
@@ -5,16 +5,9 @@
 import type { Change } from "../../protocol/key-value-store.js";
 import type { ExitReason } from "../../protocol/worker.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
-import {
-  decodeJobRecord,
-  decodeOutcomeRecord,
-  encodeJobRecord,
-  type JobRecord,
-  jobKey,
-  jobOfKey,
-  outcomeKey,
-  shardOf,
-} from "../../storage/records.js";
+import { decodeJobRecord, encodeJobRecord, type JobRecord } from "../../storage/job-records.js";
+import { jobKey, jobOfKey, outcomeKey, shardOf } from "../../storage/keys.js";
+import { decodeOutcomeRecord } from "../../storage/outcome-records.js";
 import { type Micros, ms } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import { DagRun, tryOf } from "../run/dag-run.js";
--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -30,7 +30,7 @@
 import { MalformedMessageError } from "../protocol/json.js";
 import type { Options } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
-import type { TaskRecord } from "../storage/records.js";
+import type { TaskRecord } from "../storage/task-range-records.js";
 import type { Micros } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
 import { RateLimit } from "../transport/rate-limit.js";
--- a/src/whatif/graph-load.ts
+++ b/src/whatif/graph-load.ts
@@ -16,7 +16,8 @@
 import { encodeSubmission } from "../protocol/job.js";
 import { DEFAULT_GRAPHS, type GraphOptions } from "../settings/graph-options.js";
 import { DEFAULT_OPTIONS } from "../settings/options.js";
-import { decodeJobRecord, jobKey } from "../storage/records.js";
+import { decodeJobRecord } from "../storage/job-records.js";
+import { jobKey } from "../storage/keys.js";
 import type { Micros } from "../transport/clock.js";
 
 export const GRAPH_SHAPES = ["wide", "chain", "layered", "mapped", "many"] as const;
--- a/src/whatif/observe.ts
+++ b/src/whatif/observe.ts
@@ -3,15 +3,10 @@
 import type { ListedMachine, MachineType } from "../protocol/cloud.js";
 import type { Change } from "../protocol/key-value-store.js";
 import type { Settings } from "../settings/settings.js";
+import { decodeJobRecord } from "../storage/job-records.js";
 import { KeyValueStore } from "../storage/key-value-store.js";
-import {
-  CURRENT_PREFIX,
-  decodeJobRecord,
-  decodeTaskRange,
-  jobOfKey,
-  type TaskRecord,
-  taskRangeOfKey,
-} from "../storage/records.js";
+import { CURRENT_PREFIX, jobOfKey, taskRangeOfKey } from "../storage/keys.js";
+import { decodeTaskRange, type TaskRecord } from "../storage/task-range-records.js";
 import { WatchCache } from "../storage/watch-cache.js";
 import { type Clock, type Micros, ms, seconds, sleep } from "../transport/clock.js";
 import type { HttpClient } from "../transport/http.js";
--- a/test/chains.test.ts
+++ b/test/chains.test.ts
@@ -4,7 +4,8 @@
 import { FastSite, jobBehaviour, nobody, S, sampleSite } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
-import { encodeJobRecord, jobKey, outcomeKey } from "../src/storage/records.js";
+import { encodeJobRecord } from "../src/storage/job-records.js";
+import { jobKey, outcomeKey } from "../src/storage/keys.js";
 import { Cluster, plainJob, type Submission, trueJob } from "./sim/cluster.js";
 
 const link = (number: number, awaits: readonly number[], fields: Partial<Submission> = {}): Submission =>
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -5,7 +5,7 @@
 import { HostClock, S, World } from "../src/model/index.js";
 import type { Entry } from "../src/protocol/key-value-store.js";
 import { parseSettings } from "../src/settings/settings.js";
-import { memberKey, shardKey } from "../src/storage/records.js";
+import { memberKey, shardKey } from "../src/storage/keys.js";
 import { nothing, quiet } from "./block-fixtures.js";
 import { settingsText } from "./fixtures.js";
 
--- a/test/polls.test.ts
+++ b/test/polls.test.ts
@@ -6,8 +6,10 @@
 import { HostClock, S, World } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job.js";
 import type { Entry } from "../src/protocol/key-value-store.js";
+import { encodeJobRecord } from "../src/storage/job-records.js";
 import type { KeyValueStore } from "../src/storage/key-value-store.js";
-import { encodeJobRecord, encodeTaskRange, jobKey, taskRangeKey } from "../src/storage/records.js";
+import { jobKey, taskRangeKey } from "../src/storage/keys.js";
+import { encodeTaskRange } from "../src/storage/task-range-records.js";
 import type { Micros } from "../src/transport/clock.js";
 import { Cluster, plainJob, SMALL } from "./sim/cluster.js";
 
--- a/test/silence.test.ts
+++ b/test/silence.test.ts
@@ -6,7 +6,7 @@
 import { UnreachableZones } from "../src/coordination/workers/unreachable-zones.js";
 import { HostClock, S, World } from "../src/model/index.js";
 import type { WriteOperation } from "../src/protocol/key-value-store.js";
-import { decodeUnreachableZones } from "../src/storage/records.js";
+import { decodeUnreachableZones } from "../src/storage/unreachable-zones-record.js";
 import { forSeeds, type Random } from "./random.js";
 
 const nothing = (): undefined => undefined;
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -45,44 +45,45 @@
 import { encode, type Frame, FrameReader, NEVER } from "../src/mesh/frames.js";
 import type { JobSpec } from "../src/protocol/job.js";
 import { formatJson, parseJson } from "../src/protocol/json.js";
+import { CANCELLATION_REASONS } from "../src/storage/cancellation-reason.js";
+import { decodeJobRecord, encodeJobRecord, type JobRecord, recordedDependencies } from "../src/storage/job-records.js";
 import {
   backpressureKey,
-  CANCELLATION_REASONS,
   CLUSTER_LEADER_KEY,
-  decodeJobRecord,
-  decodeMemberRecord,
-  decodeOutcomeRecord,
-  decodeShardRecord,
-  decodeTaskRange,
-  decodeUnreachableZones,
   dependencyListKey,
-  encodeJobRecord,
-  encodeMemberRecord,
-  encodeOutcomeRecord,
-  encodeShardRecord,
-  encodeTaskRange,
-  encodeUnreachableZones,
-  type JobRecord,
   jobKey,
   jobOfDependencyListKey,
   jobOfKey,
   MACHINE_TYPES_KEY,
-  type MemberRecord,
   memberKey,
   memberOfKey,
-  type OutcomeRecord,
   outcomeKey,
-  recordedDependencies,
   SHARD_EPOCH_KEY,
-  type ShardRecord,
   shardKey,
-  type TaskRecord,
-  taskRangeBytes,
   taskRangeKey,
   taskRangeOfKey,
-  type UnreachableZonesRecord,
   unreachableZonesKey,
-} from "../src/storage/records.js";
+} from "../src/storage/keys.js";
+import {
+  decodeMemberRecord,
+  decodeShardRecord,
+  encodeMemberRecord,
+  encodeShardRecord,
+  type MemberRecord,
+  type ShardRecord,
+} from "../src/storage/membership-records.js";
+import { decodeOutcomeRecord, encodeOutcomeRecord, type OutcomeRecord } from "../src/storage/outcome-records.js";
+import {
+  decodeTaskRange,
+  encodeTaskRange,
+  type TaskRecord,
+  taskRangeBytes,
+} from "../src/storage/task-range-records.js";
+import {
+  decodeUnreachableZones,
+  encodeUnreachableZones,
+  type UnreachableZonesRecord,
+} from "../src/storage/unreachable-zones-record.js";
 import { FixtureLines } from "./fixture-lines.js";
 
 const records = new FixtureLines("records.txt");
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -3,15 +3,11 @@
 import { S } from "../src/model/index.js";
 import type { JobSpec } from "../src/protocol/job.js";
 import { parseSettings } from "../src/settings/settings.js";
-import {
-  decodeJobRecord,
-  decodeMemberRecord,
-  decodeOutcomeRecord,
-  decodeShardRecord,
-  decodeTaskRange,
-  decodeUnreachableZones,
-  encodeTaskRange,
-} from "../src/storage/records.js";
+import { decodeJobRecord } from "../src/storage/job-records.js";
+import { decodeMemberRecord, decodeShardRecord } from "../src/storage/membership-records.js";
+import { decodeOutcomeRecord } from "../src/storage/outcome-records.js";
+import { decodeTaskRange, encodeTaskRange } from "../src/storage/task-range-records.js";
+import { decodeUnreachableZones } from "../src/storage/unreachable-zones-record.js";
 import { settingsText } from "./fixtures.js";
 import { Cluster, plainJob } from "./sim/cluster.js";
 import { longJobs } from "./sim/meetings.js";
