--- a/src/cluster/job.ts
+++ b/src/cluster/job.ts
@@ -3,7 +3,7 @@
  */
 import type { JobSpec } from "../protocol/job.js";
 import type { Uint64 } from "../protocol/json.js";
-import type { CancellationReason } from "../storage/records.js";
+import type { CancellationReason } from "../storage/cancellation-reason.js";
 import type { Micros } from "../transport/clock.js";
 import type { Task, TaskRange } from "./task.js";
 
--- a/src/cluster/task.ts
+++ b/src/cluster/task.ts
@@ -3,7 +3,7 @@
  */
 import type { Uint64 } from "../protocol/json.js";
 import type { TaskState } from "../protocol/worker.js";
-import type { TaskRecord } from "../storage/records.js";
+import type { TaskRecord } from "../storage/task-range-records.js";
 import type { Micros } from "../transport/clock.js";
 import type { Job } from "./job.js";
 import type { Machine } from "./machine.js";
