--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -87,31 +87,31 @@
         handleHeartbeat: async (request, through) => this.handleHeartbeat(request.body, through),
       }) ?? null;
     const http = this.mesh?.client ?? outside.http;
-    const store = new KeyValueStore(
+    const store = new KeyValueStore({
       http,
-      settings.storeAddress,
+      address: settings.storeAddress,
       clock,
       log,
-      {
+      budget: {
         requestsPerS: settings.store.requestsPerS * REQUEST_SHARE,
         writesPerS: settings.store.writesPerS * WRITE_SHARE,
         writesPerTransaction: settings.store.transactionWrites,
         valueBytes: settings.store.valueBytes,
       },
       random,
-    );
+    });
     const loadShedder = new LoadShedder(clock, log, outside.load ?? null);
     const { requestsPerS } = settings.store;
-    const cache = new WatchCache(
+    const cache = new WatchCache({
       store,
-      CURRENT_PREFIX,
+      prefix: CURRENT_PREFIX,
       clock,
       log,
-      requestInterval(WATCH_REQUEST_SHARE, requestsPerS, settings.controllers),
-      requestInterval(SYNC_REQUEST_SHARE, requestsPerS, settings.controllers),
+      watchInterval: requestInterval(WATCH_REQUEST_SHARE, requestsPerS, settings.controllers),
+      syncInterval: requestInterval(SYNC_REQUEST_SHARE, requestsPerS, settings.controllers),
       // Polls may lag by seconds: under load they share longer intervals.
-      () => (loadShedder.atLeast("degraded") ? 5 : loadShedder.atLeast("reduced") ? 2 : 1),
-    );
+      syncSlowdown: () => (loadShedder.atLeast("degraded") ? 5 : loadShedder.atLeast("reduced") ? 2 : 1),
+    });
     const transactions = new TransactionBatcher(store, clock, random);
     const eventListener = outside.eventListener ?? null;
     const onInspected = outside.onInspected ?? null;
--- a/src/storage/key-value-store.ts
+++ b/src/storage/key-value-store.ts
@@ -37,21 +37,31 @@
   readonly valueBytes?: number;
 }
 
+/** What a `KeyValueStore` needs. */
+export interface KeyValueStoreOptions {
+  readonly http: HttpClient;
+  /** Host and port of the state service. */
+  readonly address: string;
+  readonly clock: Clock;
+  readonly log: Log;
+  readonly budget: StoreBudget;
+  /** From 0 up to 1 exclusive. */
+  readonly random: () => number;
+}
+
 const REQUEST_TIMEOUT = ms(2_000);
 
 /** Client of the state service. Tells apart what was not executed from what may have been. */
 export class KeyValueStore {
   private readonly requests: RateLimit;
 
-  constructor(
-    private readonly http: HttpClient,
-    private readonly address: string,
-    private readonly clock: Clock,
-    private readonly log: Log,
-    readonly budget: StoreBudget,
-    private readonly random: () => number,
-  ) {
-    this.requests = new RateLimit(clock, budget.requestsPerS);
+  constructor(private readonly options: KeyValueStoreOptions) {
+    this.requests = new RateLimit(options.clock, options.budget.requestsPerS);
+  }
+
+  /** What this process may ask of the state service. */
+  get budget(): StoreBudget {
+    return this.options.budget;
   }
 
   async get(key: string): Promise<StoreResult<Entry>> {
@@ -99,7 +109,10 @@
     if (outcome.kind === "answer" && outcome.status === 400) {
       // A lease that ran out meanwhile is an ordinary answer; anything else is larger than by now is taken.
       if (outcome.body.includes("no such lease")) return { kind: "refused" };
-      this.log.info("transaction refused as too large", { writes: writes.length, body: outcome.body.slice(0, 200) });
+      this.options.log.info("transaction refused as too large", {
+        writes: writes.length,
+        body: outcome.body.slice(0, 200),
+      });
       return { kind: "too large" };
     }
     if (outcome.kind === "answer" && outcome.status === 429) return { kind: "busy" };
@@ -138,7 +151,8 @@
   }
 
   private async waitForBudget(): Promise<void> {
-    for (let wait = this.requests.waitFor(1); wait > 0; wait = this.requests.waitFor(1)) await sleep(this.clock, wait);
+    for (let wait = this.requests.waitFor(1); wait > 0; wait = this.requests.waitFor(1))
+      await sleep(this.options.clock, wait);
     this.requests.take(1);
   }
 
@@ -149,8 +163,8 @@
     timeout = REQUEST_TIMEOUT,
   ): Promise<HttpOutcome> {
     const text = body === null ? "" : formatJson(body);
-    const outcome = await this.http.call(this.address, { method, target, body: text }, timeout);
-    if (outcome.kind === "answer" && outcome.status === 429) this.requests.pause(ms(50 + 150 * this.random()));
+    const outcome = await this.options.http.call(this.options.address, { method, target, body: text }, timeout);
+    if (outcome.kind === "answer" && outcome.status === 429) this.requests.pause(ms(50 + 150 * this.options.random()));
     return outcome;
   }
 
@@ -163,7 +177,7 @@
       if (outcome.status !== 200) throw new MalformedMessageError(`status ${outcome.status}`);
       return { kind: "ok", value: parse(parseJson(outcome.body)) };
     } catch (error) {
-      this.log.error("malformed answer of the state service", { error: String(error) });
+      this.options.log.error("malformed answer of the state service", { error: String(error) });
       return { kind: "lost" };
     }
   }
--- a/src/storage/watch-cache.ts
+++ b/src/storage/watch-cache.ts
@@ -15,6 +15,21 @@
 export const requestInterval = (share: number, requestsPerS: number, controllers: number): Micros =>
   Math.max(MIN_REQUEST_INTERVAL, seconds(controllers / (share * requestsPerS))) as Micros;
 
+/** What a `WatchCache` needs. */
+export interface WatchCacheOptions {
+  readonly store: KeyValueStore;
+  /** Of the keys that are kept. */
+  readonly prefix: string;
+  readonly clock: Clock;
+  readonly log: Log;
+  /** From the start of one watch request to the start of the next, at least. */
+  readonly watchInterval: Micros;
+  /** From one request made for `sync` to the next, at least. */
+  readonly syncInterval: Micros;
+  /** The factor by which `syncInterval` is to be longer at present; always 1 where absent. */
+  readonly syncSlowdown?: () => number;
+}
+
 /** This process's copy of all that is current below one prefix, fed by a watch. */
 export class WatchCache {
   readonly entries = new Map<string, Entry>();
@@ -27,16 +42,7 @@
   /** Everything changed up to this moment is known here. */
   freshAsOf: Micros | null = null;
 
-  constructor(
-    private readonly store: KeyValueStore,
-    private readonly prefix: string,
-    private readonly clock: Clock,
-    private readonly log: Log,
-    private readonly watchInterval: Micros,
-    private readonly syncInterval: Micros,
-    /** So many times as long is to be waited between questions now. */
-    private readonly syncSlowdown: () => number = () => 1,
-  ) {}
+  constructor(private readonly options: WatchCacheOptions) {}
 
   get loaded(): boolean {
     return this.revision !== null;
@@ -56,14 +62,14 @@
 
   async run(): Promise<never> {
     for (;;) {
-      const sent = this.clock.now();
+      const sent = this.options.clock.now();
       if (this.revision === null) await this.load();
       else {
         const good = await this.catchUp(this.revision, WATCH_TIMEOUT);
-        if (!good) await sleep(this.clock, ms(150));
+        if (!good) await sleep(this.options.clock, ms(150));
       }
-      const gap = sent + this.watchInterval - this.clock.now();
-      if (gap > 0) await sleep(this.clock, gap as Micros);
+      const gap = sent + this.options.watchInterval - this.options.clock.now();
+      if (gap > 0) await sleep(this.options.clock, gap as Micros);
     }
   }
 
@@ -77,11 +83,12 @@
     const next = before
       .then(() => {
         // Hundreds of polls a second share few requests: without a pause they took the whole budget.
-        const gap = this.syncedAt + this.syncInterval * this.syncSlowdown() - this.clock.now();
-        return gap > 0 ? sleep(this.clock, gap as Micros) : undefined;
+        const gap =
+          this.syncedAt + this.options.syncInterval * (this.options.syncSlowdown?.() ?? 1) - this.options.clock.now();
+        return gap > 0 ? sleep(this.options.clock, gap as Micros) : undefined;
       })
       .then(() => {
-        this.syncedAt = this.clock.now();
+        this.syncedAt = this.options.clock.now();
         this.syncQueued = null;
         this.syncInFlight = next;
         return this.revision === null ? false : this.catchUp(this.revision, 0 as Micros);
@@ -94,10 +101,10 @@
   }
 
   private async load(): Promise<void> {
-    const sent = this.clock.now();
-    const reply = await this.store.list(this.prefix);
+    const sent = this.options.clock.now();
+    const reply = await this.options.store.list(this.options.prefix);
     if (reply.kind !== "ok") {
-      await sleep(this.clock, ms(200));
+      await sleep(this.options.clock, ms(200));
       return;
     }
     const found = new Set(reply.value.entries.map((entry) => entry.key));
@@ -113,12 +120,12 @@
     for (const change of changes) this.apply(change);
     this.freshAsOf = sent;
     this.notify(changes);
-    this.log.info("state read", { entries: this.entries.size });
+    this.options.log.info("state read", { entries: this.entries.size });
   }
 
   private async catchUp(from: Uint64, wait: Micros): Promise<boolean> {
-    const sent = this.clock.now();
-    const reply = await this.store.watch(this.prefix, from, wait);
+    const sent = this.options.clock.now();
+    const reply = await this.options.store.watch(this.options.prefix, from, wait);
     if (reply.kind === "missing") {
       this.revision = null;
       return false;
--- a/src/whatif/observe.ts
+++ b/src/whatif/observe.ts
@@ -52,15 +52,22 @@
     random: () => number,
     private readonly tell: (event: ClusterEvent) => void,
   ) {
-    const store = new KeyValueStore(
+    const store = new KeyValueStore({
       http,
-      settings.storeAddress,
+      address: settings.storeAddress,
       clock,
       log,
-      { requestsPerS: STATE_RPS, writesPerS: 1, writesPerTransaction: 1 },
+      budget: { requestsPerS: STATE_RPS, writesPerS: 1, writesPerTransaction: 1 },
       random,
-    );
-    this.view = new WatchCache(store, CURRENT_PREFIX, clock, log, FOLLOW_GAP, FOLLOW_GAP);
+    });
+    this.view = new WatchCache({
+      store,
+      prefix: CURRENT_PREFIX,
+      clock,
+      log,
+      watchInterval: FOLLOW_GAP,
+      syncInterval: FOLLOW_GAP,
+    });
     this.cloud = new CloudClient(http, settings.cloudAddress, clock, log, CLOUD_RPS);
     this.view.onChange((change) => this.changed(change));
     this.listPeriod = Math.max(seconds(2), settings.cloud.listLag / 2) as Micros;
--- a/test/loops.test.ts
+++ b/test/loops.test.ts
@@ -48,7 +48,14 @@
     list: async () => ({ kind: "ok", value: { entries, revision: 5 } }),
     watch: () => new Promise(() => undefined),
   } as unknown as KeyValueStore;
-  const cache = new WatchCache(store, "c/", clock, quiet, 1_000 as Micros, 1_000 as Micros);
+  const cache = new WatchCache({
+    store,
+    prefix: "c/",
+    clock,
+    log: quiet,
+    watchInterval: 1_000 as Micros,
+    syncInterval: 1_000 as Micros,
+  });
   const seen: number[] = [];
   cache.onChange(() => seen.push(cache.entries.size));
   void cache.run();
--- a/test/wire-forms.test.ts
+++ b/test/wire-forms.test.ts
@@ -55,7 +55,14 @@
 
 const BUDGET = { requestsPerS: 1_000, writesPerS: 1_000, writesPerTransaction: 10 };
 const storeFor = (name: string, status?: number): KeyValueStore =>
-  new KeyValueStore(scripted(name, status), "state:1", clock, log, BUDGET, () => 0);
+  new KeyValueStore({
+    http: scripted(name, status),
+    address: "state:1",
+    clock,
+    log,
+    budget: BUDGET,
+    random: () => 0,
+  });
 const cloudFor = (name: string, status?: number): CloudClient =>
   new CloudClient(scripted(name, status), "cloud:1", clock, log, 100);
 
