--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -4,6 +4,7 @@
 import type { JobSpec } from "../../protocol/job.js";
 import { type Micros, ms, seconds, sleep } from "../../transport/clock.js";
 import { exponentialBackoff, type ShardContext } from "../context.js";
+import { LogEvent } from "../log-events.js";
 import type { Scheduler } from "../scheduling/scheduler.js";
 import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
 import type { HeartbeatProcessor } from "../workers/heartbeat-processor.js";
@@ -96,7 +97,7 @@
       try {
         if (this.context.lease.isValid()) await step();
       } catch (error) {
-        this.context.log.error("rental step failed", { error: String(error) });
+        this.context.log.error(LogEvent.AutoscalerStepFailed, { error: String(error) });
       }
       const coarse = this.context.loadShedder.atLeast("degraded");
       await sleep(this.context.clock, (coarse ? period() * SLOWDOWN_UNDER_LOAD : period()) as Micros);
@@ -138,7 +139,7 @@
       );
       machine.lifecycle.provisionedAt = (clock.now() - seconds(listed.ageS)) as Micros;
       shard.machines.set(listed.name, machine);
-      log.info("machine found", { machine: listed.name, state: listed.state });
+      log.info(LogEvent.MachineDiscovered, { machine: listed.name, state: listed.state });
     }
     machine.type = type;
     machine.typeName = listed.type;
@@ -149,7 +150,7 @@
     // After a handover this finds the machines at once, long before their workers have found us.
     if (listed.state === "running" && machine.state === "booting") this.context.queryStatus(machine);
     if (listed.state === "failed" && !machine.lifecycle.deleting) {
-      log.info("machine failed", { machine: machine.name });
+      log.info(LogEvent.MachineFailed, { machine: machine.name });
       this.context.eventListener?.({ kind: "machine failed", ...eventFieldsOf(machine) });
       this.heartbeats.machineLost(machine, "failed");
       void this.deleteMachines([machine]);
@@ -189,7 +190,7 @@
       this.heartbeats.machineLost(machine, "deleted");
       shard.machines.delete(machine.name);
     }
-    log.info("machines deleted", { machines: machines.map((machine) => machine.name) });
+    log.info(LogEvent.MachinesDeleted, { machines: machines.map((machine) => machine.name) });
   }
 
   // Bringing both together --------------------------------------------------------------------------------
@@ -257,7 +258,14 @@
   private provisioned(request: ProvisioningRequest, names: readonly string[]): void {
     const { shard, clock, log } = this.context;
     const { type, zone, spot } = request.offer;
-    log.info("rented", { ask: request.name, type: type.name, zone, spot, asked: request.count, got: names.length });
+    log.info(LogEvent.MachinesProvisioned, {
+      ask: request.name,
+      type: type.name,
+      zone,
+      spot,
+      asked: request.count,
+      got: names.length,
+    });
     for (const name of names) {
       const known = shard.machines.get(name);
       if (known !== undefined || shard.deletedMachines.has(name)) continue;
@@ -278,6 +286,6 @@
     if (machine === null) return;
     machine.lifecycle.drainReason = "scale-in";
     this.nextConsolidation = (snapshot.now + CONSOLIDATION_INTERVAL) as Micros;
-    this.context.log.info("machine emptied", { machine: machine.name, tasks: machine.tasks.size });
+    this.context.log.info(LogEvent.ConsolidationStarted, { machine: machine.name, tasks: machine.tasks.size });
   }
 }
--- a/src/coordination/autoscaling/cloud-client.ts
+++ b/src/coordination/autoscaling/cloud-client.ts
@@ -12,6 +12,7 @@
 import type { HttpClient } from "../../transport/http.js";
 import type { Log } from "../../transport/log.js";
 import { RateLimit } from "../../transport/rate-limit.js";
+import { LogEvent } from "../log-events.js";
 
 /** `refused`: no capacity. `failed`: anything else; a rental may have happened, or may yet. */
 export type CloudResult<T> = { readonly kind: "ok"; readonly value: T } | { readonly kind: "refused" | "failed" };
@@ -85,7 +86,7 @@
       if (outcome.status === 429) this.requestLimit.pause(ms(500));
       else if (outcome.status !== 503) throw new MalformedMessageError(`status ${outcome.status}`);
     } catch (error) {
-      this.log.error("malformed answer of the cloud", { target, error: String(error) });
+      this.log.error(LogEvent.CloudResponseMalformed, { target, error: String(error) });
     }
     return { kind: "failed" };
   }
--- a/src/coordination/jobs/dependency-resolver.ts
+++ b/src/coordination/jobs/dependency-resolver.ts
@@ -8,6 +8,7 @@
 import { ms, sleep } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import type { Services } from "../context.js";
+import { LogEvent } from "../log-events.js";
 
 /** Last words looked up at once: more are kept waiting here than in the queue that all questions share. */
 const MAX_CONCURRENT_READS = 48;
@@ -56,7 +57,7 @@
     const record = decodeJobRecord(change.value);
     const awaits = recordedDependencies(record, cache.entries);
     // Its parts are written before it and removed after it.
-    if (awaits === null) log.error("list of awaited jobs incomplete", { job: id });
+    if (awaits === null) log.error(LogEvent.DependencyListIncomplete, { job: id });
     dependencies.upsert(id, awaits ?? [id], record.cancelled);
   }
 
@@ -69,7 +70,7 @@
         for (const id of this.neverSubmitted) if (!questions.includes(id)) this.neverSubmitted.delete(id);
         await this.readTerminalStates(questions.filter((id) => !this.neverSubmitted.has(id)));
       } catch (error) {
-        log.error("reading last words failed", { error: describeError(error) });
+        log.error(LogEvent.OutcomeReadFailed, { error: describeError(error) });
       }
       await sleep(clock, RESOLVE_INTERVAL);
     }
--- a/src/coordination/jobs/dependency-tracker.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -4,6 +4,7 @@
 import type { OutcomeRecord } from "../../storage/outcome-records.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import type { ShardContext } from "../context.js";
+import { LogEvent } from "../log-events.js";
 
 /**
  * Jobs of a block that await others: which of them may begin, and with which rank and by when they count, which both follow from
@@ -38,7 +39,7 @@
     if (job === undefined || !job.awaitingDependencies || job.cancelled) return;
     job.awaitingDependencies = false;
     job.waitingSince = this.context.clock.now();
-    this.context.log.info("job may begin", { job: id });
+    this.context.log.info(LogEvent.JobDependenciesSatisfied, { job: id });
     this.onReady(job);
     this.context.scheduleRound();
   }
--- a/src/coordination/jobs/job-watcher.ts
+++ b/src/coordination/jobs/job-watcher.ts
@@ -5,6 +5,7 @@
 import { seconds } from "../../transport/clock.js";
 import { firstFencingToken, type ShardContext } from "../context.js";
 import type { Extension } from "../extension.js";
+import { LogEvent } from "../log-events.js";
 import type { HeartbeatProcessor } from "../workers/heartbeat-processor.js";
 import type { DependencyTracker } from "./dependency-tracker.js";
 import type { TaskStateWriter } from "./task-state-writer.js";
@@ -65,7 +66,7 @@
     for (const job of shard.jobs.values()) this.dependencies.taskStates.finishIfComplete(job);
     this.deleteOrphanedDependencyLists();
     this.restored = true;
-    log.info("block taken", {
+    log.info(LogEvent.ShardAcquired, {
       block: this.dependencies.context.lease.shard,
       number: this.dependencies.context.lease.epoch,
       jobs: shard.jobs.size,
@@ -143,7 +144,7 @@
   private cancel(known: Job): void {
     const { id } = known.spec;
     known.cancelled = true;
-    this.dependencies.context.log.info("job cancelled", { job: id });
+    this.dependencies.context.log.info(LogEvent.JobCancelled, { job: id });
     this.dependencies.context.eventListener?.({ kind: "job cancelled", job: id });
     for (const task of [...known.placedTasks]) {
       const machine = task.machine;
--- a/src/coordination/jobs/outcome-reader.ts
+++ b/src/coordination/jobs/outcome-reader.ts
@@ -3,6 +3,7 @@
 import { outcomeKey } from "../../storage/keys.js";
 import { type Clock, type Micros, sleep } from "../../transport/clock.js";
 import type { Log } from "../../transport/log.js";
+import { LogEvent } from "../log-events.js";
 
 /** Waiting for longer than this, a question had better be asked again: users give up after two seconds anyhow. */
 const MAX_QUEUE_DELAY_S = 30;
@@ -65,7 +66,7 @@
         if (rest > 0) await sleep(this.clock, rest as Micros);
       }
     } catch (error) {
-      this.log.error("lookup failed", { error: String(error) });
+      this.log.error(LogEvent.OutcomeLookupFailed, { error: String(error) });
       for (const id of [...this.waiting.keys()]) this.settle(this.take(id), { kind: "unknown" });
     } finally {
       this.draining = false;
--- a/src/coordination/jobs/task-state-writer.ts
+++ b/src/coordination/jobs/task-state-writer.ts
@@ -7,6 +7,7 @@
 import { decodeTaskRange, encodeTaskRange, type TaskRecord, taskRangeBytes } from "../../storage/task-range-records.js";
 import { type Micros, ms, seconds } from "../../transport/clock.js";
 import type { ShardContext } from "../context.js";
+import { LogEvent } from "../log-events.js";
 import { writePriorityOf } from "../scheduling/start-deadline.js";
 
 /** Recording what has ended takes about this share of the state service's writes, each range in turn. */
@@ -185,12 +186,12 @@
     const records = decodeTaskRange(reply.value.value);
     if (records.some((record, at) => isUnknownPlacement(record, range.tasks[at]?.desired))) {
       // Somebody else's: our picture lacks it, and to write over it would start its tasks a second time.
-      context.log.error("range unknown", { key });
+      context.log.error(LogEvent.TaskRangeConflicting, { key });
       context.onInconsistent();
       return;
     }
     // One of our own writes of which we had no answer.
-    context.log.info("range adopted", { key });
+    context.log.info(LogEvent.TaskRangeAdopted, { key });
     range.version = reply.value.version;
     this.applyRecorded(range, records);
   }
@@ -245,7 +246,7 @@
     const result = await context.transactions.submit(conditions, writes, writePriorityOf(job, context.settings));
     if (result.kind === "ok") {
       context.shard.jobs.delete(job.spec.id);
-      context.log.info("job ended", { job: job.spec.id, phase: record.phase });
+      context.log.info(LogEvent.JobEnded, { job: job.spec.id, phase: record.phase });
       context.onJobEnded(job, record);
       const left = later ? written : written.slice(here.length);
       this.deleteKeys(left.map((range) => taskRangeKey(job.spec.id, range.index)));
--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -18,6 +18,7 @@
 import { CloudClient } from "../autoscaling/cloud-client.js";
 import type { Services, ShardLease } from "../context.js";
 import type { Extension, ExtensionFactory } from "../extension.js";
+import { LogEvent } from "../log-events.js";
 import { LOAD_LEVELS, LoadShedder, type LoadSource } from "../overload/load-shedder.js";
 import { Membership } from "./membership.js";
 import { ShardLeader } from "./shard-leader.js";
@@ -190,7 +191,7 @@
   start(): void {
     const { cache, log } = this.services;
     const keep = (name: string, work: Promise<unknown>): void => {
-      work.catch((error: unknown) => log.error("loop ended", { name, error: describeError(error) }));
+      work.catch((error: unknown) => log.error(LogEvent.LoopFailed, { name, error: describeError(error) }));
     };
     this.mesh?.start();
     keep("view", cache.run());
@@ -241,7 +242,7 @@
       );
     } catch (error) {
       if (error instanceof MalformedMessageError || error instanceof SyntaxError) {
-        this.services.log.error("malformed report", { error: error.message });
+        this.services.log.error(LogEvent.HeartbeatMalformed, { error: error.message });
         return { status: 400, body: '{"error":"malformed report"}' };
       }
       throw error;
@@ -276,7 +277,7 @@
   }
 
   private releaseShard(shard: number): void {
-    this.services.log.info("block dropped", { block: shard });
+    this.services.log.info(LogEvent.ShardReleased, { block: shard });
     this.shardLeaders.get(shard)?.stop();
     this.shardLeaders.delete(shard);
   }
@@ -286,7 +287,7 @@
       const types = decodeMachineTypes(raw);
       if (this.machineTypes.size === 0) for (const type of types) this.machineTypes.set(type.name, type);
     } catch (error) {
-      this.services.log.error("malformed types on record", { error: String(error) });
+      this.services.log.error(LogEvent.MachineTypesRecordMalformed, { error: String(error) });
     }
   }
 
--- a/src/coordination/leadership/membership.ts
+++ b/src/coordination/leadership/membership.ts
@@ -23,6 +23,7 @@
 import { type Clock, type Micros, ms, seconds, sleep } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import type { Services, ShardLease } from "../context.js";
+import { LogEvent } from "../log-events.js";
 import { isLeaseValid } from "./lease-authority.js";
 
 const RENEWALS_PER_LEASE = 12;
@@ -85,7 +86,7 @@
         else await this.renew(this.memberLease);
         this.reconcileShards();
       } catch (error) {
-        log.error("membership step failed", { error: describeError(error) });
+        log.error(LogEvent.MembershipStepFailed, { error: describeError(error) });
       }
       await sleep(
         this.clock,
@@ -113,7 +114,7 @@
     const written = await store.transact(new Map([[key, 0]]), [{ kind: "put", key, value, lease: lease.value }]);
     if (written.kind !== "ok") return;
     this.memberLease = { id: lease.value, renewedAt: sent };
-    log.info("joined", { label: settings.label, leaseMs: this.leaseDuration / 1_000 });
+    log.info(LogEvent.MemberJoined, { label: settings.label, leaseMs: this.leaseDuration / 1_000 });
     await cache.sync();
   }
 
@@ -122,7 +123,7 @@
     const reply = await this.services.store.renewLease(memberLease.id);
     if (reply.kind === "ok") memberLease.renewedAt = sent;
     if (reply.kind !== "missing") return;
-    this.services.log.info("grant lost");
+    this.services.log.info(LogEvent.MemberLeaseLost);
     this.resign();
   }
 
@@ -207,7 +208,7 @@
       if (leader === undefined) await this.electClusterLeader(me, this.memberLease);
       else if (isClusterLeader(leader.value, this.incarnation)) await this.assignShards(leader);
     } catch (error) {
-      log.error("leading failed", { error: describeError(error) });
+      log.error(LogEvent.ClusterLeadershipFailed, { error: describeError(error) });
     } finally {
       this.leading = false;
     }
@@ -224,7 +225,7 @@
       ]),
       [{ kind: "put", key: CLUSTER_LEADER_KEY, value, lease: memberLease.id }],
     );
-    if (result.kind === "ok") log.info("leader");
+    if (result.kind === "ok") log.info(LogEvent.ClusterLeaderElected);
     if (result.kind !== "refused") await cache.sync();
   }
 
@@ -252,7 +253,7 @@
         ]),
         writes,
       );
-      if (result.kind === "ok") log.info("block leased", { block: shard, number: epoch, holder: record.label });
+      if (result.kind === "ok") log.info(LogEvent.ShardAssigned, { block: shard, number: epoch, holder: record.label });
       await cache.sync();
     }
   }
--- a/src/coordination/leadership/shard-leader.ts
+++ b/src/coordination/leadership/shard-leader.ts
@@ -15,6 +15,7 @@
 import { DependencyTracker } from "../jobs/dependency-tracker.js";
 import { JobWatcher } from "../jobs/job-watcher.js";
 import { TaskStateWriter } from "../jobs/task-state-writer.js";
+import { LogEvent } from "../log-events.js";
 import { BackpressureSignal } from "../overload/backpressure-signal.js";
 import { Scheduler } from "../scheduling/scheduler.js";
 import { CommandDispatcher } from "../workers/command-dispatcher.js";
@@ -278,7 +279,7 @@
       // It may be gone for long: no room until it is heard of otherwise.
       machine.state = "unconfirmed";
       shard.machines.set(heartbeat.machine, machine);
-      log.info("machine reported", { machine: heartbeat.machine });
+      log.info(LogEvent.MachineReported, { machine: heartbeat.machine });
     }
     machine.type ??= this.machineTypes.get(heartbeat.type) ?? null;
     if (machine.typeName === "") {
@@ -313,7 +314,7 @@
   private guard(work: Promise<unknown>): Promise<void> {
     return work.then(
       () => undefined,
-      (error: unknown) => this.services.log.error("steward step failed", { error: describeError(error) }),
+      (error: unknown) => this.services.log.error(LogEvent.LeaderStepFailed, { error: describeError(error) }),
     );
   }
 
@@ -334,7 +335,7 @@
       try {
         if (!this.stopped) this.scheduler.runRound();
       } catch (error) {
-        this.services.log.error("round failed", { error: describeError(error) });
+        this.services.log.error(LogEvent.RoundFailed, { error: describeError(error) });
       }
       const least = this.services.loadShedder.atLeast("degraded") ? ROUND_INTERVAL_UNDER_LOAD : MIN_ROUND_INTERVAL;
       this.roundGap = Math.max(least, ROUND_REST_FACTOR * (clock.now() - this.lastRound)) as Micros;
@@ -349,7 +350,7 @@
       const valid = this.lease.isValid();
       if (valid && !this.leaseWasValid) this.failureDetector.restartSettling();
       if (valid !== this.leaseWasValid)
-        log.info(valid ? "lease regained" : "lease run out", { block: this.lease.shard });
+        log.info(valid ? LogEvent.LeaseRegained : LogEvent.LeaseExpired, { block: this.lease.shard });
       if (valid && !this.leaseWasValid)
         this.context.eventListener?.({ kind: "state away", span: this.elapsedSince(this.leaseInvalidSince) });
       if (!valid && this.leaseWasValid) this.leaseInvalidSince = clock.now();
@@ -366,7 +367,7 @@
         this.backpressure.publish();
         if (clock.now() - this.lastSummaryAt > SUMMARY_INTERVAL) {
           this.lastSummaryAt = clock.now();
-          log.info("room", {
+          log.info(LogEvent.CapacitySummarized, {
             ...this.scheduler.summarize(),
             jobs: this.context.shard.jobs.size,
             failing: this.heartbeats.takeFailureCounts(),
@@ -376,7 +377,7 @@
         }
       }
     } catch (error) {
-      log.error("tick failed", { error: describeError(error) });
+      log.error(LogEvent.LeaderTickFailed, { error: describeError(error) });
     }
     clock.after(TICK_INTERVAL, () => this.tick());
   }
--- a/src/coordination/overload/load-shedder.ts
+++ b/src/coordination/overload/load-shedder.ts
@@ -1,5 +1,6 @@
 import { type Clock, type Micros, ms, seconds } from "../../transport/clock.js";
 import type { Log } from "../../transport/log.js";
+import { LogEvent } from "../log-events.js";
 
 /**
  * What a controller leaves out as its load grows, each level beside what the ones before it do (docs/overload.md):
@@ -99,7 +100,7 @@
   private changeLevel(to: number, memory: number, sockets: number): void {
     this.levelIndex = to;
     this.calmSince = this.clock.now();
-    this.log.info("load", {
+    this.log.info(LogEvent.LoadLevelChanged, {
       level: this.level,
       lateMs: Math.round(this.meanDelay / 1_000),
       memory: Math.round(memory * 100) / 100,
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,6 +1,7 @@
 import type { Micros } from "../../transport/clock.js";
 import { firstFencingToken, type ShardContext } from "../context.js";
 import type { TaskStateWriter } from "../jobs/task-state-writer.js";
+import { LogEvent } from "../log-events.js";
 import { summarizePools } from "./candidate-index.js";
 import type { InspectionCounter } from "./placement/ranking.js";
 import { applyAction, decideRound, newRoundState, type RoundAction } from "./placement-round.js";
@@ -112,7 +113,7 @@
         return;
       case "stop": {
         const { by, machine, victims } = action;
-        log.info("preempting", {
+        log.info(LogEvent.TaskPreempted, {
           task: by.name,
           machine: machine.name,
           victims: victims.map(({ task }) => task.name),
@@ -125,14 +126,14 @@
         for (const { machine: on } of action.job.placedTasks) if (on !== null) this.context.scheduleCommands(on);
         return;
       case "guarantees":
-        log.info(action.short ? "guarantees exceed the room" : "guarantees fit again", {
+        log.info(action.short ? LogEvent.GuaranteesOvercommitted : LogEvent.GuaranteesSatisfiable, {
           claimedCpus: action.claimed / 1_000,
           roomCpus: action.room / 1_000,
         });
         return;
       case "reserve": {
         const { job, machines, until } = action.reservation;
-        log.info("room kept", {
+        log.info(LogEvent.CapacityReserved, {
           job: job.spec.id,
           waitedS: Math.round((context.clock.now() - job.waitingSince) / 1_000_000),
           machines: machines.size === 0 ? "its team's limit" : [...machines.keys()].slice(0, 5).map(({ name }) => name),
@@ -141,10 +142,10 @@
         return;
       }
       case "unreserve":
-        log.info("room no longer kept", { job: action.job.spec.id, why: action.why });
+        log.info(LogEvent.ReservationReleased, { job: action.job.spec.id, why: action.why });
         return;
       case "no such room":
-        log.info("no room in sight", { job: action.job.spec.id, tasks: action.job.spec.tasks });
+        log.info(LogEvent.ReservationImpossible, { job: action.job.spec.id, tasks: action.job.spec.tasks });
         return;
       case "look later":
       case "wait":
--- a/src/coordination/workers/command-dispatcher.ts
+++ b/src/coordination/workers/command-dispatcher.ts
@@ -6,6 +6,7 @@
 import type { HttpOutcome } from "../../transport/http.js";
 import { WORKER_REQUEST_TIMEOUT } from "../../transport/timeouts.js";
 import { fencingTokenOf, firstFencingToken, hasFencingSequencesLeft, type ShardContext } from "../context.js";
+import { LogEvent } from "../log-events.js";
 import { decideEvictions } from "./graceful-eviction.js";
 import type { HeartbeatProcessor } from "./heartbeat-processor.js";
 import { recordResponse, recordTimeout } from "./reachability.js";
@@ -64,7 +65,7 @@
     machine.fencing.forgetSentAt = clock.now();
     machine.fencing.sequence += 1;
     if (!hasFencingSequencesLeft(machine)) {
-      this.context.log.info("fences used up, starting over", { machine: machine.name, number: lease.epoch });
+      this.context.log.info(LogEvent.FencingSequencesExhausted, { machine: machine.name, number: lease.epoch });
       this.context.onInconsistent();
       return [];
     }
@@ -148,7 +149,7 @@
         if (heartbeat.machine !== machine.name) throw new Error("another machine's report");
         this.heartbeats.process(machine, heartbeat, { kind: "status-reply", askedAt });
       } catch (error) {
-        log.error("malformed answer of a worker", { machine: machine.name, error: String(error) });
+        log.error(LogEvent.WorkerResponseMalformed, { machine: machine.name, error: String(error) });
         this.startsLost(machine, token, still);
       }
       machine.commands.nextAt = (outcome.status === 200 ? clock.now() : clock.now() + RETRY_DELAY) as Micros;
@@ -178,7 +179,7 @@
       this.heartbeats.process(machine, heartbeat, { kind: "status-reply", askedAt });
       if (machine.counters.highestToken < firstFencingToken(lease)) await this.send(machine, true);
     } catch (error) {
-      log.error("malformed answer of a worker", { machine: machine.name, error: String(error) });
+      log.error(LogEvent.WorkerResponseMalformed, { machine: machine.name, error: String(error) });
     }
   }
 
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -3,6 +3,7 @@
 import { type Micros, seconds } from "../../transport/clock.js";
 import type { Autoscaler } from "../autoscaling/autoscaler.js";
 import type { ShardContext } from "../context.js";
+import { LogEvent } from "../log-events.js";
 import type { CommandDispatcher } from "./command-dispatcher.js";
 import type { HeartbeatProcessor } from "./heartbeat-processor.js";
 import { commandsArrive, isOneWay, isReachable, responsesArrive } from "./reachability.js";
@@ -129,7 +130,7 @@
     if (up.length >= 3 && now - newest > limit && stateHeard) {
       // Not one of many: the workers cannot reach this controller, while another may well be reached. Their leases
       // run, and deleting them one by one, as they miss their reports, would end work that is going on.
-      log.info("no machine heard, handing over", { machines: up.length });
+      log.info(LogEvent.LeadershipTransferred, { reason: "no heartbeats", machines: up.length });
       void this.dependencies.guard(this.dependencies.onUnreachable());
       return;
     }
@@ -194,7 +195,7 @@
     // before, and no proof that they are gone is worth ending them.
     const lost = dead.filter((machine) => machine.load.replicas === 0 || !zones.has(machine.zone));
     if (lost.length === 0) return;
-    log.info("machines silent", { machines: lost.map((machine) => machine.name), cut: [...zones] });
+    log.info(LogEvent.MachinesSilent, { machines: lost.map((machine) => machine.name), cut: [...zones] });
     for (const machine of lost) {
       this.dependencies.context.eventListener?.({
         kind: "machine silent",
@@ -249,7 +250,7 @@
     const zones = new Set(this.unansweredZones());
     if (zones.size === 0 || up.some(({ zone }) => !zones.has(zone))) return false;
     const { log } = this.dependencies.context;
-    log.info("machines heard, none reached: handing over", { machines: up.length });
+    log.info(LogEvent.LeadershipTransferred, { reason: "no zone reachable", machines: up.length });
     void this.dependencies.guard(this.dependencies.onUnreachable());
     return true;
   }
@@ -275,7 +276,7 @@
     });
     if (lost.length === 0) return;
     if (lost.length > Math.max(2, up.length * OWN_FAULT_SHARE)) {
-      log.info("machines heard, none reached: handing over", { machines: lost.length });
+      log.info(LogEvent.LeadershipTransferred, { reason: "most machines unreachable", machines: lost.length });
       void this.dependencies.guard(this.dependencies.onUnreachable());
       return;
     }
@@ -294,7 +295,7 @@
         ...eventFieldsOf(machine),
       });
     }
-    log.info("machines given up, not reached", { machines: chosen.map(({ name }) => name) });
+    log.info(LogEvent.UnreachableMachinesRemoved, { machines: chosen.map(({ name }) => name) });
     void this.dependencies.guard(this.dependencies.autoscaler.deleteMachines(chosen));
   }
 
--- a/src/coordination/workers/heartbeat-processor.ts
+++ b/src/coordination/workers/heartbeat-processor.ts
@@ -12,6 +12,7 @@
   type ShardContext,
 } from "../context.js";
 import type { TaskStateWriter } from "../jobs/task-state-writer.js";
+import { LogEvent } from "../log-events.js";
 import { zoneAllowed, zoneCounts } from "../scheduling/eligibility.js";
 import { attributeFailure, clearSuspicion, STABLE_RUN_TIME } from "./failure-attribution.js";
 import { classifyHeartbeat, type HeartbeatFreshness, type HeartbeatSource } from "./heartbeat-freshness.js";
@@ -122,14 +123,17 @@
     if (machine.state !== "up") {
       machine.state = "up";
       machine.load.idleSince = clock.now();
-      log.info("machine up", { machine: machine.name, zone: machine.zone, spot: machine.spot });
+      log.info(LogEvent.MachineUp, { machine: machine.name, zone: machine.zone, spot: machine.spot });
       this.context.eventListener?.({ kind: "machine up", ...eventFieldsOf(machine) });
       this.context.scheduleRound();
     }
     if (heartbeat.reclaimNoticeS === null) machine.lifecycle.reclaimAt = null;
     else if (machine.lifecycle.reclaimAt === null) {
       machine.lifecycle.reclaimAt = (clock.now() + seconds(heartbeat.reclaimNoticeS)) as Micros;
-      this.context.log.info("machine notice", { machine: machine.name, leftS: heartbeat.reclaimNoticeS });
+      this.context.log.info(LogEvent.MachineReclaimAnnounced, {
+        machine: machine.name,
+        leftS: heartbeat.reclaimNoticeS,
+      });
       this.context.eventListener?.({
         kind: "machine notice",
         span: seconds(heartbeat.reclaimNoticeS),
@@ -176,11 +180,11 @@
     if (reached === (machine.reachability.unreachableSince === null)) return;
     machine.reachability.unreachableSince = reached ? null : clock.now();
     if (reached) {
-      log.info("machine reached again", { machine: machine.name });
+      log.info(LogEvent.WorkerReachable, { machine: machine.name });
       this.context.scheduleRound();
       return;
     }
-    log.info("machine heard, not reached", {
+    log.info(LogEvent.WorkerUnreachable, {
       machine: machine.name,
       commands: commandsArrive(machine.reachability),
       answers: responsesArrive(machine.reachability),
@@ -191,7 +195,7 @@
   /** The earlier session is over, and with it all that was started in it and all commands that name it. */
   private startNewIncarnation(machine: Machine, heartbeat: Heartbeat): void {
     const begun = [...machine.tasks].filter(({ startCommand }) => startCommand.kind !== "none");
-    this.context.log.info("session turned", {
+    this.context.log.info(LogEvent.WorkerIncarnationChanged, {
       machine: machine.name,
       session: heartbeat.incarnation,
       tasks: begun.length,
@@ -208,7 +212,7 @@
    */
   private handleCounterReset(machine: Machine, heartbeat: Heartbeat): void {
     const { clock, lease, log } = this.context;
-    log.info("machine began anew", { machine: machine.name, tasks: machine.tasks.size });
+    log.info(LogEvent.WorkerCountersReset, { machine: machine.name, tasks: machine.tasks.size });
     const token = fencingTokenOf(lease, machine);
     for (const task of machine.tasks) {
       if (task.startCommand.kind === "none") continue;
@@ -253,7 +257,7 @@
   /** The machine, its tasks and every command sent to it are surely gone. */
   machineLost(machine: Machine, why: string): void {
     if (machine.tasks.size > 0) {
-      this.context.log.info("tasks lost", { machine: machine.name, why, tasks: machine.tasks.size });
+      this.context.log.info(LogEvent.TasksLost, { machine: machine.name, why, tasks: machine.tasks.size });
     }
     for (const task of [...machine.tasks]) this.taskGone(task);
     machine.reported.taskListText = null;
@@ -296,12 +300,15 @@
     machine.reported.unexpectedTasks = strays;
     machine.reported.exitedTasks = exited;
     if (vanished) {
-      this.context.log.info("tasks vanished", { machine: machine.name });
+      this.context.log.info(LogEvent.TasksVanished, { machine: machine.name });
       machine.fencing.sequence += 1;
       this.context.announceFencingToken(machine);
     }
     if (strays.size > 0) {
-      this.context.log.info("strays", { machine: machine.name, tasks: [...strays.keys()].slice(0, 5) });
+      this.context.log.info(LogEvent.UnexpectedTasksReported, {
+        machine: machine.name,
+        tasks: [...strays.keys()].slice(0, 5),
+      });
     }
   }
 
@@ -370,7 +377,7 @@
     // Reports that say nothing new do not come by `listed`.
     if (task.runningSince !== null && now - task.runningSince > STABLE_RUN_TIME) task.failureCount = 0;
     if (reason !== "stopped") {
-      log.info("task failed", { task: task.name, machine: machine.name, reason });
+      log.info(LogEvent.TaskFailed, { task: task.name, machine: machine.name, reason });
       this.context.onTaskFailed(task, reason);
       task.failureCount += 1;
       task.earliestStart = (now +
@@ -390,10 +397,11 @@
     const before = job.onProbation;
     this.failedStarts += 1;
     const verdict = attributeFailure(task, machine, shard.jobs, shard.machines, now);
-    if (verdict === "job" && !before) log.info("job on trial", { job: job.spec.id, machines: [...job.failedMachines] });
+    if (verdict === "job" && !before)
+      log.info(LogEvent.JobOnProbation, { job: job.spec.id, machines: [...job.failedMachines] });
     if (verdict !== "machine" || machine.lifecycle.drainReason !== null) return;
     machine.lifecycle.drainReason = "faulty";
-    log.info("machine faulty", { machine: machine.name, jobs: [...machine.lifecycle.recentFailures.keys()] });
+    log.info(LogEvent.MachineFaulty, { machine: machine.name, jobs: [...machine.lifecycle.recentFailures.keys()] });
     eventListener?.({ kind: "machine faulty", ...eventFieldsOf(machine) });
   }
 
--- a/src/coordination/workers/unreachable-zones.ts
+++ b/src/coordination/workers/unreachable-zones.ts
@@ -9,6 +9,7 @@
 } from "../../storage/unreachable-zones-record.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import type { Services, ShardLease } from "../context.js";
+import { LogEvent } from "../log-events.js";
 
 /** Beyond the bound on both clocks' errors: for rounding, and for what the steady clocks drift meanwhile. */
 const CLOCK_MARGIN = 50_000;
@@ -147,7 +148,7 @@
           this.version = cache.entries.get(this.key)?.version ?? 0;
         }
       })
-      .catch((error: unknown) => log.error("silence not recorded", { error: String(error) }))
+      .catch((error: unknown) => log.error(LogEvent.UnreachableZonesRecordFailed, { error: String(error) }))
       .finally(() => {
         this.writing = false;
       });
--- a/test/links.test.ts
+++ b/test/links.test.ts
@@ -1,5 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import { LogEvent } from "../src/coordination/log-events.js";
 import { S } from "../src/model/index.js";
 import { Cluster, plainJob } from "./sim/cluster.js";
 
@@ -30,7 +31,7 @@
   const at = cluster.begun.map((start) => start.at).filter((time) => time >= 58 * S && time <= (60 + RUN) * S);
   let gap = 0;
   for (const [index, time] of at.entries()) gap = Math.max(gap, ((at[index + 1] ?? (60 + RUN) * S) - time) / S);
-  const takeovers = cluster.log.slice(before).filter((line) => line.includes(" block taken ")).length;
+  const takeovers = cluster.log.slice(before).filter((line) => line.includes(` ${LogEvent.ShardAcquired} `)).length;
   await cluster.run(60 * S);
   assert.deepEqual(cluster.errors, []);
   assert.deepEqual(cluster.unfinished(), []);
@@ -55,8 +56,8 @@
     const result = await day(52, true, cut);
     assert.equal(result.takeovers, 0);
     // Without a mesh the block is handed over, and all that is known of the machines is gathered anew.
-    assert.ok(!result.cluster.logged("machines silent"));
-    assert.ok(!result.cluster.logged("tasks lost"));
+    assert.ok(!result.cluster.logged(LogEvent.MachinesSilent));
+    assert.ok(!result.cluster.logged(LogEvent.TasksLost));
     assert.ok(result.gap < 7, `nothing started for ${result.gap} s`);
     assert.ok(result.cluster.log.some((line) => line.includes("cut off from me")));
     // Once it is over, workers come back to their holder.
--- a/test/nights.test.ts
+++ b/test/nights.test.ts
@@ -1,6 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { troublesIn } from "../src/commands/links.js";
+import { LogEvent } from "../src/coordination/log-events.js";
 import { HostClock, S } from "../src/model/index.js";
 import type { Micros } from "../src/transport/clock.js";
 import { Random } from "./random.js";
@@ -76,6 +77,10 @@
   }
 }
 
+/** Does the line say that machines are deleted because nothing is heard of them, or because nothing reaches them? */
+const isRemoval = (line: string): boolean =>
+  [LogEvent.MachinesSilent, LogEvent.UnreachableMachinesRemoved].some((event) => line.includes(` ${event} `));
+
 test("a start command that comes a second time starts nothing that has ended", async () => {
   // Ended and on record, an attempt was forgotten under the token that it had been started under; the command, repeated,
   // started it once more, beside the next attempt elsewhere: 15 of 60 such days broke a rule.
@@ -107,7 +112,7 @@
     const cluster = await night(mesh, (c) => c.site.deafenAll(14 * S, ["requests", "answers"]));
     const before = cluster.log.length;
     await cluster.run(14 * S);
-    const given = cluster.log.slice(before).filter((line) => / machines (silent|given up)/.test(line));
+    const given = cluster.log.slice(before).filter(isRemoval);
     assert.deepEqual(given, []);
     await cluster.run(150 * S);
     settled(cluster);
@@ -116,14 +121,14 @@
   const cluster = await night(true, (c) => c.site.deafenAll(30 * S, ["requests", "answers"]));
   const before = cluster.log.length;
   await cluster.run(100 * S);
-  const given = cluster.log.slice(before).filter((line) => / machines (silent|given up)/.test(line));
+  const given = cluster.log.slice(before).filter(isRemoval);
   assert.deepEqual(given, []);
 });
 
 test("a machine that only answers do not reach is noticed with its second report here, and its work goes on elsewhere", async () => {
   const cluster = await night(false, (c) => c.site.deafen(busy(c, 1), 200 * S, ["answers"]));
   await cluster.run(60 * S);
-  const noticed = cluster.log.find((line) => line.includes("machine heard, not reached"));
+  const noticed = cluster.log.find((line) => line.includes(LogEvent.WorkerUnreachable));
   assert.match(noticed ?? "", /"commands":true,"answers":false/);
   // A report to each of the three controllers, each given up after four seconds, with a second between them.
   assert.ok(Number(noticed?.split(" ")[0]) < 60 + 20, noticed);
--- a/test/polls.test.ts
+++ b/test/polls.test.ts
@@ -3,6 +3,7 @@
 import { JobApi } from "../src/coordination/api/job-api.js";
 import type { Services } from "../src/coordination/context.js";
 import { OutcomeReader } from "../src/coordination/jobs/outcome-reader.js";
+import { LogEvent } from "../src/coordination/log-events.js";
 import { HostClock, S, World } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job.js";
 import type { Entry } from "../src/protocol/key-value-store.js";
@@ -180,7 +181,7 @@
     );
   }
   await cluster.run(30 * S);
-  assert.equal(cluster.logged("lease run out"), false);
+  assert.equal(cluster.logged(LogEvent.LeaseExpired), false);
   cluster.checker.calmFrom = cluster.world.now;
   await cluster.run(90 * S);
   assert.deepEqual(cluster.unfinished(), []);
--- a/test/scenarios.test.ts
+++ b/test/scenarios.test.ts
@@ -1,5 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import { LogEvent } from "../src/coordination/log-events.js";
 import { S } from "../src/model/index.js";
 import { Cluster, plainJob } from "./sim/cluster.js";
 
@@ -12,7 +13,7 @@
   cluster.submit(plainJob("wk-000001", { ...service, shards: 2, owner: "open" }));
   cluster.world.at(40 * S, () => cluster.submit(plainJob("wk-000002", { ...service, shards: 1, owner: "capped" })));
   await cluster.run(90 * S);
-  assert.equal(cluster.logged("preempting"), false);
+  assert.equal(cluster.logged(LogEvent.TaskPreempted), false);
   assert.equal(cluster.checker.starts, 2);
 });
 
@@ -70,7 +71,7 @@
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0 };
   cluster.submit(plainJob("wk-000001", { shape: "daemon", rank: "prod", flavors: ["big"], shards: 3, spread: true }));
   await cluster.run(200 * S);
-  assert.equal(cluster.logged("machine emptied"), false);
+  assert.equal(cluster.logged(LogEvent.ConsolidationStarted), false);
   assert.deepEqual(cluster.missingReplicas(), []);
 });
 
--- a/test/second-page.test.ts
+++ b/test/second-page.test.ts
@@ -1,5 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
+import { LogEvent } from "../src/coordination/log-events.js";
 import { S } from "../src/model/index.js";
 import { Cluster, plainJob } from "./sim/cluster.js";
 import { hangCancelled, keepReports, longJobs, smallJobs, upAtOnce } from "./sim/meetings.js";
@@ -156,7 +157,7 @@
   c.users.cancel("wk-800004");
   await c.run(46 * S);
   // Their leases run out, whatever else reaches them.
-  assert.ok(c.logged("session turned"), "no lease has run out");
+  assert.ok(c.logged(LogEvent.WorkerIncarnationChanged), "no lease has run out");
 });
 
 meeting("machines are up at once and get work while writes lag, and the leader ends", undefined, async (c) => {
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -1,4 +1,5 @@
 import type { ClusterEvent } from "../../src/cluster/events.js";
+import { LogEvent, type LogEventText } from "../../src/coordination/log-events.js";
 import { graphsWith } from "../../src/graphs/index.js";
 import {
   type Behaviour,
@@ -188,7 +189,7 @@
             const text = JSON.stringify(fields, (_, value: unknown) =>
               typeof value === "bigint" ? String(value) : value,
             );
-            if (event === "block taken") {
+            if (event === LogEvent.ShardAcquired) {
               this.takeovers += 1;
               this.onTaken(at);
             }
@@ -269,7 +270,7 @@
 
   /** The controller that took the block last. */
   holder(): number {
-    const taken = this.log.filter((line) => line.includes(" block taken "));
+    const taken = this.log.filter((line) => line.includes(` ${LogEvent.ShardAcquired} `));
     return Number(/ctl-(\d)/.exec(taken.at(-1) ?? "")?.[1] ?? 0);
   }
 
@@ -294,7 +295,7 @@
     return [...records, ...lines, "...", ...this.log.slice(-15)].join("\n");
   }
 
-  logged(event: string): boolean {
+  logged(event: LogEventText): boolean {
     return this.log.some((line) => line.includes(` ${event} `));
   }
 
--- a/test/trial.test.ts
+++ b/test/trial.test.ts
@@ -3,6 +3,7 @@
 import type { Job } from "../src/cluster/job.js";
 import type { Machine } from "../src/cluster/machine.js";
 import type { Task } from "../src/cluster/task.js";
+import { LogEvent } from "../src/coordination/log-events.js";
 import { waitingJobs } from "../src/coordination/scheduling/job-order.js";
 import { allowedStarts, attributeFailure, clearSuspicion } from "../src/coordination/workers/failure-attribution.js";
 import { S } from "../src/model/index.js";
@@ -141,8 +142,8 @@
     for (let at = 20; at < 23; at += 1) cluster.submit(plainJob(job(at), { shards: 8 }), { runUs: 10 * S });
   });
   await cluster.run(180 * S);
-  assert.equal(cluster.logged("machine faulty"), false);
-  assert.equal(cluster.logged("job on trial"), true);
+  assert.equal(cluster.logged(LogEvent.MachineFaulty), false);
+  assert.equal(cluster.logged(LogEvent.JobOnProbation), true);
   const starts = (from: number, to: number, after: number): number =>
     cluster.begun.filter(({ task, at }) => task >= job(from) && task < job(to) && at > after * S).length;
   // Two minutes of four jobs; the first wave of at most eighty starts is over by then.
