--- a/src/commands/serving.ts
+++ b/src/commands/serving.ts
@@ -87,9 +87,9 @@
   log: Log,
   http: HttpClient,
 ): Promise<MeshFactory> => {
-  const { meshWith, NetWires } = await import("../mesh/index.js");
-  const wires = new NetWires(settings.meshListen, log);
-  return meshWith({ settings, incarnation, clock, log, http, random: Math.random, wires });
+  const { createMeshFactory, TcpFrameTransport } = await import("../mesh/index.js");
+  const transport = new TcpFrameTransport(settings.meshListen, log);
+  return createMeshFactory({ settings, incarnation, clock, log, http, random: Math.random, transport });
 };
 
 /** Serves as one controller until killed. */
--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -52,15 +52,15 @@
 export interface MeshPort {
   readonly client: HttpClient;
   start(): void;
-  workerHeard(address: string): void;
-  workerHeardThrough(address: string, peer: string): void;
+  recordDirectHeartbeat(address: string): void;
+  recordRelayedHeartbeat(address: string, peer: string): void;
   relayHeartbeat(leader: string, request: Request): Promise<Response | null>;
-  table(): LinkTable;
+  linkTable(): LinkTable;
   readonly workerPathChangedAt: Micros | null;
 }
 
 export interface MeshHost {
-  readonly level: () => number;
+  readonly loadLevel: () => number;
   readonly leadership: () => { readonly machines: number; readonly since: Micros } | null;
   readonly handleHeartbeat: (request: Request, through: string) => Promise<Response>;
 }
@@ -82,7 +82,7 @@
     const { clock, log, random } = outside;
     this.mesh =
       outside.mesh?.({
-        level: () => LOAD_LEVELS.indexOf(this.services.loadShedder.level),
+        loadLevel: () => LOAD_LEVELS.indexOf(this.services.loadShedder.level),
         leadership: () => this.leadership(),
         handleHeartbeat: async (request, through) => this.handleHeartbeat(request.body, through),
       }) ?? null;
@@ -206,7 +206,7 @@
     }
     if (request.target === "/links") {
       const machines = [...this.shardLeaders.values()].map(({ fleetHealth }) => fleetHealth);
-      return { status: 200, body: formatJson(linksAnswer(this.mesh?.table() ?? null, machines[0] ?? null)) };
+      return { status: 200, body: formatJson(linksAnswer(this.mesh?.linkTable() ?? null, machines[0] ?? null)) };
     }
     return this.extension?.handle(request) ?? this.jobApi.handle(request);
   }
@@ -253,8 +253,8 @@
       const elsewhere = holder === this.services.settings.label ? null : holder;
       return { status: 421, body: formatJson(encodeRedirect(elsewhere)) };
     }
-    if (through === null) this.mesh?.workerHeard(heartbeat.address);
-    else this.mesh?.workerHeardThrough(heartbeat.address, through);
+    if (through === null) this.mesh?.recordDirectHeartbeat(heartbeat.address);
+    else this.mesh?.recordRelayedHeartbeat(heartbeat.address, through);
     const answer = leader.handleHeartbeat(heartbeat);
     if (answer === null) return { status: 503, body: "{}" };
     return { status: 200, body: formatJson(encodeHeartbeatResponse(answer.token, answer.commands)) };
--- a/src/mesh/wire.ts
+++ b/src/mesh/frame-connection.ts
@@ -1,5 +1,5 @@
 /** A connection that carries bytes in order until it ends. */
-export interface Wire {
+export interface FrameConnection {
   /** False: not all of it has left yet, and nothing more is to be written before `onDrain`. */
   write(data: Buffer): boolean;
   /** Ends it on this side; `onEnd` is not called. */
@@ -7,12 +7,12 @@
   onData: (data: Buffer) => void;
   onDrain: () => void;
   /** Closed by the other side, broken, or never came about. */
-  onEnd: () => void;
+  onClosed: () => void;
 }
 
 /** How connections between controllers come about: over `net`, or simulated. */
-export interface Wires {
+export interface FrameTransport {
   /** Never throws; a connection that does not come about ends. */
-  connect(address: string): Wire;
-  listen(onWire: (wire: Wire) => void): void;
+  connect(address: string): FrameConnection;
+  listen(onConnection: (wire: FrameConnection) => void): void;
 }
--- a/src/mesh/index.ts
+++ b/src/mesh/index.ts
@@ -1,9 +1,24 @@
 /** Connections between controllers: what each of them reaches, and calls through a sibling where the own way fails. */
 
-export { Detector } from "./detector.js";
-export { BadFrame, type Beat, encode, type Frame, FrameReader, MAX_FRAME, NEVER } from "./frames.js";
-export { Mesh, type MeshSetup } from "./mesh.js";
-export { NetWires } from "./net-wires.js";
-export { type PeerView, routeFor, type Standing, standingOf, type Target, type Ways } from "./route.js";
-export type { Wire, Wires } from "./wire.js";
-export { meshWith } from "./with-settings.js";
+export type { FrameConnection, FrameTransport } from "./frame-connection.js";
+export {
+  AGE_NEVER,
+  encodeFrame,
+  FrameDecoder,
+  MAX_FRAME_BYTES,
+  MalformedFrameError,
+  type MeshFrame,
+  type PeerHeartbeat,
+} from "./frames.js";
+export { Mesh, type MeshOptions } from "./mesh.js";
+export { createMeshFactory } from "./mesh-factory.js";
+export { PhiAccrualDetector } from "./phi-accrual-detector.js";
+export {
+  type CallTarget,
+  type LinkStatus,
+  linkStatusOf,
+  type PeerSnapshot,
+  selectRelayPeer,
+  type UpstreamLinks,
+} from "./relay-route.js";
+export { TcpFrameTransport } from "./tcp-frame-transport.js";
--- a/src/mesh/with-settings.ts
+++ b/src/mesh/mesh-factory.ts
@@ -1,5 +1,5 @@
 import type { Micros } from "../transport/clock.js";
-import { Mesh, type MeshSetup } from "./mesh.js";
+import { Mesh, type MeshOptions } from "./mesh.js";
 
 /** What of a controller's settings the mesh needs. */
 interface MeshSettings {
@@ -10,16 +10,16 @@
   readonly workers: { readonly heartbeatInterval: Micros };
 }
 
-type MeshEnvironment = Pick<MeshSetup, "clock" | "log" | "http" | "random" | "wires" | "incarnation"> & {
+type MeshEnvironment = Pick<MeshOptions, "clock" | "log" | "http" | "random" | "transport" | "incarnation"> & {
   readonly settings: MeshSettings;
 };
 
-type MeshHost = Pick<MeshSetup, "level" | "leadership" | "handleHeartbeat">;
+type MeshCallbacks = Pick<MeshOptions, "loadLevel" | "leadership" | "handleHeartbeat">;
 
 /** The mesh of one controller, made once the rest of it stands. */
-export const meshWith =
+export const createMeshFactory =
   ({ settings, ...outside }: MeshEnvironment) =>
-  (dependencies: MeshHost): Mesh => {
+  (dependencies: MeshCallbacks): Mesh => {
     const { label, peers, storeAddress, cloudAddress, workers } = settings;
     return new Mesh({
       ...outside,
--- a/src/model/site.ts
+++ b/src/model/site.ts
@@ -1,7 +1,7 @@
 import type { ClusterEvent } from "../cluster/events.js";
 import type { ExtensionFactory } from "../coordination/extension.js";
 import { Controller, type ControllerEnvironment } from "../coordination/leadership/controller.js";
-import { meshWith } from "../mesh/index.js";
+import { createMeshFactory } from "../mesh/index.js";
 import type { Options } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
 import type { Log, LogFields } from "../transport/log.js";
@@ -194,8 +194,8 @@
       ...(door === null ? {} : this.bounded(at, door)),
     };
     const incarnation = `inc-${at}-${node.starts}`;
-    const wires = this.wires.of(this.addresses.mesh[at] ?? "", clock);
-    const mesh = this.setup.options.mesh ? meshWith({ ...outside, settings, incarnation, wires }) : null;
+    const transport = this.wires.of(this.addresses.mesh[at] ?? "", clock);
+    const mesh = this.setup.options.mesh ? createMeshFactory({ ...outside, settings, incarnation, transport }) : null;
     node.controller = new Controller({ ...outside, mesh }, settings, this.setup.options, incarnation);
     node.host.state = "up";
     node.controller.start();
--- a/src/model/wires.ts
+++ b/src/model/wires.ts
@@ -1,4 +1,4 @@
-import type { Wire, Wires } from "../mesh/index.js";
+import type { FrameConnection, FrameTransport } from "../mesh/index.js";
 import type { Network } from "./network.js";
 import type { HostClock, World } from "./world.js";
 
@@ -6,7 +6,7 @@
 const CONNECT_PATIENCE_US = 1_000_000;
 
 /** One side of a simulated connection. */
-class End implements Wire {
+class End implements FrameConnection {
   other: End | null = null;
   open = true;
   /** Not before this does the next part arrive: bytes keep their order. */
@@ -14,7 +14,7 @@
   private waiting: Buffer[] = [];
   onData: (data: Buffer) => void = nothing;
   onDrain: () => void = nothing;
-  onEnd: () => void = nothing;
+  onClosed: () => void = nothing;
 
   constructor(
     private readonly hub: SimWires,
@@ -61,7 +61,7 @@
     for (const end of [this, this.other]) {
       if (end === null || !end.open) continue;
       end.open = false;
-      if (!end.clock.dead) end.onEnd();
+      if (!end.clock.dead) end.onClosed();
     }
   }
 
@@ -73,14 +73,17 @@
     this.hub.world.after(this.hub.network.travel(), () => {
       if (!other.open || this.hub.network.cutFor(this.from, this.to) !== undefined) return;
       other.open = false;
-      if (!other.clock.dead) other.onEnd();
+      if (!other.clock.dead) other.onClosed();
     });
   }
 }
 
 /** Connections between the controllers of a simulated site, cut, held and refused like all else there. */
 export class SimWires {
-  private readonly listeners = new Map<string, { readonly clock: HostClock; readonly onWire: (wire: Wire) => void }>();
+  private readonly listeners = new Map<
+    string,
+    { readonly clock: HostClock; readonly onWire: (wire: FrameConnection) => void }
+  >();
   private readonly ends = new Set<End>();
   refusedUntil = 0;
   /** Told of the bytes that a controller sends to another over an established connection. */
@@ -93,7 +96,7 @@
     private readonly hosts: ReadonlyMap<string, string>,
   ) {}
 
-  of(meshAddress: string, clock: HostClock): Wires {
+  of(meshAddress: string, clock: HostClock): FrameTransport {
     return {
       connect: (address) => this.connect(meshAddress, address, clock),
       listen: (onWire) => {
@@ -113,13 +116,13 @@
     for (const end of this.ends) if (end.clock === clock) end.broken();
   }
 
-  private connect(from: string, to: string, clock: HostClock): Wire {
+  private connect(from: string, to: string, clock: HostClock): FrameConnection {
     const hostOf = (address: string): string => this.hosts.get(address) ?? address;
     const near = new End(this, hostOf(from), hostOf(to), clock);
     const fail = (): void => {
       if (!near.open) return;
       near.open = false;
-      if (!clock.dead) near.onEnd();
+      if (!clock.dead) near.onClosed();
     };
     this.world.after(this.network.travel(), () => {
       if (!near.open || clock.dead) return;
--- a/test/mesh.test.ts
+++ b/test/mesh.test.ts
@@ -2,68 +2,69 @@
 import { type AddressInfo, createServer } from "node:net";
 import { test } from "node:test";
 import {
-  BadFrame,
-  Detector,
-  encode,
-  type Frame,
-  FrameReader,
-  MAX_FRAME,
-  meshWith,
-  NEVER,
-  NetWires,
-  type PeerView,
-  routeFor,
-  standingOf,
-  type Ways,
-  type Wire,
+  AGE_NEVER,
+  createMeshFactory,
+  encodeFrame,
+  type FrameConnection,
+  FrameDecoder,
+  linkStatusOf,
+  MAX_FRAME_BYTES,
+  MalformedFrameError,
+  type MeshFrame,
+  type PeerHeartbeat,
+  type PeerSnapshot,
+  PhiAccrualDetector,
+  selectRelayPeer,
+  TcpFrameTransport,
+  type UpstreamLinks,
 } from "../src/mesh/index.js";
 import { HostClock, World } from "../src/model/index.js";
 import type { Micros } from "../src/transport/clock.js";
 import type { HttpOutcome } from "../src/transport/http.js";
 import { forSeeds, Random } from "./random.js";
 
-const BEAT: Frame = {
-  type: "beat",
-  beat: { sequence: 7, level: 1, stateAgeMs: 120, cloudAgeMs: NEVER, deaf: true },
+const BEAT: MeshFrame = {
+  type: "heartbeat",
+  heartbeat: { sequence: 7, loadLevel: 1, storeAgeMs: 120, cloudAgeMs: AGE_NEVER, cutOffFromWorkers: true },
 };
 
-const FRAMES: readonly Frame[] = [
+const FRAMES: readonly MeshFrame[] = [
   { type: "hello", label: "ctl-0", incarnation: "abc" },
   BEAT,
   {
-    type: "ask",
+    type: "relay-request",
     id: 9,
     address: "10.0.0.1:80",
     timeoutMs: 2_000,
     request: { method: "POST", target: "/txn", body: '{"ä":1}' },
   },
-  { type: "ask", id: 10, address: "", timeoutMs: 1, request: { method: "POST", target: "/hello", body: "" } },
-  { type: "told", id: 9, outcome: { kind: "answer", status: 409, body: "{}", retryAfterS: null } },
-  { type: "told", id: 9, outcome: { kind: "answer", status: 503, body: "", retryAfterS: 3 } },
-  { type: "told", id: 10, outcome: { kind: "lost" } },
-  { type: "told", id: 11, outcome: { kind: "unsent" } },
+  { type: "relay-request", id: 10, address: "", timeoutMs: 1, request: { method: "POST", target: "/hello", body: "" } },
+  { type: "relay-response", id: 9, outcome: { kind: "answer", status: 409, body: "{}", retryAfterS: null } },
+  { type: "relay-response", id: 9, outcome: { kind: "answer", status: 503, body: "", retryAfterS: 3 } },
+  { type: "relay-response", id: 10, outcome: { kind: "lost" } },
+  { type: "relay-response", id: 11, outcome: { kind: "unsent" } },
 ];
 
 test("frames of version 1 are written as they always were", () => {
   // Golden: a controller of another version reads these bytes.
-  assert.equal(encode(FRAMES[0] as Frame).toString("hex"), "0000001201010000000563746c2d3000000003616263");
-  assert.equal(encode(BEAT).toString("hex"), "0000001001020000000701000000 78ffffffff01".replace(" ", ""));
-  assert.equal(encode(FRAMES[7] as Frame).toString("hex"), "0000000701040000000b00");
+  assert.equal(encodeFrame(FRAMES[0] as MeshFrame).toString("hex"), "0000001201010000000563746c2d3000000003616263");
+  assert.equal(encodeFrame(BEAT).toString("hex"), "0000001001020000000701000000 78ffffffff01".replace(" ", ""));
+  assert.equal(encodeFrame(FRAMES[7] as MeshFrame).toString("hex"), "0000000701040000000b00");
 });
 
 test("frames survive any cutting into parts, and unknown types and added fields are skipped", () => {
   const unknown = Buffer.from("0000000501630a0b0c", "hex");
   // A later version's beat, with something behind what is known here.
-  const longer = Buffer.concat([encode(BEAT), Buffer.from("beef", "hex")]);
+  const longer = Buffer.concat([encodeFrame(BEAT), Buffer.from("beef", "hex")]);
   longer.writeUInt32BE(longer.length - 4);
   longer.writeUInt8(2, 4);
-  const all = Buffer.concat([...FRAMES.map(encode), unknown, longer, encode(FRAMES[0] as Frame)]);
+  const all = Buffer.concat([...FRAMES.map(encodeFrame), unknown, longer, encodeFrame(FRAMES[0] as MeshFrame)]);
   forSeeds(50, (random) => {
-    const reader = new FrameReader();
-    const got: Frame[] = [];
+    const reader = new FrameDecoder();
+    const got: MeshFrame[] = [];
     for (let at = 0; at < all.length; ) {
       const step = random.int(1, 40);
-      got.push(...reader.push(all.subarray(at, at + step)));
+      got.push(...reader.decode(all.subarray(at, at + step)));
       at += step;
     }
     assert.deepEqual(got, [...FRAMES, BEAT, FRAMES[0]]);
@@ -71,20 +72,20 @@
 });
 
 test("whatever comes instead of frames ends in one kind of error and nothing else", () => {
-  assert.throws(() => new FrameReader().push(Buffer.from("ffffffff0101", "hex")), BadFrame);
-  assert.throws(() => new FrameReader().push(Buffer.from("GET / HTTP/1.1\r\n\r\n")), BadFrame);
+  assert.throws(() => new FrameDecoder().decode(Buffer.from("ffffffff0101", "hex")), MalformedFrameError);
+  assert.throws(() => new FrameDecoder().decode(Buffer.from("GET / HTTP/1.1\r\n\r\n")), MalformedFrameError);
   const head = Buffer.alloc(4);
-  head.writeUInt32BE(MAX_FRAME + 1);
-  assert.throws(() => new FrameReader().push(head), BadFrame);
+  head.writeUInt32BE(MAX_FRAME_BYTES + 1);
+  assert.throws(() => new FrameDecoder().decode(head), MalformedFrameError);
   let errors = 0;
   forSeeds(400, (random) => {
-    const data = Buffer.concat(FRAMES.map(encode));
+    const data = Buffer.concat(FRAMES.map(encodeFrame));
     for (let flips = random.int(1, 6); flips > 0; flips -= 1) data[random.int(0, data.length - 1)] = random.int(0, 255);
     try {
-      const reader = new FrameReader();
-      for (let at = 0; at < data.length; at += 13) reader.push(data.subarray(at, at + 13));
+      const reader = new FrameDecoder();
+      for (let at = 0; at < data.length; at += 13) reader.decode(data.subarray(at, at + 13));
     } catch (error) {
-      assert.ok(error instanceof BadFrame, String(error));
+      assert.ok(error instanceof MalformedFrameError, String(error));
       errors += 1;
     }
   });
@@ -94,20 +95,20 @@
 test("a silence is suspected sooner the more regular the beats were, and hardly ever wrongly", () => {
   const random = new Random(3);
   const PERIOD = 400_000;
-  const steady = new Detector(PERIOD);
-  const shaky = new Detector(PERIOD);
+  const steady = new PhiAccrualDetector(PERIOD);
+  const shaky = new PhiAccrualDetector(PERIOD);
   let now = 0;
   let at = 0;
   let wrong = 0;
   for (let beat = 0; beat < 20_000; beat += 1) {
     now += PERIOD + random.int(0, 20_000);
     if (beat > 10 && steady.phi(now) > 3) wrong += 1;
-    steady.heard(now);
+    steady.recordHeartbeat(now);
     at += random.int(50_000, 900_000);
-    shaky.heard(at);
+    shaky.recordHeartbeat(at);
   }
   assert.equal(wrong, 0);
-  const noticed = (detector: Detector, last: number): number => {
+  const noticed = (detector: PhiAccrualDetector, last: number): number => {
     let silence = 0;
     while (detector.phi(last + silence) < 3) silence += 10_000;
     return silence;
@@ -115,45 +116,49 @@
   assert.ok(noticed(steady, now) < 3 * PERIOD, `${noticed(steady, now)} us`);
   assert.ok(noticed(shaky, at) > noticed(steady, now));
   assert.ok(noticed(shaky, at) < 10 * PERIOD);
-  assert.equal(new Detector(PERIOD).phi(0), Number.POSITIVE_INFINITY, "never heard");
+  assert.equal(new PhiAccrualDetector(PERIOD).phi(0), Number.POSITIVE_INFINITY, "never heard");
 });
 
-const peer = (label: string, fields: Partial<PeerView> = {}, beat: object = {}): PeerView => ({
+const peer = (
+  label: string,
+  fields: Partial<PeerSnapshot> = {},
+  heartbeat: Partial<PeerHeartbeat> = {},
+): PeerSnapshot => ({
   label,
   usable: true,
   phi: 0.1,
-  beat: { sequence: 1, level: 0, stateAgeMs: 100, cloudAgeMs: 100, deaf: false, ...beat },
+  heartbeat: { sequence: 1, loadLevel: 0, storeAgeMs: 100, cloudAgeMs: 100, cutOffFromWorkers: false, ...heartbeat },
   ...fields,
 });
-const fine: Ways = { failing: { state: false, cloud: false }, deaf: false };
-const noState: Ways = { failing: { state: true, cloud: false }, deaf: false };
+const fine: UpstreamLinks = { failing: { store: false, cloud: false }, cutOffFromWorkers: false };
+const noStore: UpstreamLinks = { failing: { store: true, cloud: false }, cutOffFromWorkers: false };
 
 test("a call goes through a sibling only where the own way fails and that sibling's does not", () => {
-  assert.equal(routeFor("state", fine, [peer("a")]), null);
-  assert.equal(routeFor("state", noState, [peer("a")]), "a");
-  assert.equal(routeFor("cloud", noState, [peer("a")]), null);
-  assert.equal(routeFor("state", noState, [peer("a", { usable: false }), peer("b")]), "b");
-  assert.equal(routeFor("state", noState, [peer("a", {}, { stateAgeMs: NEVER })]), null);
-  assert.equal(routeFor("state", noState, [peer("a", { beat: null })]), null);
+  assert.equal(selectRelayPeer("store", fine, [peer("a")]), null);
+  assert.equal(selectRelayPeer("store", noStore, [peer("a")]), "a");
+  assert.equal(selectRelayPeer("cloud", noStore, [peer("a")]), null);
+  assert.equal(selectRelayPeer("store", noStore, [peer("a", { usable: false }), peer("b")]), "b");
+  assert.equal(selectRelayPeer("store", noStore, [peer("a", {}, { storeAgeMs: AGE_NEVER })]), null);
+  assert.equal(selectRelayPeer("store", noStore, [peer("a", { heartbeat: null })]), null);
   // The one with less to do, then the one surer to be there; what is full is left alone.
-  assert.equal(routeFor("state", noState, [peer("a", {}, { level: 1 }), peer("b")]), "b");
-  assert.equal(routeFor("state", noState, [peer("a", { phi: 1 }), peer("b")]), "b");
-  assert.equal(routeFor("state", noState, [peer("a", {}, { level: 3 })]), null);
-  const deaf: Ways = { ...fine, deaf: true };
-  assert.equal(routeFor("worker", deaf, [peer("a", {}, { deaf: true }), peer("b")]), "b");
+  assert.equal(selectRelayPeer("store", noStore, [peer("a", {}, { loadLevel: 1 }), peer("b")]), "b");
+  assert.equal(selectRelayPeer("store", noStore, [peer("a", { phi: 1 }), peer("b")]), "b");
+  assert.equal(selectRelayPeer("store", noStore, [peer("a", {}, { loadLevel: 3 })]), null);
+  const deaf: UpstreamLinks = { ...fine, cutOffFromWorkers: true };
+  assert.equal(selectRelayPeer("worker", deaf, [peer("a", {}, { cutOffFromWorkers: true }), peer("b")]), "b");
   // A machine heard through a sibling is spoken to through it, whoever else is there.
-  assert.equal(routeFor("worker", fine, [peer("a"), peer("b")], "b"), "b");
-  assert.equal(routeFor("worker", fine, [peer("a"), peer("b", { usable: false })], "b"), null);
+  assert.equal(selectRelayPeer("worker", fine, [peer("a"), peer("b")], "b"), "b");
+  assert.equal(selectRelayPeer("worker", fine, [peer("a"), peer("b", { usable: false })], "b"), null);
 });
 
 test("how a link stands is told apart by what siblings say", () => {
-  const standing = (ways: Ways, refused: boolean, peers: PeerView[]): string =>
-    standingOf("state", ways, true, refused, peers);
+  const standing = (ways: UpstreamLinks, refused: boolean, peers: PeerSnapshot[]): string =>
+    linkStatusOf("store", ways, true, refused, peers);
   assert.equal(standing(fine, false, []), "reached");
-  assert.equal(standing(noState, false, [peer("a")]), "away for me only");
-  assert.equal(standing(noState, true, [peer("a")]), "refused to me");
-  assert.equal(standing(noState, true, [peer("a", {}, { stateAgeMs: NEVER })]), "away for everybody");
-  assert.equal(standingOf("cloud", fine, false, false, []), "not asked yet");
+  assert.equal(standing(noStore, false, [peer("a")]), "away for me only");
+  assert.equal(standing(noStore, true, [peer("a")]), "refused to me");
+  assert.equal(standing(noStore, true, [peer("a", {}, { storeAgeMs: AGE_NEVER })]), "away for everybody");
+  assert.equal(linkStatusOf("cloud", fine, false, false, []), "not asked yet");
 });
 
 test("over real sockets a frame arrives whole, and an end is noticed on the other side", async () => {
@@ -164,13 +169,13 @@
   const { port } = probe.address() as AddressInfo;
   await new Promise((resolve) => probe.close(resolve));
   const address = `127.0.0.1:${port}`;
-  const there = new NetWires(address, log);
-  const got = new Promise<Frame[]>((resolve, reject) => {
+  const there = new TcpFrameTransport(address, log);
+  const got = new Promise<MeshFrame[]>((resolve, reject) => {
     there.listen((wire) => {
-      const reader = new FrameReader();
+      const reader = new FrameDecoder();
       wire.onData = (data) => {
         try {
-          const frames = reader.push(data);
+          const frames = reader.decode(data);
           if (frames.length === 0) return;
           resolve(frames);
           wire.close();
@@ -181,18 +186,18 @@
     });
   });
   const body = "x".repeat(300_000);
-  const sent: Frame = {
-    type: "ask",
+  const sent: MeshFrame = {
+    type: "relay-request",
     id: 1,
     address: "",
     timeoutMs: 5,
     request: { method: "POST", target: "/txn", body },
   };
-  const near = new NetWires("127.0.0.1:1", log).connect(address);
+  const near = new TcpFrameTransport("127.0.0.1:1", log).connect(address);
   const ended = new Promise<void>((resolve) => {
-    near.onEnd = resolve;
+    near.onClosed = resolve;
   });
-  near.write(encode(sent));
+  near.write(encodeFrame(sent));
   assert.deepEqual(await got, [sent]);
   await ended;
   there.close();
@@ -202,10 +207,10 @@
 const alone = (answers: boolean) => {
   const world = new World();
   const clock = new HostClock(world, 1, 0);
-  const dialled: { at: number; wire: Wire; sent: Frame[] }[] = [];
+  const dialled: { at: number; wire: FrameConnection; sent: MeshFrame[] }[] = [];
   const called: string[] = [];
   let outcome: HttpOutcome = { kind: "unsent" };
-  const mesh = meshWith({
+  const mesh = createMeshFactory({
     clock,
     log: { error: () => undefined, info: () => undefined, debug: () => undefined },
     random: () => 0.5,
@@ -216,20 +221,20 @@
         return outcome;
       },
     },
-    wires: {
+    transport: {
       listen: () => undefined,
       connect: () => {
-        const reader = new FrameReader();
-        const sent: Frame[] = [];
-        const wire: Wire = {
+        const reader = new FrameDecoder();
+        const sent: MeshFrame[] = [];
+        const wire: FrameConnection = {
           write: (data) => {
-            sent.push(...reader.push(data));
+            sent.push(...reader.decode(data));
             return true;
           },
           close: () => undefined,
           onData: () => undefined,
           onDrain: () => undefined,
-          onEnd: () => undefined,
+          onClosed: () => undefined,
         };
         dialled.push({ at: world.now, wire, sent });
         return wire;
@@ -242,21 +247,24 @@
       cloudAddress: "cloud:1",
       workers: { heartbeatInterval: 3_000_000 as Micros },
     },
-  })({ level: () => 0, leadership: () => null, handleHeartbeat: async () => ({ status: 503, body: "" }) });
+  })({ loadLevel: () => 0, leadership: () => null, handleHeartbeat: async () => ({ status: 503, body: "" }) });
   mesh.start();
-  const say = (frame: Frame): void => dialled.at(-1)?.wire.onData(encode(frame));
+  const say = (frame: MeshFrame): void => dialled.at(-1)?.wire.onData(encodeFrame(frame));
   let sequence = 0;
   const beat = (): void => {
     sequence += 1;
-    say({ type: "beat", beat: { sequence, level: 0, stateAgeMs: 50, cloudAgeMs: 50, deaf: false } });
+    say({
+      type: "heartbeat",
+      heartbeat: { sequence, loadLevel: 0, storeAgeMs: 50, cloudAgeMs: 50, cutOffFromWorkers: false },
+    });
     world.after(400_000, beat);
   };
   if (answers) {
     say({ type: "hello", label: "b", incarnation: "j" });
     beat();
   }
-  const asks = (): Extract<Frame, { type: "ask" }>[] =>
-    (dialled.at(-1)?.sent ?? []).flatMap((frame) => (frame.type === "ask" ? [frame] : []));
+  const asks = (): Extract<MeshFrame, { type: "relay-request" }>[] =>
+    (dialled.at(-1)?.sent ?? []).flatMap((frame) => (frame.type === "relay-request" ? [frame] : []));
   const pass = (s: number): Promise<void> => world.run(world.now + s * 1_000_000, () => undefined);
   return { mesh, dialled, called, say, asks, pass, set: (next: HttpOutcome) => (outcome = next) };
 };
@@ -278,11 +286,15 @@
   await pass(0.1);
   const [ask] = asks();
   assert.deepEqual([ask?.address, ask?.request], ["state:1", GET]);
-  say({ type: "told", id: ask?.id ?? 0, outcome: { kind: "answer", status: 404, body: "{}", retryAfterS: null } });
+  say({
+    type: "relay-response",
+    id: ask?.id ?? 0,
+    outcome: { kind: "answer", status: 404, body: "{}", retryAfterS: null },
+  });
   assert.deepEqual(await second, { kind: "answer", status: 404, body: "{}", retryAfterS: null });
   // Told twice, or under an id that nobody asked under: nothing comes of it.
-  say({ type: "told", id: ask?.id ?? 0, outcome: { kind: "lost" } });
-  say({ type: "told", id: 999, outcome: { kind: "lost" } });
+  say({ type: "relay-response", id: ask?.id ?? 0, outcome: { kind: "lost" } });
+  say({ type: "relay-response", id: 999, outcome: { kind: "lost" } });
   // The sibling says nothing: it may have been executed.
   const third = call();
   await pass(3);
@@ -303,6 +315,6 @@
   await call();
   const under = call();
   await pass(0.1);
-  dialled.at(-1)?.wire.onEnd();
+  dialled.at(-1)?.wire.onClosed();
   assert.deepEqual(await under, { kind: "lost" });
 });
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -42,7 +42,7 @@
   writeSegments,
   writeUpload,
 } from "../src/graphs/index.js";
-import { encode, type Frame, FrameReader, NEVER } from "../src/mesh/frames.js";
+import { AGE_NEVER, encodeFrame, FrameDecoder, type MeshFrame } from "../src/mesh/frames.js";
 import type { JobSpec } from "../src/protocol/job.js";
 import { formatJson, parseJson } from "../src/protocol/json.js";
 import { CANCELLATION_REASONS } from "../src/storage/cancellation-reason.js";
@@ -440,31 +440,47 @@
 });
 
 const request = { method: "POST", target: "/orders?a=b", body: '{"baton":1}' };
-const meshFrames: Readonly<Record<string, Frame>> = {
+const meshFrames: Readonly<Record<string, MeshFrame>> = {
   hello: { type: "hello", label: "ctl-0", incarnation: "ab-\u00e9" },
-  beat: { type: "beat", beat: { sequence: 5, level: 3, stateAgeMs: 250, cloudAgeMs: NEVER, deaf: true } },
-  "beat/zero": { type: "beat", beat: { sequence: 0, level: 0, stateAgeMs: 0, cloudAgeMs: 0, deaf: false } },
-  ask: { type: "ask", id: 9, address: "10.0.0.1:80", timeoutMs: 2_000, request },
-  "ask/self": { type: "ask", id: 0, address: "", timeoutMs: 1, request: { method: "GET", target: "/up", body: "" } },
-  "told/answer": { type: "told", id: 9, outcome: { kind: "answer", status: 200, body: "{}", retryAfterS: null } },
-  "told/retry": { type: "told", id: 9, outcome: { kind: "answer", status: 503, body: "", retryAfterS: 5 } },
-  "told/unsent": { type: "told", id: 9, outcome: { kind: "unsent" } },
-  "told/lost": { type: "told", id: 4_294_967_295, outcome: { kind: "lost" } },
+  beat: {
+    type: "heartbeat",
+    heartbeat: { sequence: 5, loadLevel: 3, storeAgeMs: 250, cloudAgeMs: AGE_NEVER, cutOffFromWorkers: true },
+  },
+  "beat/zero": {
+    type: "heartbeat",
+    heartbeat: { sequence: 0, loadLevel: 0, storeAgeMs: 0, cloudAgeMs: 0, cutOffFromWorkers: false },
+  },
+  ask: { type: "relay-request", id: 9, address: "10.0.0.1:80", timeoutMs: 2_000, request },
+  "ask/self": {
+    type: "relay-request",
+    id: 0,
+    address: "",
+    timeoutMs: 1,
+    request: { method: "GET", target: "/up", body: "" },
+  },
+  "told/answer": {
+    type: "relay-response",
+    id: 9,
+    outcome: { kind: "answer", status: 200, body: "{}", retryAfterS: null },
+  },
+  "told/retry": { type: "relay-response", id: 9, outcome: { kind: "answer", status: 503, body: "", retryAfterS: 5 } },
+  "told/unsent": { type: "relay-response", id: 9, outcome: { kind: "unsent" } },
+  "told/lost": { type: "relay-response", id: 4_294_967_295, outcome: { kind: "lost" } },
 };
 
 test("frames between controllers keep their form and are read back", () => {
   for (const [name, frame] of Object.entries(meshFrames)) {
-    frames.matches(name, encode(frame).toString("hex"));
-    const [read] = new FrameReader().push(Buffer.from(frames.text(name), "hex"));
+    frames.matches(name, encodeFrame(frame).toString("hex"));
+    const [read] = new FrameDecoder().decode(Buffer.from(frames.text(name), "hex"));
     assert.deepEqual(read, frame, name);
     assert.ok(read !== undefined);
-    frames.matches(name, encode(read).toString("hex"));
+    frames.matches(name, encodeFrame(read).toString("hex"));
   }
 });
 
 test("a frame of an unknown type is skipped and bytes behind the known fields are ignored", () => {
   const text = [frames.text("unknown type"), frames.text("longer hello"), frames.text("beat")].join("");
-  const read = new FrameReader().push(Buffer.from(text, "hex"));
+  const read = new FrameDecoder().decode(Buffer.from(text, "hex"));
   assert.deepEqual(read, [meshFrames.hello, meshFrames.beat]);
 });
 
