--- a/src/storage/key-value-store.ts
+++ b/src/storage/key-value-store.ts
@@ -1,39 +1,40 @@
-import { formatJson, MalformedMessageError, parseJson, type Uint64 } from "../protocol/json.js";
+/**
+ * Client of the state service: a consensus-backed key-value store with leases, watches and compare-and-swap transactions.
+ * @module
+ */
+import { formatJson, type Uint64 } from "../protocol/json.js";
 import {
   type Change,
   decodeChanges,
   decodeEntry,
   decodeEntryPage,
-  decodeFailedKeys,
   decodeLeaseId,
-  decodeRevision,
   type Entry,
   encodeTransaction,
   type WriteOperation,
 } from "../protocol/key-value-store.js";
-import { type Clock, type Micros, ms, sleep } from "../transport/clock.js";
+import { type Clock, type Micros, ms } from "../transport/clock.js";
 import type { HttpClient, HttpOutcome } from "../transport/http.js";
 import type { Log } from "../transport/log.js";
-import { RateLimit } from "../transport/rate-limit.js";
-
-/** `refused`: surely not executed. `lost`: may have been, or may yet be. `missing`: no such key or lease. */
-export type StoreResult<T> =
-  | { readonly kind: "ok"; readonly value: T }
-  | { readonly kind: "refused" | "lost" | "missing" };
-
-export type TransactionResult =
-  | { readonly kind: "ok"; readonly version: Uint64 }
-  | { readonly kind: "conflict"; readonly keys: readonly string[] }
-  /** Surely not executed, and never will be as it is: a value or the whole is larger than the state service takes by now. */
-  | { readonly kind: "too large" }
-  /** `busy`: surely not executed, because a limit was passed; the same may be sent again a little later. */
-  | { readonly kind: "refused" | "lost" }
-  | { readonly kind: "busy" };
-
+import { RequestPacer } from "./request-pacer.js";
+import {
+  STATUS_TOO_MANY_REQUESTS,
+  type StoreResult,
+  storeResultOf,
+  type TransactionResult,
+  transactionResultOf,
+  watchResultOf,
+} from "./store-results.js";
+
+/** What one process may ask of the state service. */
 export interface StoreBudget {
+  /** Requests a second. */
   readonly requestsPerS: number;
+  /** Writes a second, over all transactions. */
   readonly writesPerS: number;
+  /** Writes in one transaction, at most. */
   readonly writesPerTransaction: number;
+  /** Size of a value in bytes, at most; no bound where absent. */
   readonly valueBytes?: number;
 }
 
@@ -49,14 +50,42 @@
   readonly random: () => number;
 }
 
+/** Entries as of a revision. */
+export interface EntryList {
+  readonly entries: readonly Entry[];
+  /** A watch from here misses no change of the entries. */
+  readonly revision: Uint64;
+}
+
+/** Part of the entries below a prefix, in the order of the keys. */
+export interface EntryPage extends EntryList {
+  /** Whether there are entries after these. */
+  readonly more: boolean;
+}
+
+/** Changes in the order in which they were made. */
+export interface ChangeList {
+  readonly changes: readonly Change[];
+  /** The next watch goes on from here. */
+  readonly revision: Uint64;
+}
+
 const REQUEST_TIMEOUT = ms(2_000);
+const LIST_PAGE_SIZE = 500;
+const MICROS_PER_MS = 1_000;
+
+const toWholeMs = (span: Micros): number => Math.floor(span / MICROS_PER_MS);
+const confirmed = (): true => true;
 
-/** Client of the state service. Tells apart what was not executed from what may have been. */
+/**
+ * Sends requests to the state service, paced by the budget, and tells apart what was not executed from what may have
+ * been. Failures are results; nothing is thrown, and nothing is tried again here.
+ */
 export class KeyValueStore {
-  private readonly requests: RateLimit;
+  private readonly pacer: RequestPacer;
 
   constructor(private readonly options: KeyValueStoreOptions) {
-    this.requests = new RateLimit(options.clock, options.budget.requestsPerS);
+    this.pacer = new RequestPacer(options.clock, options.budget.requestsPerS, options.random);
   }
 
   /** What this process may ask of the state service. */
@@ -64,17 +93,18 @@
     return this.options.budget;
   }
 
+  /** One entry; `missing` where there is none. */
   async get(key: string): Promise<StoreResult<Entry>> {
-    await this.waitForBudget();
-    return this.decode(await this.request("GET", `/kv/${key}`, null), decodeEntry);
+    await this.pacer.waitForTurn();
+    return this.resultOf(await this.request("GET", `/kv/${key}`, null), decodeEntry);
   }
 
   /** Every entry below the prefix, and a revision from which a watch misses nothing. */
-  async list(prefix: string): Promise<StoreResult<{ entries: readonly Entry[]; revision: Uint64 }>> {
+  async list(prefix: string): Promise<StoreResult<EntryList>> {
     const entries: Entry[] = [];
     let revision: Uint64 | null = null;
     for (let from = ""; ; ) {
-      const page = await this.page(prefix, from, 500);
+      const page = await this.page(prefix, from, LIST_PAGE_SIZE);
       if (page.kind !== "ok") return page;
       // The first page's: later pages may already show changes that a watch from here then repeats.
       revision ??= page.value.revision;
@@ -85,75 +115,53 @@
     }
   }
 
-  /** One page of the entries below the prefix, after the key `from`. */
-  async page(
-    prefix: string,
-    from: string,
-    count: number,
-  ): Promise<StoreResult<{ entries: readonly Entry[]; more: boolean; revision: Uint64 }>> {
-    await this.waitForBudget();
-    const query = `/kv?under=${prefix}${from === "" ? "" : `&from=${from}`}&page=${count}`;
-    return this.decode(await this.request("GET", query, null), decodeEntryPage);
+  /** At most `count` entries below the prefix, after the key `from` (empty: from the first). */
+  async page(prefix: string, from: string, count: number): Promise<StoreResult<EntryPage>> {
+    await this.pacer.waitForTurn();
+    const target = `/kv?under=${prefix}${from === "" ? "" : `&from=${from}`}&page=${count}`;
+    return this.resultOf(await this.request("GET", target, null), decodeEntryPage);
   }
 
+  /**
+   * Carries out all writes if every key of the conditions has the version given there (0: the key does not exist), else
+   * none. Not paced by the budget of requests: `TransactionBatcher` keeps to the budget of writes.
+   */
   async transact(
     conditions: ReadonlyMap<string, Uint64>,
     writes: readonly WriteOperation[],
   ): Promise<TransactionResult> {
-    this.requests.take(1);
+    this.pacer.countUnpaced();
     const outcome = await this.request("POST", "/txn", encodeTransaction(conditions, writes));
-    if (outcome.kind === "answer" && outcome.status === 409) {
-      const failed = this.decode({ ...outcome, status: 200 }, decodeFailedKeys);
-      return failed.kind === "ok" ? { kind: "conflict", keys: failed.value } : { kind: "lost" };
-    }
-    if (outcome.kind === "answer" && outcome.status === 400) {
-      // A lease that ran out meanwhile is an ordinary answer; anything else is larger than by now is taken.
-      if (outcome.body.includes("no such lease")) return { kind: "refused" };
-      this.options.log.info("transaction refused as too large", {
-        writes: writes.length,
-        body: outcome.body.slice(0, 200),
-      });
-      return { kind: "too large" };
-    }
-    if (outcome.kind === "answer" && outcome.status === 429) return { kind: "busy" };
-    const reply = this.decode(outcome, decodeRevision);
-    if (reply.kind === "ok") return { kind: "ok", version: reply.value };
-    return { kind: reply.kind === "missing" ? "refused" : reply.kind };
+    return transactionResultOf(outcome, writes.length, this.options.log);
   }
 
+  /** Grants a lease of this length (whole milliseconds are asked for) and gives its id. */
   async grantLease(ttl: Micros): Promise<StoreResult<Uint64>> {
-    await this.waitForBudget();
-    return this.decode(await this.request("POST", "/grants", { ttlMs: Math.floor(ttl / 1_000) }), decodeLeaseId);
+    await this.pacer.waitForTurn();
+    return this.resultOf(await this.request("POST", "/grants", { ttlMs: toWholeMs(ttl) }), decodeLeaseId);
   }
 
-  /** Not paced by the budget: a renewal kept waiting costs more than a request too many. */
+  /** Not paced by the budget: a renewal kept waiting costs more than a request too many. `missing`: the lease has expired. */
   async renewLease(lease: Uint64): Promise<StoreResult<true>> {
-    this.requests.take(1);
-    return this.decode(await this.request("POST", `/grants/${lease}/touch`, {}), () => true as const);
+    this.pacer.countUnpaced();
+    return this.resultOf(await this.request("POST", `/grants/${lease}/touch`, {}), confirmed);
   }
 
+  /** Ends a lease, and with it all keys attached to it; `missing` where it has expired. */
   async revokeLease(lease: Uint64): Promise<StoreResult<true>> {
-    await this.waitForBudget();
-    return this.decode(await this.request("DELETE", `/grants/${lease}`, null), () => true as const);
+    await this.pacer.waitForTurn();
+    return this.resultOf(await this.request("DELETE", `/grants/${lease}`, null), confirmed);
   }
 
-  /** `missing` when `from` is too old. */
-  async watch(
-    prefix: string,
-    from: Uint64,
-    wait: Micros,
-  ): Promise<StoreResult<{ changes: readonly Change[]; revision: Uint64 }>> {
-    await this.waitForBudget();
-    const query = `/watch?under=${prefix}&from=${from}&waitMs=${Math.floor(wait / 1_000)}`;
-    const outcome = await this.request("GET", query, null, (wait + REQUEST_TIMEOUT) as Micros);
-    if (outcome.kind === "answer" && outcome.status === 410) return { kind: "missing" };
-    return this.decode(outcome, decodeChanges);
-  }
-
-  private async waitForBudget(): Promise<void> {
-    for (let wait = this.requests.waitFor(1); wait > 0; wait = this.requests.waitFor(1))
-      await sleep(this.options.clock, wait);
-    this.requests.take(1);
+  /**
+   * The changes below the prefix after the revision `from`; where there are none the state service waits for one, no
+   * longer than `wait`. `missing` when `from` is too old: the entries are to be listed again.
+   */
+  async watch(prefix: string, from: Uint64, wait: Micros): Promise<StoreResult<ChangeList>> {
+    await this.pacer.waitForTurn();
+    const target = `/watch?under=${prefix}&from=${from}&waitMs=${toWholeMs(wait)}`;
+    const outcome = await this.request("GET", target, null, (wait + REQUEST_TIMEOUT) as Micros);
+    return watchResultOf(outcome, decodeChanges, this.options.log);
   }
 
   private async request(
@@ -162,23 +170,14 @@
     body: unknown,
     timeout = REQUEST_TIMEOUT,
   ): Promise<HttpOutcome> {
+    const { http, address } = this.options;
     const text = body === null ? "" : formatJson(body);
-    const outcome = await this.options.http.call(this.options.address, { method, target, body: text }, timeout);
-    if (outcome.kind === "answer" && outcome.status === 429) this.requests.pause(ms(50 + 150 * this.options.random()));
+    const outcome = await http.call(address, { method, target, body: text }, timeout);
+    if (outcome.kind === "answer" && outcome.status === STATUS_TOO_MANY_REQUESTS) this.pacer.recordTooManyRequests();
     return outcome;
   }
 
-  private decode<T>(outcome: HttpOutcome, parse: (body: unknown) => T): StoreResult<T> {
-    if (outcome.kind === "unsent") return { kind: "refused" };
-    if (outcome.kind === "lost") return { kind: "lost" };
-    if (outcome.status === 404) return { kind: "missing" };
-    if (outcome.status === 429 || outcome.status === 503) return { kind: "refused" };
-    try {
-      if (outcome.status !== 200) throw new MalformedMessageError(`status ${outcome.status}`);
-      return { kind: "ok", value: parse(parseJson(outcome.body)) };
-    } catch (error) {
-      this.options.log.error("malformed answer of the state service", { error: String(error) });
-      return { kind: "lost" };
-    }
+  private resultOf<T>(outcome: HttpOutcome, decode: (body: unknown) => T): StoreResult<T> {
+    return storeResultOf(outcome, decode, this.options.log);
   }
 }
--- a/src/storage/transaction-batcher.ts
+++ b/src/storage/transaction-batcher.ts
@@ -2,7 +2,8 @@
 import type { WriteOperation } from "../protocol/key-value-store.js";
 import { type Clock, type Micros, ms, seconds } from "../transport/clock.js";
 import { RateLimit } from "../transport/rate-limit.js";
-import type { KeyValueStore, TransactionResult } from "./key-value-store.js";
+import type { KeyValueStore } from "./key-value-store.js";
+import type { TransactionResult } from "./store-results.js";
 
 /**
  * In the order in which the write budget is spent: cancellations, which nothing may keep waiting; what else a user
--- a/src/storage/watch-cache.ts
+++ b/src/storage/watch-cache.ts
@@ -1,17 +1,27 @@
+/**
+ * A copy in memory of all current records, kept up to date by a watch.
+ * @module
+ */
 import type { Uint64 } from "../protocol/json.js";
 import type { Change, Entry } from "../protocol/key-value-store.js";
 import { type Clock, type Micros, ms, seconds, sleep } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
-import type { KeyValueStore } from "./key-value-store.js";
+import type { ChangeList, EntryList, KeyValueStore } from "./key-value-store.js";
+import { LogEvent } from "./log-events.js";
 
 /** Short, so that an idle watch still proves every second or so that nothing has been missed. */
 const WATCH_TIMEOUT = ms(1_000);
-/** All controllers together spend these shares of the state service's requests on following and on questions. */
+/** A watch that answers at once, with what has changed so far. */
+const NO_WAIT = 0 as Micros;
+const LIST_RETRY_DELAY = ms(200);
+const WATCH_RETRY_DELAY = ms(150);
+/** All controllers together spend this share of the state service's requests on watching. */
 export const WATCH_REQUEST_SHARE = 0.3;
+/** All controllers together spend this share of the state service's requests on `sync`. */
 export const SYNC_REQUEST_SHARE = 0.25;
 const MIN_REQUEST_INTERVAL = ms(15);
 
-/** Between two requests of one controller, so that all of them keep to the share. */
+/** Between two requests of one controller, so that all of them keep to the share; 15 ms at least. */
 export const requestInterval = (share: number, requestsPerS: number, controllers: number): Micros =>
   Math.max(MIN_REQUEST_INTERVAL, seconds(controllers / (share * requestsPerS))) as Micros;
 
@@ -30,68 +40,72 @@
   readonly syncSlowdown?: () => number;
 }
 
+/** Called with one change after it is in the cache. */
+export type ChangeListener = (change: Change) => void;
+
 /** This process's copy of all that is current below one prefix, fed by a watch. */
 export class WatchCache {
+  /** By key. */
   readonly entries = new Map<string, Entry>();
+  /** Everything changed up to this moment (by the clock of the options) is known here; null until the first list. */
+  freshAsOf: Micros | null = null;
+  /** The watch goes on from here; null while the entries are to be listed. */
   private revision: Uint64 | null = null;
-  private readonly listeners: ((change: Change) => void)[] = [];
-  private readonly firstListeners: ((change: Change) => void)[] = [];
+  private readonly listeners: ChangeListener[] = [];
+  private readonly firstListeners: ChangeListener[] = [];
   private syncInFlight: Promise<boolean> | null = null;
   private syncQueued: Promise<boolean> | null = null;
   private syncedAt: Micros = 0 as Micros;
-  /** Everything changed up to this moment is known here. */
-  freshAsOf: Micros | null = null;
 
   constructor(private readonly options: WatchCacheOptions) {}
 
+  /** Whether the entries have been listed and a watch can go on from there. */
   get loaded(): boolean {
     return this.revision !== null;
   }
 
-  onChange(listener: (change: Change) => void): void {
+  /** Calls the listener with each change from now on, in order. */
+  onChange(listener: ChangeListener): void {
     this.listeners.push(listener);
   }
 
   /**
-   * For what others conclude from: told of all that has come together before any other listener is told of the first of it. A
-   * holder that took its block in the midst of a list found jobs there of which the chains had not heard yet, and never began them.
+   * For what others conclude from: told of all changes that have come together before any other listener is told of the
+   * first of them. A leader that took its shard in the midst of a list found jobs there of which the dependencies had not
+   * been told yet, and never began them.
    */
-  onChangeFirst(listener: (change: Change) => void): void {
+  onChangeFirst(listener: ChangeListener): void {
     this.firstListeners.push(listener);
   }
 
+  /** Lists, and then watches for as long as the process runs. To be called once. */
   async run(): Promise<never> {
+    const { clock, watchInterval } = this.options;
     for (;;) {
-      const sent = this.options.clock.now();
+      const startedAt = clock.now();
       if (this.revision === null) await this.load();
       else {
-        const good = await this.catchUp(this.revision, WATCH_TIMEOUT);
-        if (!good) await sleep(this.options.clock, ms(150));
+        const watched = await this.catchUp(this.revision, WATCH_TIMEOUT);
+        if (!watched) await sleep(clock, WATCH_RETRY_DELAY);
       }
-      const gap = sent + this.options.watchInterval - this.options.clock.now();
-      if (gap > 0) await sleep(this.options.clock, gap as Micros);
+      const rest = startedAt + watchInterval - clock.now();
+      if (rest > 0) await sleep(clock, rest as Micros);
     }
   }
 
   /**
-   * Resolves to true once the view holds all that was decided before the call. Calls made meanwhile share
-   * the next request; the one under way may have been sent too early for them.
+   * Resolves to true once the cache holds all that was decided before the call; to false where the state service gave no
+   * answer. Calls made meanwhile share the next request; the one under way may have been sent too early for them.
    */
   sync(): Promise<boolean> {
     if (this.syncQueued !== null) return this.syncQueued;
-    const before = this.syncInFlight ?? Promise.resolve(true);
-    const next = before
-      .then(() => {
-        // Hundreds of polls a second share few requests: without a pause they took the whole budget.
-        const gap =
-          this.syncedAt + this.options.syncInterval * (this.options.syncSlowdown?.() ?? 1) - this.options.clock.now();
-        return gap > 0 ? sleep(this.options.clock, gap as Micros) : undefined;
-      })
+    const previous = this.syncInFlight ?? Promise.resolve(true);
+    const next = previous
+      .then(() => this.waitForSyncInterval())
       .then(() => {
-        this.syncedAt = this.options.clock.now();
         this.syncQueued = null;
         this.syncInFlight = next;
-        return this.revision === null ? false : this.catchUp(this.revision, 0 as Micros);
+        return this.startSync();
       })
       .finally(() => {
         if (this.syncInFlight === next) this.syncInFlight = null;
@@ -100,52 +114,80 @@
     return next;
   }
 
+  /** Hundreds of polls a second share few requests: without a pause they took the whole budget. */
+  private waitForSyncInterval(): Promise<void> | undefined {
+    const { clock, syncInterval, syncSlowdown } = this.options;
+    const rest = this.syncedAt + syncInterval * (syncSlowdown?.() ?? 1) - clock.now();
+    return rest > 0 ? sleep(clock, rest as Micros) : undefined;
+  }
+
+  private startSync(): Promise<boolean> | boolean {
+    this.syncedAt = this.options.clock.now();
+    return this.revision === null ? false : this.catchUp(this.revision, NO_WAIT);
+  }
+
   private async load(): Promise<void> {
-    const sent = this.options.clock.now();
-    const reply = await this.options.store.list(this.options.prefix);
+    const { store, prefix, clock, log } = this.options;
+    const sentAt = clock.now();
+    const reply = await store.list(prefix);
     if (reply.kind !== "ok") {
-      await sleep(this.options.clock, ms(200));
+      await sleep(clock, LIST_RETRY_DELAY);
       return;
     }
-    const found = new Set(reply.value.entries.map((entry) => entry.key));
     this.revision = reply.value.revision;
+    const changes = this.changesTo(reply.value);
+    this.applyAll(changes);
+    this.freshAsOf = sentAt;
+    this.notify(changes);
+    log.info(LogEvent.CacheLoaded, { entries: this.entries.size });
+  }
+
+  /** What has to change here to be as in the list: deletions first. */
+  private changesTo({ entries, revision }: EntryList): readonly Change[] {
+    const listedKeys = new Set(entries.map((entry) => entry.key));
     const changes: Change[] = [...this.entries.keys()]
-      .filter((key) => !found.has(key))
-      .map((key) => ({ kind: "delete", key, version: reply.value.revision }));
-    for (const entry of reply.value.entries) {
+      .filter((key) => !listedKeys.has(key))
+      .map((key) => ({ kind: "delete", key, version: revision }));
+    for (const entry of entries) {
       if (this.entries.get(entry.key)?.version !== entry.version) changes.push({ kind: "put", ...entry });
     }
-    // All of it before anybody is told: a list comes in the order of the keys, and who takes a block over on
-    // seeing its key needs the ranges that were written before.
-    for (const change of changes) this.apply(change);
-    this.freshAsOf = sent;
-    this.notify(changes);
-    this.options.log.info("state read", { entries: this.entries.size });
+    return changes;
   }
 
+  /** False where the state service gave no answer, or the entries have to be listed first. */
   private async catchUp(from: Uint64, wait: Micros): Promise<boolean> {
-    const sent = this.options.clock.now();
-    const reply = await this.options.store.watch(this.options.prefix, from, wait);
+    const { store, prefix, clock } = this.options;
+    const sentAt = clock.now();
+    const reply = await store.watch(prefix, from, wait);
     if (reply.kind === "missing") {
       this.revision = null;
       return false;
     }
     if (reply.kind !== "ok") return false;
     // A reload in between may have set the revision back to null: it brings everything itself.
-    const known = this.revision;
-    if (known === null) return false;
-    // Two requests overlap; what the other one brought must not be undone by an older change.
-    const changes = reply.value.changes.filter(({ version }) => version > known);
-    if (reply.value.revision > known) this.revision = reply.value.revision;
-    this.freshAsOf = Math.max(this.freshAsOf ?? 0, sent) as Micros;
-    for (const change of changes) this.apply(change);
+    if (this.revision === null) return false;
+    const changes = this.advance(this.revision, reply.value);
+    this.freshAsOf = Math.max(this.freshAsOf ?? 0, sentAt) as Micros;
+    this.applyAll(changes);
     this.notify(changes);
     return true;
   }
 
-  private apply(change: Change): void {
-    if (change.kind === "put") this.entries.set(change.key, change);
-    else this.entries.delete(change.key);
+  /** The changes that are new here. Two requests overlap; what the other one brought must not be undone by an older change. */
+  private advance(known: Uint64, { changes, revision }: ChangeList): readonly Change[] {
+    if (revision > known) this.revision = revision;
+    return changes.filter(({ version }) => version > known);
+  }
+
+  /**
+   * All of them before any listener is told: a list comes in the order of the keys, and who takes a shard over on seeing
+   * its key needs the ranges that were written before.
+   */
+  private applyAll(changes: readonly Change[]): void {
+    for (const change of changes) {
+      if (change.kind === "put") this.entries.set(change.key, change);
+      else this.entries.delete(change.key);
+    }
   }
 
   private notify(changes: readonly Change[]): void {
