--- a/src/storage/log-events.ts
+++ b/src/storage/log-events.ts
@@ -3,12 +3,12 @@
  * @module
  */
 
-/** The texts of the events. */
+/** The texts of the events, in the form "subject verb". */
 export const LogEvent = {
   /** The state service takes no transaction as large: `writes` (count), `body` (of the response, cut short). */
-  TransactionRefused: "transaction refused as too large",
+  TransactionRefused: "transaction refused",
   /** A response that can't be read, or with a status that is not known: `error`. */
-  StoreResponseMalformed: "malformed answer of the state service",
+  StoreResponseMalformed: "store response malformed",
   /** The watch cache has listed all that lies below its prefix: `entries` (count). */
-  CacheLoaded: "state read",
+  CacheLoaded: "cache loaded",
 } as const;
