--- a/src/client.ts
+++ b/src/client.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from "node:fs";
 import { seconds, systemClock } from "./transport/clock.js";
-import type { Request } from "./transport/http.js";
+import type { HttpRequest } from "./transport/http.js";
 import { NetHttpClient } from "./transport/http-client.js";
 
 /** One line for a person. */
@@ -15,7 +15,7 @@
 }
 
 /** Throws a `ClientError` where there was no answer. */
-export const call = async (server: string, request: Request): Promise<Reply> => {
+export const call = async (server: string, request: HttpRequest): Promise<Reply> => {
   if (!/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/.test(server))
     throw new ClientError(`${server}: not an address like 10.0.0.1:8080`);
   const outcome = await new NetHttpClient(systemClock, 1).call(server, request, PATIENCE);
@@ -24,7 +24,7 @@
   return outcome;
 };
 
-const ask = async (server: string, request: Request): Promise<string> => {
+const ask = async (server: string, request: HttpRequest): Promise<string> => {
   const { status, body, retryAfterS } = await call(server, request);
   if (status === 200 || status === 201) return body;
   const later = retryAfterS === null ? "" : `, try again in ${retryAfterS} s`;
--- a/src/commands/serving.ts
+++ b/src/commands/serving.ts
@@ -4,7 +4,7 @@
 import { CloudClient } from "../coordination/autoscaling/cloud-client.js";
 import { Controller, type MeshFactory } from "../coordination/leadership/controller.js";
 import type { ProcessLoad } from "../coordination/overload/load-shedder.js";
-import { shareConnections } from "../settings/connections.js";
+import { allocateConnections } from "../settings/connections.js";
 import { loadOptions } from "../settings/options.js";
 import { loadSettings, SettingsError } from "../settings/settings.js";
 import { countRequests } from "../stats.js";
@@ -100,7 +100,7 @@
   process.on("unhandledRejection", (error) => log.error("unhandled rejection", { error: describeError(error) }));
   if (process.env.RAINRIDGE_END_WITH_STDIN === "1") process.stdin.on("end", () => process.exit(0)).resume();
   const clock = systemClock;
-  const connections = shareConnections(settings.quota.maxConnections);
+  const connections = allocateConnections(settings.quota.maxConnections);
   // A thousand machines report here, and idle connections to all of them as well would pass the limit.
   const http = new NetHttpClient(clock, connections.idle);
   const eventListener = await sinkFor({ settings, options }, clock, log, http);
--- a/src/coordination/api/job-api.ts
+++ b/src/coordination/api/job-api.ts
@@ -9,14 +9,14 @@
 } from "../../protocol/job.js";
 import { jobSpecCodec } from "../../protocol/job-spec-codec.js";
 import { formatJson, MalformedMessageError, parseJson } from "../../protocol/json.js";
-import type { Entry } from "../../protocol/key-value-store.js";
+import type { KeyValueEntry } from "../../protocol/key-value-store.js";
 import { decodeJobRecord, encodeJobRecord, type JobRecord } from "../../storage/job-records.js";
 import { backpressureKey, jobKey, memberOfKey, outcomeKey, shardOf, taskRangeKey } from "../../storage/keys.js";
 import { decodeOutcomeRecord, type OutcomeRecord } from "../../storage/outcome-records.js";
 import { decodeTaskRange } from "../../storage/task-range-records.js";
 import { requestInterval } from "../../storage/watch-cache.js";
 import { type Micros, ms, seconds } from "../../transport/clock.js";
-import type { Request, Response } from "../../transport/http.js";
+import type { HttpRequest, HttpResponse } from "../../transport/http.js";
 import type { Services } from "../context.js";
 import { DependencyResolver, type TerminalState, withoutDependencies } from "../jobs/dependency-resolver.js";
 import { OutcomeReader } from "../jobs/outcome-reader.js";
@@ -38,8 +38,8 @@
 /** Of the state service's requests, all controllers together spend this share on looking up what has ended. */
 const LOOKUP_SHARE = 0.15;
 
-const jsonResponse = (status: number, body: unknown): Response => ({ status, body: formatJson(body) });
-const retryLater = (why: string, inS = 1): Response => ({
+const jsonResponse = (status: number, body: unknown): HttpResponse => ({ status, body: formatJson(body) });
+const retryLater = (why: string, inS = 1): HttpResponse => ({
   status: 503,
   body: formatJson({ error: why }),
   retryAfterS: inS,
@@ -55,7 +55,7 @@
     : { ...record, spec: { ...withoutDependencies(record.spec), types: null } };
 
 type JobLookup =
-  | { readonly kind: "current"; readonly entry: Entry }
+  | { readonly kind: "current"; readonly entry: KeyValueEntry }
   | { readonly kind: "ended"; readonly end: OutcomeRecord }
   | { readonly kind: "not-found" }
   | { readonly kind: "unknown" };
@@ -73,7 +73,7 @@
 export class JobApi {
   private readonly recentOutcomes = new Map<string, OutcomeRecord>();
   /** Of ranges as they stand in the view; gone with the entry itself. */
-  private readonly countsByEntry = new WeakMap<Entry, { readonly done: number; readonly running: number }>();
+  private readonly countsByEntry = new WeakMap<KeyValueEntry, { readonly done: number; readonly running: number }>();
   private readonly outcomeReader: OutcomeReader;
   /** What the chains of jobs rest on. */
   readonly dependencyResolver: DependencyResolver;
@@ -95,7 +95,7 @@
     this.dependencyResolver = new DependencyResolver(services, (id) => this.readTerminalState(id));
   }
 
-  async handle(request: Request): Promise<Response> {
+  async handle(request: HttpRequest): Promise<HttpResponse> {
     const path = request.target.split("?")[0] ?? "";
     if (path === "/up") return request.method === "GET" ? this.health() : jsonResponse(405, { error: "use GET" });
     if (path === "/v2/runs") {
@@ -110,7 +110,7 @@
     return wanted === "GET" ? this.status(id) : this.cancel(id);
   }
 
-  private health(): Response {
+  private health(): HttpResponse {
     const { cache, clock, loadShedder } = this.services;
     // Workers can only be answered here, users anywhere: they are sent to the others while there are any.
     if (loadShedder.atLeast("degraded") && this.localShards.isLeader() && this.hasPeers())
@@ -133,7 +133,7 @@
    * When to come back, for what cannot be taken now: one after the other as fast as writes are possible, so that those
    * turned away do not all come back every second, to be turned away again.
    */
-  private assignRetrySlot(): Response {
+  private assignRetrySlot(): HttpResponse {
     const { clock, settings, transactions } = this.services;
     const now = clock.now();
     // The rate that there is once this wave is over, not the one that it has been cut to: with that, those turned away
@@ -157,7 +157,7 @@
     return true;
   }
 
-  private async submit(body: string): Promise<Response> {
+  private async submit(body: string): Promise<HttpResponse> {
     const { transactions, cache, loadShedder, wallClock } = this.services;
     let spec: JobSpec;
     try {
@@ -207,13 +207,13 @@
   }
 
   /** What was accepted once, perhaps under other machine types, is never refused, and may have ended long ago. */
-  private async refuseUnlessAccepted(id: string, refusal: Response): Promise<Response> {
+  private async refuseUnlessAccepted(id: string, refusal: HttpResponse): Promise<HttpResponse> {
     const found = await this.findJob(id);
     return found.kind === "not-found" ? refusal : this.status(id, found);
   }
 
   /** Why nothing like it is accepted, whoever asks. */
-  private refusal(spec: JobSpec, body: string): Response | null {
+  private refusal(spec: JobSpec, body: string): HttpResponse | null {
     const { settings } = this.services;
     const never = neverRuns(spec, settings, this.types);
     if (never !== null) return jsonResponse(422, { error: never });
@@ -256,7 +256,7 @@
     if (oldest !== undefined) this.recentOutcomes.delete(oldest);
   }
 
-  private async status(id: string, known?: JobLookup): Promise<Response> {
+  private async status(id: string, known?: JobLookup): Promise<HttpResponse> {
     const found = known ?? (await this.findJob(id));
     // Withdrawn with a job that it needs is told from that one's last word, which has to be read first.
     const settled = found.kind !== "current" || this.hasStarted(id) || (await this.dependencyResolver.resolve(id));
@@ -271,7 +271,7 @@
     return this.services.cache.entries.has(taskRangeKey(id, 0));
   }
 
-  private describe(id: string, found: JobLookup): Response {
+  private describe(id: string, found: JobLookup): HttpResponse {
     switch (found.kind) {
       case "unknown":
         return retryLater("state service unavailable");
@@ -305,7 +305,7 @@
   }
 
   /** A range is read once for each of its versions, however often it is asked about. */
-  private countsOf(entry: Entry): { readonly done: number; readonly running: number } {
+  private countsOf(entry: KeyValueEntry): { readonly done: number; readonly running: number } {
     const known = this.countsByEntry.get(entry);
     if (known !== undefined) return known;
     let done = 0;
@@ -319,7 +319,7 @@
     return counts;
   }
 
-  private async cancel(id: string): Promise<Response> {
+  private async cancel(id: string): Promise<HttpResponse> {
     const { transactions, cache } = this.services;
     for (let tries = 0; tries < MAX_CANCEL_ATTEMPTS; tries += 1) {
       const entry = cache.entries.get(jobKey(id));
--- a/src/coordination/autoscaling/cloud-client.ts
+++ b/src/coordination/autoscaling/cloud-client.ts
@@ -11,7 +11,7 @@
 import { type Clock, type Micros, ms, sleep } from "../../transport/clock.js";
 import type { HttpClient } from "../../transport/http.js";
 import type { Log } from "../../transport/log.js";
-import { RateLimit } from "../../transport/rate-limit.js";
+import { RateLimiter } from "../../transport/rate-limiter.js";
 
 /** `refused`: no capacity. `failed`: anything else; a rental may have happened, or may yet. */
 export type CloudResult<T> = { readonly kind: "ok"; readonly value: T } | { readonly kind: "refused" | "failed" };
@@ -19,7 +19,7 @@
 const REQUEST_TIMEOUT = ms(5_000);
 
 export class CloudClient {
-  private readonly requestLimit: RateLimit;
+  private readonly requestLimit: RateLimiter;
 
   constructor(
     private readonly http: HttpClient,
@@ -28,7 +28,7 @@
     private readonly log: Log,
     perSecond: number,
   ) {
-    this.requestLimit = new RateLimit(clock, perSecond);
+    this.requestLimit = new RateLimiter(clock, perSecond);
   }
 
   async listMachineTypes(): Promise<CloudResult<{ types: readonly MachineType[]; raw: unknown }>> {
@@ -73,7 +73,7 @@
     body: unknown,
     parse: (body: unknown) => T,
   ): Promise<CloudResult<T>> {
-    for (let wait = this.requestLimit.waitFor(1); wait > 0; wait = this.requestLimit.waitFor(1))
+    for (let wait = this.requestLimit.timeUntilAvailable(1); wait > 0; wait = this.requestLimit.timeUntilAvailable(1))
       await sleep(this.clock, wait as Micros);
     this.requestLimit.take(1);
     const text = body === null ? "" : formatJson(body);
@@ -82,7 +82,7 @@
     try {
       if (outcome.status === 200) return { kind: "ok", value: parse(parseJson(outcome.body)) };
       if (outcome.status === 503 && outcome.body.includes("no capacity")) return { kind: "refused" };
-      if (outcome.status === 429) this.requestLimit.pause(ms(500));
+      if (outcome.status === 429) this.requestLimit.backOff(ms(500));
       else if (outcome.status !== 503) throw new MalformedMessageError(`status ${outcome.status}`);
     } catch (error) {
       this.log.error("malformed answer of the cloud", { target, error: String(error) });
--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -4,7 +4,7 @@
 import type { ShardState } from "../cluster/shard-state.js";
 import type { Uint64 } from "../protocol/json.js";
 import type { ExitReason } from "../protocol/worker.js";
-import type { Options } from "../settings/options.js";
+import type { OperatorOptions } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
 import type { KeyValueStore } from "../storage/key-value-store.js";
 import type { OutcomeRecord } from "../storage/outcome-records.js";
@@ -20,7 +20,7 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly settings: Settings;
-  readonly options: Options;
+  readonly options: OperatorOptions;
   readonly http: HttpClient;
   readonly store: KeyValueStore;
   readonly transactions: TransactionBatcher;
--- a/src/coordination/extension.ts
+++ b/src/coordination/extension.ts
@@ -1,15 +1,15 @@
 import type { MachineType } from "../protocol/cloud.js";
 import type { JobSpec } from "../protocol/job.js";
-import type { Change } from "../protocol/key-value-store.js";
+import type { KeyChange } from "../protocol/key-value-store.js";
 import type { ExitReason } from "../protocol/worker.js";
 import type { OutcomeRecord } from "../storage/outcome-records.js";
-import type { Request, Response } from "../transport/http.js";
+import type { HttpRequest, HttpResponse } from "../transport/http.js";
 import type { Services, ShardContext } from "./context.js";
 
 /** What an extension does while this controller holds a block. Must not throw; nothing of it is waited for. */
 export interface ShardExtension {
   /** Anything current has changed; called after the kernel has taken it in. */
-  onChange(change: Change): void;
+  onChange(change: KeyChange): void;
   /** The job's last word is on record. */
   onJobEnded(spec: JobSpec, end: OutcomeRecord): void;
   /** One of the job's tasks ended badly; it will be tried again unless somebody withdraws the job. */
@@ -29,7 +29,7 @@
  */
 export interface Extension {
   /** Null: not one of its paths. */
-  handle(request: Request): Promise<Response> | null;
+  handle(request: HttpRequest): Promise<HttpResponse> | null;
   acquireShard(context: ShardContext, doors: ShardControls): ShardExtension;
   /** By what is in this controller's view. */
   isWithdrawn(spec: JobSpec): boolean;
--- a/src/coordination/jobs/dependency-resolver.ts
+++ b/src/coordination/jobs/dependency-resolver.ts
@@ -1,7 +1,7 @@
 import { createHash } from "node:crypto";
 import type { JobSpec } from "../../protocol/job.js";
 import { formatJson, type Uint64 } from "../../protocol/json.js";
-import type { Change } from "../../protocol/key-value-store.js";
+import type { KeyChange } from "../../protocol/key-value-store.js";
 import { decodeJobRecord, encodeJobRecord, type JobRecord, recordedDependencies } from "../../storage/job-records.js";
 import { dependencyListKey, jobKey, jobOfKey } from "../../storage/keys.js";
 import type { OutcomeRecord } from "../../storage/outcome-records.js";
@@ -45,7 +45,7 @@
   ) {}
 
   /** What is current has changed. */
-  onChange(change: Change): void {
+  onChange(change: KeyChange): void {
     const { dependencies, cache, log } = this.services;
     const id = jobOfKey(change.key);
     if (id === null) return;
--- a/src/coordination/jobs/job-watcher.ts
+++ b/src/coordination/jobs/job-watcher.ts
@@ -1,5 +1,5 @@
 import type { Job } from "../../cluster/entities.js";
-import type { Change, Entry } from "../../protocol/key-value-store.js";
+import type { KeyChange, KeyValueEntry } from "../../protocol/key-value-store.js";
 import { decodeJobRecord } from "../../storage/job-records.js";
 import { CURRENT_PREFIX, jobKey, jobOfDependencyListKey, jobOfKey, taskRangeOfKey } from "../../storage/keys.js";
 import { seconds } from "../../transport/clock.js";
@@ -32,7 +32,7 @@
     const { cache, log } = this.dependencies.context;
     const { shard } = this.dependencies.context;
     const ranges: { id: string; range: number; key: string }[] = [];
-    const jobs: Entry[] = [];
+    const jobs: KeyValueEntry[] = [];
     for (const [key, entry] of cache.entries) {
       if (jobOfKey(key) !== null) jobs.push(entry);
       const range = taskRangeOfKey(key);
@@ -97,7 +97,7 @@
     });
   }
 
-  onChange(change: Change): void {
+  onChange(change: KeyChange): void {
     if (jobOfKey(change.key) !== null) this.applyJobChange(change);
   }
 
@@ -114,7 +114,7 @@
     if (job !== undefined && !job.cancelled) this.cancel(job);
   }
 
-  private applyJobChange(change: Change): void {
+  private applyJobChange(change: KeyChange): void {
     const { shard } = this.dependencies.context;
     const id = jobOfKey(change.key) ?? "";
     if (change.kind === "delete") return;
--- a/src/coordination/jobs/outcome-reader.ts
+++ b/src/coordination/jobs/outcome-reader.ts
@@ -1,4 +1,4 @@
-import type { Entry } from "../../protocol/key-value-store.js";
+import type { KeyValueEntry } from "../../protocol/key-value-store.js";
 import type { KeyValueStore } from "../../storage/key-value-store.js";
 import { outcomeKey } from "../../storage/keys.js";
 import { type Clock, type Micros, sleep } from "../../transport/clock.js";
@@ -10,7 +10,9 @@
 const MIN_LOOKUPS_FOR_PAGE = 8;
 const PAGE_SIZE = 200;
 
-export type OutcomeLookup = { readonly kind: "ok"; readonly value: Entry } | { readonly kind: "missing" | "unknown" };
+export type OutcomeLookup =
+  | { readonly kind: "ok"; readonly value: KeyValueEntry }
+  | { readonly kind: "missing" | "unknown" };
 
 interface PendingLookup {
   readonly resolvers: ((found: OutcomeLookup) => void)[];
@@ -37,7 +39,7 @@
     private readonly log: Log,
     private readonly interval: Micros,
     /** What was found, for those who ask later. */
-    private readonly onFound: (id: string, entry: Entry) => void,
+    private readonly onFound: (id: string, entry: KeyValueEntry) => void,
   ) {}
 
   /** `unknown`: neither found nor surely missing; to be asked again. */
--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -3,16 +3,16 @@
 import type { ClusterEventListener } from "../../cluster/events.js";
 import { decodeMachineTypes, type MachineType } from "../../protocol/cloud.js";
 import { formatJson, MalformedMessageError } from "../../protocol/json.js";
-import { type LinkTable, linksAnswer } from "../../protocol/links.js";
+import { encodeLinks, type LinkTable } from "../../protocol/links.js";
 import { decodeHeartbeatText, encodeHeartbeatResponse, encodeRedirect, type Heartbeat } from "../../protocol/worker.js";
-import type { Options } from "../../settings/options.js";
+import type { OperatorOptions } from "../../settings/options.js";
 import type { Settings } from "../../settings/settings.js";
 import { KeyValueStore } from "../../storage/key-value-store.js";
 import { CURRENT_PREFIX, MACHINE_TYPES_KEY, shardOf } from "../../storage/keys.js";
 import { TransactionBatcher } from "../../storage/transaction-batcher.js";
 import { requestInterval, SYNC_REQUEST_SHARE, WATCH_REQUEST_SHARE, WatchCache } from "../../storage/watch-cache.js";
 import { type Clock, type Micros, seconds, sleep } from "../../transport/clock.js";
-import type { HttpClient, Request, Response } from "../../transport/http.js";
+import type { HttpClient, HttpRequest, HttpResponse } from "../../transport/http.js";
 import { describeError, type Log } from "../../transport/log.js";
 import { JobApi } from "../api/job-api.js";
 import { CloudClient } from "../autoscaling/cloud-client.js";
@@ -54,7 +54,7 @@
   start(): void;
   recordDirectHeartbeat(address: string): void;
   recordRelayedHeartbeat(address: string, peer: string): void;
-  relayHeartbeat(leader: string, request: Request): Promise<Response | null>;
+  relayHeartbeat(leader: string, request: HttpRequest): Promise<HttpResponse | null>;
   linkTable(): LinkTable;
   readonly workerPathChangedAt: Micros | null;
 }
@@ -62,7 +62,7 @@
 export interface MeshHost {
   readonly loadLevel: () => number;
   readonly leadership: () => { readonly machines: number; readonly since: Micros } | null;
-  readonly handleHeartbeat: (request: Request, through: string) => Promise<Response>;
+  readonly handleHeartbeat: (request: HttpRequest, through: string) => Promise<HttpResponse>;
 }
 
 export type MeshFactory = (dependencies: MeshHost) => MeshPort;
@@ -78,7 +78,7 @@
   private readonly extension: Extension | null;
   private readonly mesh: MeshPort | null;
 
-  constructor(outside: ControllerEnvironment, settings: Settings, options: Options, incarnation: string) {
+  constructor(outside: ControllerEnvironment, settings: Settings, options: OperatorOptions, incarnation: string) {
     const { clock, log, random } = outside;
     this.mesh =
       outside.mesh?.({
@@ -199,20 +199,20 @@
     keep("last words", this.jobApi.dependencyResolver.run());
   }
 
-  async handle(request: Request): Promise<Response> {
+  async handle(request: HttpRequest): Promise<HttpResponse> {
     if (request.target === "/hello") {
       if (request.method !== "POST") return { status: 405, body: "{}" };
       return (await this.relayToLeader(request)) ?? this.handleHeartbeat(request.body, null);
     }
     if (request.target === "/links") {
       const machines = [...this.shardLeaders.values()].map(({ fleetHealth }) => fleetHealth);
-      return { status: 200, body: formatJson(linksAnswer(this.mesh?.linkTable() ?? null, machines[0] ?? null)) };
+      return { status: 200, body: formatJson(encodeLinks(this.mesh?.linkTable() ?? null, machines[0] ?? null)) };
     }
     return this.extension?.handle(request) ?? this.jobApi.handle(request);
   }
 
   /** The holder hears no worker itself, but can be reached from here: it answers through us. */
-  private async relayToLeader(request: Request): Promise<Response | null> {
+  private async relayToLeader(request: HttpRequest): Promise<HttpResponse | null> {
     if (this.mesh === null || this.shardLeaders.size > 0) return null;
     // There is one block; with several, the machine's name tells whose it is.
     const leader = this.membership.leaderOf(0);
@@ -232,7 +232,7 @@
   }
 
   /** `through`: the sibling that it came to; null: it came here. */
-  private handleHeartbeat(body: string, through: string | null): Response {
+  private handleHeartbeat(body: string, through: string | null): HttpResponse {
     let heartbeat: Heartbeat;
     try {
       heartbeat = decodeHeartbeatText(
--- a/src/coordination/leadership/membership.ts
+++ b/src/coordination/leadership/membership.ts
@@ -1,5 +1,5 @@
 import type { Uint64 } from "../../protocol/json.js";
-import type { Entry, WriteOperation } from "../../protocol/key-value-store.js";
+import type { KeyValueEntry, WriteOperation } from "../../protocol/key-value-store.js";
 import { shardLeaseDuration } from "../../settings/settings.js";
 import {
   CLUSTER_LEADER_KEY,
@@ -160,7 +160,7 @@
     void this.lead();
   }
 
-  private acquire(shard: number, record: ShardRecord, entry: Entry, memberLease: MemberLease | null): void {
+  private acquire(shard: number, record: ShardRecord, entry: KeyValueEntry, memberLease: MemberLease | null): void {
     if (memberLease === null) return;
     const { cache } = this.services;
     const span = (this.leaseDuration - LEASE_SAFETY_MARGIN - Math.ceil(this.leaseDuration * 0.001)) as Micros;
@@ -214,7 +214,7 @@
     if (this.leadAgain) await this.lead();
   }
 
-  private async electClusterLeader(me: Entry, memberLease: MemberLease): Promise<void> {
+  private async electClusterLeader(me: KeyValueEntry, memberLease: MemberLease): Promise<void> {
     const { store, cache, settings, log } = this.services;
     const value = encodeClusterLeaderRecord({ label: settings.label, incarnation: this.incarnation });
     const result = await store.transact(
@@ -228,7 +228,7 @@
     if (result.kind !== "refused") await cache.sync();
   }
 
-  private async assignShards(leader: Entry): Promise<void> {
+  private async assignShards(leader: KeyValueEntry): Promise<void> {
     const { store, cache, log } = this.services;
     for (let shard = 0; shard < SHARD_COUNT; shard += 1) {
       const key = shardKey(shard);
@@ -258,7 +258,7 @@
   }
 
   /** The member with the fewest blocks; the leader itself where it is among them. */
-  private chooseShardLeader(): Entry | null {
+  private chooseShardLeader(): KeyValueEntry | null {
     const { cache, settings } = this.services;
     const count = new Map<string, number>();
     for (let shard = 0; shard < SHARD_COUNT; shard += 1) {
@@ -266,7 +266,7 @@
       if (label !== null) count.set(label, (count.get(label) ?? 0) + 1);
     }
     const members = [...cache.entries.values()].filter((entry) => memberOfKey(entry.key) !== null);
-    const load = (entry: Entry): number => {
+    const load = (entry: KeyValueEntry): number => {
       const label = memberOfKey(entry.key) ?? "";
       return (count.get(label) ?? 0) - (label === settings.label ? 0.5 : 0);
     };
--- a/src/coordination/leadership/shard-leader.ts
+++ b/src/coordination/leadership/shard-leader.ts
@@ -2,7 +2,7 @@
 import { newMachine } from "../../cluster/machine-usage.js";
 import { ShardState } from "../../cluster/shard-state.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { Change } from "../../protocol/key-value-store.js";
+import type { KeyChange } from "../../protocol/key-value-store.js";
 import type { MachineLinks } from "../../protocol/links.js";
 import type { Command, Heartbeat } from "../../protocol/worker.js";
 import { MACHINE_TYPES_KEY } from "../../storage/keys.js";
@@ -287,7 +287,7 @@
   }
 
   /** What is current below the watched prefix has changed. */
-  onChange(change: Change): void {
+  onChange(change: KeyChange): void {
     if (this.stopped) return;
     this.jobWatcher.onChange(change);
     this.extension?.onChange(change);
--- a/src/coordination/scheduling/scheduler-snapshot.ts
+++ b/src/coordination/scheduling/scheduler-snapshot.ts
@@ -1,5 +1,5 @@
 import type { ShardState } from "../../cluster/shard-state.js";
-import type { Options } from "../../settings/options.js";
+import type { OperatorOptions } from "../../settings/options.js";
 import type { Settings } from "../../settings/settings.js";
 import type { Micros } from "../../transport/clock.js";
 import type { InspectionCounter } from "./placement/ranking.js";
@@ -13,7 +13,7 @@
   readonly now: Micros;
   readonly shard: ShardState;
   readonly settings: Pick<Settings, "teams" | "objectives">;
-  readonly options: Options;
+  readonly options: OperatorOptions;
   /** A machine not heard for so long gets nothing new. */
   readonly heartbeatTimeout: number;
   /** A worker that has not seen this token is not known well enough. */
--- a/src/graphs/run/plan.ts
+++ b/src/graphs/run/plan.ts
@@ -97,7 +97,7 @@
   kind: "kind",
   upstream: "upstream",
   rule: "rule",
-  retry: { name: "retry", form: retryForm },
+  retry: { name: "retry", codec: retryForm },
   timeoutS: "timeoutS",
   pool: "pool",
   weight: "weight",
@@ -122,7 +122,7 @@
   jobs: "jobs",
   steps: {
     name: "steps",
-    form: {
+    codec: {
       encode: (step) => stepForm.encode(slim(step)),
       decode: (stored) => ({ ...DEFAULT_STEP, ...stepForm.decode(stored) }),
     },
--- a/src/graphs/service/answers.ts
+++ b/src/graphs/service/answers.ts
@@ -2,7 +2,7 @@
 import { bytesToHex } from "@noble/hashes/utils.js";
 import { formatJson, type Uint64 } from "../../protocol/json.js";
 import { ms } from "../../transport/clock.js";
-import type { Response } from "../../transport/http.js";
+import type { HttpResponse } from "../../transport/http.js";
 import type { Ended, Header } from "./records.js";
 
 /** Beyond this wait for the write budget a submission is better told to come back. */
@@ -11,9 +11,9 @@
 /** So often a write is tried whose condition fails. */
 export const TRIES = 4;
 
-export const answer = (status: number, body: unknown): Response => ({ status, body: formatJson(body) });
-export const refuse = (status: number, error: string): Response => answer(status, { error });
-export const comeBack = (error: string, retryAfterS = 1): Response => ({
+export const answer = (status: number, body: unknown): HttpResponse => ({ status, body: formatJson(body) });
+export const refuse = (status: number, error: string): HttpResponse => answer(status, { error });
+export const comeBack = (error: string, retryAfterS = 1): HttpResponse => ({
   status: 503,
   body: formatJson({ error }),
   retryAfterS,
@@ -32,5 +32,5 @@
 export const isAbsent = (found: Found): found is Absent => found.kind === "never" || found.kind === "unknown";
 
 /** What is said of a run that is not there, or can't be told to be. */
-export const absent = ({ kind }: Absent): Response =>
+export const absent = ({ kind }: Absent): HttpResponse =>
   kind === "never" ? refuse(404, "no such graph") : comeBack("state service unavailable");
--- a/src/graphs/service/door.ts
+++ b/src/graphs/service/door.ts
@@ -6,7 +6,7 @@
 import type { WriteOperation } from "../../protocol/key-value-store.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
 import { shardOf } from "../../storage/keys.js";
-import type { Request, Response } from "../../transport/http.js";
+import type { HttpRequest, HttpResponse } from "../../transport/http.js";
 import { GraphError, problemText } from "../description/problem.js";
 import type { Submission } from "../description/requests.js";
 import { closure } from "../run/closure.js";
@@ -96,7 +96,7 @@
   }
 
   /** Null: not a path of graphs. */
-  handle(request: Request): Promise<Response> | null {
+  handle(request: HttpRequest): Promise<HttpResponse> | null {
     const [path = "", query = ""] = request.target.split("?");
     if (path !== "/v2/graphs" && !path.startsWith("/v2/graphs/")) return null;
     return this.route(request, path, new URLSearchParams(query)).catch((error: unknown) => {
@@ -110,7 +110,7 @@
     });
   }
 
-  private async route(request: Request, path: string, query: URLSearchParams): Promise<Response> {
+  private async route(request: HttpRequest, path: string, query: URLSearchParams): Promise<HttpResponse> {
     const { method, body } = request;
     if (path === "/v2/graphs") {
       if (method === "POST") return this.submit(body);
@@ -127,7 +127,7 @@
 
   // Submission ----------------------------------------------------------------------------------------------
 
-  private async submit(body: string): Promise<Response> {
+  private async submit(body: string): Promise<HttpResponse> {
     const value = parseJson(body);
     const { isPart, isSubmission, whyNot } = await describing();
     if (typeof value === "object" && value !== null && "part" in value) {
@@ -137,7 +137,7 @@
   }
 
   /** `parts`: keys of what it was put together from. */
-  private async take(submission: Submission, parts: readonly string[] = []): Promise<Response> {
+  private async take(submission: Submission, parts: readonly string[] = []): Promise<HttpResponse> {
     const { cache, transactions, loadShedder } = this.services;
     const id = submission.ref;
     if (!isRunId(id)) return refuse(400, "ref: not a graph id like dr-night_2026-01-31");
@@ -177,7 +177,7 @@
     return null;
   }
 
-  private async accept(id: string, plan: Plan, request: string, limited: boolean): Promise<Response> {
+  private async accept(id: string, plan: Plan, request: string, limited: boolean): Promise<HttpResponse> {
     const { transactions, settings, store } = this.services;
     const { text, digest } = encodePlan(plan);
     const chunk = Math.floor(settings.store.valueBytes * 0.95) - 16;
@@ -241,7 +241,7 @@
     return known.kind === "never" ? comeBack("busy") : this.repeated(id, known, request);
   }
 
-  private repeated(id: string, known: Found, request: string): Promise<Response> | Response {
+  private repeated(id: string, known: Found, request: string): Promise<HttpResponse> | HttpResponse {
     if (isAbsent(known)) return comeBack("state service unavailable");
     const header = known.kind === "current" ? known.header : known.ended.header;
     if (header.request !== request) return refuse(409, `${id} is another graph: choose a new id`);
@@ -262,12 +262,12 @@
     return { kind: "ended", ended: readEnded(reply.value.value), version: reply.value.version };
   }
 
-  private async status(id: string): Promise<Response> {
+  private async status(id: string): Promise<HttpResponse> {
     const found = await this.find(id);
     return isAbsent(found) ? absent(found) : this.tell(id, found);
   }
 
-  private async tell(id: string, found: Exclude<Found, Absent>): Promise<Response> {
+  private async tell(id: string, found: Exclude<Found, Absent>): Promise<HttpResponse> {
     if (found.kind === "ended") {
       const { header, phase, counts } = found.ended;
       return answer(200, { ref: id, phase, dag_id: header.dag, owner: header.owner, steps: header.steps, counts });
@@ -291,7 +291,7 @@
     return states === null ? null : countsOf((state) => states.count(state));
   }
 
-  private async steps(id: string, query: URLSearchParams): Promise<Response> {
+  private async steps(id: string, query: URLSearchParams): Promise<HttpResponse> {
     const from = Number(query.get("from") ?? 0);
     if (!Number.isInteger(from) || from < 0) return refuse(400, "from: not a step's number");
     const found = await this.find(id);
@@ -322,7 +322,7 @@
     return plan === null || saved === null ? null : { plan, ...saved };
   }
 
-  private async list(query: URLSearchParams): Promise<Response> {
+  private async list(query: URLSearchParams): Promise<HttpResponse> {
     const { cache, store } = this.services;
     if (!(await cache.sync())) return comeBack("state service unavailable");
     const from = query.get("from") ?? "";
@@ -348,7 +348,7 @@
 
   // Abort and clearing --------------------------------------------------------------------------------------
 
-  private async abort(id: string): Promise<Response> {
+  private async abort(id: string): Promise<HttpResponse> {
     const { transactions } = this.services;
     for (let tries = 0; tries < TRIES; tries += 1) {
       const found = await this.find(id);
@@ -367,7 +367,7 @@
     return comeBack("busy");
   }
 
-  private async clear(id: string, body: string): Promise<Response> {
+  private async clear(id: string, body: string): Promise<HttpResponse> {
     const value = parseJson(body);
     const { isClear, whyNot } = await describing();
     if (!isClear(value)) return refuse(400, whyNot(isClear));
@@ -398,7 +398,7 @@
     id: string,
     { header, version }: Extract<Found, { kind: "current" }>,
     clear: Header["clear"],
-  ): Promise<Response | null> {
+  ): Promise<HttpResponse | null> {
     const value: Header = { ...header, clear };
     const result = await this.services.transactions.submit(
       new Map([[graphKey(id), version]]),
@@ -415,7 +415,7 @@
     { ended, version }: Extract<Found, { kind: "ended" }>,
     plan: Plan,
     clear: NonNullable<Header["clear"]>,
-  ): Promise<Response | null> {
+  ): Promise<HttpResponse | null> {
     const states = await this.endedStates(id, ended);
     if (states === null) return comeBack("state service unavailable");
     const { header } = ended;
--- a/src/graphs/service/extension.ts
+++ b/src/graphs/service/extension.ts
@@ -3,7 +3,7 @@
 import type { MachineType } from "../../protocol/cloud.js";
 import type { JobSpec } from "../../protocol/job.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
-import type { Request, Response } from "../../transport/http.js";
+import type { HttpRequest, HttpResponse } from "../../transport/http.js";
 import { GraphDoor } from "./door.js";
 import { graphKey, isCalledOff, readHeader } from "./records.js";
 import { Runner } from "./runner.js";
@@ -27,7 +27,7 @@
     });
   }
 
-  handle(request: Request): Promise<Response> | null {
+  handle(request: HttpRequest): Promise<HttpResponse> | null {
     return this.door.handle(request);
   }
 
--- a/src/graphs/service/parts.ts
+++ b/src/graphs/service/parts.ts
@@ -2,7 +2,7 @@
 import type { Services } from "../../coordination/context.js";
 import { parseJson, type Uint64 } from "../../protocol/json.js";
 import type { WriteOperation } from "../../protocol/key-value-store.js";
-import type { Response } from "../../transport/http.js";
+import type { HttpResponse } from "../../transport/http.js";
 import { describeError } from "../../transport/log.js";
 import type { Part, Submission } from "../description/requests.js";
 import { type Absent, answer, BUSY_S, comeBack, digestOf, type Found, MOST_BACKLOG, refuse, TRIES } from "./answers.js";
@@ -27,8 +27,8 @@
 /** What parts need of the users' interface. */
 export interface PartsDoor {
   readonly find: (id: string) => Promise<Found>;
-  readonly tell: (id: string, found: Exclude<Found, Absent>) => Promise<Response>;
-  readonly submit: (submission: Submission, parts: readonly string[]) => Promise<Response>;
+  readonly tell: (id: string, found: Exclude<Found, Absent>) => Promise<HttpResponse>;
+  readonly submit: (submission: Submission, parts: readonly string[]) => Promise<HttpResponse>;
 }
 
 /** Definitions that come in numbered parts, since they are larger than a request may be. */
@@ -39,7 +39,7 @@
   ) {}
 
   /** Parts may come to any controller, in any order, and more than once; the last one makes the run. */
-  async take(given: Part): Promise<Response> {
+  async take(given: Part): Promise<HttpResponse> {
     const { ref: id, part, parts } = given;
     if (!isRunId(id)) return refuse(400, "ref: not a graph id like dr-night_2026-01-31");
     if (part >= parts) return refuse(400, `part: must be below ${parts}`);
@@ -76,7 +76,7 @@
   private async keepPart(
     { ref: id, part, parts, text }: Part,
     pieces: readonly WriteOperation[],
-  ): Promise<number | "again" | Response> {
+  ): Promise<number | "again" | HttpResponse> {
     const { transactions, store, cache } = this.services;
     const key = uploadKey(id);
     const entry = cache.entries.get(key);
@@ -102,7 +102,7 @@
     return put.kind === "conflict" ? "again" : comeBack("state service unavailable");
   }
 
-  private async assemble(id: string, parts: number): Promise<Response> {
+  private async assemble(id: string, parts: number): Promise<HttpResponse> {
     const { store, log } = this.services;
     const listed = await store.list(partPrefix(id));
     if (listed.kind !== "ok") return comeBack("state service unavailable");
--- a/src/graphs/service/records.ts
+++ b/src/graphs/service/records.ts
@@ -252,12 +252,12 @@
   steps: "steps",
   mostRuns: "mostRuns",
   segment: "segment",
-  plan: { name: "plan", form: planPlaceForm },
+  plan: { name: "plan", codec: planPlaceForm },
   acceptedMs: "acceptedMs",
   aborted: "aborted",
   timedOut: "timedOut",
   round: "round",
-  clear: { name: "clear", form: clearForm },
+  clear: { name: "clear", codec: clearForm },
   before: "before",
 });
 
@@ -291,11 +291,11 @@
 export const writeSegment = (segment: Segment): JsonObject => segmentForm.encode(segment);
 
 const endedForm = new RecordCodec<Ended>({
-  header: { name: "header", form: headerForm },
+  header: { name: "header", codec: headerForm },
   phase: "phase",
   counts: "counts",
   endedMs: "endedMs",
-  states: { name: "states", form: segmentForm },
+  states: { name: "states", codec: segmentForm },
 });
 
 export const writeEnded = (ended: Ended): JsonObject => endedForm.encode(ended);
--- a/src/graphs/service/runner.ts
+++ b/src/graphs/service/runner.ts
@@ -2,7 +2,7 @@
 import type { ShardControls, ShardExtension } from "../../coordination/extension.js";
 import type { JobSpec } from "../../protocol/job.js";
 import type { Uint64 } from "../../protocol/json.js";
-import type { Change } from "../../protocol/key-value-store.js";
+import type { KeyChange } from "../../protocol/key-value-store.js";
 import type { ExitReason } from "../../protocol/worker.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
 import { decodeJobRecord, encodeJobRecord, type JobRecord } from "../../storage/job-records.js";
@@ -106,7 +106,7 @@
 
   // What the kernel tells -----------------------------------------------------------------------------------
 
-  onChange(change: Change): void {
+  onChange(change: KeyChange): void {
     if (this.stopped) return;
     const id = graphOfKey(change.key);
     if (id === null) this.jobSeen(change);
@@ -128,7 +128,7 @@
   }
 
   /** A submission of which there was no answer may turn up here, long after it was given up for lost. */
-  private jobSeen(change: Change): void {
+  private jobSeen(change: KeyChange): void {
     const job = jobOfKey(change.key);
     if (job === null || change.kind !== "put" || !job.startsWith("wk-dr-")) return;
     const { spec } = decodeJobRecord(change.value);
--- a/src/mesh/frames.ts
+++ b/src/mesh/frames.ts
@@ -1,4 +1,4 @@
-import type { HttpOutcome, Request } from "../transport/http.js";
+import type { HttpOutcome, HttpRequest } from "../transport/http.js";
 
 /**
  * What controllers say to each other: frames of a 32-bit length (of what follows), a version, a type and the type's
@@ -23,7 +23,7 @@
       readonly id: number;
       readonly address: string;
       readonly timeoutMs: number;
-      readonly request: Request;
+      readonly request: HttpRequest;
     }
   | { readonly type: "relay-response"; readonly id: number; readonly outcome: HttpOutcome };
 
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -1,6 +1,6 @@
 import hdr from "hdr-histogram-js";
 import { type Clock, type Micros, ms, seconds, type Timer } from "../transport/clock.js";
-import type { HttpClient, HttpOutcome, Request, Response } from "../transport/http.js";
+import type { HttpClient, HttpOutcome, HttpRequest, HttpResponse } from "../transport/http.js";
 import type { Log } from "../transport/log.js";
 import { RELAY_ALLOWANCE } from "../transport/timeouts.js";
 import type { FrameConnection, FrameTransport } from "./frame-connection.js";
@@ -66,7 +66,7 @@
   /** Machines held here that are up, and since when; null: none are held. */
   readonly leadership: () => { readonly machines: number; readonly since: Micros } | null;
   /** A worker's report that came to the sibling `through`. */
-  readonly handleHeartbeat: (request: Request, through: string) => Promise<Response>;
+  readonly handleHeartbeat: (request: HttpRequest, through: string) => Promise<HttpResponse>;
 }
 
 interface PendingRelay {
@@ -154,7 +154,7 @@
   /**
    * The holder's answer to a report that came here, where the holder hears no worker itself; null: send the worker there.
    */
-  async relayHeartbeat(leader: string, request: Request): Promise<Response | null> {
+  async relayHeartbeat(leader: string, request: HttpRequest): Promise<HttpResponse | null> {
     const { clock } = this.options;
     const peer = this.peers.get(leader);
     if (peer === undefined || !peer.isUsable(clock.now()) || peer.heartbeat?.cutOffFromWorkers !== true) return null;
@@ -191,7 +191,7 @@
 
   // Calls -------------------------------------------------------------------------------------------------
 
-  private async call(address: string, request: Request, timeout: Micros): Promise<HttpOutcome> {
+  private async call(address: string, request: HttpRequest, timeout: Micros): Promise<HttpOutcome> {
     const { clock, http } = this.options;
     const target = this.links.targetOf(address);
     const through = target === "worker" ? this.throughOf(address) : null;
@@ -234,7 +234,7 @@
 
   // Frames ------------------------------------------------------------------------------------------------
 
-  private ask(peer: PeerConnection, address: string, request: Request, timeout: Micros): Promise<HttpOutcome> {
+  private ask(peer: PeerConnection, address: string, request: HttpRequest, timeout: Micros): Promise<HttpOutcome> {
     const { clock } = this.options;
     const id = this.nextId;
     this.nextId = id >= AGE_NEVER ? 1 : id + 1;
@@ -281,7 +281,7 @@
   }
 
   /** By the own way and no other; nothing is answered that did not come from where it was sent. */
-  private async carry(from: string, address: string, request: Request, timeout: Micros): Promise<HttpOutcome> {
+  private async carry(from: string, address: string, request: HttpRequest, timeout: Micros): Promise<HttpOutcome> {
     if (address !== "") {
       const outcome = await this.options.http.call(address, request, timeout);
       this.links.recordOutcome(this.links.targetOf(address), outcome);
--- a/src/model/cloud-service.ts
+++ b/src/model/cloud-service.ts
@@ -1,4 +1,4 @@
-import type { Request, Response } from "../transport/http.js";
+import type { HttpRequest, HttpResponse } from "../transport/http.js";
 import { json } from "./network.js";
 import type { Luck, Random } from "./random.js";
 import { type CapacitySpec, catalogOf, type SiteSpec, type TypeSpec } from "./site-spec.js";
@@ -81,7 +81,7 @@
     private readonly room: Room,
   ) {}
 
-  serve = async (request: Request): Promise<Response> => {
+  serve = async (request: HttpRequest): Promise<HttpResponse> => {
     this.calls += 1;
     await new Promise<void>((resolve) => this.timeline.after(ANSWER_US, resolve));
     if (this.outageUntil > this.timeline.now) return json(503, { error: "trouble" });
@@ -96,7 +96,7 @@
   };
 
   /** Worked out for the moment that the list describes, rather than from a history of lists. */
-  private list(target: string): Response {
+  private list(target: string): HttpResponse {
     const { listLagUs } = this.site.cloud;
     const url = new URL(target, "http://cloud");
     const from = url.searchParams.get("from") ?? "";
@@ -130,7 +130,7 @@
     return json(200, { hosts, more });
   }
 
-  private rent(body: string): Response {
+  private rent(body: string): HttpResponse {
     const { ask, flavor, area, loaner, number } = JSON.parse(body) as {
       ask: string;
       flavor: string;
--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -28,12 +28,12 @@
 import { decodeMachineTypes, type MachineType } from "../protocol/cloud.js";
 import { decodeSubmission, type JobSpec } from "../protocol/job.js";
 import { MalformedMessageError } from "../protocol/json.js";
-import type { Options } from "../settings/options.js";
+import type { OperatorOptions } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
 import type { TaskRecord } from "../storage/task-range-records.js";
 import type { Micros } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
-import { RateLimit } from "../transport/rate-limit.js";
+import { RateLimiter } from "../transport/rate-limiter.js";
 import { jobBehaviour } from "./behaviour.js";
 import { CloudService, roomOf } from "./cloud-service.js";
 import type { ExecutorAround } from "./executor.js";
@@ -75,7 +75,7 @@
 
 export interface FastSetup {
   readonly spec: SiteSpec;
-  readonly options: Options;
+  readonly options: OperatorOptions;
   readonly seed: number;
   readonly watch: (world: World) => { readonly witness: Witness; readonly hearing: Hearing };
 }
@@ -100,7 +100,7 @@
   private readonly memory = newRoundState();
   private readonly history = new DemandHistory();
   private readonly refusals = new CapacityBackoff();
-  private readonly cloudLimit: RateLimit;
+  private readonly cloudLimit: RateLimiter;
   private readonly work = { count: 0 };
   private readonly chains = new DependencyGraph();
   private readonly chained: DependencyTracker;
@@ -134,7 +134,7 @@
     this.block = new ShardState(this.clock, rangeSize, this.settings.teams, () => this.types);
     const { store } = this.settings;
     this.writer = new Writer(this.world, this.clock, store.writesPerS * SHARE, store.transactionWrites);
-    this.cloudLimit = new RateLimit(this.clock, spec.cloud.rps * CLOUD_SHARE);
+    this.cloudLimit = new RateLimiter(this.clock, spec.cloud.rps * CLOUD_SHARE);
     const luck = new Luck(seed);
     const executes: ExecutorAround = { timeline: this.world, luck, witness, truth: this.truth, times: spec.workers };
     this.cloud = new CloudService(
@@ -471,7 +471,11 @@
     this.removing = this.doomed.length > 0;
     if (!this.removing) return;
     const away = this.cloudAwayUntil - this.world.now;
-    const wait = Math.max(away, this.cloudLimit.waitFor(1), this.acting ? 0 : this.pausedUntil - this.world.now);
+    const wait = Math.max(
+      away,
+      this.cloudLimit.timeUntilAvailable(1),
+      this.acting ? 0 : this.pausedUntil - this.world.now,
+    );
     if (wait > 0) {
       this.world.after(wait + HOP, () => this.removePart());
       return;
@@ -593,7 +597,7 @@
       this.world.after(gap, () => this.plan());
       return;
     }
-    const wait = this.cloudLimit.waitFor(1);
+    const wait = this.cloudLimit.timeUntilAvailable(1);
     if (wait > 0) {
       this.world.after(wait, () => this.settle());
       return;
--- a/src/model/fast-writer.ts
+++ b/src/model/fast-writer.ts
@@ -1,4 +1,4 @@
-import { RateLimit } from "../transport/rate-limit.js";
+import { RateLimiter } from "../transport/rate-limiter.js";
 import type { HostClock, World } from "./world.js";
 
 /** One way over the network, as in the faithful model. */
@@ -17,7 +17,7 @@
 /** The state service's budget, and the time until what was proposed counts; users' writes go first. */
 export class Writer {
   private readonly queues: readonly [Write[], Write[], Write[]] = [[], [], []];
-  private readonly limit: RateLimit;
+  private readonly limit: RateLimiter;
   private armed = false;
   pausedUntil = 0;
 
@@ -27,12 +27,12 @@
     perSecond: number,
     private readonly most: number,
   ) {
-    this.limit = new RateLimit(clock, perSecond);
+    this.limit = new RateLimiter(clock, perSecond);
   }
 
   /** Seconds until a user's write proposed now is likely to leave. */
   get backlogS(): number {
-    return this.queues[0].length / this.limit.current;
+    return this.queues[0].length / this.limit.currentRate;
   }
 
   /** `urgency`: 0 users', 1 work, 2 upkeep. */
@@ -59,7 +59,7 @@
     for (;;) {
       const first = this.queues.find((queue) => queue.length > 0)?.[0];
       if (first === undefined) return;
-      const wait = this.limit.waitFor(first.count);
+      const wait = this.limit.timeUntilAvailable(first.count);
       if (wait > 0) {
         this.arm(wait);
         return;
--- a/src/model/local-site.ts
+++ b/src/model/local-site.ts
@@ -3,7 +3,7 @@
 import { createServer } from "node:net";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import type { Options } from "../settings/options.js";
+import type { OperatorOptions } from "../settings/options.js";
 import { decodeJobRecord } from "../storage/job-records.js";
 import { jobKey } from "../storage/keys.js";
 import { ms } from "../transport/clock.js";
@@ -21,7 +21,7 @@
 
 export interface LocalSetup {
   readonly spec: SiteSpec;
-  readonly options: Options;
+  readonly options: OperatorOptions;
   readonly seed: number;
   /** First of the ports; the controllers' are the first ones. */
   readonly port: number;
--- a/src/model/network.ts
+++ b/src/model/network.ts
@@ -1,12 +1,12 @@
 import type { Clock, Micros } from "../transport/clock.js";
-import type { HttpClient, HttpOutcome, Request, Response } from "../transport/http.js";
+import type { HttpClient, HttpOutcome, HttpRequest, HttpResponse } from "../transport/http.js";
 import type { Door } from "./door.js";
 import type { Random } from "./random.js";
 import { type HostClock, S, type World } from "./world.js";
 
-export const json = (status: number, body: unknown): Response => ({ status, body: JSON.stringify(body) });
+export const json = (status: number, body: unknown): HttpResponse => ({ status, body: JSON.stringify(body) });
 
-export type Serve = (request: Request, from: string) => Promise<Response>;
+export type Serve = (request: HttpRequest, from: string) => Promise<HttpResponse>;
 
 export interface Host {
   readonly address: string;
@@ -45,7 +45,7 @@
 
 /** Messages that are on their way for seconds, and arrive all the same. */
 export interface Delays {
-  readonly of: (from: string, to: string, request: Request) => boolean;
+  readonly of: (from: string, to: string, request: HttpRequest) => boolean;
   readonly delays: Swallowed;
   readonly chance: number;
   readonly mostUs: number;
@@ -54,7 +54,7 @@
 /** Copies of requests that come late, beside the requests themselves. */
 export interface Copies {
   /** Which requests, and by how much late at most. */
-  readonly of: (to: string, request: Request) => boolean;
+  readonly of: (to: string, request: HttpRequest) => boolean;
   readonly chance: number;
   readonly mostLateUs: number;
   readonly until: number;
@@ -73,15 +73,15 @@
   copies: Copies | null = null;
   /** Copies that are kept until somebody releases them, with who sent them. */
   private keeping: { readonly of: Copies["of"]; readonly chance: number; readonly until: number } | null = null;
-  private kept: { readonly from: string; readonly request: Request }[] = [];
+  private kept: { readonly from: string; readonly request: HttpRequest }[] = [];
   private given = 0;
   /** Lets a test change what is said, to see that the checker notices. */
-  tamper: ((from: string, to: string, request: Request, response: Response) => Response) | null = null;
+  tamper: ((from: string, to: string, request: HttpRequest, response: HttpResponse) => HttpResponse) | null = null;
 
   /** Lets a test change what is sent, as an older program would have written it. */
-  rewrite: ((from: string, to: string, request: Request) => Request) | null = null;
+  rewrite: ((from: string, to: string, request: HttpRequest) => HttpRequest) | null = null;
 
-  onRequest: ((from: string, to: string, request: Request) => void) | null = null;
+  onRequest: ((from: string, to: string, request: HttpRequest) => void) | null = null;
 
   constructor(
     private readonly world: World,
@@ -118,7 +118,7 @@
     this.delays.push({ ...delays, until: this.world.now + forUs });
   }
 
-  private heldUp(from: string, to: string, request: Request, what: Swallowed): number {
+  private heldUp(from: string, to: string, request: HttpRequest, what: Swallowed): number {
     if (this.delays.length === 0) return 0;
     this.delays = this.delays.filter(({ until }) => until > this.world.now);
     const found = this.delays.find(({ delays, of }) => delays === what && of(from, to, request));
@@ -133,7 +133,7 @@
   }
 
   /** What is delivered once more, seconds or minutes later; nobody waits for its answer. */
-  private copy(from: string, to: string, request: Request): void {
+  private copy(from: string, to: string, request: HttpRequest): void {
     const { copies, keeping } = this;
     if (keeping !== null && this.world.now <= keeping.until && keeping.of(to, request)) {
       if (this.random.chance(keeping.chance) && this.kept.length < MOST_KEPT) this.kept.push({ from, request });
@@ -196,7 +196,13 @@
     };
   }
 
-  private call(from: string, clock: HostClock, to: string, request: Request, timeout: Micros): Promise<HttpOutcome> {
+  private call(
+    from: string,
+    clock: HostClock,
+    to: string,
+    request: HttpRequest,
+    timeout: Micros,
+  ): Promise<HttpOutcome> {
     const door = this.hosts.get(from)?.door ?? null;
     if (door === null) return this.send(from, clock, to, request, timeout);
     const left = door.leave();
@@ -210,7 +216,13 @@
     });
   }
 
-  private send(from: string, clock: HostClock, to: string, request: Request, timeout: Micros): Promise<HttpOutcome> {
+  private send(
+    from: string,
+    clock: HostClock,
+    to: string,
+    request: HttpRequest,
+    timeout: Micros,
+  ): Promise<HttpOutcome> {
     return new Promise((resolve) => {
       let settled = false;
       const settle = (outcome: HttpOutcome): void => {
@@ -267,7 +279,13 @@
     });
   }
 
-  private reply(from: string, to: string, request: Request, given: Response, settle: (o: HttpOutcome) => void): void {
+  private reply(
+    from: string,
+    to: string,
+    request: HttpRequest,
+    given: HttpResponse,
+    settle: (o: HttpOutcome) => void,
+  ): void {
     const response = this.tamper === null ? given : this.tamper(from, to, request, given);
     const arrive = (): void => {
       const cut = this.cutBetween(from, to);
--- a/src/model/site.ts
+++ b/src/model/site.ts
@@ -2,7 +2,7 @@
 import type { ExtensionFactory } from "../coordination/extension.js";
 import { Controller, type ControllerEnvironment } from "../coordination/leadership/controller.js";
 import { createMeshFactory } from "../mesh/index.js";
-import type { Options } from "../settings/options.js";
+import type { OperatorOptions } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
 import type { Log, LogFields } from "../transport/log.js";
 import { jobBehaviour } from "./behaviour.js";
@@ -37,7 +37,7 @@
 
 export interface SiteSetup {
   readonly spec: SiteSpec;
-  readonly options: Options;
+  readonly options: OperatorOptions;
   readonly seed: number;
   /** Of what goes by turn (delays, drift, who asks whom); the seed itself by default. Luck by name keeps to `seed`. */
   readonly turnSeed?: number;
--- a/src/model/state-service.ts
+++ b/src/model/state-service.ts
@@ -1,4 +1,4 @@
-import type { Request, Response } from "../transport/http.js";
+import type { HttpRequest, HttpResponse } from "../transport/http.js";
 import { json } from "./network.js";
 import type { Random } from "./random.js";
 import { S, type Timeline } from "./world.js";
@@ -157,7 +157,7 @@
     return this.outageUntil > this.world.now || (this.refusedFor.get(from) ?? 0) > this.world.now;
   }
 
-  serve = async (request: Request, from: string): Promise<Response> => {
+  serve = async (request: HttpRequest, from: string): Promise<HttpResponse> => {
     if (this.down(from)) return json(503, {});
     this.requests += 1;
     this.received += 1;
@@ -172,14 +172,14 @@
     return this.grants(request, path);
   };
 
-  private get(key: string): Response {
+  private get(key: string): HttpResponse {
     const item = this.items.get(key);
     return item === undefined
       ? json(404, { epoch: this.epoch })
       : json(200, { k: key, value: item.value, stamp: item.stamp, ...(item.hold === null ? {} : { hold: item.hold }) });
   }
 
-  private list(url: URL): Response {
+  private list(url: URL): HttpResponse {
     const under = url.searchParams.get("under") ?? "";
     const from = url.searchParams.get("from") ?? "";
     const page = Math.min(1_000, Number(url.searchParams.get("page") ?? 1_000));
@@ -188,7 +188,7 @@
     return json(200, { entries, more: keys.length > page, epoch: this.epoch });
   }
 
-  private async transaction(body: string, from: string): Promise<Response> {
+  private async transaction(body: string, from: string): Promise<HttpResponse> {
     if (this.random.chance(this.unanswered)) {
       // Carried out now or much later, with nobody told.
       const [least, most] = this.lateBy ?? [0, this.random.chance(0.5) ? 0 : 20 * S];
@@ -203,7 +203,7 @@
     return response;
   }
 
-  private apply(body: string): Response {
+  private apply(body: string): HttpResponse {
     const { if: conditions, writes } = JSON.parse(body) as Transaction;
     if (writes.length > this.limits.txnOps || conditions.length > 4 * this.limits.txnOps) {
       this.tooLarge += 1;
@@ -249,7 +249,7 @@
     return this.items.get(key)?.stamp ?? 0;
   }
 
-  private grants(request: Request, path: string): Response {
+  private grants(request: HttpRequest, path: string): HttpResponse {
     if (path === "/grants") {
       const ttl = (JSON.parse(request.body) as { ttlMs: number }).ttlMs * 1_000;
       const id = this.nextHold++;
@@ -264,7 +264,7 @@
     return json(200, { hold: id });
   }
 
-  private watch(url: URL, from: string): Promise<Response> {
+  private watch(url: URL, from: string): Promise<HttpResponse> {
     const under = url.searchParams.get("under") ?? "";
     const since = Number(url.searchParams.get("from"));
     const until = this.world.now + Number(url.searchParams.get("waitMs") ?? 0) * 1_000;
--- a/src/model/users.ts
+++ b/src/model/users.ts
@@ -1,5 +1,5 @@
 import type { Micros } from "../transport/clock.js";
-import type { HttpOutcome, Request } from "../transport/http.js";
+import type { HttpOutcome, HttpRequest } from "../transport/http.js";
 import type { Net } from "./network.js";
 import type { Random } from "./random.js";
 import { HostClock, S, type Timeline } from "./world.js";
@@ -72,7 +72,7 @@
   /** Told when a user hears for the first time that a job is accepted, or over. */
   onNews: (id: string) => void = () => undefined;
   /** Lets a test change what users send on its way. */
-  alter: (request: Request) => Request = (request) => request;
+  alter: (request: HttpRequest) => HttpRequest = (request) => request;
 
   constructor(
     private readonly timeline: Timeline,
--- a/src/model/worker.ts
+++ b/src/model/worker.ts
@@ -1,5 +1,5 @@
 import type { Micros } from "../transport/clock.js";
-import type { Request, Response } from "../transport/http.js";
+import type { HttpRequest, HttpResponse } from "../transport/http.js";
 import { Executor, type ExecutorAround, type GangTimes } from "./executor.js";
 import { type Host, json, type Net } from "./network.js";
 import type { Random } from "./random.js";
@@ -172,7 +172,7 @@
     this.lastReport = timeline.now;
     const sent = timeline.now;
     const session = this.session;
-    const request: Request = { method: "POST", target: "/hello", body: JSON.stringify(this.body()) };
+    const request: HttpRequest = { method: "POST", target: "/hello", body: JSON.stringify(this.body()) };
     const node = nodes[this.node] ?? "";
     const { calls } = this;
     void net
@@ -216,7 +216,7 @@
     this.token = Math.max(this.token, token);
   }
 
-  private serve(request: Request): Promise<Response> {
+  private serve(request: HttpRequest): Promise<HttpResponse> {
     return new Promise((resolve) =>
       this.awake(() => {
         if (request.target === "/status") {
--- a/src/protocol/job-spec-codec.ts
+++ b/src/protocol/job-spec-codec.ts
@@ -13,7 +13,7 @@
   shape: "shape",
   priority: "priority",
   tasks: "tasks",
-  demand: { name: "demand", form: resourcesCodec },
+  demand: { name: "demand", codec: resourcesCodec },
   types: "types",
   zone: "zone",
   singleZone: "oneZone",
@@ -26,5 +26,5 @@
   checkpointDurationS: "saveS",
   deadlineS: "deadlineS",
   dependencies: "awaits",
-  origin: { name: "origin", form: graphOriginCodec },
+  origin: { name: "origin", codec: graphOriginCodec },
 });
--- a/src/protocol/key-value-store.ts
+++ b/src/protocol/key-value-store.ts
@@ -9,13 +9,13 @@
   type Uint64,
 } from "./json.js";
 
-export interface Entry {
+export interface KeyValueEntry {
   readonly key: string;
   readonly value: unknown;
   readonly version: Uint64;
 }
 
-export type Change =
+export type KeyChange =
   | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly version: Uint64 }
   | { readonly kind: "delete"; readonly key: string; readonly version: Uint64 };
 
@@ -23,12 +23,14 @@
   | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly lease?: Uint64 }
   | { readonly kind: "delete"; readonly key: string };
 
-export const decodeEntry = (value: unknown): Entry => {
+export const decodeEntry = (value: unknown): KeyValueEntry => {
   const fields = asObject(value, "entry");
   return { key: readString(fields, "k"), value: fields.value, version: readUint64(fields, "stamp") };
 };
 
-export const decodeEntryPage = (body: unknown): { entries: readonly Entry[]; more: boolean; revision: Uint64 } => {
+export const decodeEntryPage = (
+  body: unknown,
+): { entries: readonly KeyValueEntry[]; more: boolean; revision: Uint64 } => {
   const fields = asObject(body, "entries");
   return {
     entries: asArray(fields.entries, "entries").map(decodeEntry),
@@ -37,9 +39,9 @@
   };
 };
 
-export const decodeChanges = (body: unknown): { changes: readonly Change[]; revision: Uint64 } => {
+export const decodeChanges = (body: unknown): { changes: readonly KeyChange[]; revision: Uint64 } => {
   const fields = asObject(body, "changes");
-  const changes = asArray(fields.log ?? [], "log").map((entry): Change => {
+  const changes = asArray(fields.log ?? [], "log").map((entry): KeyChange => {
     const item = asObject(entry, "change");
     const version = readUint64(item, "stamp");
     const removed = readOptional(item, "remove", readString);
--- a/src/protocol/links.ts
+++ b/src/protocol/links.ts
@@ -38,7 +38,7 @@
 });
 
 /** Answer to `/links`. Without a mesh there is no table; `machines` is null where none are held. */
-export const linksAnswer = (table: LinkTable | null, machines: MachineLinks | null): JsonObject => ({
+export const encodeLinks = (table: LinkTable | null, machines: MachineLinks | null): JsonObject => ({
   ...(table === null ? {} : linkTableForm.encode(table)),
   machines: machines === null ? null : machineLinksForm.encode(machines),
 });
--- a/src/protocol/record-codec.ts
+++ b/src/protocol/record-codec.ts
@@ -7,7 +7,7 @@
 }
 
 /** The stored name of a field, with the form of its value (of each entry, where the value is a list). */
-type FieldCodec<V> = string | { readonly name: string; readonly form: ValueCodec<EntryOf<NonNullable<V>>> };
+type FieldCodec<V> = string | { readonly name: string; readonly codec: ValueCodec<EntryOf<NonNullable<V>>> };
 
 type EntryOf<V> = V extends readonly (infer Entry)[] ? Entry : V;
 
@@ -15,7 +15,7 @@
 
 interface KnownField {
   readonly name: string;
-  readonly form: ValueCodec<unknown> | null;
+  readonly codec: ValueCodec<unknown> | null;
 }
 
 const mapEntries = (value: unknown, map: (entry: unknown) => unknown): unknown => {
@@ -35,9 +35,9 @@
   constructor(fields: FieldCodecs<T>) {
     const entries: [string, FieldCodec<unknown>][] = Object.entries(fields);
     for (const [field, known] of entries) {
-      const { name, form } = typeof known === "string" ? { name: known, form: null } : known;
-      this.byField.set(field, { name, form });
-      this.byName.set(name, { name: field, form });
+      const { name, codec } = typeof known === "string" ? { name: known, codec: null } : known;
+      this.byField.set(field, { name, codec });
+      this.byName.set(name, { name: field, codec });
     }
   }
 
@@ -45,8 +45,8 @@
     const entries = Object.entries<unknown>(value).map(([field, inner]): [string, unknown] => {
       const known = this.byField.get(field);
       if (known === undefined) return [field, inner];
-      const { name, form } = known;
-      return [name, form === null ? inner : mapEntries(inner, (entry) => form.encode(entry))];
+      const { name, codec } = known;
+      return [name, codec === null ? inner : mapEntries(inner, (entry) => codec.encode(entry))];
     });
     return Object.fromEntries(entries);
   }
@@ -56,8 +56,8 @@
       const known = this.byName.get(name);
       // An unknown field must not pass for the field that has its name in memory.
       if (known === undefined) return this.byField.has(name) ? [] : [[name, inner]];
-      const { name: field, form } = known;
-      return [[field, form === null ? inner : mapEntries(inner, (entry) => form.decode(entry))]];
+      const { name: field, codec } = known;
+      return [[field, codec === null ? inner : mapEntries(inner, (entry) => codec.decode(entry))]];
     });
     return Object.fromEntries(entries) as T;
   }
--- a/src/settings/cancellation.ts
+++ b/src/settings/cancellation.ts
@@ -12,9 +12,9 @@
 /** The longest time from a confirmed cancellation to the last of its tasks gone, by its terms (docs/meetings.md). */
 export interface CancellationTerms {
   /** A holder that has not learnt of it may answer workers for so long. */
-  readonly right: Micros;
+  readonly shardLease: Micros;
   /** A start of its last moment may still land. */
-  readonly start: Micros;
+  readonly startCommand: Micros;
   /** The worker that had the last answer ends its tasks by itself. */
   readonly workerLease: Micros;
   readonly total: Micros;
@@ -26,23 +26,31 @@
   const workerLease = (maxWorkerLease(workers.lease) + WORKER_KILL_DELAY) as Micros;
   const total = (right + START_COMMAND_IN_FLIGHT + workerLease) as Micros;
   return {
-    right,
-    start: START_COMMAND_IN_FLIGHT,
+    shardLease: right,
+    startCommand: START_COMMAND_IN_FLIGHT,
     workerLease,
     total,
     left: (workers.cancellationBound - total) as Micros,
   };
 };
 
-/** For people. */
-export const termsInSeconds = (terms: CancellationTerms): Readonly<Record<`${keyof CancellationTerms}S`, number>> => {
-  const inS = (span: Micros): number => Math.round(span / 10_000) / 100;
-  const { right, start, workerLease, total, left } = terms;
+/** The terms in seconds, rounded to hundredths, under the names that `check --json` prints. */
+export interface CancellationTermsInSeconds {
+  readonly rightS: number;
+  readonly startS: number;
+  readonly workerLeaseS: number;
+  readonly totalS: number;
+  readonly leftS: number;
+}
+
+/** Converts the terms for operators. */
+export const termsInSeconds = (terms: CancellationTerms): CancellationTermsInSeconds => {
+  const inSeconds = (span: Micros): number => Math.round(span / 10_000) / 100;
   return {
-    rightS: inS(right),
-    startS: inS(start),
-    workerLeaseS: inS(workerLease),
-    totalS: inS(total),
-    leftS: inS(left),
+    rightS: inSeconds(terms.shardLease),
+    startS: inSeconds(terms.startCommand),
+    workerLeaseS: inSeconds(terms.workerLease),
+    totalS: inSeconds(terms.total),
+    leftS: inSeconds(terms.left),
   };
 };
--- a/src/settings/connections.ts
+++ b/src/settings/connections.ts
@@ -5,7 +5,7 @@
 const IDLE_SHARE = 0.08;
 
 /** How a controller shares out the connections that it may have: let in, kept open, and idle ones of its own. */
-export const shareConnections = (
+export const allocateConnections = (
   most: number,
 ): { readonly incoming: number; readonly kept: number; readonly idle: number } => ({
   incoming: Math.max(16, Math.floor(most * INCOMING_SHARE)),
--- a/src/settings/options.ts
+++ b/src/settings/options.ts
@@ -3,7 +3,7 @@
 import { SettingsError } from "./settings.js";
 
 /** The operators' own settings: JSON, checked against `optionsSchema`, all of them optional. */
-export interface Options {
+export interface OperatorOptions {
   /** Share of the candidates that stays on the shortlist (the paper's κ). */
   readonly kappa: number;
   /** Longest time between two placement rounds. */
@@ -15,7 +15,7 @@
   /** Missed reports after which a machine is probed and then given up. */
   readonly silentReports: number;
   /** Where to keep a trace of what happens, for what-if; null: nowhere. */
-  readonly record: RecordOptions | null;
+  readonly record: TraceOptions | null;
   /** Graphs of dependent steps; null: none are taken. */
   readonly graphs: GraphOptions | null;
   /** Connections between controllers, and calls through each other where a link is cut. */
@@ -23,13 +23,13 @@
 }
 
 /** The newest `files` files of at most `fileMb` MB each stay in the folder. */
-export interface RecordOptions {
+export interface TraceOptions {
   readonly folder: string;
   readonly fileMb: number;
   readonly files: number;
 }
 
-export const DEFAULT_OPTIONS: Options = {
+export const DEFAULT_OPTIONS: OperatorOptions = {
   kappa: 0.5,
   roundMs: 1_000,
   headroom: 1,
@@ -72,7 +72,7 @@
 } as const;
 
 /** The schema compiler is only loaded where there is a file to check: a start must be quick. */
-export const loadOptions = async (file: string | null): Promise<Options> => {
+export const loadOptions = async (file: string | null): Promise<OperatorOptions> => {
   if (file === null) return DEFAULT_OPTIONS;
   let value: unknown;
   try {
@@ -81,7 +81,7 @@
     throw new SettingsError(`${file}: ${error instanceof SyntaxError ? "not JSON" : "cannot be read"}`);
   }
   const { Ajv } = await import("ajv");
-  const validate = new Ajv().compile<Partial<Options>>(optionsSchema);
+  const validate = new Ajv().compile<Partial<OperatorOptions>>(optionsSchema);
   if (!validate(value)) {
     const first = validate.errors?.[0];
     const name = first?.params.additionalProperty ?? "";
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -18,7 +18,7 @@
 }
 
 /** What the users expect of a class, as far as the scheduler makes use of it. */
-export interface Objective {
+export interface ServiceLevelObjective {
   readonly kind: string;
   readonly jobClass: string | null;
   readonly within: Micros | null;
@@ -38,7 +38,7 @@
   readonly maxClockError: Micros;
   readonly zones: readonly string[];
   readonly teams: ReadonlyMap<string, Team>;
-  readonly objectives: readonly Objective[];
+  readonly objectives: readonly ServiceLevelObjective[];
   readonly workers: { readonly heartbeatInterval: Micros; readonly lease: Micros; readonly cancellationBound: Micros };
   readonly store: {
     readonly requestsPerS: number;
@@ -145,7 +145,7 @@
   };
 };
 
-const readObjective = (value: unknown, index: number): Objective => {
+const readObjective = (value: unknown, index: number): ServiceLevelObjective => {
   const path = `deployment.objectives[${index}].`;
   const objective = asTable(value, path);
   return {
--- a/src/stats.ts
+++ b/src/stats.ts
@@ -1,6 +1,6 @@
 import type { Histogram } from "hdr-histogram-js";
 import { type Clock, seconds } from "./transport/clock.js";
-import type { Handler, Request } from "./transport/http.js";
+import type { HttpHandler, HttpRequest } from "./transport/http.js";
 import type { Log } from "./transport/log.js";
 
 const PERIOD = seconds(60);
@@ -8,7 +8,7 @@
 const LOAD_AFTER = seconds(20);
 const HIGHEST_US = 60_000_000;
 
-const kindOf = (request: Request): string => {
+const kindOf = (request: HttpRequest): string => {
   if (request.target === "/hello") return "report";
   if (request.target.endsWith("/abort")) return "cancel";
   if (request.method === "POST") return "submit";
@@ -16,7 +16,7 @@
 };
 
 /** Counts requests by kind and status, and logs them with their latencies every minute. */
-export const countRequests = (clock: Clock, log: Log, handler: Handler): Handler => {
+export const countRequests = (clock: Clock, log: Log, handler: HttpHandler): HttpHandler => {
   const histograms = new Map<string, Histogram>();
   const statuses = new Map<string, number>();
   let build: (() => Histogram) | null = null;
--- a/src/storage/job-records.ts
+++ b/src/storage/job-records.ts
@@ -33,10 +33,10 @@
 
 const dependencyListCodec = new RecordCodec<DependencyListLocation>({ digest: "digest", parts: "parts" });
 const jobCodec = new RecordCodec<JobRecord>({
-  spec: { name: "spec", form: jobSpecCodec },
+  spec: { name: "spec", codec: jobSpecCodec },
   shard: "block",
   cancelled: "cancelled",
-  dependencyList: { name: "awaited", form: dependencyListCodec },
+  dependencyList: { name: "awaited", codec: dependencyListCodec },
   acceptedMs: "acceptedMs",
   cancellationReason: "why",
   failuresByTask: "errors",
--- a/src/storage/key-value-store.ts
+++ b/src/storage/key-value-store.ts
@@ -4,13 +4,13 @@
  */
 import { formatJson, type Uint64 } from "../protocol/json.js";
 import {
-  type Change,
   decodeChanges,
   decodeEntry,
   decodeEntryPage,
   decodeLeaseId,
-  type Entry,
   encodeTransaction,
+  type KeyChange,
+  type KeyValueEntry,
   type WriteOperation,
 } from "../protocol/key-value-store.js";
 import { type Clock, type Micros, ms } from "../transport/clock.js";
@@ -52,7 +52,7 @@
 
 /** Entries as of a revision. */
 export interface EntryList {
-  readonly entries: readonly Entry[];
+  readonly entries: readonly KeyValueEntry[];
   /** A watch from here misses no change of the entries. */
   readonly revision: Uint64;
 }
@@ -65,7 +65,7 @@
 
 /** Changes in the order in which they were made. */
 export interface ChangeList {
-  readonly changes: readonly Change[];
+  readonly changes: readonly KeyChange[];
   /** The next watch goes on from here. */
   readonly revision: Uint64;
 }
@@ -94,14 +94,14 @@
   }
 
   /** One entry; `missing` where there is none. */
-  async get(key: string): Promise<StoreResult<Entry>> {
+  async get(key: string): Promise<StoreResult<KeyValueEntry>> {
     await this.pacer.waitForTurn();
     return this.resultOf(await this.request("GET", `/kv/${key}`, null), decodeEntry);
   }
 
   /** Every entry below the prefix, and a revision from which a watch misses nothing. */
   async list(prefix: string): Promise<StoreResult<EntryList>> {
-    const entries: Entry[] = [];
+    const entries: KeyValueEntry[] = [];
     let revision: Uint64 | null = null;
     for (let from = ""; ; ) {
       const page = await this.page(prefix, from, LIST_PAGE_SIZE);
--- a/src/storage/request-pacer.ts
+++ b/src/storage/request-pacer.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import { type Clock, ms, sleep } from "../transport/clock.js";
-import { RateLimit } from "../transport/rate-limit.js";
+import { RateLimiter } from "../transport/rate-limiter.js";
 
 /** After a response that says "too many requests" none is sent for this long (milliseconds), and up to the other longer. */
 const MIN_PAUSE_MS = 50;
@@ -11,7 +11,7 @@
 
 /** Keeps the requests of one process to a rate, and to less where the state service refuses that. */
 export class RequestPacer {
-  private readonly limit: RateLimit;
+  private readonly limit: RateLimiter;
 
   /** `requestsPerS`: requests a second. `random`: from 0 up to 1 exclusive. */
   constructor(
@@ -19,12 +19,13 @@
     requestsPerS: number,
     private readonly random: () => number,
   ) {
-    this.limit = new RateLimit(clock, requestsPerS);
+    this.limit = new RateLimiter(clock, requestsPerS);
   }
 
   /** Resolves when a request may be sent; it is counted then. */
   async waitForTurn(): Promise<void> {
-    for (let wait = this.limit.waitFor(1); wait > 0; wait = this.limit.waitFor(1)) await sleep(this.clock, wait);
+    for (let wait = this.limit.timeUntilAvailable(1); wait > 0; wait = this.limit.timeUntilAvailable(1))
+      await sleep(this.clock, wait);
     this.limit.take(1);
   }
 
@@ -35,6 +36,6 @@
 
   /** The state service has refused a request because too many were sent: pauses for 50 to 200 ms, at a lower rate then. */
   recordTooManyRequests(): void {
-    this.limit.pause(ms(MIN_PAUSE_MS + PAUSE_SPREAD_MS * this.random()));
+    this.limit.backOff(ms(MIN_PAUSE_MS + PAUSE_SPREAD_MS * this.random()));
   }
 }
--- a/src/storage/transaction-batcher.ts
+++ b/src/storage/transaction-batcher.ts
@@ -1,7 +1,7 @@
 import { formatJson, type Uint64 } from "../protocol/json.js";
 import type { WriteOperation } from "../protocol/key-value-store.js";
 import { type Clock, type Micros, ms, seconds } from "../transport/clock.js";
-import { RateLimit } from "../transport/rate-limit.js";
+import { RateLimiter } from "../transport/rate-limiter.js";
 import type { KeyValueStore } from "./key-value-store.js";
 import type { TransactionResult } from "./store-results.js";
 
@@ -82,7 +82,7 @@
  */
 export class TransactionBatcher {
   private readonly queues: Readonly<Record<WritePriority, PendingTransaction[]>> = forEachPriority(() => []);
-  private readonly budget: RateLimit;
+  private readonly budget: RateLimiter;
   private inFlight = 0;
   private sentWrites = forEachPriority(() => 0);
   private batchCount = 0;
@@ -97,14 +97,14 @@
     private readonly clock: Clock,
     private readonly random: () => number,
   ) {
-    this.budget = new RateLimit(clock, store.budget.writesPerS);
+    this.budget = new RateLimiter(clock, store.budget.writesPerS);
     this.maxValueBytes = store.budget.valueBytes ?? Number.POSITIVE_INFINITY;
     this.maxWritesPerTransaction = store.budget.writesPerTransaction;
   }
 
   /** Writes a second that this process may send at present. */
   get writesPerSecond(): number {
-    return this.budget.current;
+    return this.budget.currentRate;
   }
 
   /** Writes a second that this process may send where others leave it room. */
@@ -121,13 +121,13 @@
     const { sentWrites } = this;
     this.sentWrites = forEachPriority(() => 0);
     const waiting = WRITE_PRIORITIES.reduce((sum, urgency) => sum + this.queues[urgency].length, 0);
-    return { sent: sentWrites, pendingCount: waiting, perS: Math.round(this.budget.current * 10) / 10 };
+    return { sent: sentWrites, pendingCount: waiting, perS: Math.round(this.budget.currentRate * 10) / 10 };
   }
 
   /** How long a user's write proposed now is likely to wait for the write budget. */
   get userWriteDelay(): Micros {
     const count = this.queues.user.reduce((sum, transaction) => sum + transaction.keys.length, 1);
-    return ((count / this.budget.current) * 1_000_000) as Micros;
+    return ((count / this.budget.currentRate) * 1_000_000) as Micros;
   }
 
   submit(
@@ -226,7 +226,7 @@
       first !== null && this.inFlight < MAX_IN_FLIGHT;
       first = this.nextTransaction()
     ) {
-      const wait = this.budget.waitFor(first.keys.length + this.reserveFor(first));
+      const wait = this.budget.timeUntilAvailable(first.keys.length + this.reserveFor(first));
       if (wait > 0) {
         this.scheduleFlush(wait);
         return;
@@ -253,7 +253,7 @@
     const most = Math.min(this.maxWritesPerTransaction, this.budget.available());
     const { urgent, normal, deferred, maintenance } = this.queues;
     const others = normal.length + deferred.length + maintenance.length > 0;
-    const notReserved = most - this.budget.current * RESERVED_SHARE;
+    const notReserved = most - this.budget.currentRate * RESERVED_SHARE;
     // Whose turn it is gets one in any case, and no more than that before the others.
     this.fill(batch, beginWith, 0);
     this.fill(batch, "cancellation", most);
@@ -270,7 +270,7 @@
   private reserveFor({ priority, queuedAt }: PendingTransaction): number {
     if (priority !== "deferred" && priority !== "maintenance") return 0;
     const overdue = this.clock.now() - queuedAt > (OVERDUE_AFTER.get(priority) ?? 0);
-    return overdue ? 0 : this.budget.current * RESERVED_SHARE;
+    return overdue ? 0 : this.budget.currentRate * RESERVED_SHARE;
   }
 
   private fill(batch: TransactionBatch, urgency: WritePriority, most: number): void {
@@ -315,7 +315,7 @@
     const result = await this.store.transact(batch.conditions, batch.writes);
     switch (result.kind) {
       case "busy":
-        this.budget.pause(ms(20 + 80 * this.random()));
+        this.budget.backOff(ms(20 + 80 * this.random()));
         this.requeue(batch.pending.filter((transaction) => this.mayRetry(transaction)));
         return;
       case "conflict": {
@@ -336,7 +336,7 @@
         break;
       case "refused":
         // Most likely an outage: not to be met with all that is waiting, time and again.
-        this.budget.hold(ms(20 + 80 * this.random()));
+        this.budget.suspend(ms(20 + 80 * this.random()));
         break;
       case "ok":
       case "lost":
--- a/src/storage/watch-cache.ts
+++ b/src/storage/watch-cache.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type { Uint64 } from "../protocol/json.js";
-import type { Change, Entry } from "../protocol/key-value-store.js";
+import type { KeyChange, KeyValueEntry } from "../protocol/key-value-store.js";
 import { type Clock, type Micros, ms, seconds, sleep } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
 import type { ChangeList, EntryList, KeyValueStore } from "./key-value-store.js";
@@ -41,12 +41,12 @@
 }
 
 /** Called with one change after it is in the cache. */
-export type ChangeListener = (change: Change) => void;
+export type ChangeListener = (change: KeyChange) => void;
 
 /** This process's copy of all that is current below one prefix, fed by a watch. */
 export class WatchCache {
   /** By key. */
-  readonly entries = new Map<string, Entry>();
+  readonly entries = new Map<string, KeyValueEntry>();
   /** Everything changed up to this moment (by the clock of the options) is known here; null until the first list. */
   freshAsOf: Micros | null = null;
   /** The watch goes on from here; null while the entries are to be listed. */
@@ -143,9 +143,9 @@
   }
 
   /** What has to change here to be as in the list: deletions first. */
-  private changesTo({ entries, revision }: EntryList): readonly Change[] {
+  private changesTo({ entries, revision }: EntryList): readonly KeyChange[] {
     const listedKeys = new Set(entries.map((entry) => entry.key));
-    const changes: Change[] = [...this.entries.keys()]
+    const changes: KeyChange[] = [...this.entries.keys()]
       .filter((key) => !listedKeys.has(key))
       .map((key) => ({ kind: "delete", key, version: revision }));
     for (const entry of entries) {
@@ -174,7 +174,7 @@
   }
 
   /** The changes that are new here. Two requests overlap; what the other one brought must not be undone by an older change. */
-  private advance(known: Uint64, { changes, revision }: ChangeList): readonly Change[] {
+  private advance(known: Uint64, { changes, revision }: ChangeList): readonly KeyChange[] {
     if (revision > known) this.revision = revision;
     return changes.filter(({ version }) => version > known);
   }
@@ -183,14 +183,14 @@
    * All of them before any listener is told: a list comes in the order of the keys, and who takes a shard over on seeing
    * its key needs the ranges that were written before.
    */
-  private applyAll(changes: readonly Change[]): void {
+  private applyAll(changes: readonly KeyChange[]): void {
     for (const change of changes) {
       if (change.kind === "put") this.entries.set(change.key, change);
       else this.entries.delete(change.key);
     }
   }
 
-  private notify(changes: readonly Change[]): void {
+  private notify(changes: readonly KeyChange[]): void {
     for (const change of changes) for (const listener of this.firstListeners) listener(change);
     for (const change of changes) for (const listener of this.listeners) listener(change);
   }
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,7 +1,7 @@
 import { connect, type Socket } from "node:net";
 import type { Clock, Micros, Timer } from "./clock.js";
 import { ms } from "./clock.js";
-import type { HttpClient, HttpOutcome, Request } from "./http.js";
+import type { HttpClient, HttpOutcome, HttpRequest } from "./http.js";
 import { HttpParser } from "./http-parser.js";
 
 const MAX_IDLE_PER_HOST = 8;
@@ -37,7 +37,7 @@
     return this.idleCount + this.underWay;
   }
 
-  async call(address: string, request: Request, timeout: Micros): Promise<HttpOutcome> {
+  async call(address: string, request: HttpRequest, timeout: Micros): Promise<HttpOutcome> {
     const deadline = this.clock.now() + timeout;
     this.underWay += 1;
     try {
@@ -118,7 +118,7 @@
     });
   }
 
-  private exchange(address: string, socket: Socket, request: Request, timeout: Micros): Promise<HttpOutcome> {
+  private exchange(address: string, socket: Socket, request: HttpRequest, timeout: Micros): Promise<HttpOutcome> {
     return new Promise((resolve) => {
       const parser = new HttpParser("response", { headBytes: 16_384, bodyBytes: 64 * 1024 * 1024 });
       const lost = (): void => {
--- a/src/transport/http-parser.ts
+++ b/src/transport/http-parser.ts
@@ -2,7 +2,7 @@
  * Incremental HTTP/1.1 parser for both directions. Strict and bounded: the first thing that it does not
  * understand loses the framing, and the caller has to close the connection.
  */
-export interface Message {
+export interface HttpMessage {
   /** Request line `[method, target, version]` or status line `[version, status, reason]`. */
   readonly start: readonly [string, string, string];
   readonly headers: ReadonlyMap<string, string>;
@@ -52,14 +52,14 @@
   }
 
   /** Takes bytes in; returns the messages that they complete. Throws HttpError when framing is lost. */
-  push(data: Buffer): Message[] {
+  push(data: Buffer): HttpMessage[] {
     this.pending = this.pending.length === 0 ? data : Buffer.concat([this.pending, data]);
-    const out: Message[] = [];
+    const out: HttpMessage[] = [];
     for (let message = this.next(); message !== null; message = this.next()) out.push(message);
     return out;
   }
 
-  private next(): Message | null {
+  private next(): HttpMessage | null {
     if (this.head === null) {
       const head = this.readHead();
       if (head === null) return null;
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,6 +1,6 @@
 import { createServer, type Server, type Socket } from "node:net";
 import type { Clock, Micros, Timer } from "./clock.js";
-import type { Handler, Response } from "./http.js";
+import type { HttpHandler, HttpResponse } from "./http.js";
 import { HttpError, HttpParser } from "./http-parser.js";
 
 export interface ServerLimits {
@@ -35,7 +35,7 @@
   505: "HTTP Version Not Supported",
 };
 
-const render = (response: Response, keepAlive: boolean): string => {
+const render = (response: HttpResponse, keepAlive: boolean): string => {
   const retry = response.retryAfterS === undefined ? "" : `Retry-After: ${response.retryAfterS}\r\n`;
   const connection = keepAlive ? "" : "Connection: close\r\n";
   const length = Buffer.byteLength(response.body);
@@ -50,7 +50,7 @@
   constructor(
     private readonly clock: Clock,
     private readonly limits: ServerLimits,
-    private readonly handler: Handler,
+    private readonly handler: HttpHandler,
     private readonly onError: (error: unknown) => void,
   ) {
     this.server = createServer({ noDelay: true }, (socket) => this.serve(socket));
@@ -138,7 +138,7 @@
     });
   }
 
-  private async answer(request: Parameters<Handler>[0]): Promise<Response> {
+  private async answer(request: Parameters<HttpHandler>[0]): Promise<HttpResponse> {
     if (this.busy >= this.limits.maxBusy) return { status: 503, body: '{"error":"overloaded"}', retryAfterS: 1 };
     this.busy += 1;
     try {
--- a/src/transport/http.ts
+++ b/src/transport/http.ts
@@ -1,13 +1,13 @@
 import type { Micros } from "./clock.js";
 
-export interface Request {
+export interface HttpRequest {
   readonly method: string;
   /** Path with the query still attached, as it stood in the request line. */
   readonly target: string;
   readonly body: string;
 }
 
-export interface Response {
+export interface HttpResponse {
   readonly status: number;
   readonly body: string;
   readonly retryAfterS?: number;
@@ -15,7 +15,7 @@
   readonly close?: boolean;
 }
 
-export type Handler = (request: Request) => Promise<Response>;
+export type HttpHandler = (request: HttpRequest) => Promise<HttpResponse>;
 
 /**
  * `unsent`: the other side cannot have seen any of it.
@@ -28,5 +28,5 @@
 
 /** How the layers above reach other hosts; a simulated network implements it in the tests. */
 export interface HttpClient {
-  call(address: string, request: Request, timeout: Micros): Promise<HttpOutcome>;
+  call(address: string, request: HttpRequest, timeout: Micros): Promise<HttpOutcome>;
 }
--- a/src/transport/rate-limit.ts
+++ b/src/transport/rate-limiter.ts
@@ -11,7 +11,7 @@
  * one does not see, so the rate falls when the other side refuses and comes back slowly: without that, all of
  * them went on sending batches that the rest of the budget could never admit.
  */
-export class RateLimit {
+export class RateLimiter {
   private tokens: number;
   private last: Micros;
   private rate: number;
@@ -27,7 +27,7 @@
   }
 
   /** What may be taken each second at present. */
-  get current(): number {
+  get currentRate(): number {
     return this.rate;
   }
 
@@ -38,7 +38,7 @@
   }
 
   /** Microseconds until `count` may be taken; 0 now. */
-  waitFor(count: number): Micros {
+  timeUntilAvailable(count: number): Micros {
     this.refill();
     // More than a bucketful is let through once the bucket is full.
     const missing = Math.min(count, this.rate) - this.tokens;
@@ -51,14 +51,14 @@
   }
 
   /** The other side said that its own limit is passed: somebody else uses the rest of the budget. */
-  pause(delay: Micros): void {
+  backOff(delay: Micros): void {
     if (this.clock.now() >= this.pausedUntil) this.rate = Math.max(this.perSecond * LEAST, this.rate * CUT);
     this.tokens = Math.min(this.tokens, 0);
-    this.hold(delay);
+    this.suspend(delay);
   }
 
   /** Nothing more for a moment, at an unchanged rate. */
-  hold(delay: Micros): void {
+  suspend(delay: Micros): void {
     this.pausedUntil = Math.max(this.pausedUntil, this.clock.now() + delay);
   }
 
--- a/src/whatif/conduct.ts
+++ b/src/whatif/conduct.ts
@@ -1,6 +1,6 @@
 import type { CloudService, HostInfo, SiteSpec, Witness, World } from "../model/index.js";
 import { S } from "../model/index.js";
-import type { Options } from "../settings/options.js";
+import type { OperatorOptions } from "../settings/options.js";
 import type { TraceEvent, TraceHeader } from "./format.js";
 import type { Ledger } from "./ledger.js";
 import type { Outcome } from "./outcome.js";
@@ -16,7 +16,7 @@
   readonly remarks: Outcome["remarks"];
   /** The site as it is to be, which may differ from the header's. */
   readonly site: SiteSpec;
-  readonly options: Options;
+  readonly options: OperatorOptions;
   readonly seed: number;
   /** Other delays on the network with the same boots, fetches and speeds: as much as a real run may differ. */
   readonly turnSeed?: number;
--- a/src/whatif/file-recorder.ts
+++ b/src/whatif/file-recorder.ts
@@ -1,7 +1,7 @@
 import { appendFile, mkdir, readdir, rename, rm, writeFile } from "node:fs/promises";
 import { join } from "node:path";
 import type { ClusterEvent } from "../cluster/events.js";
-import type { RecordOptions } from "../settings/options.js";
+import type { TraceOptions } from "../settings/options.js";
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
 import { describeError, type Log } from "../transport/log.js";
 import type { TraceHeader } from "./format.js";
@@ -50,7 +50,7 @@
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly label: string,
-    private readonly options: RecordOptions,
+    private readonly options: TraceOptions,
     private readonly header: () => TraceHeader | null,
     private readonly files: RecorderFiles = realFiles,
   ) {
--- a/src/whatif/load.ts
+++ b/src/whatif/load.ts
@@ -10,7 +10,7 @@
   type Usage,
   type Witness,
 } from "../model/index.js";
-import { shareConnections } from "../settings/connections.js";
+import { allocateConnections } from "../settings/connections.js";
 import { DEFAULT_OPTIONS } from "../settings/options.js";
 
 /** What bounds a controller. */
@@ -108,7 +108,7 @@
 };
 
 const boundsOf = ({ controller, bounded }: LoadSpec): Bounds => {
-  const { incoming, kept } = shareConnections(controller.connections);
+  const { incoming, kept } = allocateConnections(controller.connections);
   return {
     cpuShare: controller.cpuShare,
     maxConnections: incoming,
--- a/src/whatif/observe.ts
+++ b/src/whatif/observe.ts
@@ -1,7 +1,7 @@
 import type { ClusterEvent } from "../cluster/events.js";
 import { CloudClient } from "../coordination/autoscaling/cloud-client.js";
 import type { ListedMachine, MachineType } from "../protocol/cloud.js";
-import type { Change } from "../protocol/key-value-store.js";
+import type { KeyChange } from "../protocol/key-value-store.js";
 import type { Settings } from "../settings/settings.js";
 import { decodeJobRecord } from "../storage/job-records.js";
 import { KeyValueStore } from "../storage/key-value-store.js";
@@ -90,7 +90,7 @@
     this.stopped = true;
   }
 
-  private changed(change: Change): void {
+  private changed(change: KeyChange): void {
     if (this.stopped) return;
     const job = jobOfKey(change.key);
     if (job !== null && change.kind === "put") {
--- a/src/whatif/overrides.ts
+++ b/src/whatif/overrides.ts
@@ -1,6 +1,6 @@
 import { Ajv } from "ajv";
 import type { SiteSpec } from "../model/index.js";
-import { DEFAULT_OPTIONS, type Options, optionsSchema } from "../settings/options.js";
+import { DEFAULT_OPTIONS, type OperatorOptions, optionsSchema } from "../settings/options.js";
 import { jobSchema, siteSchema, type TraceEvent } from "./format.js";
 import { describe, type Trace, TraceError } from "./trace.js";
 
@@ -26,7 +26,7 @@
 /** What a replay runs under: the trace's own, with changes. */
 export interface Scenario {
   readonly site: SiteSpec;
-  readonly options: Options;
+  readonly options: OperatorOptions;
   readonly events: readonly TraceEvent[];
 }
 
@@ -92,15 +92,19 @@
 
 /** Applies changes in turn and checks what comes of them; the first that is wrong is named. */
 export const applySettings = (
-  scenario: { readonly site: SiteSpec; readonly options: Partial<Options>; readonly events: readonly TraceEvent[] },
+  scenario: {
+    readonly site: SiteSpec;
+    readonly options: Partial<OperatorOptions>;
+    readonly events: readonly TraceEvent[];
+  },
   settings: readonly Setting[],
 ): Scenario => {
   const ajv = new Ajv({ allowUnionTypes: true });
   const siteOk = ajv.compile<SiteSpec>(siteSchema);
-  const optionsOk = ajv.compile<Partial<Options>>(optionsSchema);
+  const optionsOk = ajv.compile<Partial<OperatorOptions>>(optionsSchema);
   const jobOk = ajv.compile(jobSchema);
   let { site, events } = scenario;
-  let options: Options = { ...DEFAULT_OPTIONS, ...scenario.options };
+  let options: OperatorOptions = { ...DEFAULT_OPTIONS, ...scenario.options };
   for (const setting of settings) {
     const { key, value } = setting;
     if (Object.hasOwn(DEFAULT_OPTIONS, key)) {
--- a/src/whatif/scenario.ts
+++ b/src/whatif/scenario.ts
@@ -2,7 +2,7 @@
 import { basename } from "node:path";
 import { Ajv } from "ajv";
 import type { SiteSpec } from "../model/index.js";
-import { loadOptions, type Options } from "../settings/options.js";
+import { loadOptions, type OperatorOptions } from "../settings/options.js";
 import { SettingsError } from "../settings/settings.js";
 import type { ReplayRequest } from "./conduct.js";
 import { replayFaithfully } from "./faithful.js";
@@ -80,7 +80,7 @@
 
 export const readScenario = (file: string): ScenarioSpec => readChecked<ScenarioSpec>(file, scenarioSchema);
 
-const optionsFrom = async (file: string | undefined): Promise<Partial<Options>> => {
+const optionsFrom = async (file: string | undefined): Promise<Partial<OperatorOptions>> => {
   if (file === undefined) return {};
   try {
     return await loadOptions(file);
--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -5,18 +5,18 @@
 import type { Services } from "../src/coordination/context.js";
 import { HostClock, S, World } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job.js";
-import type { Entry } from "../src/protocol/key-value-store.js";
+import type { KeyValueEntry } from "../src/protocol/key-value-store.js";
 import { parseSettings } from "../src/settings/settings.js";
 import { encodeJobRecord } from "../src/storage/job-records.js";
 import { jobKey, outcomeKey } from "../src/storage/keys.js";
-import type { Response } from "../src/transport/http.js";
+import type { HttpResponse } from "../src/transport/http.js";
 import { bigType, settingsText } from "./fixtures.js";
 import { plainJob } from "./sim/cluster.js";
 
 /** A controller's answers to users with chosen records below `c/` and `e/`; `away`: the state service answers nothing. */
 const doorOn = (ended: Readonly<Record<string, unknown>>, { away = false } = {}) => {
   const world = new World();
-  const entries = new Map<string, Entry>();
+  const entries = new Map<string, KeyValueEntry>();
   const put = (key: string, value: unknown): void => {
     entries.set(key, { key, value, version: 7 });
   };
@@ -39,7 +39,7 @@
   const types = new Map([["big", bigType(["east"])]]);
   const door = new JobApi(services, types, { taskCounts: () => null, isLeader: () => false, isWithdrawn: () => false });
   /** Lookups keep a pace by the clock. */
-  const handle = async (method: string, target: string, body = ""): Promise<Response> => {
+  const handle = async (method: string, target: string, body = ""): Promise<HttpResponse> => {
     let over = false;
     const answered = door.handle({ method, target, body }).finally(() => {
       over = true;
--- a/test/appointments.test.ts
+++ b/test/appointments.test.ts
@@ -5,7 +5,7 @@
 import { LoadShedder } from "../src/coordination/overload/load-shedder.js";
 import { HostClock, World } from "../src/model/index.js";
 import { parseSettings } from "../src/settings/settings.js";
-import type { Request } from "../src/transport/http.js";
+import type { HttpRequest } from "../src/transport/http.js";
 import { bigType, settingsText } from "./fixtures.js";
 import { plainJob } from "./sim/cluster.js";
 
@@ -31,7 +31,7 @@
   const waits: number[] = [];
   for (let at = 0; at < 40; at += 1) {
     const body = JSON.stringify(plainJob(`wk-${String(at).padStart(6, "0")}`));
-    const request: Request = { method: "POST", target: "/v2/runs", body };
+    const request: HttpRequest = { method: "POST", target: "/v2/runs", body };
     const { status, retryAfterS } = await door.handle(request);
     assert.equal(status, 503);
     waits.push(retryAfterS ?? 0);
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { json, S } from "../src/model/index.js";
-import type { Request, Response } from "../src/transport/http.js";
+import type { HttpRequest, HttpResponse } from "../src/transport/http.js";
 import { BrokenRule, Checker, type Rule } from "./sim/checker.js";
 import { Cluster, plainJob, type Submission, trueJob } from "./sim/cluster.js";
 import { hangCancelled } from "./sim/meetings.js";
 import { busy } from "./sim/night.js";
 
-type Tamper = (from: string, to: string, request: Request, response: Response) => Response;
+type Tamper = (from: string, to: string, request: HttpRequest, response: HttpResponse) => HttpResponse;
 
 /** A small quiet day with one thing about the service broken on purpose. */
 const brokenDay = async (
@@ -27,12 +27,15 @@
 };
 
 const answering =
-  (matches: (request: Request, response: Response) => boolean, instead: (request: Request) => Response): Tamper =>
+  (
+    matches: (request: HttpRequest, response: HttpResponse) => boolean,
+    instead: (request: HttpRequest) => HttpResponse,
+  ): Tamper =>
   (from, _to, request, response) =>
     from === "user" && matches(request, response) ? instead(request) : response;
 
-const idOf = (request: Request): string => /runs\/([^/]+)/.exec(request.target)?.[1] ?? "";
-const isPoll = (request: Request): boolean => request.method === "GET" && request.target.startsWith("/v2/runs/");
+const idOf = (request: HttpRequest): string => /runs\/([^/]+)/.exec(request.target)?.[1] ?? "";
+const isPoll = (request: HttpRequest): boolean => request.method === "GET" && request.target.startsWith("/v2/runs/");
 
 test("the quiet day that the broken variants start from keeps all rules", async () => {
   const rule = await brokenDay((cluster) => {
@@ -105,7 +108,7 @@
 });
 
 test("the checker sees forgotten, invented, unfinished and changed jobs", async () => {
-  const cases: [Rule, (request: Request, now: number) => Response | null][] = [
+  const cases: [Rule, (request: HttpRequest, now: number) => HttpResponse | null][] = [
     ["forgotten", (request, now) => (isPoll(request) && now > 30 * S ? json(404, {}) : null)],
     ["forgotten", (request, now) => (request.target === "/v2/runs" && now > 30 * S ? json(422, {}) : null)],
     ["invented", (request) => (isPoll(request) ? json(200, { ref: idOf(request), phase: "pending" }) : null)],
@@ -224,7 +227,7 @@
   for (const lie of [
     () => json(201, { phase: "pending" }),
     () => json(404, {}),
-    ({ body }: Request) => (body.includes("100000") ? null : json(400, { error: "malformed" })),
+    ({ body }: HttpRequest) => (body.includes("100000") ? null : json(400, { error: "malformed" })),
   ]) {
     const rule = await brokenDay((cluster) => {
       cluster.network.tamper = (from, _to, request, response) =>
--- a/test/http-parser.test.ts
+++ b/test/http-parser.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { HttpError, HttpParser, type Message } from "../src/transport/http-parser.js";
+import { HttpError, type HttpMessage, HttpParser } from "../src/transport/http-parser.js";
 
 const LIMITS = { headBytes: 1_024, bodyBytes: 4_096 };
-const parse = (text: string, kind: "request" | "response" = "request"): Message[] =>
+const parse = (text: string, kind: "request" | "response" = "request"): HttpMessage[] =>
   new HttpParser(kind, LIMITS).push(Buffer.from(text));
-const shape = (message: Message | undefined): unknown =>
+const shape = (message: HttpMessage | undefined): unknown =>
   message && [message.start, [...message.headers], message.body.toString(), message.keepAlive];
 
 const refused = (text: string, status: number, kind: "request" | "response" = "request"): void => {
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -3,7 +3,7 @@
 import type { Services, ShardLease } from "../src/coordination/context.js";
 import { Membership } from "../src/coordination/leadership/membership.js";
 import { HostClock, S, World } from "../src/model/index.js";
-import type { Entry } from "../src/protocol/key-value-store.js";
+import type { KeyValueEntry } from "../src/protocol/key-value-store.js";
 import { parseSettings } from "../src/settings/settings.js";
 import { memberKey, shardKey } from "../src/storage/keys.js";
 import { nothing, quiet } from "./block-fixtures.js";
@@ -17,7 +17,7 @@
   // out: what is leased to it ends with its grant, while the right would have been counted from renewals of the other.
   const world = new World();
   const clock = new HostClock(world, 1, 1_000_000);
-  const entries = new Map<string, Entry>();
+  const entries = new Map<string, KeyValueEntry>();
   let grants = 0;
   let joins = 0;
   const store = {
--- a/test/polls.test.ts
+++ b/test/polls.test.ts
@@ -5,7 +5,7 @@
 import { OutcomeReader } from "../src/coordination/jobs/outcome-reader.js";
 import { HostClock, S, World } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job.js";
-import type { Entry } from "../src/protocol/key-value-store.js";
+import type { KeyValueEntry } from "../src/protocol/key-value-store.js";
 import { encodeJobRecord } from "../src/storage/job-records.js";
 import type { KeyValueStore } from "../src/storage/key-value-store.js";
 import { jobKey, taskRangeKey } from "../src/storage/keys.js";
@@ -58,7 +58,7 @@
   // 25,000 tasks on record were parsed for every question about them at the controllers that do not hold the block.
   const job = plainJob("wk-000001", { shards: 256 });
   let reads = 0;
-  const range = (version: number): Entry => ({
+  const range = (version: number): KeyValueEntry => ({
     key: "",
     version,
     get value() {
@@ -66,7 +66,7 @@
       return encodeTaskRange(Array.from({ length: 128 }, () => ({ kind: "placed", attempt: 1, machine: "n-1" })));
     },
   });
-  const entries = new Map<string, Entry>([
+  const entries = new Map<string, KeyValueEntry>([
     [
       jobKey(job.ref),
       {
@@ -102,7 +102,7 @@
   const ended = new Set<string>();
   let requests = 0;
   const wait = (): Promise<void> => new Promise((resolve) => world.after(5_000, resolve));
-  const entry = (key: string): Entry => ({ key, version: 1, value: { phase: "done", done: 1 } });
+  const entry = (key: string): KeyValueEntry => ({ key, version: 1, value: { phase: "done", done: 1 } });
   const store = {
     get: async (key: string) => {
       requests += 1;
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -51,10 +51,13 @@
       shardLeaseDuration(settings) + settings.workers.lease * 1.001 + 300_000 < settings.workers.cancellationBound,
     );
     // With a start that was under way when the holder's right ended.
-    const { right, start, workerLease, total, left } = cancellationTerms(
-      settings.workers,
-      shardLeaseDuration(settings),
-    );
+    const {
+      shardLease: right,
+      startCommand: start,
+      workerLease,
+      total,
+      left,
+    } = cancellationTerms(settings.workers, shardLeaseDuration(settings));
     assert.equal(right + start + workerLease, total);
     assert.ok(start >= 1_800_000 && workerLease > settings.workers.lease);
     assert.equal(total + left, settings.workers.cancellationBound);
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -18,12 +18,12 @@
 } from "../../src/model/index.js";
 import { encodeSubmission } from "../../src/protocol/job.js";
 import { cancellationTerms } from "../../src/settings/cancellation.js";
-import { DEFAULT_OPTIONS, type Options } from "../../src/settings/options.js";
+import { DEFAULT_OPTIONS, type OperatorOptions } from "../../src/settings/options.js";
 import { parseSettings, shardLeaseDuration } from "../../src/settings/settings.js";
 import { decodeJobRecord } from "../../src/storage/job-records.js";
 import { jobKey } from "../../src/storage/keys.js";
 import type { Micros } from "../../src/transport/clock.js";
-import type { Request } from "../../src/transport/http.js";
+import type { HttpRequest } from "../../src/transport/http.js";
 import { settingsText } from "../fixtures.js";
 import { BrokenRule, Checker, type TrueJob } from "./checker.js";
 
@@ -137,7 +137,7 @@
 
   constructor(
     seed: number,
-    options: Partial<Options> = {},
+    options: Partial<OperatorOptions> = {},
     alter: (text: string) => string = (text) => text,
     bounds?: Bounds,
   ) {
@@ -165,7 +165,7 @@
       },
       watch: (world) => {
         // The terms of a cancellation up to its last start, which then fetches its image for some seconds.
-        const { right, start } = cancellationTerms(truth.workers, shardLeaseDuration(truth));
+        const { shardLease: right, startCommand: start } = cancellationTerms(truth.workers, shardLeaseDuration(truth));
         checker = new Checker(() => world.now, limits, spec.workers.cancelUs, right + start + FETCH);
         const { hearing } = checker;
         const witness: Witness = {
@@ -304,7 +304,7 @@
   }
 
   /** Sends a copy of chosen commands to every other machine. */
-  alsoSend(choose: (request: Request) => Request | null): void {
+  alsoSend(choose: (request: HttpRequest) => HttpRequest | null): void {
     const { controllers } = this.site.addresses;
     this.network.onRequest = (from, to, request) => {
       const others = this.cloud.running().filter((machine) => machine.worker?.host.address !== to);
--- a/test/sim/rollout.ts
+++ b/test/sim/rollout.ts
@@ -1,6 +1,6 @@
 import { S } from "../../src/model/index.js";
 import { parseSettings } from "../../src/settings/settings.js";
-import type { Request } from "../../src/transport/http.js";
+import type { HttpRequest } from "../../src/transport/http.js";
 import { Cluster, plainJob, type Submission, settingsAt } from "./cluster.js";
 
 /** Limits that the state service will have from some moment on. */
@@ -9,7 +9,7 @@
 export const LOWER = { writeRps: 28, valueBytes: 2_048, txnOps: 6 };
 
 /** A controller that knows nothing of `awaits`, of lower limits or of any field that came with them. */
-const asOld = (request: Request): Request => {
+const asOld = (request: HttpRequest): HttpRequest => {
   if (request.target !== "/txn") return request;
   const transaction = JSON.parse(request.body) as { writes: { set?: string; value?: Record<string, unknown> }[] };
   for (const { set, value } of transaction.writes) {
--- a/test/sim/traffic-recorder.ts
+++ b/test/sim/traffic-recorder.ts
@@ -1,6 +1,6 @@
 /** Records what a simulated cluster sends and stores, for comparison between versions of the program. */
 import type { KeyChange } from "../../src/model/index.js";
-import type { Request, Response } from "../../src/transport/http.js";
+import type { HttpRequest, HttpResponse } from "../../src/transport/http.js";
 import type { Cluster } from "./cluster.js";
 
 /** First field after the time of a line; part of the digests, so never renamed. */
@@ -29,7 +29,7 @@
     this.onLine(JSON.stringify([this.cluster.world.now, kind, ...fields]));
   }
 
-  private recordRequest(kind: "sent" | "arrived", from: string, to: string, request: Request): void {
+  private recordRequest(kind: "sent" | "arrived", from: string, to: string, request: HttpRequest): void {
     this.record(kind, from, to, request.method, request.target, request.body);
   }
 
@@ -51,7 +51,7 @@
     const { network } = this.cluster;
     const { tamper } = network;
     network.tamper = (from, to, request, given) => {
-      const response: Response = tamper?.(from, to, request, given) ?? given;
+      const response: HttpResponse = tamper?.(from, to, request, given) ?? given;
       const { status, body, retryAfterS = null, close = false } = response;
       this.record("answered", from, to, request.method, request.target, status, retryAfterS, close, body);
       return response;
--- a/test/trace.test.ts
+++ b/test/trace.test.ts
@@ -5,7 +5,7 @@
 import { test } from "node:test";
 import { gzipSync } from "node:zlib";
 import { S } from "../src/model/index.js";
-import { DEFAULT_OPTIONS, type RecordOptions } from "../src/settings/options.js";
+import { DEFAULT_OPTIONS, type TraceOptions } from "../src/settings/options.js";
 import type { Micros } from "../src/transport/clock.js";
 import {
   addLoad,
@@ -234,7 +234,7 @@
   });
 });
 
-const recorderWith = (options: Partial<RecordOptions>, change: Partial<RecorderFiles> = {}) => {
+const recorderWith = (options: Partial<TraceOptions>, change: Partial<RecorderFiles> = {}) => {
   const files = new Map<string, string>();
   const said: [string, unknown][] = [];
   let now = 5_000_000;
--- a/test/wire-forms.test.ts
+++ b/test/wire-forms.test.ts
@@ -19,8 +19,8 @@
   requestedResources,
 } from "../src/protocol/job.js";
 import { formatJson, type JsonObject, parseJson } from "../src/protocol/json.js";
-import type { Change, Entry, WriteOperation } from "../src/protocol/key-value-store.js";
-import { type LinkTable, linksAnswer, type MachineLinks } from "../src/protocol/links.js";
+import type { KeyChange, KeyValueEntry, WriteOperation } from "../src/protocol/key-value-store.js";
+import { encodeLinks, type LinkTable, type MachineLinks } from "../src/protocol/links.js";
 import {
   type Command,
   decodeHeartbeatText,
@@ -69,9 +69,9 @@
 const LARGE = 18_446_744_073_709_551_615n;
 
 test("reads of the key-value store keep their form", async () => {
-  const entry: Entry = { key: "c/job/wk-1", value: { a: [1, null], b: "x" }, version: LARGE };
+  const entry: KeyValueEntry = { key: "c/job/wk-1", value: { a: [1, null], b: "x" }, version: LARGE };
   assert.deepEqual(await storeFor("store/get").get("c/job/wk-1"), { kind: "ok", value: entry });
-  const second: Entry = { key: "c/leader", value: null, version: 3 };
+  const second: KeyValueEntry = { key: "c/leader", value: null, version: 3 };
   assert.deepEqual(await storeFor("store/list").list("c/"), {
     kind: "ok",
     value: { entries: [entry, second], revision: 7 },
@@ -80,7 +80,7 @@
     kind: "ok",
     value: { entries: [entry], more: true, revision: 7 },
   });
-  const changes: readonly Change[] = [
+  const changes: readonly KeyChange[] = [
     { kind: "put", key: "c/a", value: { x: 1 }, version: 8 },
     { kind: "delete", key: "c/b", version: LARGE },
   ];
@@ -314,9 +314,9 @@
     mayAct: true,
     roomKeptFor: "wk-1",
   };
-  messages.matches("links/held", formatJson(linksAnswer(table, machines)));
-  messages.matches("links/not held", formatJson(linksAnswer(table, null)));
-  messages.matches("links/without a mesh", formatJson(linksAnswer(null, { ...machines, roomKeptFor: null })));
+  messages.matches("links/held", formatJson(encodeLinks(table, machines)));
+  messages.matches("links/not held", formatJson(encodeLinks(table, null)));
+  messages.matches("links/without a mesh", formatJson(encodeLinks(null, { ...machines, roomKeptFor: null })));
 });
 
 test("every fixture of messages is compared", () => {
