--- a/src/cluster/entities.ts
+++ b/src/cluster/entities.ts
@@ -1,6 +1,7 @@
 import type { MachineType } from "../protocol/cloud.js";
-import type { JobSpec, Resources } from "../protocol/job.js";
+import type { JobSpec } from "../protocol/job-spec.js";
 import type { Uint64 } from "../protocol/json.js";
+import type { Resources } from "../protocol/resources.js";
 import type { TaskState } from "../protocol/worker.js";
 import type { CancellationReason } from "../storage/cancellation-reason.js";
 import type { TaskRecord } from "../storage/task-range-records.js";
--- a/src/cluster/events.ts
+++ b/src/cluster/events.ts
@@ -1,4 +1,4 @@
-import type { JobSpec } from "../protocol/job.js";
+import type { JobSpec } from "../protocol/job-spec.js";
 import type { Micros } from "../transport/clock.js";
 
 interface MachineEventFields {
--- a/src/cluster/machine-usage.ts
+++ b/src/cluster/machine-usage.ts
@@ -1,5 +1,5 @@
 import type { MachineType } from "../protocol/cloud.js";
-import type { JobSpec } from "../protocol/job.js";
+import type { JobSpec } from "../protocol/job-spec.js";
 import type { Micros } from "../transport/clock.js";
 import type { Machine } from "./entities.js";
 
--- a/src/cluster/shard-state.ts
+++ b/src/cluster/shard-state.ts
@@ -1,5 +1,5 @@
 import type { MachineType } from "../protocol/cloud.js";
-import { type JobSpec, priorityRank } from "../protocol/job.js";
+import { type JobSpec, priorityRank } from "../protocol/job-spec.js";
 import type { Uint64 } from "../protocol/json.js";
 import type { Team } from "../settings/settings.js";
 import { decodeTaskRange, type TaskRecord, taskRangeBytes } from "../storage/task-range-records.js";
--- a/src/commands/graph-files.ts
+++ b/src/commands/graph-files.ts
@@ -1,8 +1,8 @@
 import { readFileSync, statSync } from "node:fs";
 import type { GraphDocument, PlacedProblem, Plan } from "../graphs/index.js";
+import { SettingsError } from "../settings/errors.js";
 import { DEFAULT_GRAPHS, type GraphOptions } from "../settings/graph-options.js";
 import { loadOptions } from "../settings/options.js";
-import { SettingsError } from "../settings/settings.js";
 import { CommandError } from "./cli.js";
 
 export type GraphsPackage = typeof import("../graphs/index.js");
--- a/src/commands/site.ts
+++ b/src/commands/site.ts
@@ -29,8 +29,8 @@
     .action(async (flags: ServeFlags & { readonly json?: boolean }) => {
       const { settings } = await (await import("./serving.js")).load(flags);
       const { cancellationTerms, termsInSeconds } = await import("../settings/cancellation.js");
-      const { shardLeaseDuration: blockLease } = await import("../settings/settings.js");
-      const terms = termsInSeconds(cancellationTerms(settings.workers, blockLease(settings)));
+      const { shardLeaseDuration } = await import("../settings/shard-lease.js");
+      const terms = termsInSeconds(cancellationTerms(settings.workers, shardLeaseDuration(settings)));
       if (flags.json === true) {
         say(JSON.stringify({ valid: true, label: settings.label, cancellation: terms }));
         return;
--- a/src/coordination/api/job-api.ts
+++ b/src/coordination/api/job-api.ts
@@ -1,13 +1,6 @@
 import type { MachineType } from "../../protocol/cloud.js";
-import {
-  decodeSubmission,
-  encodePhase,
-  encodeStatus,
-  isJobId,
-  type JobPhase,
-  type JobSpec,
-} from "../../protocol/job.js";
-import { jobSpecCodec } from "../../protocol/job-spec-codec.js";
+import { decodeSubmission, encodePhase, encodeStatus, isJobId, type JobPhase } from "../../protocol/job-messages.js";
+import { type JobSpec, jobSpecCodec } from "../../protocol/job-spec.js";
 import { formatJson, MalformedMessageError, parseJson } from "../../protocol/json.js";
 import type { KeyValueEntry } from "../../protocol/key-value-store.js";
 import { decodeJobRecord, encodeJobRecord, type JobRecord } from "../../storage/job-records.js";
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -2,7 +2,7 @@
 import { eventFieldsOf } from "../../cluster/events.js";
 import { newMachine } from "../../cluster/machine-usage.js";
 import type { ListedMachine } from "../../protocol/cloud.js";
-import type { JobSpec } from "../../protocol/job.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
 import { type Micros, ms, seconds, sleep } from "../../transport/clock.js";
 import { exponentialBackoff, type ShardContext } from "../context.js";
 import type { Scheduler } from "../scheduling/scheduler.js";
--- a/src/coordination/autoscaling/scale-plan.ts
+++ b/src/coordination/autoscaling/scale-plan.ts
@@ -1,6 +1,7 @@
 import type { Job, Machine } from "../../cluster/entities.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { JobSpec, Resources } from "../../protocol/job.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
+import type { Resources } from "../../protocol/resources.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import { allows, readyMachines, zoneAllowed, zoneCounts } from "../scheduling/eligibility.js";
 import { waitingJobs } from "../scheduling/job-order.js";
--- a/src/coordination/extension.ts
+++ b/src/coordination/extension.ts
@@ -1,5 +1,5 @@
 import type { MachineType } from "../protocol/cloud.js";
-import type { JobSpec } from "../protocol/job.js";
+import type { JobSpec } from "../protocol/job-spec.js";
 import type { KeyChange } from "../protocol/key-value-store.js";
 import type { ExitReason } from "../protocol/worker.js";
 import type { OutcomeRecord } from "../storage/outcome-records.js";
--- a/src/coordination/jobs/dependency-resolver.ts
+++ b/src/coordination/jobs/dependency-resolver.ts
@@ -1,5 +1,5 @@
 import { createHash } from "node:crypto";
-import type { JobSpec } from "../../protocol/job.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
 import { formatJson, type Uint64 } from "../../protocol/json.js";
 import type { KeyChange } from "../../protocol/key-value-store.js";
 import { decodeJobRecord, encodeJobRecord, type JobRecord, recordedDependencies } from "../../storage/job-records.js";
--- a/src/coordination/jobs/dependency-tracker.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -1,5 +1,5 @@
 import type { Job } from "../../cluster/entities.js";
-import { priorityRank } from "../../protocol/job.js";
+import { priorityRank } from "../../protocol/job-spec.js";
 import { dependencyListKey } from "../../storage/keys.js";
 import type { OutcomeRecord } from "../../storage/outcome-records.js";
 import { type Micros, seconds } from "../../transport/clock.js";
--- a/src/coordination/leadership/membership.ts
+++ b/src/coordination/leadership/membership.ts
@@ -1,6 +1,6 @@
 import type { Uint64 } from "../../protocol/json.js";
 import type { KeyValueEntry, WriteOperation } from "../../protocol/key-value-store.js";
-import { shardLeaseDuration } from "../../settings/settings.js";
+import { shardLeaseDuration } from "../../settings/shard-lease.js";
 import {
   CLUSTER_LEADER_KEY,
   memberKey,
--- a/src/coordination/scheduling/candidate-index.ts
+++ b/src/coordination/scheduling/candidate-index.ts
@@ -1,6 +1,6 @@
 import type { Job, Machine } from "../../cluster/entities.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { Resources } from "../../protocol/job.js";
+import type { Resources } from "../../protocol/resources.js";
 import type { Micros } from "../../transport/clock.js";
 import { mayBackfill, type Reservation } from "./capacity-reservation.js";
 import { allows, readyMachines, unready, zoneAllowed, zoneCounts } from "./eligibility.js";
--- a/src/coordination/scheduling/capacity-reservation.ts
+++ b/src/coordination/scheduling/capacity-reservation.ts
@@ -1,5 +1,6 @@
 import type { Job, Machine, Task } from "../../cluster/entities.js";
-import type { JobSpec, Resources } from "../../protocol/job.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
+import type { Resources } from "../../protocol/resources.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import { allows, zoneAllowed, zoneCounts } from "./eligibility.js";
 import { addResources, countThatFit, subtractResources } from "./placement/bfgp.js";
--- a/src/coordination/scheduling/eligibility.ts
+++ b/src/coordination/scheduling/eligibility.ts
@@ -1,6 +1,6 @@
 import type { Job, Machine } from "../../cluster/entities.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { JobSpec } from "../../protocol/job.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
 import type { Settings } from "../../settings/settings.js";
 import { isReachable } from "../workers/reachability.js";
 import { fits } from "./placement/bfgp.js";
--- a/src/coordination/scheduling/placement/bfgp.ts
+++ b/src/coordination/scheduling/placement/bfgp.ts
@@ -2,7 +2,7 @@
  * Best fit greedy placement, energy saving (the paper's BFGP-ES: section IV, Algorithms 1 and 2). Pure: it
  * works on copies handed in by the caller and changes nothing else. docs/design.md tells what differs.
  */
-import type { Resources } from "../../../protocol/job.js";
+import type { Resources } from "../../../protocol/resources.js";
 
 export interface Images {
   has(image: string): boolean;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,7 +1,7 @@
 import type { Job, Machine, Task } from "../../cluster/entities.js";
 import { attemptOf } from "../../cluster/task-records.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { Resources } from "../../protocol/job.js";
+import type { Resources } from "../../protocol/resources.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import { allowedStarts } from "../workers/failure-attribution.js";
 import { type CandidateIndex, zonesWithCapacity } from "./candidate-index.js";
--- a/src/coordination/scheduling/start-deadline.ts
+++ b/src/coordination/scheduling/start-deadline.ts
@@ -1,5 +1,5 @@
 import type { Job } from "../../cluster/entities.js";
-import type { JobSpec } from "../../protocol/job.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
 import type { Settings } from "../../settings/settings.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 
--- a/src/coordination/scheduling/starvation.ts
+++ b/src/coordination/scheduling/starvation.ts
@@ -1,6 +1,6 @@
 import { quantile } from "simple-statistics";
 import type { Job } from "../../cluster/entities.js";
-import type { JobSpec } from "../../protocol/job.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
 import { seconds } from "../../transport/clock.js";
 import { cpuToStart, hasStarted } from "./capacity-reservation.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
--- a/src/graphs/description/compile.ts
+++ b/src/graphs/description/compile.ts
@@ -1,4 +1,4 @@
-import { decodeSubmission } from "../../protocol/job.js";
+import { decodeSubmission } from "../../protocol/job-messages.js";
 import { MalformedMessageError } from "../../protocol/json.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
 import type { Plan, Step, StepKind, WeightRule } from "../run/plan.js";
--- a/src/graphs/run/spec.ts
+++ b/src/graphs/run/spec.ts
@@ -1,4 +1,5 @@
-import { decodeSubmission, isJobId, type JobSpec } from "../../protocol/job.js";
+import { decodeSubmission, isJobId } from "../../protocol/job-messages.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
 import type { Plan, Step } from "./plan.js";
 
 /** Of steps that run the same job, the first one: what holds of it holds of all. */
--- a/src/graphs/service/door.ts
+++ b/src/graphs/service/door.ts
@@ -1,7 +1,7 @@
 import type { Services } from "../../coordination/context.js";
 import { neverRuns } from "../../coordination/scheduling/eligibility.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import { jobSpecCodec } from "../../protocol/job-spec-codec.js";
+import { jobSpecCodec } from "../../protocol/job-spec.js";
 import { asArray, MalformedMessageError, parseJson, type Uint64 } from "../../protocol/json.js";
 import type { WriteOperation } from "../../protocol/key-value-store.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
--- a/src/graphs/service/extension.ts
+++ b/src/graphs/service/extension.ts
@@ -1,7 +1,7 @@
 import type { Services, ShardContext } from "../../coordination/context.js";
 import type { Extension, ExtensionFactory, ShardControls, ShardExtension } from "../../coordination/extension.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { JobSpec } from "../../protocol/job.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
 import type { HttpRequest, HttpResponse } from "../../transport/http.js";
 import { GraphDoor } from "./door.js";
--- a/src/graphs/service/runner.ts
+++ b/src/graphs/service/runner.ts
@@ -1,6 +1,6 @@
 import type { ShardContext } from "../../coordination/context.js";
 import type { ShardControls, ShardExtension } from "../../coordination/extension.js";
-import type { JobSpec } from "../../protocol/job.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
 import type { Uint64 } from "../../protocol/json.js";
 import type { KeyChange } from "../../protocol/key-value-store.js";
 import type { ExitReason } from "../../protocol/worker.js";
--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -26,7 +26,8 @@
 import { decideEvictions } from "../coordination/workers/graceful-eviction.js";
 import { HeartbeatProcessor } from "../coordination/workers/heartbeat-processor.js";
 import { decodeMachineTypes, type MachineType } from "../protocol/cloud.js";
-import { decodeSubmission, type JobSpec } from "../protocol/job.js";
+import { decodeSubmission } from "../protocol/job-messages.js";
+import type { JobSpec } from "../protocol/job-spec.js";
 import { MalformedMessageError } from "../protocol/json.js";
 import type { OperatorOptions } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
--- a/src/model/site-spec.ts
+++ b/src/model/site-spec.ts
@@ -1,5 +1,6 @@
 import { stringify } from "smol-toml";
-import { parseSettings, type Settings } from "../settings/settings.js";
+import { parseSettings } from "../settings/parse-settings.js";
+import type { Settings } from "../settings/settings.js";
 
 /** A machine type on offer. Amounts as the cloud publishes them: CPUs, GB, GB/s, money an hour. */
 export interface TypeSpec {
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,4 +1,3 @@
-import { availableResources, type Resources } from "./job.js";
 import {
   asArray,
   asObject,
@@ -9,6 +8,7 @@
   readOptional,
   readString,
 } from "./json.js";
+import { availableResources, type Resources } from "./resources.js";
 
 export interface MachineType {
   readonly name: string;
--- a/src/protocol/job.ts
+++ b/src/protocol/job-messages.ts
@@ -1,3 +1,4 @@
+import type { JobShape, JobSpec, Priority } from "./job-spec.js";
 import {
   asArray,
   asObject,
@@ -8,66 +9,7 @@
   readOptional,
   readString,
 } from "./json.js";
-
-/** A gang runs to completion like an array, but its tasks run together or not at all. */
-export type JobShape = "array" | "gang" | "service";
-export const PRIORITIES = ["production", "high", "normal", "low"] as const;
-export type Priority = (typeof PRIORITIES)[number];
-
-/** The place of a priority in their order; 0 is the highest. */
-export const priorityRank = (priority: Priority): number => PRIORITIES.indexOf(priority);
-
-/** What is known of a job for ever. Amounts are scaled: thousandths of a CPU, MiB-like thousandths of a GB. */
-export interface JobSpec {
-  readonly id: string;
-  readonly jobClass: string;
-  readonly team: string;
-  readonly shape: JobShape;
-  readonly priority: Priority;
-  readonly tasks: number;
-  readonly demand: Resources;
-  readonly types: readonly string[] | null;
-  readonly zone: string | null;
-  readonly singleZone: boolean;
-  readonly spread: boolean;
-  readonly spot: boolean;
-  readonly image: string;
-  readonly imageGb: number;
-  readonly estimatedRunS: number;
-  readonly checkpointIntervalS: number;
-  readonly checkpointDurationS: number;
-  readonly deadlineS: number | null;
-  /** Jobs that have to be done before any task of this one starts. */
-  readonly dependencies?: readonly string[];
-  /** What the job is a part of, where it is one; never sent by users. */
-  readonly origin?: GraphOrigin;
-}
-
-/** `place`: the job's place in its graph's own order, which decides among the graph's jobs and nowhere else. */
-export interface GraphOrigin {
-  readonly graph: string;
-  readonly position: number;
-}
-
-/** Whole thousandths, so that adding and subtracting leaves no rounding behind in a quota. */
-export interface Resources {
-  readonly cpu: number;
-  readonly gpu: number;
-  readonly ram: number;
-}
-
-/** Demands round up and capacities down, so scaling can never let a task in that does not fit. */
-export const requestedResources = (cpus: number, gpus: number, ram: number): Resources => ({
-  cpu: Math.ceil(cpus * 1_000 - 1e-6),
-  gpu: Math.ceil(gpus * 1_000 - 1e-6),
-  ram: Math.ceil(ram * 1_000 - 1e-6),
-});
-
-export const availableResources = (cpus: number, gpus: number, ram: number): Resources => ({
-  cpu: Math.floor(cpus * 1_000 + 1e-6),
-  gpu: Math.floor(gpus * 1_000 + 1e-6),
-  ram: Math.floor(ram * 1_000 + 1e-6),
-});
+import { requestedResources } from "./resources.js";
 
 export type JobPhase = "queued" | "running" | "done" | "cancelled";
 
--- /dev/null
+++ b/src/settings/errors.ts
@@ -0,0 +1,2 @@
+/** Message is one line naming the field. */
+export class SettingsError extends Error {}
--- a/src/settings/options.ts
+++ b/src/settings/options.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from "node:fs";
+import { SettingsError } from "./errors.js";
 import { type GraphOptions, graphOptionsSchema, readGraphOptions } from "./graph-options.js";
-import { SettingsError } from "./settings.js";
 
 /** The operators' own settings: JSON, checked against `optionsSchema`, all of them optional. */
 export interface OperatorOptions {
--- a/src/storage/job-records.ts
+++ b/src/storage/job-records.ts
@@ -2,8 +2,8 @@
  * Records of jobs that have not ended, and of lists of dependencies that are too long for them.
  * @module
  */
-import type { JobSpec } from "../protocol/job.js";
-import { jobSpecCodec } from "../protocol/job-spec-codec.js";
+import type { JobSpec } from "../protocol/job-spec.js";
+import { jobSpecCodec } from "../protocol/job-spec.js";
 import { asArray, asObject, type JsonObject, readNonNegative } from "../protocol/json.js";
 import { RecordCodec } from "../protocol/record-codec.js";
 import { type CancellationReason, decodeCancellationReason } from "./cancellation-reason.js";
--- a/src/whatif/graph-load.ts
+++ b/src/whatif/graph-load.ts
@@ -13,7 +13,7 @@
   type Submission,
   type Witness,
 } from "../model/index.js";
-import { encodeSubmission } from "../protocol/job.js";
+import { encodeSubmission } from "../protocol/job-messages.js";
 import { DEFAULT_GRAPHS, type GraphOptions } from "../settings/graph-options.js";
 import { DEFAULT_OPTIONS } from "../settings/options.js";
 import { decodeJobRecord } from "../storage/job-records.js";
--- a/src/whatif/translate.ts
+++ b/src/whatif/translate.ts
@@ -1,7 +1,7 @@
 import type { ClusterEvent } from "../cluster/events.js";
 import { S, type SiteSpec, type Submission } from "../model/index.js";
 import type { MachineType } from "../protocol/cloud.js";
-import { encodeSubmission } from "../protocol/job.js";
+import { encodeSubmission } from "../protocol/job-messages.js";
 import type { Settings } from "../settings/settings.js";
 import { TRACE_VERSION, type TraceEvent, type TraceHeader } from "./format.js";
 
--- a/test/appointments.test.ts
+++ b/test/appointments.test.ts
@@ -4,7 +4,7 @@
 import type { Services } from "../src/coordination/context.js";
 import { LoadShedder } from "../src/coordination/overload/load-shedder.js";
 import { HostClock, World } from "../src/model/index.js";
-import { parseSettings } from "../src/settings/settings.js";
+import { parseSettings } from "../src/settings/parse-settings.js";
 import type { HttpRequest } from "../src/transport/http.js";
 import { bigType, settingsText } from "./fixtures.js";
 import { plainJob } from "./sim/cluster.js";
--- a/test/block-fixtures.ts
+++ b/test/block-fixtures.ts
@@ -7,10 +7,10 @@
 import { LoadShedder } from "../src/coordination/overload/load-shedder.js";
 import { HostClock, World } from "../src/model/index.js";
 import { decodeMachineTypes } from "../src/protocol/cloud.js";
-import type { JobSpec } from "../src/protocol/job.js";
+import type { JobSpec } from "../src/protocol/job-spec.js";
 import type { Heartbeat } from "../src/protocol/worker.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
-import { parseSettings } from "../src/settings/settings.js";
+import { parseSettings } from "../src/settings/parse-settings.js";
 import type { HttpOutcome } from "../src/transport/http.js";
 import { settingsText } from "./fixtures.js";
 
--- a/test/chains.test.ts
+++ b/test/chains.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { DependencyGraph } from "../src/cluster/dependency-graph.js";
 import { FastSite, jobBehaviour, nobody, S, sampleSite } from "../src/model/index.js";
-import { decodeSubmission } from "../src/protocol/job.js";
+import { decodeSubmission } from "../src/protocol/job-messages.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
 import { encodeJobRecord } from "../src/storage/job-records.js";
 import { jobKey, outcomeKey } from "../src/storage/keys.js";
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -14,9 +14,10 @@
 import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
 import { decideEvictions } from "../src/coordination/workers/graceful-eviction.js";
 import { HostClock, World } from "../src/model/index.js";
-import { decodeSubmission, type JobSpec } from "../src/protocol/job.js";
+import { decodeSubmission } from "../src/protocol/job-messages.js";
+import type { JobSpec } from "../src/protocol/job-spec.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
-import { parseSettings } from "../src/settings/settings.js";
+import { parseSettings } from "../src/settings/parse-settings.js";
 import { type Micros, seconds } from "../src/transport/clock.js";
 import { bigType, settingsText } from "./fixtures.js";
 import { plainJob } from "./sim/cluster.js";
--- a/test/loops.test.ts
+++ b/test/loops.test.ts
@@ -6,7 +6,7 @@
 import { CommandDispatcher } from "../src/coordination/workers/command-dispatcher.js";
 import { HeartbeatProcessor } from "../src/coordination/workers/heartbeat-processor.js";
 import { HostClock, World } from "../src/model/index.js";
-import type { JobSpec } from "../src/protocol/job.js";
+import type { JobSpec } from "../src/protocol/job-spec.js";
 import type { KeyValueStore } from "../src/storage/key-value-store.js";
 import { TransactionBatcher } from "../src/storage/transaction-batcher.js";
 import { WatchCache } from "../src/storage/watch-cache.js";
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -4,7 +4,7 @@
 import { Membership } from "../src/coordination/leadership/membership.js";
 import { HostClock, S, World } from "../src/model/index.js";
 import type { KeyValueEntry } from "../src/protocol/key-value-store.js";
-import { parseSettings } from "../src/settings/settings.js";
+import { parseSettings } from "../src/settings/parse-settings.js";
 import { memberKey, shardKey } from "../src/storage/keys.js";
 import { nothing, quiet } from "./block-fixtures.js";
 import { settingsText } from "./fixtures.js";
--- a/test/polls.test.ts
+++ b/test/polls.test.ts
@@ -4,7 +4,7 @@
 import type { Services } from "../src/coordination/context.js";
 import { OutcomeReader } from "../src/coordination/jobs/outcome-reader.js";
 import { HostClock, S, World } from "../src/model/index.js";
-import { decodeSubmission } from "../src/protocol/job.js";
+import { decodeSubmission } from "../src/protocol/job-messages.js";
 import type { KeyValueEntry } from "../src/protocol/key-value-store.js";
 import { encodeJobRecord } from "../src/storage/job-records.js";
 import type { KeyValueStore } from "../src/storage/key-value-store.js";
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -13,9 +13,9 @@
 } from "../src/coordination/scheduling/placement-round.js";
 import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
 import { HostClock, World } from "../src/model/index.js";
-import { decodeSubmission } from "../src/protocol/job.js";
+import { decodeSubmission } from "../src/protocol/job-messages.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
-import { parseSettings } from "../src/settings/settings.js";
+import { parseSettings } from "../src/settings/parse-settings.js";
 import { seconds } from "../src/transport/clock.js";
 import { bigType, settingsText } from "./fixtures.js";
 import { Random } from "./random.js";
--- a/test/replay.test.ts
+++ b/test/replay.test.ts
@@ -4,7 +4,7 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { HostClock, jobOf, nobody, S, Site, type Witness, World } from "../src/model/index.js";
-import { decodeSubmission } from "../src/protocol/job.js";
+import { decodeSubmission } from "../src/protocol/job-messages.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
 import {
   agreement,
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -4,8 +4,10 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { cancellationTerms } from "../src/settings/cancellation.js";
+import { SettingsError } from "../src/settings/errors.js";
 import { DEFAULT_OPTIONS, loadOptions } from "../src/settings/options.js";
-import { parseSettings, SettingsError, shardLeaseDuration } from "../src/settings/settings.js";
+import { parseSettings } from "../src/settings/parse-settings.js";
+import { shardLeaseDuration } from "../src/settings/shard-lease.js";
 import { settingsText } from "./fixtures.js";
 
 const refused = (text: string, field: string): void => {
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -16,10 +16,11 @@
   type TypeSpec,
   type Witness,
 } from "../../src/model/index.js";
-import { encodeSubmission } from "../../src/protocol/job.js";
+import { encodeSubmission } from "../../src/protocol/job-messages.js";
 import { cancellationTerms } from "../../src/settings/cancellation.js";
 import { DEFAULT_OPTIONS, type OperatorOptions } from "../../src/settings/options.js";
-import { parseSettings, shardLeaseDuration } from "../../src/settings/settings.js";
+import { parseSettings } from "../../src/settings/parse-settings.js";
+import { shardLeaseDuration } from "../../src/settings/shard-lease.js";
 import { decodeJobRecord } from "../../src/storage/job-records.js";
 import { jobKey } from "../../src/storage/keys.js";
 import type { Micros } from "../../src/transport/clock.js";
--- a/test/sim/meetings.ts
+++ b/test/sim/meetings.ts
@@ -1,6 +1,7 @@
 import { S } from "../../src/model/index.js";
 import { cancellationTerms } from "../../src/settings/cancellation.js";
-import { parseSettings, shardLeaseDuration } from "../../src/settings/settings.js";
+import { parseSettings } from "../../src/settings/parse-settings.js";
+import { shardLeaseDuration } from "../../src/settings/shard-lease.js";
 import { settingsText } from "../fixtures.js";
 import { type Cluster, plainJob } from "./cluster.js";
 import { busy, type Trouble } from "./night.js";
--- a/test/sim/rollout.ts
+++ b/test/sim/rollout.ts
@@ -1,5 +1,5 @@
 import { S } from "../../src/model/index.js";
-import { parseSettings } from "../../src/settings/settings.js";
+import { parseSettings } from "../../src/settings/parse-settings.js";
 import type { HttpRequest } from "../../src/transport/http.js";
 import { Cluster, plainJob, type Submission, settingsAt } from "./cluster.js";
 
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -43,7 +43,7 @@
   writeUpload,
 } from "../src/graphs/index.js";
 import { AGE_NEVER, encodeFrame, FrameDecoder, type MeshFrame } from "../src/mesh/frames.js";
-import type { JobSpec } from "../src/protocol/job.js";
+import type { JobSpec } from "../src/protocol/job-spec.js";
 import { formatJson, parseJson } from "../src/protocol/json.js";
 import { CANCELLATION_REASONS } from "../src/storage/cancellation-reason.js";
 import { decodeJobRecord, encodeJobRecord, type JobRecord, recordedDependencies } from "../src/storage/job-records.js";
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { S } from "../src/model/index.js";
-import type { JobSpec } from "../src/protocol/job.js";
-import { parseSettings } from "../src/settings/settings.js";
+import type { JobSpec } from "../src/protocol/job-spec.js";
+import { parseSettings } from "../src/settings/parse-settings.js";
 import { decodeJobRecord } from "../src/storage/job-records.js";
 import { decodeMemberRecord, decodeShardRecord } from "../src/storage/membership-records.js";
 import { decodeOutcomeRecord } from "../src/storage/outcome-records.js";
--- a/test/wire-forms.test.ts
+++ b/test/wire-forms.test.ts
@@ -13,14 +13,12 @@
   encodeStatus,
   encodeSubmission,
   type JobPhase,
-  type JobShape,
-  type JobSpec,
-  PRIORITIES,
-  requestedResources,
-} from "../src/protocol/job.js";
+} from "../src/protocol/job-messages.js";
+import { type JobShape, type JobSpec, PRIORITIES } from "../src/protocol/job-spec.js";
 import { formatJson, type JsonObject, parseJson } from "../src/protocol/json.js";
 import type { KeyChange, KeyValueEntry, WriteOperation } from "../src/protocol/key-value-store.js";
 import { encodeLinks, type LinkTable, type MachineLinks } from "../src/protocol/links.js";
+import { requestedResources } from "../src/protocol/resources.js";
 import {
   type Command,
   decodeHeartbeatText,
