--- a/src/cluster/job.ts
+++ b/src/cluster/job.ts
@@ -1,7 +1,7 @@
 /**
  * Jobs as the leader of their shard knows them.
  */
-import type { JobSpec } from "../protocol/job.js";
+import type { JobSpec } from "../protocol/job-spec.js";
 import type { Uint64 } from "../protocol/json.js";
 import type { CancellationReason } from "../storage/cancellation-reason.js";
 import type { Micros } from "../transport/clock.js";
--- a/src/cluster/machine.ts
+++ b/src/cluster/machine.ts
@@ -3,8 +3,9 @@
  * steady clock, in microseconds.
  */
 import type { MachineType } from "../protocol/cloud.js";
-import type { JobSpec, Resources } from "../protocol/job.js";
+import type { JobSpec } from "../protocol/job-spec.js";
 import type { Uint64 } from "../protocol/json.js";
+import type { Resources } from "../protocol/resources.js";
 import type { Micros } from "../transport/clock.js";
 import type { Task } from "./task.js";
 
--- a/src/commands/serving.ts
+++ b/src/commands/serving.ts
@@ -4,9 +4,10 @@
 import { CloudClient } from "../coordination/autoscaling/cloud-client.js";
 import { Controller, type MeshFactory } from "../coordination/leadership/controller.js";
 import type { ProcessLoad } from "../coordination/overload/load-shedder.js";
-import { shareConnections } from "../settings/connections.js";
+import { allocateConnections } from "../settings/connections.js";
+import { SettingsError } from "../settings/errors.js";
 import { loadOptions } from "../settings/options.js";
-import { loadSettings, SettingsError } from "../settings/settings.js";
+import { loadSettings } from "../settings/parse-settings.js";
 import { countRequests } from "../stats.js";
 import { type Clock, seconds, systemClock } from "../transport/clock.js";
 import type { HttpClient } from "../transport/http.js";
@@ -87,9 +88,9 @@
   log: Log,
   http: HttpClient,
 ): Promise<MeshFactory> => {
-  const { meshWith, NetWires } = await import("../mesh/index.js");
-  const wires = new NetWires(settings.meshListen, log);
-  return meshWith({ settings, incarnation, clock, log, http, random: Math.random, wires });
+  const { createMeshFactory, TcpFrameTransport } = await import("../mesh/index.js");
+  const transport = new TcpFrameTransport(settings.meshListen, log);
+  return createMeshFactory({ settings, incarnation, clock, log, http, random: Math.random, transport });
 };
 
 /** Serves as one controller until killed. */
@@ -100,7 +101,7 @@
   process.on("unhandledRejection", (error) => log.error("unhandled rejection", { error: describeError(error) }));
   if (process.env.RAINRIDGE_END_WITH_STDIN === "1") process.stdin.on("end", () => process.exit(0)).resume();
   const clock = systemClock;
-  const connections = shareConnections(settings.quota.maxConnections);
+  const connections = allocateConnections(settings.quota.maxConnections);
   // A thousand machines report here, and idle connections to all of them as well would pass the limit.
   const http = new NetHttpClient(clock, connections.idle);
   const eventListener = await sinkFor({ settings, options }, clock, log, http);
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,7 +1,7 @@
 import { eventFieldsOf } from "../../cluster/events.js";
 import { createMachine, type Machine } from "../../cluster/machine.js";
 import type { ListedMachine } from "../../protocol/cloud.js";
-import type { JobSpec } from "../../protocol/job.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
 import { type Micros, ms, seconds, sleep } from "../../transport/clock.js";
 import { exponentialBackoff, type ShardContext } from "../context.js";
 import { LogEvent } from "../log-events.js";
--- a/src/coordination/autoscaling/scale-plan.ts
+++ b/src/coordination/autoscaling/scale-plan.ts
@@ -1,7 +1,8 @@
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { JobSpec, Resources } from "../../protocol/job.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
+import type { Resources } from "../../protocol/resources.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import { allows, readyMachines, zoneAllowed, zoneCounts } from "../scheduling/eligibility.js";
 import { waitingJobs } from "../scheduling/job-order.js";
--- a/src/coordination/leadership/shard-leader.ts
+++ b/src/coordination/leadership/shard-leader.ts
@@ -2,7 +2,7 @@
 import { createMachine, type Machine } from "../../cluster/machine.js";
 import { ShardState } from "../../cluster/shard-state.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { Change } from "../../protocol/key-value-store.js";
+import type { KeyChange } from "../../protocol/key-value-store.js";
 import type { MachineLinks } from "../../protocol/links.js";
 import type { Command, Heartbeat } from "../../protocol/worker.js";
 import { MACHINE_TYPES_KEY } from "../../storage/keys.js";
@@ -291,7 +291,7 @@
   }
 
   /** What is current below the watched prefix has changed. */
-  onChange(change: Change): void {
+  onChange(change: KeyChange): void {
     if (this.stopped) return;
     this.jobWatcher.onChange(change);
     this.extension?.onChange(change);
--- a/src/coordination/scheduling/candidate-index.ts
+++ b/src/coordination/scheduling/candidate-index.ts
@@ -1,7 +1,7 @@
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { Resources } from "../../protocol/job.js";
+import type { Resources } from "../../protocol/resources.js";
 import type { Micros } from "../../transport/clock.js";
 import { mayBackfill, type Reservation } from "./capacity-reservation.js";
 import { allows, readyMachines, unready, zoneAllowed, zoneCounts } from "./eligibility.js";
--- a/src/coordination/scheduling/capacity-reservation.ts
+++ b/src/coordination/scheduling/capacity-reservation.ts
@@ -1,7 +1,8 @@
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
 import type { Task } from "../../cluster/task.js";
-import type { JobSpec, Resources } from "../../protocol/job.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
+import type { Resources } from "../../protocol/resources.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import { allows, zoneAllowed, zoneCounts } from "./eligibility.js";
 import { addResources, countThatFit, subtractResources } from "./placement/bfgp.js";
--- a/src/coordination/scheduling/eligibility.ts
+++ b/src/coordination/scheduling/eligibility.ts
@@ -1,7 +1,7 @@
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { JobSpec } from "../../protocol/job.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
 import type { Settings } from "../../settings/settings.js";
 import { isReachable } from "../workers/reachability.js";
 import { fits } from "./placement/bfgp.js";
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -2,7 +2,7 @@
 import type { Machine } from "../../cluster/machine.js";
 import { attemptOf, type Task } from "../../cluster/task.js";
 import type { MachineType } from "../../protocol/cloud.js";
-import type { Resources } from "../../protocol/job.js";
+import type { Resources } from "../../protocol/resources.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import { allowedStarts } from "../workers/failure-attribution.js";
 import { type CandidateIndex, zonesWithCapacity } from "./candidate-index.js";
--- a/src/storage/job-records.ts
+++ b/src/storage/job-records.ts
@@ -2,8 +2,8 @@
  * Records of jobs that have not ended, and of lists of dependencies that are too long for them.
  * @module
  */
-import type { JobSpec } from "../protocol/job.js";
-import { jobSpecCodec } from "../protocol/job-spec-codec.js";
+import type { JobSpec } from "../protocol/job-spec.js";
+import { jobSpecCodec } from "../protocol/job-spec.js";
 import { asArray, asObject, type JsonObject, readNonNegative } from "../protocol/json.js";
 import { RecordCodec } from "../protocol/record-codec.js";
 import { type CancellationReason, decodeCancellationReason } from "./cancellation-reason.js";
@@ -33,10 +33,10 @@
 
 const dependencyListCodec = new RecordCodec<DependencyListLocation>({ digest: "digest", parts: "parts" });
 const jobCodec = new RecordCodec<JobRecord>({
-  spec: { name: "spec", form: jobSpecCodec },
+  spec: { name: "spec", codec: jobSpecCodec },
   shard: "block",
   cancelled: "cancelled",
-  dependencyList: { name: "awaited", form: dependencyListCodec },
+  dependencyList: { name: "awaited", codec: dependencyListCodec },
   acceptedMs: "acceptedMs",
   cancellationReason: "why",
   failuresByTask: "errors",
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -4,8 +4,10 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { cancellationTerms } from "../src/settings/cancellation.js";
+import { SettingsError } from "../src/settings/errors.js";
 import { DEFAULT_OPTIONS, loadOptions } from "../src/settings/options.js";
-import { parseSettings, SettingsError, shardLeaseDuration } from "../src/settings/settings.js";
+import { parseSettings } from "../src/settings/parse-settings.js";
+import { shardLeaseDuration } from "../src/settings/shard-lease.js";
 import { settingsText } from "./fixtures.js";
 
 const refused = (text: string, field: string): void => {
@@ -51,10 +53,13 @@
       shardLeaseDuration(settings) + settings.workers.lease * 1.001 + 300_000 < settings.workers.cancellationBound,
     );
     // With a start that was under way when the holder's right ended.
-    const { right, start, workerLease, total, left } = cancellationTerms(
-      settings.workers,
-      shardLeaseDuration(settings),
-    );
+    const {
+      shardLease: right,
+      startCommand: start,
+      workerLease,
+      total,
+      left,
+    } = cancellationTerms(settings.workers, shardLeaseDuration(settings));
     assert.equal(right + start + workerLease, total);
     assert.ok(start >= 1_800_000 && workerLease > settings.workers.lease);
     assert.equal(total + left, settings.workers.cancellationBound);
