--- a/src/transport/errors.ts
+++ b/src/transport/errors.ts
@@ -1,3 +1,5 @@
+/** The base class of errors. */
+
 /**
  * The base of all errors that can happen in operation. Subclasses stand in the lowest package that throws them, one for
  * each thing that a caller does about them.
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,166 +1,123 @@
+/** HTTP/1.1 client over TCP, with connections kept open for the next request. */
 import { connect, type Socket } from "node:net";
-import type { Clock, Micros, Timer } from "./clock.js";
-import { ms } from "./clock.js";
+import { type Clock, type Micros, ms } from "./clock.js";
 import type { HttpClient, HttpOutcome, HttpRequest } from "./http.js";
-import { HttpParser } from "./http-parser.js";
+import { type HttpMessage, HttpParser, type ParserLimits } from "./http-parser.js";
+import { discardSocket, IdleConnections } from "./idle-connections.js";
 
-const MAX_IDLE_PER_HOST = 8;
 const CONNECT_TIMEOUT = ms(1_000);
-/** Long enough to serve the next report, short enough that silent hosts do not hold sockets. */
-const IDLE_TIMEOUT = ms(20_000);
+/** What is left for an exchange when connecting has taken the rest of the call's time. */
+const MIN_EXCHANGE_TIMEOUT = ms(1);
+/** Bounds of a response's head and body, in bytes. */
+const RESPONSE_LIMITS: ParserLimits = { headBytes: 16_384, bodyBytes: 64 * 1024 * 1024 };
+const RETRY_AFTER_SECONDS = /^\d{1,6}$/;
 
+/** Parts of an address "host:port". The port is NaN where it is no number. */
 export const splitAddress = (address: string): { host: string; port: number } => {
   const colon = address.lastIndexOf(":");
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 };
 
-interface Idle {
-  readonly socket: Socket;
-  readonly timer: Timer;
-  readonly drop: () => void;
-}
-
 /** Keep-alive client with one request at a time on each connection. */
 export class NetHttpClient implements HttpClient {
-  private readonly idle = new Map<string, Idle[]>();
-  private idleCount = 0;
-  private underWay = 0;
+  private readonly idle: IdleConnections;
+  private callsInProgress = 0;
 
-  /** `maxIdle`: over all hosts; beyond it the connection that has been idle longest is closed. */
+  /** `maxIdle`: idle connections over all hosts; beyond it the connection that has been idle longest is closed. */
   constructor(
     private readonly clock: Clock,
-    private readonly maxIdle: number,
-  ) {}
+    maxIdle: number,
+  ) {
+    this.idle = new IdleConnections(clock, maxIdle);
+  }
 
   /** Connections open or being opened now. */
   get connections(): number {
-    return this.idleCount + this.underWay;
+    return this.idle.size + this.callsInProgress;
   }
 
   async call(address: string, request: HttpRequest, timeout: Micros): Promise<HttpOutcome> {
     const deadline = this.clock.now() + timeout;
-    this.underWay += 1;
+    this.callsInProgress += 1;
     try {
-      const pooled = this.take(address);
-      const socket = pooled ?? (await this.open(address, Math.min(timeout, CONNECT_TIMEOUT) as Micros));
+      const connectTimeout = Math.min(timeout, CONNECT_TIMEOUT) as Micros;
+      const socket = this.idle.take(address) ?? (await this.connect(address, connectTimeout));
       if (socket === null) return { kind: "unsent" };
-      return await this.exchange(address, socket, request, Math.max(1_000, deadline - this.clock.now()) as Micros);
+      const left = Math.max(MIN_EXCHANGE_TIMEOUT, deadline - this.clock.now()) as Micros;
+      return await this.exchange(address, socket, request, left);
     } finally {
-      this.underWay -= 1;
-    }
-  }
-
-  private take(address: string): Socket | null {
-    const list = this.idle.get(address);
-    for (let entry = list?.pop(); entry !== undefined; entry = list?.pop()) {
-      this.idleCount -= 1;
-      entry.timer.cancel();
-      entry.socket.removeAllListeners();
-      if (list?.length === 0) this.idle.delete(address);
-      if (!entry.socket.destroyed && entry.socket.writable) return entry.socket;
-      entry.socket.destroy();
-    }
-    return null;
-  }
-
-  private give(address: string, socket: Socket): void {
-    const list = this.idle.get(address) ?? [];
-    this.idle.set(address, list);
-    socket.removeAllListeners();
-    if (list.length >= MAX_IDLE_PER_HOST) {
-      socket.on("error", () => undefined);
-      socket.destroy();
-      return;
-    }
-    const drop = (): void => {
-      timer.cancel();
-      socket.destroy();
-      const at = list.findIndex((entry) => entry.socket === socket);
-      if (at < 0) return;
-      list.splice(at, 1);
-      this.idleCount -= 1;
-      if (list.length === 0 && this.idle.get(address) === list) this.idle.delete(address);
-    };
-    const timer = this.clock.after(IDLE_TIMEOUT, drop);
-    socket.on("error", drop);
-    socket.on("close", drop);
-    socket.on("end", drop);
-    socket.on("data", drop);
-    list.push({ socket, timer, drop });
-    this.idleCount += 1;
-    // Hosts are kept in the order in which they were last used.
-    this.idle.delete(address);
-    this.idle.set(address, list);
-    if (this.idleCount <= this.maxIdle) return;
-    for (const [, [oldest]] of this.idle) {
-      if (oldest === undefined) continue;
-      oldest.drop();
-      return;
+      this.callsInProgress -= 1;
     }
   }
 
-  private open(address: string, timeout: Micros): Promise<Socket | null> {
+  /** A new connection; null: not within this time, or refused. */
+  private connect(address: string, timeout: Micros): Promise<Socket | null> {
     const { host, port } = splitAddress(address);
     return new Promise((resolve) => {
       const socket = connect({ host, port, noDelay: true });
-      const done = (result: Socket | null): void => {
+      const succeed = (): void => {
         timer.cancel();
         socket.removeAllListeners();
-        if (result === null) {
-          socket.on("error", () => undefined);
-          socket.destroy();
-        }
-        resolve(result);
+        resolve(socket);
       };
-      const timer = this.clock.after(timeout, () => done(null));
-      socket.on("connect", () => done(socket));
-      socket.on("error", () => done(null));
+      const fail = (): void => {
+        timer.cancel();
+        discardSocket(socket);
+        resolve(null);
+      };
+      const timer = this.clock.after(timeout, fail);
+      socket.on("connect", succeed);
+      socket.on("error", fail);
     });
   }
 
+  /** Sends a request and reads its response; the connection is kept for the next one where both sides allow it. */
   private exchange(address: string, socket: Socket, request: HttpRequest, timeout: Micros): Promise<HttpOutcome> {
     return new Promise((resolve) => {
-      const parser = new HttpParser("response", { headBytes: 16_384, bodyBytes: 64 * 1024 * 1024 });
-      const lost = (): void => {
+      const parser = new HttpParser("response", RESPONSE_LIMITS);
+      const lose = (): void => {
         timer.cancel();
-        socket.removeAllListeners();
-        socket.on("error", () => undefined);
-        socket.destroy();
+        discardSocket(socket);
         resolve({ kind: "lost" });
       };
-      const timer = this.clock.after(timeout, lost);
-      socket.on("error", lost);
-      socket.on("close", lost);
-      socket.on("end", lost);
+      const timer = this.clock.after(timeout, lose);
+      for (const event of ["error", "close", "end"]) socket.on(event, lose);
       socket.on("data", (data: Buffer) => {
-        try {
-          const messages = parser.push(data);
-          const message = messages[0];
-          if (message === undefined) return;
-          timer.cancel();
-          if (message.keepAlive && messages.length === 1 && parser.idle) this.give(address, socket);
-          else {
-            socket.removeAllListeners();
-            socket.on("error", () => undefined);
-            socket.destroy();
-          }
-          const retry = message.headers.get("retry-after");
-          resolve({
-            kind: "answer",
-            status: Number(message.start[1]),
-            body: message.body.toString("utf8"),
-            retryAfterS: retry !== undefined && /^\d{1,6}$/.test(retry) ? Number(retry) : null,
-          });
-        } catch {
-          lost();
-        }
+        const messages = parseResponses(parser, data);
+        if (messages === null) return lose();
+        const [message] = messages;
+        if (message === undefined) return;
+        timer.cancel();
+        if (message.keepAlive && messages.length === 1 && parser.idle) this.idle.put(address, socket);
+        else discardSocket(socket);
+        resolve(answerOf(message));
       });
-      const head = `${request.method} ${request.target} HTTP/1.1\r\nHost: ${address}\r\n`;
-      const content =
-        request.body === ""
-          ? "Content-Length: 0\r\n\r\n"
-          : `Content-Type: application/json\r\nContent-Length: ${Buffer.byteLength(request.body)}\r\n\r\n${request.body}`;
-      socket.write(head + content);
+      socket.write(encodeRequest(address, request));
     });
   }
 }
+
+/** The responses that these bytes complete; null: they are malformed. */
+const parseResponses = (parser: HttpParser, data: Buffer): readonly HttpMessage[] | null => {
+  try {
+    return parser.push(data);
+  } catch {
+    return null;
+  }
+};
+
+const answerOf = (message: HttpMessage): HttpOutcome => {
+  const retryAfter = message.headers.get("retry-after");
+  return {
+    kind: "answer",
+    status: Number(message.start[1]),
+    body: message.body.toString("utf8"),
+    retryAfterS: retryAfter !== undefined && RETRY_AFTER_SECONDS.test(retryAfter) ? Number(retryAfter) : null,
+  };
+};
+
+const encodeRequest = (address: string, { method, target, body }: HttpRequest): string => {
+  const contentType = body === "" ? "" : "Content-Type: application/json\r\n";
+  const length = Buffer.byteLength(body);
+  return `${method} ${target} HTTP/1.1\r\nHost: ${address}\r\n${contentType}Content-Length: ${length}\r\n\r\n${body}`;
+};
--- a/src/transport/http-parser.ts
+++ b/src/transport/http-parser.ts
@@ -1,48 +1,68 @@
 /**
- * Incremental HTTP/1.1 parser for both directions. Strict and bounded: the first thing that it does not
- * understand loses the framing, and the caller has to close the connection.
+ * Incremental HTTP/1.1 parser for both directions. Strict and bounded: the first thing that it does not understand
+ * loses the framing, and the caller has to close the connection.
  */
+import { HttpError } from "./http-error.js";
+import {
+  bodyFramingOf,
+  type HttpHead,
+  type HttpMessageKind,
+  isKeptAlive,
+  parseHead,
+  type StartLine,
+} from "./http-head.js";
+
+/** A message that has arrived in full. */
 export interface HttpMessage {
-  /** Request line `[method, target, version]` or status line `[version, status, reason]`. */
-  readonly start: readonly [string, string, string];
+  readonly start: StartLine;
   readonly headers: ReadonlyMap<string, string>;
   readonly body: Buffer;
+  /** Whether the connection may carry another message. */
   readonly keepAlive: boolean;
 }
 
-export class HttpError extends Error {
-  constructor(
-    readonly status: number,
-    message: string,
-  ) {
-    super(message);
-  }
-}
-
+/** Bounds of one message, in bytes. */
 export interface ParserLimits {
   readonly headBytes: number;
   readonly bodyBytes: number;
 }
 
-const TOKEN = /^[!#$%&'*+.^_`|~0-9A-Za-z-]+$/;
-const MAX_HEADERS = 64;
+/** Bound of a chunk's size line with its extensions, and of a trailer line. */
+const MAX_CHUNK_LINE_BYTES = 1_024;
+const CHUNK_SIZE = /^[0-9A-Fa-f]{1,8}$/;
+
+const LINE_END = "\r\n";
+const HEAD_END = "\r\n\r\n";
 const EMPTY = Buffer.alloc(0);
 
-interface Head {
-  readonly start: [string, string, string];
-  readonly headers: Map<string, string>;
+/** A body that is still being read. */
+type PendingBody = LengthBody | ChunkedBody;
+
+interface LengthBody {
+  readonly kind: "length";
+  readonly bytes: number;
 }
 
-type Body = { kind: "length"; left: number } | { kind: "chunked"; parts: Buffer[]; size: number; trailer: boolean };
+interface ChunkedBody {
+  readonly kind: "chunked";
+  readonly chunks: Buffer[];
+  /** Bytes of all `chunks`. */
+  size: number;
+  /** Whether the last chunk has been read, so that only trailer lines are left. */
+  inTrailer: boolean;
+}
 
+/** Parser of one direction of one connection. */
 export class HttpParser {
+  /** Bytes that no complete message has taken in yet. */
   private pending: Buffer = EMPTY;
-  private scanned = 0;
-  private head: Head | null = null;
-  private body: Body | null = null;
+  /** Bytes of `pending` in which the end of the head has been looked for already. */
+  private scannedBytes = 0;
+  private head: HttpHead | null = null;
+  private body: PendingBody | null = null;
 
   constructor(
-    private readonly kind: "request" | "response",
+    private readonly kind: HttpMessageKind,
     private readonly limits: ParserLimits,
   ) {}
 
@@ -54,142 +74,97 @@
   /** Takes bytes in; returns the messages that they complete. Throws HttpError when framing is lost. */
   push(data: Buffer): HttpMessage[] {
     this.pending = this.pending.length === 0 ? data : Buffer.concat([this.pending, data]);
-    const out: HttpMessage[] = [];
-    for (let message = this.next(); message !== null; message = this.next()) out.push(message);
-    return out;
+    const messages: HttpMessage[] = [];
+    for (let message = this.next(); message !== null; message = this.next()) messages.push(message);
+    return messages;
   }
 
   private next(): HttpMessage | null {
-    if (this.head === null) {
-      const head = this.readHead();
-      if (head === null) return null;
-      this.head = head;
-      this.body = this.framing(head);
-    }
-    const body = this.body;
-    if (body === null) throw new HttpError(400, "no framing");
-    const bytes = body.kind === "length" ? this.readLength(body.left) : this.readChunked(body);
-    if (bytes === null) return null;
-    const { start, headers } = this.head;
+    this.head ??= this.readHead();
+    if (this.head === null) return null;
+    this.body ??= this.beginBody(this.head);
+    const body = this.body.kind === "length" ? this.readBytes(this.body.bytes) : this.readChunkedBody(this.body);
+    if (body === null) return null;
+    const head = this.head;
     this.head = null;
     this.body = null;
-    const version = this.kind === "request" ? start[2] : start[0];
-    const connection = headers.get("connection")?.toLowerCase() ?? "";
-    const keepAlive = version === "HTTP/1.1" ? !connection.includes("close") : connection.includes("keep-alive");
-    return { start, headers, body: bytes, keepAlive };
+    return { start: head.start, headers: head.headers, body, keepAlive: isKeptAlive(head, this.kind) };
   }
 
-  private readHead(): Head | null {
-    const end = this.pending.indexOf("\r\n\r\n", Math.max(0, this.scanned - 3), "latin1");
+  private readHead(): HttpHead | null {
+    const end = this.pending.indexOf(HEAD_END, Math.max(0, this.scannedBytes - HEAD_END.length + 1), "latin1");
+    const headBytes = end < 0 ? this.pending.length : end;
+    if (headBytes > this.limits.headBytes) throw new HttpError(431, "head too large");
     if (end < 0) {
-      this.scanned = this.pending.length;
-      if (this.pending.length > this.limits.headBytes) throw new HttpError(431, "head too large");
+      this.scannedBytes = this.pending.length;
       return null;
     }
-    if (end > this.limits.headBytes) throw new HttpError(431, "head too large");
-    const lines = this.pending.toString("latin1", 0, end).split("\r\n");
-    this.consume(end + 4);
-    const start = this.startLine(lines[0] ?? "");
-    const headers = new Map<string, string>();
-    if (lines.length - 1 > MAX_HEADERS) throw new HttpError(431, "too many headers");
-    for (const line of lines.slice(1)) {
-      const colon = line.indexOf(":");
-      const name = line.slice(0, Math.max(0, colon)).toLowerCase();
-      const value = line.slice(colon + 1).trim();
-      if (!TOKEN.test(name)) throw new HttpError(400, "bad header name");
-      // biome-ignore lint/suspicious/noControlCharactersInRegex: control characters are what is looked for
-      if (/[\u0000-\u0008\u000a-\u001f\u007f]/.test(value)) throw new HttpError(400, "bad header value");
-      const known = headers.get(name);
-      // Two lengths are how requests get smuggled past a first reader.
-      if (known !== undefined && (name === "content-length" || name === "transfer-encoding")) {
-        throw new HttpError(400, `repeated ${name}`);
-      }
-      headers.set(name, known === undefined ? value : `${known}, ${value}`);
-    }
-    return { start, headers };
-  }
-
-  private startLine(line: string): [string, string, string] {
-    const first = line.indexOf(" ");
-    const second = line.indexOf(" ", first + 1);
-    if (this.kind === "request") {
-      const parts = line.split(" ");
-      const [method, target, version] = parts;
-      if (parts.length !== 3 || method === undefined || target === undefined || version === undefined) {
-        throw new HttpError(400, "bad request line");
-      }
-      if (!TOKEN.test(method) || !/^\/[\u0021-\u007e]*$/.test(target)) throw new HttpError(400, "bad request line");
-      if (!/^HTTP\/\d\.\d$/.test(version)) throw new HttpError(400, "bad version");
-      if (version !== "HTTP/1.1" && version !== "HTTP/1.0") throw new HttpError(505, "unsupported version");
-      return [method, target, version];
-    }
-    const version = line.slice(0, Math.max(0, first));
-    const status = second < 0 ? line.slice(first + 1) : line.slice(first + 1, second);
-    if (!/^HTTP\/1\.[01]$/.test(version) || !/^[1-5]\d\d$/.test(status)) throw new HttpError(400, "bad status line");
-    return [version, status, second < 0 ? "" : line.slice(second + 1)];
+    const text = this.pending.toString("latin1", 0, end);
+    this.consume(end + HEAD_END.length);
+    return parseHead(text, this.kind);
   }
 
-  private framing(head: Head): Body {
-    const length = head.headers.get("content-length");
-    const coding = head.headers.get("transfer-encoding");
-    if (coding !== undefined) {
-      if (length !== undefined) throw new HttpError(400, "both length and coding");
-      if (coding.toLowerCase() !== "chunked") throw new HttpError(501, "unsupported transfer coding");
-      return { kind: "chunked", parts: [], size: 0, trailer: false };
-    }
-    if (length !== undefined) {
-      if (!/^\d{1,15}$/.test(length)) throw new HttpError(400, "bad content-length");
-      const left = Number(length);
-      if (left > this.limits.bodyBytes) throw new HttpError(413, "body too large");
-      return { kind: "length", left };
-    }
-    if (this.kind === "response" && !["204", "304"].includes(head.start[1]) && !head.start[1].startsWith("1")) {
-      throw new HttpError(502, "response without length");
-    }
-    return { kind: "length", left: 0 };
+  private beginBody(head: HttpHead): PendingBody {
+    const framing = bodyFramingOf(head, this.kind, this.limits.bodyBytes);
+    return framing.kind === "length" ? framing : { kind: "chunked", chunks: [], size: 0, inTrailer: false };
   }
 
-  private readLength(size: number): Buffer | null {
-    if (this.pending.length < size) return null;
-    const bytes = this.pending.subarray(0, size);
-    this.consume(size);
+  private readBytes(count: number): Buffer | null {
+    if (this.pending.length < count) return null;
+    const bytes = this.pending.subarray(0, count);
+    this.consume(count);
     return bytes;
   }
 
-  private readChunked(body: { parts: Buffer[]; size: number; trailer: boolean }): Buffer | null {
+  private readChunkedBody(body: ChunkedBody): Buffer | null {
     for (;;) {
-      const end = this.pending.indexOf("\r\n", 0, "latin1");
-      if (end < 0) {
-        if (this.pending.length > 1_024) throw new HttpError(400, "chunk line too long");
-        return null;
-      }
-      const line = this.pending.toString("latin1", 0, end);
-      if (body.trailer) {
-        this.consume(end + 2);
-        if (line === "") return Buffer.concat(body.parts);
+      const lineEnd = this.findChunkLineEnd();
+      if (lineEnd < 0) return null;
+      const line = this.pending.toString("latin1", 0, lineEnd);
+      const dataStart = lineEnd + LINE_END.length;
+      if (body.inTrailer) {
+        this.consume(dataStart);
+        if (line === "") return Buffer.concat(body.chunks);
         continue;
       }
-      const hex = (line.split(";")[0] ?? "").trim();
-      if (!/^[0-9A-Fa-f]{1,8}$/.test(hex)) throw new HttpError(400, "bad chunk size");
-      const size = Number.parseInt(hex, 16);
+      const size = parseChunkSize(line);
       if (body.size + size > this.limits.bodyBytes) throw new HttpError(413, "body too large");
       if (size === 0) {
-        this.consume(end + 2);
-        body.trailer = true;
+        this.consume(dataStart);
+        body.inTrailer = true;
         continue;
       }
-      if (this.pending.length < end + 2 + size + 2) return null;
-      if (this.pending.toString("latin1", end + 2 + size, end + 4 + size) !== "\r\n") {
-        throw new HttpError(400, "bad chunk end");
-      }
-      body.parts.push(Buffer.from(this.pending.subarray(end + 2, end + 2 + size)));
-      body.size += size;
-      this.consume(end + 4 + size);
+      if (!this.readChunk(body, dataStart, size)) return null;
     }
   }
 
+  private findChunkLineEnd(): number {
+    const end = this.pending.indexOf(LINE_END, 0, "latin1");
+    if (end < 0 && this.pending.length > MAX_CHUNK_LINE_BYTES) throw new HttpError(400, "chunk line too long");
+    return end;
+  }
+
+  /** False while the chunk has not arrived in full. */
+  private readChunk(body: ChunkedBody, dataStart: number, size: number): boolean {
+    const dataEnd = dataStart + size;
+    const chunkEnd = dataEnd + LINE_END.length;
+    if (this.pending.length < chunkEnd) return false;
+    if (this.pending.toString("latin1", dataEnd, chunkEnd) !== LINE_END) throw new HttpError(400, "bad chunk end");
+    body.chunks.push(Buffer.from(this.pending.subarray(dataStart, dataEnd)));
+    body.size += size;
+    this.consume(chunkEnd);
+    return true;
+  }
+
   private consume(bytes: number): void {
     this.pending = this.pending.length === bytes ? EMPTY : this.pending.subarray(bytes);
-    this.scanned = 0;
+    this.scannedBytes = 0;
   }
 }
+
+/** The size that a chunk's first line states, without its extensions. */
+const parseChunkSize = (line: string): number => {
+  const digits = (line.split(";")[0] ?? "").trim();
+  if (!CHUNK_SIZE.test(digits)) throw new HttpError(400, "bad chunk size");
+  return Number.parseInt(digits, 16);
+};
--- /dev/null
+++ b/src/transport/http-server-connection.ts
@@ -0,0 +1,107 @@
+/** One connection of the HTTP server: one request at a time, each within its time. */
+import type { Socket } from "node:net";
+import type { Clock, Micros, Timer } from "./clock.js";
+import type { HttpHandler, HttpResponse } from "./http.js";
+import { HttpError } from "./http-error.js";
+import { type HttpMessage, HttpParser, type ParserLimits } from "./http-parser.js";
+import { encodeResponse } from "./http-response.js";
+
+/** Bounds of a request's head and body, in bytes. */
+const REQUEST_LIMITS: ParserLimits = { headBytes: 16_384, bodyBytes: 65_536 };
+const MALFORMED_REQUEST = '{"error":"malformed request"}';
+/** Status where something other than the framing went wrong. */
+const DEFAULT_ERROR_STATUS = 400;
+
+/** What a connection needs of its server. */
+export interface ServerConnectionOptions {
+  readonly clock: Clock;
+  /** A request is complete within this time from its first byte, or the connection is closed. */
+  readonly requestTimeout: Micros;
+  /** How long the connection may wait for its next request. */
+  readonly idleTimeout: Micros;
+  readonly handle: HttpHandler;
+  /** Whether the server has room to keep this connection open after the response. */
+  readonly mayKeepOpen: () => boolean;
+  readonly onClose: (socket: Socket) => void;
+  readonly onError: (error: unknown) => void;
+}
+
+/** Serves a socket until it closes. */
+export class ServerConnection {
+  private readonly parser = new HttpParser("request", REQUEST_LIMITS);
+  private handling = false;
+  /** Until the first response, the bound on the request runs from the beginning of the connection. */
+  private answered = false;
+  private timer: Timer | null = null;
+
+  constructor(
+    private readonly socket: Socket,
+    private readonly options: ServerConnectionOptions,
+  ) {
+    socket.on("error", () => socket.destroy());
+    socket.on("close", () => this.handleClose());
+    this.closeAfter(options.requestTimeout);
+    socket.on("data", (data: Buffer) => this.handleData(data));
+  }
+
+  private handleClose(): void {
+    this.timer?.cancel();
+    this.options.onClose(this.socket);
+  }
+
+  private handleData(data: Buffer): void {
+    if (this.socket.writableEnded) return;
+    try {
+      const message = this.readRequest(data);
+      if (message !== null) this.handleRequest(message);
+    } catch (error) {
+      this.refuse(error);
+    }
+  }
+
+  /** The request that these bytes complete; null: not complete yet. Throws HttpError. */
+  private readRequest(data: Buffer): HttpMessage | null {
+    // One bound for the whole request: started anew with each byte, it let a client that sent one every few
+    // seconds keep its connection for ever.
+    if (!this.handling && this.parser.idle && this.answered) this.closeAfter(this.options.requestTimeout);
+    const messages = this.parser.push(data);
+    const message = messages[0];
+    if (message === undefined) return null;
+    // The protocol has no pipelining; answering out of turn would be worse than refusing.
+    if (this.handling || messages.length > 1) throw new HttpError(400, "pipelined");
+    return message;
+  }
+
+  private handleRequest(message: HttpMessage): void {
+    this.handling = true;
+    this.timer?.cancel();
+    const [method, target] = message.start;
+    this.options
+      .handle({ method, target, body: message.body.toString("utf8") })
+      .then((response) => this.respond(response, message.keepAlive))
+      .catch(this.options.onError);
+  }
+
+  private respond(response: HttpResponse, clientKeepsAlive: boolean): void {
+    const { socket, options } = this;
+    this.handling = false;
+    this.answered = true;
+    if (socket.destroyed || socket.writableEnded) return;
+    const keepAlive = clientKeepsAlive && response.close !== true && options.mayKeepOpen();
+    if (keepAlive) socket.write(encodeResponse(response, true));
+    else socket.end(encodeResponse(response, false));
+    this.closeAfter(keepAlive ? options.idleTimeout : options.requestTimeout);
+  }
+
+  private refuse(error: unknown): void {
+    const status = error instanceof HttpError ? error.status : DEFAULT_ERROR_STATUS;
+    this.socket.end(encodeResponse({ status, body: MALFORMED_REQUEST }, false));
+    this.closeAfter(this.options.requestTimeout);
+  }
+
+  /** Closes the connection after this time, in place of the time set before. */
+  private closeAfter(delay: Micros): void {
+    this.timer?.cancel();
+    this.timer = this.options.clock.after(delay, () => this.socket.destroy());
+  }
+}
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,66 +1,63 @@
+/** HTTP/1.1 server with bounds on connections, on the time of a request, and on requests being handled at once. */
 import { createServer, type Server, type Socket } from "node:net";
-import type { Clock, Micros, Timer } from "./clock.js";
-import type { HttpHandler, HttpResponse } from "./http.js";
-import { HttpError, HttpParser } from "./http-parser.js";
+import type { Clock, Micros } from "./clock.js";
+import type { HttpHandler, HttpRequest, HttpResponse } from "./http.js";
+import { ServerConnection, type ServerConnectionOptions } from "./http-server-connection.js";
 
+/** Bounds of a server. */
 export interface ServerLimits {
+  /** Connections open at once; a further one is closed as soon as it is accepted. */
   readonly maxConnections: number;
   /**
-   * With more connections than this, each is closed with its next answer. More hosts than the limit can then take
+   * With more connections than this, each is closed with its next response. More hosts than the limit can then take
    * turns: with all connections kept open, whoever came late was refused time and again, and went round all
-   * controllers once a second until its worker's lease was over.
+   * controllers once a second until its worker's lease had expired.
    */
   readonly keepConnections: number;
   /** A connection on which a begun request is not complete within this time, counted from its first byte, is closed. */
   readonly requestTimeout: Micros;
+  /** A connection that waits for its next request for this time is closed. */
   readonly idleTimeout: Micros;
-  /** Requests being worked on at once, over all connections; beyond it load is shed. */
+  /** Requests being handled at once, over all connections; beyond it load is shed. */
   readonly maxBusy: number;
 }
 
-const REASONS: Readonly<Record<number, string>> = {
-  200: "OK",
-  201: "Created",
-  400: "Bad Request",
-  404: "Not Found",
-  405: "Method Not Allowed",
-  413: "Content Too Large",
-  421: "Misdirected Request",
-  422: "Unprocessable Content",
-  431: "Request Header Fields Too Large",
-  500: "Internal Server Error",
-  501: "Not Implemented",
-  503: "Service Unavailable",
-  504: "Gateway Timeout",
-  505: "HTTP Version Not Supported",
-};
-
-const render = (response: HttpResponse, keepAlive: boolean): string => {
-  const retry = response.retryAfterS === undefined ? "" : `Retry-After: ${response.retryAfterS}\r\n`;
-  const connection = keepAlive ? "" : "Connection: close\r\n";
-  const length = Buffer.byteLength(response.body);
-  return `HTTP/1.1 ${response.status} ${REASONS[response.status] ?? "Status"}\r\nContent-Type: application/json\r\nContent-Length: ${length}\r\n${retry}${connection}\r\n${response.body}`;
-};
+/** Connections that may wait to be accepted. */
+const LISTEN_BACKLOG = 1_024;
+const OVERLOADED: HttpResponse = { status: 503, body: '{"error":"overloaded"}', retryAfterS: 1 };
+const INTERNAL_ERROR: HttpResponse = { status: 500, body: '{"error":"internal"}' };
 
+/** A listening server. `onError` is told of handlers' rejections and of errors while listening. */
 export class HttpServer {
   private readonly server: Server;
-  private busy = 0;
-  private readonly open = new Set<Socket>();
+  private readonly connectionOptions: ServerConnectionOptions;
+  private readonly openSockets = new Set<Socket>();
+  private requestsInProgress = 0;
 
   constructor(
-    private readonly clock: Clock,
+    clock: Clock,
     private readonly limits: ServerLimits,
     private readonly handler: HttpHandler,
     private readonly onError: (error: unknown) => void,
   ) {
-    this.server = createServer({ noDelay: true }, (socket) => this.serve(socket));
+    this.connectionOptions = {
+      clock,
+      requestTimeout: limits.requestTimeout,
+      idleTimeout: limits.idleTimeout,
+      handle: (request) => this.handle(request),
+      mayKeepOpen: () => this.openSockets.size <= limits.keepConnections,
+      onClose: (socket) => this.openSockets.delete(socket),
+      onError,
+    };
+    this.server = createServer({ noDelay: true }, (socket) => this.accept(socket));
     this.server.maxConnections = limits.maxConnections;
   }
 
+  /** Resolves once connections are accepted. Port 0: any free one. Rejects with the system's error. */
   listen(host: string, port: number): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once("error", reject);
-      this.server.listen(port, host, 1_024, () => {
+      this.server.listen(port, host, LISTEN_BACKLOG, () => {
         this.server.removeListener("error", reject);
         this.server.on("error", this.onError);
         resolve();
@@ -70,7 +67,7 @@
 
   /** Connections open now. */
   get connections(): number {
-    return this.open.size;
+    return this.openSockets.size;
   }
 
   /** The port listened on, where any free one was asked for; 0 before. */
@@ -79,75 +76,27 @@
     return address === null || typeof address === "string" ? 0 : address.port;
   }
 
-  /** Stops listening; what is open is cut. */
+  /** Stops listening and closes all connections at once. */
   close(): Promise<void> {
-    for (const socket of this.open) socket.destroy();
+    for (const socket of this.openSockets) socket.destroy();
     return new Promise((resolve) => this.server.close(() => resolve()));
   }
 
-  private serve(socket: Socket): void {
-    this.open.add(socket);
-    const parser = new HttpParser("request", { headBytes: 16_384, bodyBytes: 65_536 });
-    let working = false;
-    /** Until the first answer, the bound runs from the beginning of the connection. */
-    let answered = false;
-    let timer: Timer | null = null;
-    const arm = (delay: Micros): void => {
-      timer?.cancel();
-      timer = this.clock.after(delay, () => socket.destroy());
-    };
-    const fail = (error: unknown): void => {
-      const status = error instanceof HttpError ? error.status : 400;
-      socket.end(render({ status, body: '{"error":"malformed request"}' }, false));
-      arm(this.limits.requestTimeout);
-    };
-    socket.on("error", () => socket.destroy());
-    socket.on("close", () => {
-      timer?.cancel();
-      this.open.delete(socket);
-    });
-    arm(this.limits.requestTimeout);
-    socket.on("data", (data: Buffer) => {
-      if (socket.writableEnded) return;
-      try {
-        // One bound for the whole request: started anew with each byte, it let a client that sent one every few
-        // seconds keep its connection for ever.
-        if (!working && parser.idle && answered) arm(this.limits.requestTimeout);
-        const messages = parser.push(data);
-        const message = messages[0];
-        if (message === undefined) return;
-        // The protocol has no pipelining; answering out of turn would be worse than refusing.
-        if (working || messages.length > 1) throw new HttpError(400, "pipelined");
-        working = true;
-        timer?.cancel();
-        const [method, target] = message.start;
-        this.answer({ method, target, body: message.body.toString("utf8") })
-          .then((response) => {
-            working = false;
-            answered = true;
-            if (socket.destroyed || socket.writableEnded) return;
-            const keep = message.keepAlive && response.close !== true && this.open.size <= this.limits.keepConnections;
-            if (keep) socket.write(render(response, true));
-            else socket.end(render(response, false));
-            arm(keep ? this.limits.idleTimeout : this.limits.requestTimeout);
-          })
-          .catch(this.onError);
-      } catch (error) {
-        fail(error);
-      }
-    });
+  private accept(socket: Socket): void {
+    this.openSockets.add(socket);
+    new ServerConnection(socket, this.connectionOptions);
   }
 
-  private async answer(request: Parameters<HttpHandler>[0]): Promise<HttpResponse> {
-    if (this.busy >= this.limits.maxBusy) return { status: 503, body: '{"error":"overloaded"}', retryAfterS: 1 };
-    this.busy += 1;
+  private async handle(request: HttpRequest): Promise<HttpResponse> {
+    if (this.requestsInProgress >= this.limits.maxBusy) return OVERLOADED;
+    this.requestsInProgress += 1;
     try {
       return await this.handler(request);
     } catch (error) {
       this.onError(error);
-      return { status: 500, body: '{"error":"internal"}' };
+      return INTERNAL_ERROR;
     } finally {
-      this.busy -= 1;
+      this.requestsInProgress -= 1;
     }
   }
 }
--- a/src/transport/rate-limiter.ts
+++ b/src/transport/rate-limiter.ts
@@ -1,10 +1,12 @@
-import type { Clock, Micros } from "./clock.js";
+/** Client-side rate limit whose rate adapts to refusals of the other side. */
+import { type Clock, MICROS_PER_SECOND, type Micros } from "./clock.js";
 
-/** After a refusal this share of the rate is left, and never less than the other one. */
-const CUT = 0.6;
-const LEAST = 0.1;
+/** After a refusal this share of the present rate is left. */
+const RATE_SHARE_AFTER_REFUSAL = 0.6;
+/** The rate never falls below this share of the full one. */
+const MIN_RATE_SHARE = 0.1;
 /** Share of the full rate that comes back each second. */
-const RECOVERY = 0.08;
+const RECOVERY_PER_SECOND = 0.08;
 
 /**
  * Token bucket holding up to one second's worth. The limit on the other side is shared with processes that this
@@ -13,17 +15,18 @@
  */
 export class RateLimiter {
   private tokens: number;
-  private last: Micros;
+  private refilledAt: Micros;
   private rate: number;
-  private pausedUntil = 0;
+  private suspendedUntil = 0;
 
+  /** `perSecond`: the full rate. */
   constructor(
     private readonly clock: Clock,
     private readonly perSecond: number,
   ) {
     this.tokens = perSecond;
     this.rate = perSecond;
-    this.last = clock.now();
+    this.refilledAt = clock.now();
   }
 
   /** What may be taken each second at present. */
@@ -34,7 +37,7 @@
   /** What may be taken at once just now. */
   available(): number {
     this.refill();
-    return this.pausedUntil > this.last ? 0 : this.tokens;
+    return this.suspendedUntil > this.refilledAt ? 0 : this.tokens;
   }
 
   /** Microseconds until `count` may be taken; 0 now. */
@@ -42,31 +45,34 @@
     this.refill();
     // More than a bucketful is let through once the bucket is full.
     const missing = Math.min(count, this.rate) - this.tokens;
-    const refill = missing <= 0 ? 0 : Math.ceil((missing * 1_000_000) / this.rate);
-    return Math.max(refill, this.pausedUntil - this.last, 0) as Micros;
+    const refillTime = missing <= 0 ? 0 : Math.ceil((missing * MICROS_PER_SECOND) / this.rate);
+    return Math.max(refillTime, this.suspendedUntil - this.refilledAt, 0) as Micros;
   }
 
+  /** Takes `count`, which may leave a debt. */
   take(count: number): void {
     this.tokens -= count;
   }
 
-  /** The other side said that its own limit is passed: somebody else uses the rest of the budget. */
+  /** The other side refused because its own limit is passed, so other clients use the rest: cuts the rate and suspends. */
   backOff(delay: Micros): void {
-    if (this.clock.now() >= this.pausedUntil) this.rate = Math.max(this.perSecond * LEAST, this.rate * CUT);
+    if (this.clock.now() >= this.suspendedUntil) {
+      this.rate = Math.max(this.perSecond * MIN_RATE_SHARE, this.rate * RATE_SHARE_AFTER_REFUSAL);
+    }
     this.tokens = Math.min(this.tokens, 0);
     this.suspend(delay);
   }
 
-  /** Nothing more for a moment, at an unchanged rate. */
+  /** Makes nothing available for `delay`, at an unchanged rate. */
   suspend(delay: Micros): void {
-    this.pausedUntil = Math.max(this.pausedUntil, this.clock.now() + delay);
+    this.suspendedUntil = Math.max(this.suspendedUntil, this.clock.now() + delay);
   }
 
   private refill(): void {
     const now = this.clock.now();
-    const passed = (now - this.last) / 1_000_000;
-    this.last = now;
-    this.rate = Math.min(this.perSecond, this.rate + passed * RECOVERY * this.perSecond);
-    this.tokens = Math.min(this.rate, this.tokens + passed * this.rate);
+    const elapsedSeconds = (now - this.refilledAt) / MICROS_PER_SECOND;
+    this.refilledAt = now;
+    this.rate = Math.min(this.perSecond, this.rate + elapsedSeconds * RECOVERY_PER_SECOND * this.perSecond);
+    this.tokens = Math.min(this.rate, this.tokens + elapsedSeconds * this.rate);
   }
 }
--- a/test/http-parser.test.ts
+++ b/test/http-parser.test.ts
@@ -1,6 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { HttpError, type HttpMessage, HttpParser } from "../src/transport/http-parser.js";
+import { HttpError } from "../src/transport/http-error.js";
+import { type HttpMessage, HttpParser } from "../src/transport/http-parser.js";
 
 const LIMITS = { headBytes: 1_024, bodyBytes: 4_096 };
 const parse = (text: string, kind: "request" | "response" = "request"): HttpMessage[] =>
