--- /dev/null
+++ b/src/storage/transaction-batch.ts
@@ -0,0 +1,80 @@
+/**
+ * Several submitted transactions that are sent as one.
+ * @module
+ */
+import type { Uint64 } from "../protocol/json.js";
+import type { WriteOperation } from "../protocol/key-value-store.js";
+import type { PendingTransaction, SubmissionResult } from "./pending-transaction.js";
+
+/** A transaction has at most so many conditions for each write that it may have. */
+const MAX_CONDITIONS_PER_WRITE = 4;
+/** Nothing is added to a batch whose writes are larger than this as text; the last one added may go beyond it. */
+const MAX_BATCH_BYTES = 48 * 1_024;
+
+const encodedSize = (writes: readonly WriteOperation[]): number =>
+  JSON.stringify(writes, (_, value: unknown) => (typeof value === "bigint" ? value.toString() : value)).length;
+
+/** Conditions and writes of transactions that do not get in each other's way. */
+export class TransactionBatch {
+  readonly transactions: PendingTransaction[] = [];
+  readonly conditions = new Map<string, Uint64>();
+  readonly writes: WriteOperation[] = [];
+  private readonly writtenKeys = new Set<string>();
+  /** Of the writes as text. */
+  private bytes = 0;
+
+  /** `maxWritesPerTransaction`: what the state service takes at once. */
+  constructor(private readonly maxWritesPerTransaction: number) {}
+
+  /**
+   * Moves transactions from the front of the queue into this batch until one does not fit, the batch having `maxWrites`
+   * then at most. The first of an empty batch always fits. Those that conflict with the batch keep their place in the
+   * queue. Returns the number of writes that were added.
+   */
+  fillFrom(queue: PendingTransaction[], maxWrites: number): number {
+    const writesBefore = this.writes.length;
+    const conflicting: PendingTransaction[] = [];
+    let index = 0;
+    for (; index < queue.length; index += 1) {
+      const transaction = queue[index];
+      if (transaction === undefined || !this.hasRoomFor(transaction, maxWrites)) break;
+      if (this.conflictsWith(transaction)) conflicting.push(transaction);
+      else this.add(transaction);
+    }
+    queue.splice(0, index, ...conflicting);
+    return this.writes.length - writesBefore;
+  }
+
+  /** Gives all transactions of the batch this result. */
+  resolveAll(result: SubmissionResult): void {
+    for (const { resolve } of this.transactions) resolve(result);
+  }
+
+  private hasRoomFor({ keys, conditions }: PendingTransaction, maxWrites: number): boolean {
+    if (this.transactions.length === 0) return true;
+    const maxConditions = this.maxWritesPerTransaction * MAX_CONDITIONS_PER_WRITE;
+    return (
+      this.writes.length + keys.length <= maxWrites &&
+      this.conditions.size + conditions.size <= maxConditions &&
+      this.bytes <= MAX_BATCH_BYTES
+    );
+  }
+
+  /** Whether the two could not be sent one after the other with the same result. */
+  private conflictsWith({ conditions, keys }: PendingTransaction): boolean {
+    for (const [key, version] of conditions) {
+      if (this.writtenKeys.has(key)) return true;
+      if (this.conditions.has(key) && this.conditions.get(key) !== version) return true;
+    }
+    return keys.some((key) => this.writtenKeys.has(key) || this.conditions.has(key));
+  }
+
+  private add(transaction: PendingTransaction): void {
+    const writes = transaction.buildWrites();
+    this.transactions.push(transaction);
+    this.writes.push(...writes);
+    this.bytes += encodedSize(writes);
+    for (const [key, version] of transaction.conditions) this.conditions.set(key, version);
+    for (const key of transaction.keys) this.writtenKeys.add(key);
+  }
+}
