--- a/src/storage/watch-cache.ts
+++ b/src/storage/watch-cache.ts
@@ -8,6 +8,7 @@
 import type { Log } from "../transport/log.js";
 import type { ChangeList, EntryList, KeyValueStore } from "./key-value-store.js";
 import { LogEvent } from "./log-events.js";
+import { SharedRequest } from "./shared-request.js";
 
 /** Short, so that an idle watch still proves every second or so that nothing has been missed. */
 const WATCH_TIMEOUT = ms(1_000);
@@ -53,11 +54,16 @@
   private revision: Uint64 | null = null;
   private readonly listeners: ChangeListener[] = [];
   private readonly firstListeners: ChangeListener[] = [];
-  private syncInFlight: Promise<boolean> | null = null;
-  private syncQueued: Promise<boolean> | null = null;
-  private syncedAt: Micros = 0 as Micros;
-
-  constructor(private readonly options: WatchCacheOptions) {}
+  private readonly syncRequests: SharedRequest;
+
+  constructor(private readonly options: WatchCacheOptions) {
+    const { clock, syncInterval, syncSlowdown } = options;
+    this.syncRequests = new SharedRequest(
+      clock,
+      () => (syncInterval * (syncSlowdown?.() ?? 1)) as Micros,
+      () => (this.revision === null ? false : this.catchUp(this.revision, NO_WAIT)),
+    );
+  }
 
   /** Whether the entries have been listed and a watch can go on from there. */
   get loaded(): boolean {
@@ -95,35 +101,10 @@
 
   /**
    * Resolves to true once the cache holds all that was decided before the call; to false where the state service gave no
-   * answer. Calls made meanwhile share the next request; the one under way may have been sent too early for them.
+   * answer. Calls made at about the same time share one request.
    */
   sync(): Promise<boolean> {
-    if (this.syncQueued !== null) return this.syncQueued;
-    const previous = this.syncInFlight ?? Promise.resolve(true);
-    const next = previous
-      .then(() => this.waitForSyncInterval())
-      .then(() => {
-        this.syncQueued = null;
-        this.syncInFlight = next;
-        return this.startSync();
-      })
-      .finally(() => {
-        if (this.syncInFlight === next) this.syncInFlight = null;
-      });
-    this.syncQueued = next;
-    return next;
-  }
-
-  /** Hundreds of polls a second share few requests: without a pause they took the whole budget. */
-  private waitForSyncInterval(): Promise<void> | undefined {
-    const { clock, syncInterval, syncSlowdown } = this.options;
-    const rest = this.syncedAt + syncInterval * (syncSlowdown?.() ?? 1) - clock.now();
-    return rest > 0 ? sleep(clock, rest as Micros) : undefined;
-  }
-
-  private startSync(): Promise<boolean> | boolean {
-    this.syncedAt = this.options.clock.now();
-    return this.revision === null ? false : this.catchUp(this.revision, NO_WAIT);
+    return this.syncRequests.request();
   }
 
   private async load(): Promise<void> {
