--- a/src/settings/connections.ts
+++ b/src/settings/connections.ts
@@ -1,14 +1,28 @@
-/** Of the limit on connections; the rest is for requests of our own under way. */
+/** How a controller divides the connections that its process may have. */
+
+/** Share for connections let in; the rest is for requests of the controller itself under way. */
 const INCOMING_SHARE = 0.82;
-/** So many are kept open; what comes beyond is answered and closed, so there is always room for whoever comes next. */
-const KEEP_SHARE = 0.66;
+/** So many are kept open; what comes beyond is answered and closed, so there is always room for the next one. */
+const KEPT_SHARE = 0.66;
 const IDLE_SHARE = 0.08;
 
-/** How a controller shares out the connections that it may have: let in, kept open, and idle ones of its own. */
-export const allocateConnections = (
-  most: number,
-): { readonly incoming: number; readonly kept: number; readonly idle: number } => ({
-  incoming: Math.max(16, Math.floor(most * INCOMING_SHARE)),
-  kept: Math.max(12, Math.floor(most * KEEP_SHARE)),
-  idle: Math.max(16, Math.floor(most * IDLE_SHARE)),
+const MIN_INCOMING = 16;
+const MIN_KEPT = 12;
+const MIN_IDLE = 16;
+
+/** Numbers of connections. */
+export interface ConnectionAllocation {
+  /** Let in at most. */
+  readonly incoming: number;
+  /** Of those let in, kept open between requests. */
+  readonly kept: number;
+  /** Of the controller's own, kept open between requests. */
+  readonly idle: number;
+}
+
+/** Divides `limit` connections. */
+export const allocateConnections = (limit: number): ConnectionAllocation => ({
+  incoming: Math.max(MIN_INCOMING, Math.floor(limit * INCOMING_SHARE)),
+  kept: Math.max(MIN_KEPT, Math.floor(limit * KEPT_SHARE)),
+  idle: Math.max(MIN_IDLE, Math.floor(limit * IDLE_SHARE)),
 });
--- a/src/settings/graph-options.ts
+++ b/src/settings/graph-options.ts
@@ -1,21 +1,25 @@
-/** What the operators allow the attempts of a class's steps. */
+/** Section `graphs` of the operators' options: types, defaults and schema. The names are those of the options file. */
+
+/** Retries of the steps of one job class. */
 export interface ClassRetries {
-  /** In all, the first one included. */
+  /** Attempts in all, the first one included. */
   readonly attempts: number;
-  /** Pause before the second attempt; doubled for each further one, up to `mostBackOffS`. */
+  /** Pause before the second attempt, in seconds; doubled for each further one, up to `mostBackOffS`. */
   readonly backOffS: number;
   readonly mostBackOffS: number;
-  /** Running time of an attempt; null: no limit. */
+  /** Running time of an attempt, in seconds; null: no limit. */
   readonly timeoutS: number | null;
-  /** So many failures of one task, wherever it was placed, end an attempt. */
+  /** So many failures of one task, wherever it was placed, fail an attempt. */
   readonly errors: number;
   /** Which failures count. Lost machines and preemption never do. */
   readonly counts: readonly ("error" | "no_such")[];
 }
 
-/** Section `graphs` of the operators' settings; absent: no graphs are taken. */
+/** What is allowed to graphs of jobs. */
 export interface GraphOptions {
+  /** By job class. */
   readonly classes: Readonly<Record<string, ClassRetries>>;
+  /** For classes that are not named. */
   readonly otherClasses: ClassRetries;
   /** Slots of each pool, over all graphs. Steps that name another pool are refused. */
   readonly pools: Readonly<Record<string, number>>;
@@ -27,6 +31,7 @@
   readonly mostOpen: number;
 }
 
+/** Retries where the operators state nothing. */
 export const DEFAULT_RETRIES: ClassRetries = {
   attempts: 3,
   backOffS: 5,
@@ -36,6 +41,7 @@
   counts: ["error"],
 };
 
+/** What an empty section `graphs` means. */
 export const DEFAULT_GRAPHS: GraphOptions = {
   classes: {},
   otherClasses: DEFAULT_RETRIES,
@@ -58,6 +64,7 @@
   },
 } as const;
 
+/** JSON schema of the section; null: no graphs are taken. */
 export const graphOptionsSchema = {
   anyOf: [
     { type: "null" },
@@ -80,13 +87,17 @@
   ],
 } as const;
 
-type Given<T> = { readonly [Name in keyof T]?: unknown };
+/** Parts of an options object, not yet typed field by field. */
+type PartsOf<T> = { readonly [Name in keyof T]?: unknown };
 
-/** Fills in what the operators left out; the value has passed the schema. */
-export const readGraphOptions = (value: Given<GraphOptions> | null | undefined): GraphOptions | null => {
+/** Adds the defaults to what the operators have stated; `value` has passed the schema. Null: no graphs are taken. */
+export const readGraphOptions = (value: PartsOf<GraphOptions> | null | undefined): GraphOptions | null => {
   if (value === null || value === undefined) return null;
-  const given = value as Partial<GraphOptions>;
-  const otherClasses = { ...DEFAULT_RETRIES, ...given.otherClasses };
-  const classes = Object.entries(given.classes ?? {}).map(([name, retries]) => [name, { ...otherClasses, ...retries }]);
-  return { ...DEFAULT_GRAPHS, ...given, otherClasses, classes: Object.fromEntries(classes) };
+  const stated = value as Partial<GraphOptions>;
+  const otherClasses = { ...DEFAULT_RETRIES, ...stated.otherClasses };
+  const classes = Object.entries(stated.classes ?? {}).map(([name, retries]) => [
+    name,
+    { ...otherClasses, ...retries },
+  ]);
+  return { ...DEFAULT_GRAPHS, ...stated, otherClasses, classes: Object.fromEntries(classes) };
 };
--- a/src/settings/options.ts
+++ b/src/settings/options.ts
@@ -1,34 +1,36 @@
+/** The operators' options: types, defaults, schema and loading. The names are those of the options file. */
 import { readFileSync } from "node:fs";
 import { SettingsError } from "./errors.js";
 import { type GraphOptions, graphOptionsSchema, readGraphOptions } from "./graph-options.js";
 
-/** The operators' own settings: JSON, checked against `optionsSchema`, all of them optional. */
+/** What operators may set: a JSON file, checked against `optionsSchema`, all of it optional. */
 export interface OperatorOptions {
-  /** Share of the candidates that stays on the shortlist (the paper's κ). */
+  /** Share of the candidate machines that stays on the shortlist, above 0 and up to 1 (κ in the paper on the method). */
   readonly kappa: number;
-  /** Longest time between two placement rounds. */
+  /** Longest time between two scheduling rounds, in milliseconds. */
   readonly roundMs: number;
-  /** Free room kept for the next job, as a multiple of a usual job of each class. */
+  /** Free capacity kept for the next job, as a multiple of a usual job of each class. */
   readonly headroom: number;
-  /** An empty machine beyond what is wanted goes back after this time. */
+  /** A machine that is empty and not needed is returned to the cloud after this time, in seconds. */
   readonly idleReturnS: number;
-  /** Missed reports after which a machine is probed and then given up. */
+  /** Missed heartbeats, in heartbeat intervals, after which a machine is probed and then given up. */
   readonly silentReports: number;
-  /** Where to keep a trace of what happens, for what-if; null: nowhere. */
+  /** Where to record a trace for what-if questions; null: nowhere. */
   readonly record: TraceOptions | null;
-  /** Graphs of dependent steps; null: none are taken. */
+  /** Graphs of dependent jobs; null: none are taken. */
   readonly graphs: GraphOptions | null;
-  /** Connections between controllers, and calls through each other where a link is cut. */
+  /** Whether controllers connect to each other, and relay calls where a link is cut. */
   readonly mesh: boolean;
 }
 
-/** The newest `files` files of at most `fileMb` MB each stay in the folder. */
+/** The newest `files` files of at most `fileMb` MB each are kept in the folder. */
 export interface TraceOptions {
   readonly folder: string;
   readonly fileMb: number;
   readonly files: number;
 }
 
+/** The options where there is no file. */
 export const DEFAULT_OPTIONS: OperatorOptions = {
   kappa: 0.5,
   roundMs: 1_000,
@@ -40,6 +42,7 @@
   mesh: false,
 };
 
+/** JSON schema of the options file. */
 export const optionsSchema = {
   $schema: "http://json-schema.org/draft-07/schema#",
   title: "rainridge operators' settings",
@@ -71,21 +74,28 @@
   },
 } as const;
 
-/** The schema compiler is only loaded where there is a file to check: a start must be quick. */
+/** Reads an options file; null: the defaults. Rejects with SettingsError. */
 export const loadOptions = async (file: string | null): Promise<OperatorOptions> => {
   if (file === null) return DEFAULT_OPTIONS;
-  let value: unknown;
+  const stated = await checkOptions(file, readJsonFile(file));
+  return { ...DEFAULT_OPTIONS, ...stated, graphs: readGraphOptions(stated.graphs) };
+};
+
+const readJsonFile = (file: string): unknown => {
   try {
-    value = JSON.parse(readFileSync(file, "utf8"));
+    return JSON.parse(readFileSync(file, "utf8"));
   } catch (error) {
-    throw new SettingsError(`${file}: ${error instanceof SyntaxError ? "not JSON" : "cannot be read"}`);
+    const problem = error instanceof SyntaxError ? "not JSON" : "cannot be read";
+    throw new SettingsError(`${file}: ${problem}`, { cause: error });
   }
+};
+
+const checkOptions = async (file: string, value: unknown): Promise<Partial<OperatorOptions>> => {
+  // The schema compiler is only loaded where there is a file to check: a start must be quick.
   const { Ajv } = await import("ajv");
   const validate = new Ajv().compile<Partial<OperatorOptions>>(optionsSchema);
-  if (!validate(value)) {
-    const first = validate.errors?.[0];
-    const name = first?.params.additionalProperty ?? "";
-    throw new SettingsError(`${file}: ${first?.instancePath || "/"}${name} ${first?.message ?? "invalid"}`);
-  }
-  return { ...DEFAULT_OPTIONS, ...value, graphs: readGraphOptions(value.graphs) };
+  if (validate(value)) return value;
+  const first = validate.errors?.[0];
+  const unknownName = first?.params.additionalProperty ?? "";
+  throw new SettingsError(`${file}: ${first?.instancePath || "/"}${unknownName} ${first?.message ?? "invalid"}`);
 };
--- a/src/settings/parse-settings.ts
+++ b/src/settings/parse-settings.ts
@@ -1,178 +1,165 @@
+/** Reads the settings of a controller from TOML. The words of the file stand here and nowhere else. */
 import { readFileSync } from "node:fs";
 import { parse } from "smol-toml";
 import { availableResources } from "../protocol/resources.js";
-import { type Micros, seconds } from "../transport/clock.js";
+import { seconds } from "../transport/clock.js";
 import { SettingsError } from "./errors.js";
-import type { ServiceLevelObjective, Settings, Team } from "./settings.js";
+import type {
+  CloudSettings,
+  PeerSettings,
+  ProcessQuota,
+  ServiceLevelObjective,
+  Settings,
+  StoreSettings,
+  Team,
+  WorkerSettings,
+} from "./settings.js";
+import { failSetting, SettingsTable, type TomlTable } from "./settings-table.js";
 import { shardLeaseDuration } from "./shard-lease.js";
 
-type Table = Readonly<Record<string, unknown>>;
+/** A job's specification has to fit into one value. */
+const MIN_VALUE_KB = 1;
+/** A job's outcome record takes two writes at once. */
+const MIN_TRANSACTION_WRITES = 2;
+const BYTES_PER_KB = 1_024;
 
-const fail = (path: string, what: string): never => {
-  throw new SettingsError(`${path}: ${what}`);
-};
-
-const table = (parent: Table, path: string, name: string): Table => {
-  const value = parent[name];
-  if (typeof value !== "object" || value === null || Array.isArray(value))
-    return fail(path + name, "missing or not a table");
-  return value as Table;
-};
-
-const list = (parent: Table, path: string, name: string): readonly unknown[] => {
-  const value = parent[name] ?? [];
-  return Array.isArray(value) ? value : fail(path + name, "not a list");
+/** Reads a settings file. Throws SettingsError. */
+export const loadSettings = (file: string): Settings => {
+  let source: string;
+  try {
+    source = readFileSync(file, "utf8");
+  } catch (error) {
+    const reason = (error as NodeJS.ErrnoException).code ?? "cannot be read";
+    throw new SettingsError(`${file}: ${reason}`, { cause: error });
+  }
+  return parseSettings(source);
 };
 
-const text = (parent: Table, path: string, name: string): string => {
-  const value = parent[name];
-  return typeof value === "string" && value !== "" ? value : fail(path + name, "missing or not a string");
+/**
+ * Reads settings from TOML text. Unknown fields are ignored. Throws SettingsError for the first field that is missing or
+ * invalid, and where the times leave no room for a shard lease.
+ */
+export const parseSettings = (source: string): Settings => {
+  const settings = readSettings(new SettingsTable(parseToml(source), ""));
+  if (settings.workers.heartbeatInterval <= 0) failSetting("deployment.workers.report_s", "must be above 0");
+  shardLeaseDuration(settings);
+  return settings;
 };
 
-const endpoint = (parent: Table, path: string, name: string): string => {
-  const value = text(parent, path, name);
-  const port = Number(/^\d{1,3}(?:\.\d{1,3}){3}:(\d{1,5})$/.exec(value)?.[1] ?? Number.NaN);
-  return port > 0 && port < 65_536 ? value : fail(path + name, "not an address like 10.0.0.1:8080");
+const parseToml = (source: string): TomlTable => {
+  try {
+    return parse(source);
+  } catch (error) {
+    throw new SettingsError(`not TOML: ${String(error).split("\n")[0]}`, { cause: error });
+  }
 };
 
-const number = (parent: Table, path: string, name: string, least: number): number => {
-  const value = parent[name];
-  const plain = typeof value === "bigint" ? Number(value) : value;
-  if (typeof plain !== "number" || !Number.isFinite(plain)) return fail(path + name, "missing or not a number");
-  return plain >= least ? plain : fail(path + name, `must be at least ${least}`);
+const readSettings = (root: SettingsTable): Settings => {
+  // All tables first: that one is missing says more than that the first of its fields is.
+  const services = root.table("outside");
+  const deployment = root.table("deployment");
+  const workers = deployment.table("workers");
+  const store = deployment.table("state");
+  const cloud = deployment.table("cloud");
+  const quota = deployment.table("quota");
+  return {
+    label: root.text("label"),
+    zone: root.text("area"),
+    clientListen: root.endpoint("client_listen"),
+    meshListen: root.endpoint("mesh_addr"),
+    peers: root.list("siblings").map(readPeer),
+    cloudAddress: services.endpoint("cloud"),
+    storeAddress: services.endpoint("state"),
+    maxClockError: seconds(deployment.optionalNumber("clock_error_ms") / 1_000),
+    controllers: deployment.wholeNumber("count"),
+    zones: deployment.list("zones").map(readZone),
+    teams: new Map(
+      deployment
+        .list("teams")
+        .map(readTeam)
+        .map((team) => [team.name, team]),
+    ),
+    objectives: deployment.list("objectives").map(readObjective),
+    workers: readWorkers(workers),
+    store: readStore(store),
+    cloud: readCloud(cloud),
+    quota: readQuota(quota),
+  };
 };
 
-const whole = (parent: Table, path: string, name: string): number => {
-  const value = number(parent, path, name, 1);
-  return Number.isInteger(value) ? value : fail(path + name, "not a whole number");
+const readPeer = (value: unknown, index: number): PeerSettings => {
+  const peer = SettingsTable.from(value, `siblings[${index}].`);
+  return { label: peer.text("label"), zone: peer.text("area"), address: peer.endpoint("endpoint") };
 };
 
-const optional = (parent: Table, path: string, name: string): number =>
-  parent[name] === undefined ? 0 : number(parent, path, name, 0);
+const readZone = (value: unknown, index: number): string =>
+  typeof value === "string" ? value : failSetting(`deployment.zones[${index}]`, "not a string");
 
-const asTable = (value: unknown, path: string): Table =>
-  typeof value === "object" && value !== null ? (value as Table) : fail(path, "not a table");
-
-/** Lower limits that the state service will have from some moment on; what is not named stays as it is. */
-const readLimits = (state: Table): Settings["store"] => {
-  const path = "deployment.state.";
-  const nextPath = `${path}next.`;
-  const next = state.next === undefined ? {} : asTable(state.next, `${path}next`);
-  const lower = (name: string, own: number, least: number): number =>
-    next[name] === undefined ? own : Math.min(own, number(next, nextPath, name, least));
-  const valueKb = number(state, path, "value_kb", 1);
-  const transactionWrites = whole(state, path, "txn_ops");
+const readTeam = (value: unknown, index: number): Team => {
+  const team = SettingsTable.from(value, `deployment.teams[${index}].`);
   return {
-    requestsPerS: lower("rps", number(state, path, "rps", 1), 1),
-    writesPerS: lower("write_rps", number(state, path, "write_rps", 1), 1),
-    valueBytes: Math.floor(lower("value_kb", valueKb, LEAST_VALUE_KB) * 1_024),
-    transactionWrites:
-      next.txn_ops === undefined ? transactionWrites : Math.min(transactionWrites, lastWrites(next, nextPath)),
-    layoutBytes: Math.floor(valueKb * 1_024),
+    name: team.text("name"),
+    guaranteed: availableResources(team.optionalNumber("cpus"), team.optionalNumber("gpus"), 0),
+    limit: { cpu: readTeamLimit(team, "cpus_max"), gpu: readTeamLimit(team, "gpus_max") },
   };
 };
 
-/** A job's specification has to fit, and its last word takes two writes at once. */
-const LEAST_VALUE_KB = 1;
-const LEAST_WRITES = 2;
-
-const lastWrites = (next: Table, path: string): number => {
-  const writes = whole(next, path, "txn_ops");
-  return writes >= LEAST_WRITES ? writes : fail(`${path}txn_ops`, `must be at least ${LEAST_WRITES}`);
+/** In thousandths, rounded down as capacities are; null: no limit. */
+const readTeamLimit = (team: SettingsTable, name: string): number | null => {
+  const limit = team.optionalNumber(name);
+  return limit === 0 ? null : Math.floor(limit * 1_000 + 1e-6);
 };
 
-const readTeam = (value: unknown, index: number): Team => {
-  const path = `deployment.teams[${index}].`;
-  const team = asTable(value, path);
-  const limit = (name: string): number | null => {
-    const most = optional(team, path, name);
-    return most === 0 ? null : Math.floor(most * 1_000 + 1e-6);
-  };
+const readObjective = (value: unknown, index: number): ServiceLevelObjective => {
+  const objective = SettingsTable.from(value, `deployment.objectives[${index}].`);
+  const jobClass = objective.value("class");
+  const within = objective.value("within_s");
+  const share = objective.value("share");
   return {
-    name: text(team, path, "name"),
-    guaranteed: availableResources(optional(team, path, "cpus"), optional(team, path, "gpus"), 0),
-    limit: { cpu: limit("cpus_max"), gpu: limit("gpus_max") },
+    kind: objective.text("kind"),
+    jobClass: typeof jobClass === "string" ? jobClass : null,
+    within: typeof within === "number" ? seconds(within) : null,
+    share: typeof share === "number" ? share : 1,
   };
 };
 
-const readObjective = (value: unknown, index: number): ServiceLevelObjective => {
-  const path = `deployment.objectives[${index}].`;
-  const objective = asTable(value, path);
+const readWorkers = (workers: SettingsTable): WorkerSettings => ({
+  heartbeatInterval: workers.duration("report_s"),
+  lease: workers.duration("lease_s"),
+  cancellationBound: workers.duration("cancel_s"),
+});
+
+/** Table `next` holds limits that the store will have from some moment on; what it does not name stays as it is. */
+const readStore = (store: SettingsTable): StoreSettings => {
+  const nextPath = store.pathOf("next");
+  const next = SettingsTable.from(store.value("next") ?? {}, `${nextPath}.`, nextPath);
+  const lowerOf = (name: string, present: number, minimum: number): number =>
+    next.has(name) ? Math.min(present, next.number(name, minimum)) : present;
+  const valueKb = store.number("value_kb", 1);
+  const transactionWrites = store.wholeNumber("txn_ops");
   return {
-    kind: text(objective, path, "kind"),
-    jobClass: typeof objective.class === "string" ? objective.class : null,
-    within: typeof objective.within_s === "number" ? seconds(objective.within_s) : null,
-    share: typeof objective.share === "number" ? objective.share : 1,
+    requestsPerS: lowerOf("rps", store.number("rps", 1), 1),
+    writesPerS: lowerOf("write_rps", store.number("write_rps", 1), 1),
+    valueBytes: Math.floor(lowerOf("value_kb", valueKb, MIN_VALUE_KB) * BYTES_PER_KB),
+    transactionWrites: next.has("txn_ops")
+      ? Math.min(transactionWrites, readNextTransactionWrites(next))
+      : transactionWrites,
+    layoutBytes: Math.floor(valueKb * BYTES_PER_KB),
   };
 };
 
-export const parseSettings = (source: string): Settings => {
-  let root: Table;
-  try {
-    root = parse(source);
-  } catch (error) {
-    throw new SettingsError(`not TOML: ${String(error).split("\n")[0]}`);
-  }
-  const outside = table(root, "", "outside");
-  const deployment = table(root, "", "deployment");
-  const workers = table(deployment, "deployment.", "workers");
-  const state = table(deployment, "deployment.", "state");
-  const cloud = table(deployment, "deployment.", "cloud");
-  const quota = table(deployment, "deployment.", "quota");
-  const span = (parent: Table, path: string, name: string): Micros => seconds(number(parent, path, name, 0));
-  const settings: Settings = {
-    label: text(root, "", "label"),
-    zone: text(root, "", "area"),
-    clientListen: endpoint(root, "", "client_listen"),
-    meshListen: endpoint(root, "", "mesh_addr"),
-    peers: list(root, "", "siblings").map((value, index) => {
-      const path = `siblings[${index}].`;
-      const sibling = asTable(value, path);
-      return {
-        label: text(sibling, path, "label"),
-        zone: text(sibling, path, "area"),
-        address: endpoint(sibling, path, "endpoint"),
-      };
-    }),
-    cloudAddress: endpoint(outside, "outside.", "cloud"),
-    storeAddress: endpoint(outside, "outside.", "state"),
-    maxClockError: seconds(optional(deployment, "deployment.", "clock_error_ms") / 1_000),
-    controllers: whole(deployment, "deployment.", "count"),
-    zones: list(deployment, "deployment.", "zones").map((zone, index) =>
-      typeof zone === "string" ? zone : fail(`deployment.zones[${index}]`, "not a string"),
-    ),
-    teams: new Map(
-      list(deployment, "deployment.", "teams")
-        .map(readTeam)
-        .map((team) => [team.name, team]),
-    ),
-    objectives: list(deployment, "deployment.", "objectives").map(readObjective),
-    workers: {
-      heartbeatInterval: span(workers, "deployment.workers.", "report_s"),
-      lease: span(workers, "deployment.workers.", "lease_s"),
-      cancellationBound: span(workers, "deployment.workers.", "cancel_s"),
-    },
-    store: readLimits(state),
-    cloud: {
-      requestsPerS: number(cloud, "deployment.cloud.", "rps", 0.1),
-      listLag: span(cloud, "deployment.cloud.", "list_lag_s"),
-    },
-    quota: {
-      memoryMb: number(quota, "deployment.quota.", "mem_mb", 1),
-      maxConnections: whole(quota, "deployment.quota.", "max_connections"),
-    },
-  };
-  if (settings.workers.heartbeatInterval <= 0) fail("deployment.workers.report_s", "must be above 0");
-  shardLeaseDuration(settings);
-  return settings;
+const readNextTransactionWrites = (next: SettingsTable): number => {
+  const writes = next.wholeNumber("txn_ops");
+  if (writes >= MIN_TRANSACTION_WRITES) return writes;
+  return failSetting(next.pathOf("txn_ops"), `must be at least ${MIN_TRANSACTION_WRITES}`);
 };
 
-export const loadSettings = (file: string): Settings => {
-  let source: string;
-  try {
-    source = readFileSync(file, "utf8");
-  } catch (error) {
-    throw new SettingsError(`${file}: ${(error as NodeJS.ErrnoException).code ?? "cannot be read"}`);
-  }
-  return parseSettings(source);
-};
+const readCloud = (cloud: SettingsTable): CloudSettings => ({
+  requestsPerS: cloud.number("rps", 0.1),
+  listLag: cloud.duration("list_lag_s"),
+});
+
+const readQuota = (quota: SettingsTable): ProcessQuota => ({
+  memoryMb: quota.number("mem_mb", 1),
+  maxConnections: quota.wholeNumber("max_connections"),
+});
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -10,7 +10,7 @@
 import { shardLeaseDuration } from "../src/settings/shard-lease.js";
 import { settingsText } from "./fixtures.js";
 
-const refused = (text: string, field: string): void => {
+const assertRefused = (text: string, field: string): void => {
   assert.throws(
     () => parseSettings(text),
     (error) => error instanceof SettingsError && error.message.includes(field) && !error.message.includes("\n"),
@@ -18,10 +18,10 @@
   );
 };
 
-const withTimes = (lease: number, cancel: number): string =>
+const withWorkerTimes = (leaseSeconds: number, cancelSeconds: number): string =>
   settingsText()
-    .replace(/^lease_s.*$/m, `lease_s = ${lease}.0`)
-    .replace(/^cancel_s.*$/m, `cancel_s = ${cancel}.0`);
+    .replace(/^lease_s.*$/m, `lease_s = ${leaseSeconds}.0`)
+    .replace(/^cancel_s.*$/m, `cancel_s = ${cancelSeconds}.0`);
 
 test("settings are read, unknown fields ignored", () => {
   const settings = parseSettings(`colour = "blue"\n${settingsText()}\n[deployment.moon]\nphase = 1\n`);
@@ -32,15 +32,15 @@
 
 test("a missing or invalid field is named in one line", () => {
   const good = settingsText();
-  refused(good.replace(/^label.*$/m, ""), "label");
-  refused(good.replace(/^client_listen.*$/m, 'client_listen = "somewhere"'), "client_listen");
-  refused(good.replace(/^report_s.*$/m, 'report_s = "often"'), "deployment.workers.report_s");
-  refused(good.replace(/^txn_ops.*$/m, "txn_ops = 0"), "deployment.state.txn_ops");
-  refused(good.replace(/^cancel_s.*$/m, "cancel_s = 12.0"), "cancel_s");
-  refused("label = ", "TOML");
+  assertRefused(good.replace(/^label.*$/m, ""), "label");
+  assertRefused(good.replace(/^client_listen.*$/m, 'client_listen = "somewhere"'), "client_listen");
+  assertRefused(good.replace(/^report_s.*$/m, 'report_s = "often"'), "deployment.workers.report_s");
+  assertRefused(good.replace(/^txn_ops.*$/m, "txn_ops = 0"), "deployment.state.txn_ops");
+  assertRefused(good.replace(/^cancel_s.*$/m, "cancel_s = 12.0"), "cancel_s");
+  assertRefused("label = ", "TOML");
 });
 
-test("block lease and worker lease together stay below the time a cancellation has", () => {
+test("shard lease and worker lease together stay below the cancellation bound", () => {
   for (const [lease, cancel] of [
     [36, 66],
     [22, 52],
@@ -48,11 +48,11 @@
     [5, 13],
     [3, 7],
   ] as const) {
-    const settings = parseSettings(withTimes(lease, cancel));
+    const settings = parseSettings(withWorkerTimes(lease, cancel));
     assert.ok(
       shardLeaseDuration(settings) + settings.workers.lease * 1.001 + 300_000 < settings.workers.cancellationBound,
     );
-    // With a start that was under way when the holder's right ended.
+    // With a start command that was in flight when the leader's lease expired.
     const {
       shardLease: right,
       startCommand: start,
@@ -65,12 +65,12 @@
     assert.equal(total + left, settings.workers.cancellationBound);
     assert.ok(left > 0, `${lease} of ${cancel}: ${left}`);
   }
-  // Taken before, although a start that was held up could land after what was left of `cancel_s`.
-  refused(withTimes(3, 5), "deployment.workers.cancel_s");
-  refused(withTimes(20, 22), "deployment.workers.cancel_s");
+  // Accepted before, although a delayed start command could arrive after what was left of `cancel_s`.
+  assertRefused(withWorkerTimes(3, 5), "deployment.workers.cancel_s");
+  assertRefused(withWorkerTimes(20, 22), "deployment.workers.cancel_s");
 });
 
-test("the operators' settings are optional and checked against the schema", async () => {
+test("operators' options are optional and checked against the schema", async () => {
   assert.deepEqual(await loadOptions(null), DEFAULT_OPTIONS);
   const file = join(mkdtempSync(join(tmpdir(), "rainridge-")), "options.json");
   writeFileSync(file, '{"kappa":0.5}');
