--- /dev/null
+++ b/test/watch-cache.test.ts
@@ -0,0 +1,138 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { HostClock, World } from "../src/model/index.js";
+import type { KeyChange, KeyValueEntry } from "../src/protocol/key-value-store.js";
+import type { EntryList, KeyValueStore } from "../src/storage/key-value-store.js";
+import type { StoreResult } from "../src/storage/store-results.js";
+import { WatchCache } from "../src/storage/watch-cache.js";
+import { ms, seconds } from "../src/transport/clock.js";
+import { nothing, quiet } from "./block-fixtures.js";
+
+const entryOf = (key: string, version = 5): KeyValueEntry => ({ key, value: {}, version });
+
+/** A cache of a store that gives these lists in turn; its watches are answered by `watch`. */
+const cacheOf = (
+  lists: readonly StoreResult<EntryList>[],
+  watch: (from: unknown, wait: number) => Promise<unknown>,
+) => {
+  const world = new World();
+  const clock = new HostClock(world, 1, 0);
+  let listCount = 0;
+  const store = {
+    list: async () => {
+      listCount += 1;
+      return lists[Math.min(listCount, lists.length) - 1];
+    },
+    watch: (_: string, from: unknown, wait: number) => watch(from, wait),
+  } as unknown as KeyValueStore;
+  const cache = new WatchCache({ store, prefix: "c/", clock, log: quiet, watchInterval: ms(1), syncInterval: ms(1) });
+  return { world, cache, listCount: () => listCount };
+};
+
+/** Lets so many microseconds pass, with all that follows at once from what is decided at their begin and end. */
+const advance = async (world: World, micros: number): Promise<void> => {
+  world.after(0, nothing);
+  world.after(micros, nothing);
+  await world.run(world.now + micros, nothing);
+};
+
+const unanswered = (): Promise<never> => new Promise(() => undefined);
+const listOf = (entries: readonly KeyValueEntry[], revision = 5): StoreResult<EntryList> => ({
+  kind: "ok",
+  value: { entries, revision },
+});
+
+test("a listener that is told of a listed key can see all the others", async () => {
+  const entries = ["c/block/0", "c/job/wk-1", "c/range/wk-1/0"].map((key) => entryOf(key));
+  const { world, cache } = cacheOf([listOf(entries)], unanswered);
+  const seen: number[] = [];
+  cache.onChange(() => seen.push(cache.entries.size));
+  void cache.run();
+  await advance(world, 1_000);
+  assert.deepEqual(seen, [3, 3, 3]);
+});
+
+test("first listeners are told of all changes before any other is told of the first", async () => {
+  const { world, cache } = cacheOf([listOf([entryOf("c/a"), entryOf("c/b")])], unanswered);
+  const told: string[] = [];
+  cache.onChange(({ key }) => told.push(`other ${key}`));
+  cache.onChangeFirst(({ key }) => told.push(`first ${key}`));
+  void cache.run();
+  await advance(world, 1_000);
+  assert.deepEqual(told, ["first c/a", "first c/b", "other c/a", "other c/b"]);
+});
+
+test("a watch from a revision that is too old lists again, and tells only what has changed", async () => {
+  const lists = [listOf([entryOf("c/a"), entryOf("c/b")]), listOf([entryOf("c/b"), entryOf("c/c", 9)], 9)];
+  let watchCount = 0;
+  const { world, cache, listCount } = cacheOf(lists, () => {
+    watchCount += 1;
+    return watchCount === 1 ? Promise.resolve({ kind: "missing" }) : unanswered();
+  });
+  const changes: KeyChange[] = [];
+  cache.onChange((change) => changes.push(change));
+  void cache.run();
+  await advance(world, 1_000_000);
+  assert.equal(listCount(), 2);
+  assert.equal(cache.loaded, true);
+  assert.deepEqual([...cache.entries.keys()], ["c/b", "c/c"]);
+  assert.deepEqual(
+    changes.slice(2).map(({ kind, key, version }) => [kind, key, version]),
+    [
+      ["delete", "c/a", 9],
+      ["put", "c/c", 9],
+    ],
+  );
+});
+
+test("a list without an answer is tried again, and until then nothing is fresh", async () => {
+  const { world, cache, listCount } = cacheOf([{ kind: "lost" }, listOf([entryOf("c/a")])], unanswered);
+  void cache.run();
+  await advance(world, 100_000);
+  assert.deepEqual([listCount(), cache.loaded, cache.freshAsOf], [1, false, null]);
+  await advance(world, 200_000);
+  assert.deepEqual([listCount(), cache.loaded, cache.entries.size], [2, true, 1]);
+});
+
+test("of two requests that overlap, an older change does not undo a newer one", async () => {
+  const change = (version: number): KeyChange => ({ kind: "put", key: "c/a", value: { version }, version });
+  const answers: ((reply: unknown) => void)[] = [];
+  const { world, cache } = cacheOf([listOf([])], () => new Promise((resolve) => answers.push(resolve)));
+  void cache.run();
+  await advance(world, 2_000);
+  const synced = cache.sync();
+  await advance(world, 2_000);
+  assert.equal(answers.length, 2);
+  answers[1]?.({ kind: "ok", value: { changes: [change(6), change(7)], revision: 7 } });
+  assert.equal(await synced, true);
+  answers[0]?.({ kind: "ok", value: { changes: [change(6)], revision: 6 } });
+  await advance(world, 2_000);
+  assert.equal(answers.length, 3, "the older answer has come");
+  assert.equal(cache.entries.get("c/a")?.version, 7);
+});
+
+test("calls of sync made while one request is under way share the next", async () => {
+  const waits: number[] = [];
+  const answers: ((reply: unknown) => void)[] = [];
+  const { world, cache } = cacheOf([listOf([])], (_, wait) => {
+    waits.push(wait);
+    return wait > 0 ? unanswered() : new Promise((resolve) => answers.push(resolve));
+  });
+  const early = cache.sync();
+  await advance(world, 2_000);
+  assert.equal(await early, false, "nothing is listed yet");
+  void cache.run();
+  await advance(world, 2_000);
+  const first = cache.sync();
+  await advance(world, 2_000);
+  const others = [cache.sync(), cache.sync(), cache.sync()];
+  await advance(world, 2_000);
+  assert.deepEqual(waits, [seconds(1), 0]);
+  const unchanged = { kind: "ok", value: { changes: [], revision: 5 } };
+  answers[0]?.(unchanged);
+  assert.equal(await first, true);
+  await advance(world, 2_000);
+  assert.deepEqual(waits, [seconds(1), 0, 0]);
+  answers[1]?.(unchanged);
+  assert.deepEqual(await Promise.all(others), [true, true, true]);
+});
