--- a/src/protocol/job-messages.ts
+++ b/src/protocol/job-messages.ts
@@ -1,3 +1,7 @@
+/**
+ * Messages from and to users: submissions, phases and statuses of jobs. The protocol's words stand in the tables of this
+ * module and nowhere else.
+ */
 import type { JobShape, JobSpec, Priority } from "./job-spec.js";
 import {
   asArray,
@@ -5,22 +9,50 @@
   type JsonObject,
   MalformedMessageError,
   readBoolean,
+  readKeyword,
+  readNames,
   readNonNegative,
   readOptional,
   readString,
 } from "./json.js";
-import { requestedResources } from "./resources.js";
+import { type Resources, requestedResources } from "./resources.js";
 
+/** What users are told of where a job stands. The last two are terminal. */
 export type JobPhase = "queued" | "running" | "done" | "cancelled";
 
-const WIRE_SHAPE: Readonly<Record<string, JobShape>> = { sweep: "array", ensemble: "gang", daemon: "service" };
-const WIRE_PRIORITY: Readonly<Record<string, Priority>> = {
+/** The protocol's names of a submission's fields. */
+const FIELD = {
+  id: "ref",
+  jobClass: "jobclass",
+  team: "owner",
+  shape: "shape",
+  priority: "rank",
+  tasks: "shards",
+  cpus: "cpus",
+  gpus: "accelerators",
+  ramGb: "ramGb",
+  image: "bundle",
+  imageGb: "sizeGb",
+  types: "flavors",
+  zone: "area",
+  singleZone: "together",
+  spread: "spread",
+  spot: "loaner",
+  estimatedRunS: "guessS",
+  checkpointIntervalS: "saveEveryS",
+  checkpointDurationS: "saveTakesS",
+  deadlineS: "dueS",
+  dependencies: "awaits",
+} as const;
+
+const SHAPE_BY_KEYWORD: Readonly<Record<string, JobShape>> = { sweep: "array", ensemble: "gang", daemon: "service" };
+const PRIORITY_BY_KEYWORD: Readonly<Record<string, Priority>> = {
   prod: "production",
   high: "high",
   normal: "normal",
   best_effort: "low",
 };
-const WIRE_PHASE: Readonly<Record<JobPhase, string>> = {
+const KEYWORD_OF_PHASE: Readonly<Record<JobPhase, string>> = {
   queued: "pending",
   running: "running",
   done: "done",
@@ -28,124 +60,135 @@
 };
 
 const JOB_ID = /^wk-[A-Za-z0-9_.-]{1,64}$/;
+const MAX_NAME_LENGTH = 200;
 const MAX_TASKS = 100_000;
+/** A status lists no more unfinished dependencies than this, and says how many there are. */
+const MAX_LISTED_DEPENDENCIES = 20;
+/** Resources are in thousandths. */
+const RESOURCE_UNITS = 1_000;
 
+/** Whether a text has the form of a job's id. */
 export const isJobId = (text: string): boolean => JOB_ID.test(text);
 
-const lookup = <T>(table: Readonly<Record<string, T>>, fields: JsonObject, name: string): T => {
-  const value = Object.hasOwn(table, readString(fields, name)) ? table[readString(fields, name)] : undefined;
-  if (value === undefined) throw new MalformedMessageError(`${name}: unknown value`);
-  return value;
-};
-
-const readName = (fields: JsonObject, name: string): string => {
-  const value = readString(fields, name);
-  if (value === "" || value.length > 200) throw new MalformedMessageError(`${name}: empty or too long`);
-  return value;
-};
-
-/** The jobs that have to be done first; null and none are the same. */
-const decodeDependencies = (fields: JsonObject, id: string): readonly string[] => {
-  const awaits = readOptional(fields, "awaits", (f, name) => asArray(f[name], name)) ?? [];
-  const known = new Set<string>();
-  for (const entry of awaits) {
-    if (typeof entry !== "string" || !isJobId(entry)) throw new MalformedMessageError("awaits: not a list of job ids");
-    if (entry === id) throw new MalformedMessageError("awaits: names the job itself");
-    if (known.has(entry)) throw new MalformedMessageError(`awaits: ${entry} twice`);
-    known.add(entry);
-  }
-  return [...known];
-};
-
-/** Throws Malformed on anything that the protocol calls missing or invalid. */
+/** Decodes a submission. Throws MalformedMessageError for what the protocol calls missing or invalid. */
 export const decodeSubmission = (body: unknown): JobSpec => {
   const fields = asObject(body, "job");
-  const id = readString(fields, "ref");
-  if (!isJobId(id)) throw new MalformedMessageError("ref: not a job id");
-  const tasks = readNonNegative(fields, "shards");
-  if (!Number.isInteger(tasks) || tasks < 1 || tasks > MAX_TASKS)
-    throw new MalformedMessageError("shards: not a number of tasks");
-  const types = readOptional(fields, "flavors", (f, name) =>
-    asArray(f[name], name).map((entry) => {
-      if (typeof entry !== "string") throw new MalformedMessageError("flavors: not names");
-      return entry;
-    }),
-  );
-  const demand = requestedResources(
-    readNonNegative(fields, "cpus"),
-    readOptional(fields, "accelerators", readNonNegative) ?? 0,
-    readNonNegative(fields, "ramGb"),
-  );
-  if (!Object.values(demand).every(Number.isSafeInteger)) throw new MalformedMessageError("cpus: out of range");
-  if (demand.cpu === 0 && demand.gpu === 0 && demand.ram === 0)
-    throw new MalformedMessageError("cpus: nothing asked for");
-  const awaits = decodeDependencies(fields, id);
+  const id = readJobId(fields);
+  const tasks = readTaskCount(fields);
+  const types = readOptional(fields, FIELD.types, readNames);
+  const demand = readDemand(fields);
+  const dependencies = readDependencies(fields, id);
   return {
     id,
-    jobClass: readName(fields, "jobclass"),
-    team: readName(fields, "owner"),
-    shape: lookup(WIRE_SHAPE, fields, "shape"),
-    priority: lookup(WIRE_PRIORITY, fields, "rank"),
+    jobClass: readName(fields, FIELD.jobClass),
+    team: readName(fields, FIELD.team),
+    shape: readKeyword(fields, FIELD.shape, SHAPE_BY_KEYWORD),
+    priority: readKeyword(fields, FIELD.priority, PRIORITY_BY_KEYWORD),
     tasks,
     demand,
     types,
-    zone: readOptional(fields, "area", readString),
-    singleZone: readBoolean(fields, "together"),
-    spread: readBoolean(fields, "spread"),
-    spot: readBoolean(fields, "loaner"),
-    image: readName(fields, "bundle"),
-    imageGb: readNonNegative(fields, "sizeGb"),
-    estimatedRunS: readNonNegative(fields, "guessS"),
-    checkpointIntervalS: readNonNegative(fields, "saveEveryS"),
-    checkpointDurationS: readNonNegative(fields, "saveTakesS"),
-    deadlineS: readOptional(fields, "dueS", readNonNegative),
-    ...(awaits.length === 0 ? {} : { dependencies: awaits }),
+    zone: readOptional(fields, FIELD.zone, readString),
+    singleZone: readBoolean(fields, FIELD.singleZone),
+    spread: readBoolean(fields, FIELD.spread),
+    spot: readBoolean(fields, FIELD.spot),
+    image: readName(fields, FIELD.image),
+    imageGb: readNonNegative(fields, FIELD.imageGb),
+    estimatedRunS: readNonNegative(fields, FIELD.estimatedRunS),
+    checkpointIntervalS: readNonNegative(fields, FIELD.checkpointIntervalS),
+    checkpointDurationS: readNonNegative(fields, FIELD.checkpointDurationS),
+    deadlineS: readOptional(fields, FIELD.deadlineS, readNonNegative),
+    ...(dependencies.length === 0 ? {} : { dependencies }),
   };
 };
 
-const wireOf = <T extends string>(table: Readonly<Record<string, T>>, value: T): string =>
-  Object.keys(table).find((name) => table[name] === value) ?? value;
+const readJobId = (fields: JsonObject): string => {
+  const id = readString(fields, FIELD.id);
+  if (!isJobId(id)) throw new MalformedMessageError(`${FIELD.id}: not a job id`);
+  return id;
+};
+
+const readTaskCount = (fields: JsonObject): number => {
+  const tasks = readNonNegative(fields, FIELD.tasks);
+  if (!Number.isInteger(tasks) || tasks < 1 || tasks > MAX_TASKS) {
+    throw new MalformedMessageError(`${FIELD.tasks}: not a number of tasks`);
+  }
+  return tasks;
+};
+
+const readDemand = (fields: JsonObject): Resources => {
+  const cpus = readNonNegative(fields, FIELD.cpus);
+  const gpus = readOptional(fields, FIELD.gpus, readNonNegative) ?? 0;
+  const ramGb = readNonNegative(fields, FIELD.ramGb);
+  const demand = requestedResources(cpus, gpus, ramGb);
+  const amounts = Object.values(demand);
+  if (!amounts.every(Number.isSafeInteger)) throw new MalformedMessageError(`${FIELD.cpus}: out of range`);
+  if (amounts.every((amount) => amount === 0)) throw new MalformedMessageError(`${FIELD.cpus}: nothing asked for`);
+  return demand;
+};
+
+/** The jobs that have to be done first; null and an empty list are the same. */
+const readDependencies = (fields: JsonObject, id: string): readonly string[] => {
+  const name = FIELD.dependencies;
+  const entries = readOptional(fields, name, (present) => asArray(present[name], name)) ?? [];
+  const dependencies = new Set<string>();
+  for (const entry of entries) {
+    if (typeof entry !== "string" || !isJobId(entry)) throw new MalformedMessageError(`${name}: not a list of job ids`);
+    if (entry === id) throw new MalformedMessageError(`${name}: names the job itself`);
+    if (dependencies.has(entry)) throw new MalformedMessageError(`${name}: ${entry} twice`);
+    dependencies.add(entry);
+  }
+  return [...dependencies];
+};
 
-/** The job as its user would have sent it; reading it gives the same specification again. */
+const readName = (fields: JsonObject, name: string): string => {
+  const value = readString(fields, name);
+  if (value === "" || value.length > MAX_NAME_LENGTH) throw new MalformedMessageError(`${name}: empty or too long`);
+  return value;
+};
+
+/** The job as its user would have sent it; decoding it gives the same specification again. */
 export const encodeSubmission = (spec: JobSpec): JsonObject => ({
-  ref: spec.id,
-  jobclass: spec.jobClass,
-  owner: spec.team,
-  shape: wireOf(WIRE_SHAPE, spec.shape),
-  rank: wireOf(WIRE_PRIORITY, spec.priority),
-  shards: spec.tasks,
-  cpus: spec.demand.cpu / 1_000,
-  accelerators: spec.demand.gpu / 1_000,
-  ramGb: spec.demand.ram / 1_000,
-  bundle: spec.image,
-  sizeGb: spec.imageGb,
-  flavors: spec.types,
-  area: spec.zone,
-  together: spec.singleZone,
-  spread: spec.spread,
-  loaner: spec.spot,
-  guessS: spec.estimatedRunS,
-  saveEveryS: spec.checkpointIntervalS,
-  saveTakesS: spec.checkpointDurationS,
-  dueS: spec.deadlineS,
-  ...(spec.dependencies === undefined ? {} : { awaits: spec.dependencies }),
+  [FIELD.id]: spec.id,
+  [FIELD.jobClass]: spec.jobClass,
+  [FIELD.team]: spec.team,
+  [FIELD.shape]: keywordOf(SHAPE_BY_KEYWORD, spec.shape),
+  [FIELD.priority]: keywordOf(PRIORITY_BY_KEYWORD, spec.priority),
+  [FIELD.tasks]: spec.tasks,
+  [FIELD.cpus]: spec.demand.cpu / RESOURCE_UNITS,
+  [FIELD.gpus]: spec.demand.gpu / RESOURCE_UNITS,
+  [FIELD.ramGb]: spec.demand.ram / RESOURCE_UNITS,
+  [FIELD.image]: spec.image,
+  [FIELD.imageGb]: spec.imageGb,
+  [FIELD.types]: spec.types,
+  [FIELD.zone]: spec.zone,
+  [FIELD.singleZone]: spec.singleZone,
+  [FIELD.spread]: spec.spread,
+  [FIELD.spot]: spec.spot,
+  [FIELD.estimatedRunS]: spec.estimatedRunS,
+  [FIELD.checkpointIntervalS]: spec.checkpointIntervalS,
+  [FIELD.checkpointDurationS]: spec.checkpointDurationS,
+  [FIELD.deadlineS]: spec.deadlineS,
+  ...(spec.dependencies === undefined ? {} : { [FIELD.dependencies]: spec.dependencies }),
 });
 
-export const encodePhase = (id: string, phase: JobPhase): JsonObject => ({ ref: id, phase: WIRE_PHASE[phase] });
+const keywordOf = <T extends string>(table: Readonly<Record<string, T>>, value: T): string =>
+  Object.keys(table).find((keyword) => table[keyword] === value) ?? value;
+
+/** Answer to a submission and to a cancellation. */
+export const encodePhase = (id: string, phase: JobPhase): JsonObject => ({ ref: id, phase: KEYWORD_OF_PHASE[phase] });
 
-/** `awaits`: what it still waits for, for people. */
+/** Answer to a query for a job. `done`, `running`: numbers of tasks. `unfinished`: dependencies that are not done yet. */
 export const encodeStatus = (
   id: string,
   phase: JobPhase,
   done: number,
   running: number,
-  awaits: readonly string[] = [],
+  unfinished: readonly string[] = [],
 ): JsonObject => ({
-  ref: id,
-  phase: WIRE_PHASE[phase],
+  ...encodePhase(id, phase),
   done,
   running,
-  ...(awaits.length === 0 ? {} : { awaits: awaits.slice(0, MOST_SHOWN), awaitsInAll: awaits.length }),
+  ...(unfinished.length === 0
+    ? {}
+    : { awaits: unfinished.slice(0, MAX_LISTED_DEPENDENCIES), awaitsInAll: unfinished.length }),
 });
-
-const MOST_SHOWN = 20;
--- a/src/protocol/key-value-store.ts
+++ b/src/protocol/key-value-store.ts
@@ -1,3 +1,4 @@
+/** Messages of the key-value store: entries, changes since a revision, compare-and-swap transactions, leases. */
 import {
   asArray,
   asObject,
@@ -9,28 +10,45 @@
   type Uint64,
 } from "./json.js";
 
+/** A key with its value. `version`: the revision of its last write. */
 export interface KeyValueEntry {
   readonly key: string;
   readonly value: unknown;
   readonly version: Uint64;
 }
 
+/** A write that a watch has seen. */
 export type KeyChange =
   | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly version: Uint64 }
   | { readonly kind: "delete"; readonly key: string; readonly version: Uint64 };
 
+/** A write of a transaction. With a `lease`, the key is deleted when the lease expires. */
 export type WriteOperation =
   | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly lease?: Uint64 }
   | { readonly kind: "delete"; readonly key: string };
 
+/** One page of the entries under a prefix, as they were at `revision`. */
+export interface EntryPage {
+  readonly entries: readonly KeyValueEntry[];
+  /** Whether there are further pages. */
+  readonly more: boolean;
+  readonly revision: Uint64;
+}
+
+/** Changes in their order, up to and with those of `revision`. */
+export interface ChangeLog {
+  readonly changes: readonly KeyChange[];
+  readonly revision: Uint64;
+}
+
+/** Decodes one entry. Throws MalformedMessageError, as all decoders here do. */
 export const decodeEntry = (value: unknown): KeyValueEntry => {
   const fields = asObject(value, "entry");
   return { key: readString(fields, "k"), value: fields.value, version: readUint64(fields, "stamp") };
 };
 
-export const decodeEntryPage = (
-  body: unknown,
-): { entries: readonly KeyValueEntry[]; more: boolean; revision: Uint64 } => {
+/** Decodes a page of entries. */
+export const decodeEntryPage = (body: unknown): EntryPage => {
   const fields = asObject(body, "entries");
   return {
     entries: asArray(fields.entries, "entries").map(decodeEntry),
@@ -39,31 +57,42 @@
   };
 };
 
-export const decodeChanges = (body: unknown): { changes: readonly KeyChange[]; revision: Uint64 } => {
+/** Decodes the answer to a watch. */
+export const decodeChanges = (body: unknown): ChangeLog => {
   const fields = asObject(body, "changes");
-  const changes = asArray(fields.log ?? [], "log").map((entry): KeyChange => {
-    const item = asObject(entry, "change");
-    const version = readUint64(item, "stamp");
-    const removed = readOptional(item, "remove", readString);
-    if (removed !== null) return { kind: "delete", key: removed, version };
-    return { kind: "put", key: readString(item, "set"), value: item.value, version };
-  });
+  const changes = asArray(fields.log ?? [], "log").map(decodeChange);
   return { changes, revision: readUint64(fields, "epoch") };
 };
 
+const decodeChange = (value: unknown): KeyChange => {
+  const fields = asObject(value, "change");
+  const version = readUint64(fields, "stamp");
+  const deletedKey = readOptional(fields, "remove", readString);
+  if (deletedKey !== null) return { kind: "delete", key: deletedKey, version };
+  return { kind: "put", key: readString(fields, "set"), value: fields.value, version };
+};
+
+/** Request that carries out all `writes` if each key of `conditions` has that version, 0 for a key that does not exist. */
 export const encodeTransaction = (
   conditions: ReadonlyMap<string, Uint64>,
   writes: readonly WriteOperation[],
 ): JsonObject => ({
   if: [...conditions].map(([key, version]) => ({ k: key, stamp: version })),
-  writes: writes.map((write) => {
-    if (write.kind === "delete") return { remove: write.key };
-    const put = { set: write.key, value: write.value };
-    return write.lease === undefined ? put : { ...put, hold: write.lease };
-  }),
+  writes: writes.map(encodeWrite),
 });
 
+const encodeWrite = (write: WriteOperation): JsonObject => {
+  if (write.kind === "delete") return { remove: write.key };
+  const put = { set: write.key, value: write.value };
+  return write.lease === undefined ? put : { ...put, hold: write.lease };
+};
+
+/** Decodes the revision of a transaction that was carried out. */
 export const decodeRevision = (body: unknown): Uint64 => readUint64(asObject(body, "result"), "epoch");
+
+/** Decodes the keys whose conditions did not hold. */
 export const decodeFailedKeys = (body: unknown): readonly string[] =>
   asArray(asObject(body, "conflict").failed, "failed").filter((key) => typeof key === "string");
+
+/** Decodes the id of a lease that was granted. */
 export const decodeLeaseId = (body: unknown): Uint64 => readUint64(asObject(body, "lease"), "hold");
--- a/src/protocol/links.ts
+++ b/src/protocol/links.ts
@@ -1,8 +1,10 @@
+/** Answer to operators about the links of a controller. */
 import type { JsonObject } from "./json.js";
 import { RecordCodec } from "./record-codec.js";
 
-/** Links of one controller as it sees them, in words for operators. */
+/** Links of one controller as it sees them, in texts for operators. */
 export interface LinkTable {
+  /** Link to the key-value store. */
   readonly state: string;
   readonly cloud: string;
   readonly workers: string;
@@ -10,25 +12,29 @@
   readonly siblings: Readonly<Record<string, string>>;
 }
 
-/** Machines of the controller that holds them: how many are up, and the names of those in trouble. */
+/** Machines of a shard's leader: how many are up, and the names of those in trouble. */
 export interface MachineLinks {
   readonly up: number;
+  /** Their heartbeats arrive, but they do not answer. */
   readonly heardNotReached: readonly string[];
+  /** Their heartbeats do not arrive. */
   readonly silent: readonly string[];
+  /** Zones of which no machine answers. */
   readonly zonesCut: readonly string[];
+  /** Whether the shard's lease is valid. */
   readonly mayAct: boolean;
   /** Job for which capacity is reserved; null: none. */
   readonly roomKeptFor: string | null;
 }
 
-const linkTableForm = new RecordCodec<LinkTable>({
+const linkTableCodec = new RecordCodec<LinkTable>({
   state: "state",
   cloud: "cloud",
   workers: "workers",
   siblings: "siblings",
 });
 
-const machineLinksForm = new RecordCodec<MachineLinks>({
+const machineLinksCodec = new RecordCodec<MachineLinks>({
   up: "up",
   heardNotReached: "heardNotReached",
   silent: "silent",
@@ -37,8 +43,8 @@
   roomKeptFor: "roomKeptFor",
 });
 
-/** Answer to `/links`. Without a mesh there is no table; `machines` is null where none are held. */
+/** Answer to `/links`. `table` is null without a mesh, `machines` where the controller leads no shard. */
 export const encodeLinks = (table: LinkTable | null, machines: MachineLinks | null): JsonObject => ({
-  ...(table === null ? {} : linkTableForm.encode(table)),
-  machines: machines === null ? null : machineLinksForm.encode(machines),
+  ...(table === null ? {} : linkTableCodec.encode(table)),
+  machines: machines === null ? null : machineLinksCodec.encode(machines),
 });
--- a/src/protocol/record-codec.ts
+++ b/src/protocol/record-codec.ts
@@ -1,19 +1,23 @@
+/** Mapping of objects in memory to records, and back, by tables of the stored names of their fields. */
 import type { JsonObject } from "./json.js";
 
-/** How a value of a field is stored, where it is not stored as it is. */
+/** How a value is stored, where it is not stored as it is. */
 export interface ValueCodec<V> {
+  /** What is stored of a value. */
   encode(value: V): unknown;
+  /** The value of which this is stored. */
   decode(stored: unknown): V;
 }
 
-/** The stored name of a field, with the form of its value (of each entry, where the value is a list). */
+/** The stored name of a field, with the codec of its value (of each entry, where the value is a list). */
 type FieldCodec<V> = string | { readonly name: string; readonly codec: ValueCodec<EntryOf<NonNullable<V>>> };
 
 type EntryOf<V> = V extends readonly (infer Entry)[] ? Entry : V;
 
 type FieldCodecs<T> = { readonly [Field in keyof T]-?: FieldCodec<T[Field]> };
 
-interface KnownField {
+/** The name of a field on the other side, and the codec of its value; null: it is stored as it is. */
+interface MappedField {
   readonly name: string;
   readonly codec: ValueCodec<unknown> | null;
 }
@@ -29,35 +33,38 @@
  * have stored, are carried along. Values are not checked: such records are written by this program alone.
  */
 export class RecordCodec<T extends object> implements ValueCodec<T> {
-  private readonly byField = new Map<string, KnownField>();
-  private readonly byName = new Map<string, KnownField>();
+  private readonly mappedByField = new Map<string, MappedField>();
+  private readonly mappedByStoredName = new Map<string, MappedField>();
 
+  /** `fields`: every field of `T`, in any order. */
   constructor(fields: FieldCodecs<T>) {
     const entries: [string, FieldCodec<unknown>][] = Object.entries(fields);
-    for (const [field, known] of entries) {
-      const { name, codec } = typeof known === "string" ? { name: known, codec: null } : known;
-      this.byField.set(field, { name, codec });
-      this.byName.set(name, { name: field, codec });
+    for (const [field, mapped] of entries) {
+      const { name, codec } = typeof mapped === "string" ? { name: mapped, codec: null } : mapped;
+      this.mappedByField.set(field, { name, codec });
+      this.mappedByStoredName.set(name, { name: field, codec });
     }
   }
 
+  /** What is stored of these fields. */
   encode(value: Partial<T>): JsonObject {
-    const entries = Object.entries<unknown>(value).map(([field, inner]): [string, unknown] => {
-      const known = this.byField.get(field);
-      if (known === undefined) return [field, inner];
-      const { name, codec } = known;
-      return [name, codec === null ? inner : mapEntries(inner, (entry) => codec.encode(entry))];
+    const entries = Object.entries<unknown>(value).map(([field, fieldValue]): [string, unknown] => {
+      const mapped = this.mappedByField.get(field);
+      if (mapped === undefined) return [field, fieldValue];
+      const { name, codec } = mapped;
+      return [name, codec === null ? fieldValue : mapEntries(fieldValue, (entry) => codec.encode(entry))];
     });
     return Object.fromEntries(entries);
   }
 
+  /** The object of which this is stored; not checked. */
   decode(stored: unknown): T {
-    const entries = Object.entries<unknown>(stored as JsonObject).flatMap(([name, inner]): [string, unknown][] => {
-      const known = this.byName.get(name);
+    const entries = Object.entries<unknown>(stored as JsonObject).flatMap(([name, fieldValue]): [string, unknown][] => {
+      const mapped = this.mappedByStoredName.get(name);
       // An unknown field must not pass for the field that has its name in memory.
-      if (known === undefined) return this.byField.has(name) ? [] : [[name, inner]];
-      const { name: field, codec } = known;
-      return [[field, codec === null ? inner : mapEntries(inner, (entry) => codec.decode(entry))]];
+      if (mapped === undefined) return this.mappedByField.has(name) ? [] : [[name, fieldValue]];
+      const { name: field, codec } = mapped;
+      return [[field, codec === null ? fieldValue : mapEntries(fieldValue, (entry) => codec.decode(entry))]];
     });
     return Object.fromEntries(entries) as T;
   }
