--- a/test/commands.test.ts
+++ b/test/commands.test.ts
@@ -3,13 +3,13 @@
 import type { Machine } from "../src/cluster/machine.js";
 import { CommandDispatcher } from "../src/coordination/workers/command-dispatcher.js";
 import { HeartbeatProcessor } from "../src/coordination/workers/heartbeat-processor.js";
-import { makeBlock, placedTask, report, SPEC } from "./block-fixtures.js";
+import { makeShard, placedTask, report, SPEC } from "./shard-fixtures.js";
 
 const scene = () => {
-  const { block, context, recorder } = makeBlock(1);
-  const machine = [...block.machines.values()][0] as Machine;
-  const task = placedTask(block, machine);
-  return { machine, task, commander: new CommandDispatcher(context, new HeartbeatProcessor(context, recorder)) };
+  const { shard, context, taskStates } = makeShard(1);
+  const machine = [...shard.machines.values()][0] as Machine;
+  const task = placedTask(shard, machine);
+  return { machine, task, commander: new CommandDispatcher(context, new HeartbeatProcessor(context, taskStates)) };
 };
 
 test("an attempt that has ended is forgotten only once its end is on record", () => {
@@ -44,15 +44,15 @@
 test("what a new holder takes over beyond a team's limit is not started again where it was", () => {
   // The ends of one job's tasks were not on record yet, those that took their place were: after an outage and a takeover
   // all of them were started, and the team used more than its limit (random day 2297).
-  const { block, context, recorder } = makeBlock(1);
-  const machine = [...block.machines.values()][0] as Machine;
-  const job = block.addJob({ ...SPEC, team: "capped", tasks: 6 }, 1, false);
+  const { shard, context, taskStates } = makeShard(1);
+  const machine = [...shard.machines.values()][0] as Machine;
+  const job = shard.addJob({ ...SPEC, team: "capped", tasks: 6 }, 1, false);
   const records = Array.from({ length: 6 }, () => [1, machine.name]);
-  block.restoreTaskRange(job, 0, 1, { t: records }, 65_535);
+  shard.restoreTaskRange(job, 0, 1, { t: records }, 65_535);
   // Four tasks of four CPUs are the limit.
-  assert.equal(block.teamUsage("capped").cpu, 24_000);
-  new HeartbeatProcessor(context, recorder).process(machine, report({ sequence: 2 }), { kind: "heartbeat" });
-  assert.equal(block.teamUsage("capped").cpu, 16_000);
+  assert.equal(shard.teamUsage("capped").cpu, 24_000);
+  new HeartbeatProcessor(context, taskStates).process(machine, report({ sequence: 2 }), { kind: "heartbeat" });
+  assert.equal(shard.teamUsage("capped").cpu, 16_000);
   assert.deepEqual([job.placedTasks.size, job.waitingTasks.size], [4, 2]);
 });
 
@@ -60,15 +60,15 @@
   // Ranges of a large job are written one by one, so that a takeover may find two moments of it: by one all tasks had been in
   // the east, by the other, newer one they are in the west.
   for (const rule of [{ singleZone: true }, { spread: true, shape: "service" as const }]) {
-    const { block, context, recorder } = makeBlock(2);
-    const [east, west] = [...block.machines.values()] as [Machine, Machine];
-    const job = block.addJob({ ...SPEC, ...rule, tasks: 130, demand: { cpu: 100, gpu: 0, ram: 1 } }, 1, false);
+    const { shard, context, taskStates } = makeShard(2);
+    const [east, west] = [...shard.machines.values()] as [Machine, Machine];
+    const job = shard.addJob({ ...SPEC, ...rule, tasks: 130, demand: { cpu: 100, gpu: 0, ram: 1 } }, 1, false);
     const at = (machine: Machine, count: number) => ({ t: Array.from({ length: count }, () => [1, machine.name]) });
     // Spread over both zones as it should be, but for the one in the second range.
     const first = "singleZone" in rule ? at(west, 128) : { t: [...at(east, 65).t, ...at(west, 63).t] };
-    block.restoreTaskRange(job, 0, 1, first, 65_535);
-    block.restoreTaskRange(job, 1, 1, at(east, 2), 65_535);
-    const heartbeats = new HeartbeatProcessor(context, recorder);
+    shard.restoreTaskRange(job, 0, 1, first, 65_535);
+    shard.restoreTaskRange(job, 1, 1, at(east, 2), 65_535);
+    const heartbeats = new HeartbeatProcessor(context, taskStates);
     heartbeats.process(east, report({ sequence: 2 }), { kind: "heartbeat" });
     const inEast = [...job.placedTasks].filter(({ machine }) => machine === east).length;
     assert.equal(inEast, "singleZone" in rule ? 0 : 65);
--- a/test/evidence.test.ts
+++ b/test/evidence.test.ts
@@ -23,21 +23,21 @@
 import type { Heartbeat, TaskStatus } from "../src/protocol/worker.js";
 import type { Micros } from "../src/transport/clock.js";
 import type { HttpOutcome } from "../src/transport/http.js";
-import { makeBlock, placedTask, report } from "./block-fixtures.js";
+import { makeShard, placedTask, report } from "./shard-fixtures.js";
 
 const REPORT = { kind: "heartbeat" } as const;
 const TOKEN = 65_536;
 
 const scene = () => {
-  const { block, context, recorder, world } = makeBlock(1);
-  const machine = [...block.machines.values()][0] as Machine;
+  const { shard, context, taskStates, world } = makeShard(1);
+  const machine = [...shard.machines.values()][0] as Machine;
   const asked: Machine[] = [];
   const shown: Machine[] = [];
   Object.assign(context, {
     queryStatus: (m: Machine) => asked.push(m),
     announceFencingToken: (m: Machine) => shown.push(m),
   });
-  return { block, context, machine, asked, shown, world, observer: new HeartbeatProcessor(context, recorder) };
+  return { shard, context, machine, asked, shown, world, observer: new HeartbeatProcessor(context, taskStates) };
 };
 
 /** As a new holder knows a machine: by name only. */
@@ -115,9 +115,9 @@
 });
 
 test("a job is not bound for ever to a machine whose session turned while a start for it was lost", () => {
-  const { block, machine, observer } = scene();
+  const { shard, machine, observer } = scene();
   observer.process(machine, report({ sequence: 1 }), REPORT);
-  const task = placedTask(block, machine);
+  const task = placedTask(shard, machine);
   task.startCommand = { kind: "uncertain", token: TOKEN };
   // No answer gets there, so its token never rises; it was waited for for ever.
   for (let sequence = 2; sequence < 5; sequence += 1) observer.process(machine, report({ sequence }), REPORT);
@@ -127,9 +127,9 @@
 });
 
 test("a start that commands cannot bring is given to another machine once it cannot arrive any more", () => {
-  const { block, machine, observer } = scene();
+  const { shard, machine, observer } = scene();
   observer.process(machine, report({ sequence: 1 }), REPORT);
-  const task = placedTask(block, machine);
+  const task = placedTask(shard, machine);
   task.startCommand = { kind: "uncertain", token: TOKEN };
   machine.reachability.consecutiveTimeouts = 2;
   // Answers to reports get there: the token rises. It was tried again on the same machine, for as long as that lasted.
@@ -138,9 +138,9 @@
 });
 
 test("a worker whose counters begin anew is asked, fenced, and only then believed", () => {
-  const { block, context, machine, asked, shown, observer, world } = scene();
+  const { shard, context, machine, asked, shown, observer, world } = scene();
   observer.process(machine, report({ incarnation: 3, sequence: 80 }), REPORT);
-  const task = placedTask(block, machine);
+  const task = placedTask(shard, machine);
   task.startCommand = { kind: "observed" };
   // Two reports that look old; they were dropped for ever.
   for (const sequence of [1, 2]) observer.process(machine, report({ incarnation: 1, sequence, token: 0 }), REPORT);
@@ -321,7 +321,7 @@
 
   private hold(startCommand: Task["startCommand"] | null): void {
     this.number += 1;
-    const { block, context, recorder, world } = makeBlock(1);
+    const { shard, context, taskStates, world } = makeShard(1);
     world.now = this.now;
     const lease = { ...context.lease, epoch: this.number };
     Object.assign(context, {
@@ -331,13 +331,13 @@
       announceFencingToken: () => undefined,
     });
     this.context = context;
-    this.machine = [...block.machines.values()][0] as Machine;
+    this.machine = [...shard.machines.values()][0] as Machine;
     unknown(this.machine);
-    this.task = placedTask(block, this.machine);
+    this.task = placedTask(shard, this.machine);
     this.task.startCommand = startCommand ?? { kind: "none" };
     // By the records it has been placed elsewhere since.
-    if (this.freed) block.releaseTask(this.task);
-    this.observer = this.believe(new HeartbeatProcessor(context, recorder), this.machine);
+    if (this.freed) shard.releaseTask(this.task);
+    this.observer = this.believe(new HeartbeatProcessor(context, taskStates), this.machine);
     this.commander = new CommandDispatcher(context, this.observer);
   }
 
--- a/test/loops.test.ts
+++ b/test/loops.test.ts
@@ -7,14 +7,14 @@
 import { HeartbeatProcessor } from "../src/coordination/workers/heartbeat-processor.js";
 import type { JobSpec } from "../src/protocol/job-spec.js";
 import type { Micros } from "../src/transport/clock.js";
-import { makeBlock, nothing, placedTask, report, SPEC } from "./block-fixtures.js";
+import { makeShard, nothing, placedTask, report, SPEC } from "./shard-fixtures.js";
 
 test("a start that got no answer still counts as under way when the next try never leaves", async () => {
-  const { block, context, recorder } = makeBlock(1, [{ kind: "lost" }, { kind: "unsent" }]);
-  const machine = [...block.machines.values()][0];
+  const { shard, context, taskStates } = makeShard(1, [{ kind: "lost" }, { kind: "unsent" }]);
+  const machine = [...shard.machines.values()][0];
   assert.ok(machine !== undefined);
-  const task = placedTask(block, machine);
-  const heartbeats = new HeartbeatProcessor(context, recorder);
+  const task = placedTask(shard, machine);
+  const heartbeats = new HeartbeatProcessor(context, taskStates);
   const commands = new CommandDispatcher(context, heartbeats);
   await commands.send(machine);
   assert.equal(task.startCommand.kind, "uncertain");
@@ -25,19 +25,19 @@
 });
 
 test("a worker that answers before its first report was answered has a whole lease", async () => {
-  const { world, block, context, recorder } = makeBlock(1);
-  const machine = [...block.machines.values()][0];
+  const { world, shard, context, taskStates } = makeShard(1);
+  const machine = [...shard.machines.values()][0];
   assert.ok(machine !== undefined);
   machine.state = "booting";
   machine.counters.incarnation = null;
   await world.run(20_000_000, nothing);
-  new HeartbeatProcessor(context, recorder).process(machine, report(), { kind: "heartbeat" });
+  new HeartbeatProcessor(context, taskStates).process(machine, report(), { kind: "heartbeat" });
   // From when it was rented, its lease would be taken for over long before the worker ends anything.
   assert.equal(machine.lease.renewedAt, context.clock.now());
 });
 
 test("rounds place no further ahead than records can be written, whatever else waits for the same writes", () => {
-  const { block, context, recorder } = makeBlock(200);
+  const { shard, context, taskStates } = makeShard(200);
   const marked: string[] = [];
   const scheduler = new Scheduler(
     // Ten writes a second, and hundreds of ends of jobs waiting.
@@ -46,31 +46,31 @@
       transactions: { ...context.transactions, writesPerSecond: 10, pendingCount: () => 500 },
     } as unknown as ShardContext,
     {
-      ...recorder,
+      ...taskStates,
       recordPlacement: (range: { placementPendingSince: Micros | null; job: { spec: JobSpec } }) => {
         if (range.placementPendingSince === null) marked.push(range.job.spec.id);
         range.placementPendingSince = context.clock.now();
       },
     } as unknown as TaskStateWriter,
   );
-  for (let at = 0; at < 60; at += 1) block.addJob({ ...SPEC, id: `wk-${at}`, tasks: 20 }, 1, false);
+  for (let at = 0; at < 60; at += 1) shard.addJob({ ...SPEC, id: `wk-${at}`, tasks: 20 }, 1, false);
   scheduler.runRound();
   assert.equal(marked.length, 20, "two seconds' writes");
   // Each of them whole: the fewer writes, the more tasks they carry.
-  assert.ok(marked.every((id) => block.jobs.get(id)?.placedTasks.size === 20));
+  assert.ok(marked.every((id) => shard.jobs.get(id)?.placedTasks.size === 20));
   scheduler.runRound();
   assert.equal(marked.length, 20, "nothing more until some are written");
   for (const id of marked.slice(0, 5))
-    for (const range of block.jobs.get(id)?.ranges ?? []) range.placementPendingSince = null;
+    for (const range of shard.jobs.get(id)?.ranges ?? []) range.placementPendingSince = null;
   scheduler.runRound();
   assert.equal(marked.length, 25);
 });
 
 test("what a round looks at grows with machines and tasks, not with their product", () => {
-  const { block, context, recorder } = makeBlock(1_500);
+  const { shard, context, taskStates } = makeShard(1_500);
   for (let at = 0; at < 100; at += 1) {
     const service = at % 4 === 0;
-    block.addJob(
+    shard.addJob(
       {
         ...SPEC,
         id: `wk-${at}`,
@@ -82,9 +82,9 @@
       false,
     );
   }
-  const scheduler = new Scheduler(context, recorder);
+  const scheduler = new Scheduler(context, taskStates);
   scheduler.runRound();
-  const placed = [...block.jobs.values()].reduce((sum, job) => sum + job.placedTasks.size, 0);
+  const placed = [...shard.jobs.values()].reduce((sum, job) => sum + job.placedTasks.size, 0);
   assert.ok(placed > 10_000, `${placed} placed`);
   // Each task on each machine would be 17 million.
   assert.ok(scheduler.inspection.count < 1_500_000, `${scheduler.inspection.count} looked at`);
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -6,8 +6,8 @@
 import type { KeyValueEntry } from "../src/protocol/key-value-store.js";
 import { parseSettings } from "../src/settings/parse-settings.js";
 import { memberKey, shardKey } from "../src/storage/keys.js";
-import { nothing, quiet } from "./block-fixtures.js";
 import { settingsText } from "./fixtures.js";
+import { nothing, quiet } from "./shard-fixtures.js";
 
 const settings = parseSettings(settingsText(0));
 const [ME, BLOCK] = [memberKey(settings.label), shardKey(0)];
--- a/test/block-fixtures.ts
+++ b/test/shard-fixtures.ts
@@ -55,8 +55,8 @@
 
 const settings = parseSettings(settingsText(0));
 
-/** A block of machines that are up, and the context its loops work in, with nothing else around it. */
-export const makeBlock = (machines: number, answers: HttpOutcome[] = []) => {
+/** A shard with this many machines that are up, and the context of its control loops; every collaborator is a double. `responses`: what the workers answer in turn. */
+export const makeShard = (machines: number, responses: HttpOutcome[] = []) => {
   const world = new World();
   const clock = new HostClock(world, 1, 1_000_000);
   const shard = new ShardState(clock, 128, settings.teams, () => new Map(TYPES.map((type) => [type.name, type])));
@@ -82,7 +82,7 @@
     transactions: { writesPerSecond: 1e9, maxValueBytes: 1e9, maxWritesPerTransaction: 12, pendingCount: () => 0 },
     wallClock: null,
     mayStartTasks: () => true,
-    http: { call: async () => answers.shift() ?? { kind: "unsent" } },
+    http: { call: async () => responses.shift() ?? { kind: "unsent" } },
     lease: { shard: 0, epoch: 1, key: "c/block/0", version: 1, isValid: () => true },
     scheduleRound: nothing,
     scheduleCommands: nothing,
@@ -95,7 +95,7 @@
     recordSoon: nothing,
     finishIfComplete: nothing,
   } as unknown as TaskStateWriter;
-  return { world, block: shard, context, recorder: taskStates };
+  return { world, shard, context, taskStates };
 };
 
 export const placedTask = (shard: ShardState, machine: Machine): Task => {
@@ -109,7 +109,7 @@
   return task;
 };
 
-/** What the first machine of a block says, but for the given fields. */
+/** A heartbeat of the shard's first machine; `fields` replace those given here. */
 export const report = (fields: Partial<Heartbeat> = {}): Heartbeat => ({
   machine: "n-0",
   address: "10.1.0.1:9000",
--- a/test/transaction-batcher.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -8,7 +8,7 @@
 import { TransactionBatcher } from "../src/storage/transaction-batcher.js";
 import type { WritePriority } from "../src/storage/write-priority.js";
 import type { Micros } from "../src/transport/clock.js";
-import { nothing } from "./block-fixtures.js";
+import { nothing } from "./shard-fixtures.js";
 
 const put = (key: string, value: unknown = {}): WriteOperation => ({ kind: "put", key, value });
 const absent = (key: string): ReadonlyMap<string, Uint64> => new Map([[key, 0]]);
--- a/test/trial.test.ts
+++ b/test/trial.test.ts
@@ -8,34 +8,34 @@
 import { allowedStarts, attributeFailure, clearSuspicion } from "../src/coordination/workers/failure-attribution.js";
 import { S } from "../src/model/index.js";
 import { type Micros, seconds } from "../src/transport/clock.js";
-import { makeBlock, SPEC } from "./block-fixtures.js";
+import { makeShard, SPEC } from "./shard-fixtures.js";
 import { Cluster, plainJob } from "./sim/cluster.js";
 
 const scene = (machines: number) => {
-  const { block, world, context } = makeBlock(machines);
-  const all = [...block.machines.values()];
+  const { shard, world, context } = makeShard(machines);
+  const all = [...shard.machines.values()];
   const add = (id: string, tasks: number): Job => {
-    const job = block.addJob({ ...SPEC, id, tasks }, 1, false);
-    block.createNextTaskRange(job);
+    const job = shard.addJob({ ...SPEC, id, tasks }, 1, false);
+    shard.createNextTaskRange(job);
     return job;
   };
   const start = (job: Job, machine: Machine | undefined): Task => {
     const [task] = job.waitingTasks;
     assert.ok(task !== undefined && machine !== undefined);
-    block.assignTask(task, machine);
+    shard.assignTask(task, machine);
     Object.assign(task, { state: "running", runningSince: context.clock.now() });
     return task;
   };
   const fail = (task: Task): string => {
     const machine = task.machine as Machine;
-    const verdict = attributeFailure(task, machine, block.jobs, block.machines, context.clock.now());
-    block.releaseTask(task);
+    const verdict = attributeFailure(task, machine, shard.jobs, shard.machines, context.clock.now());
+    shard.releaseTask(task);
     return verdict;
   };
   const pass = (s: number): void => {
     world.now += s * S;
   };
-  return { block, all, add, start, fail, pass, now: () => context.clock.now() };
+  return { shard, all, add, start, fail, pass, now: () => context.clock.now() };
 };
 
 test("an array with a mistake has no machine called faulty, however many of its tasks fail at once", () => {
@@ -75,7 +75,7 @@
 });
 
 test("a job on trial is tried one task at a time, after ever longer pauses, and goes on once one does well", () => {
-  const { block, all, add, start, fail, pass, now } = scene(4);
+  const { shard, all, add, start, fail, pass, now } = scene(4);
   const job = add("wk-1", 40);
   assert.equal(allowedStarts(job, now()), Number.POSITIVE_INFINITY);
   for (const task of [start(job, all[0]), start(job, all[1])]) fail(task);
@@ -95,7 +95,7 @@
   assert.equal(allowedStarts(job, now()), Number.POSITIVE_INFINITY);
   clearSuspicion(job);
   assert.equal(job.onProbation, false);
-  assert.equal(block.jobs.size, 1);
+  assert.equal(shard.jobs.size, 1);
 });
 
 test("tasks that fail after a while need others that ran well for longer to speak for their job", () => {
@@ -112,13 +112,13 @@
 });
 
 test("what a job on trial has not been given is left to the team's other jobs", () => {
-  const { block, all, add, start, fail, now } = scene(3);
+  const { shard, all, add, start, fail, now } = scene(3);
   const job = add("wk-1", 40);
   const healthy = add("wk-2", 4);
   for (const task of [start(job, all[0]), start(job, all[1])]) fail(task);
   job.retryAfter = (now() + seconds(5)) as Micros;
   const snapshot = {
-    shard: block,
+    shard,
     now: now(),
     settings: { teams: new Map(), objectives: [] },
     guaranteesOvercommitted: false,
--- a/test/watch-cache.test.ts
+++ b/test/watch-cache.test.ts
@@ -6,7 +6,7 @@
 import type { StoreResult } from "../src/storage/store-results.js";
 import { WatchCache } from "../src/storage/watch-cache.js";
 import { ms, seconds } from "../src/transport/clock.js";
-import { nothing, quiet } from "./block-fixtures.js";
+import { nothing, quiet } from "./shard-fixtures.js";
 
 const entryOf = (key: string, version = 5): KeyValueEntry => ({ key, value: {}, version });
 
--- a/test/watch.test.ts
+++ b/test/watch.test.ts
@@ -3,11 +3,11 @@
 import { FailureDetector } from "../src/coordination/workers/failure-detector.js";
 import { S } from "../src/model/index.js";
 import type { Micros } from "../src/transport/clock.js";
-import { makeBlock, nothing } from "./block-fixtures.js";
+import { makeShard, nothing } from "./shard-fixtures.js";
 
 test("a zone that has come down to one machine while questions there were open does not count as cut off for ever", () => {
   // It was rented nothing for 370 s: of fewer than three machines nobody was asked again, so no answer could end it.
-  const { world, block, context } = makeBlock(7);
+  const { world, shard, context } = makeShard(7);
   Object.assign(context, { cache: { freshAsOf: null }, eventListener: null, workerPathChangedAt: () => null });
   const autoscaler = {
     unreachableZones: new Set<string>() as ReadonlySet<string>,
@@ -22,14 +22,14 @@
     guard: async () => undefined,
     onUnreachable: async () => undefined,
   });
-  const [east, west] = ["east", "west"].map((zone) => [...block.machines.values()].filter((m) => m.zone === zone));
+  const [east, west] = ["east", "west"].map((zone) => [...shard.machines.values()].filter((m) => m.zone === zone));
   assert.ok(east?.length === 4 && west?.length === 3);
   /** All are heard; in the west nobody answers. */
   const pass = (seconds: number): void => {
     for (let tick = 0; tick < seconds * 4; tick += 1) {
       world.now += S / 4;
       const now = context.clock.now();
-      for (const machine of block.machines.values()) machine.reachability.lastHeartbeatAt = now;
+      for (const machine of shard.machines.values()) machine.reachability.lastHeartbeatAt = now;
       for (const machine of east) machine.reachability.lastResponseAt = now;
       failureDetector.checkSilence();
     }
@@ -37,7 +37,7 @@
   for (const machine of west) machine.reachability.consecutiveTimeouts = 1;
   pass(12);
   assert.deepEqual([...autoscaler.unreachableZones], ["west"]);
-  for (const { name } of west.slice(1)) block.machines.delete(name);
+  for (const { name } of west.slice(1)) shard.machines.delete(name);
   for (const machine of west)
     Object.assign(machine.reachability, { consecutiveTimeouts: 0, lastResponseAt: 0 as Micros });
   pass(5);
