--- a/test/wire-words.test.ts
+++ b/test/wire-words.test.ts
@@ -119,24 +119,27 @@
   return "";
 };
 
-/** The codecs' readers take fields by name, encoders build objects, and tables named `WIRE_` map values. */
+/**
+ * The codecs' readers take fields by name, encoders build objects, and constant tables map values
+ * either way, and `FIELD` the names of fields in memory to those of a message.
+ */
 const readVocabulary = (): Vocabulary => {
   const wire = new Set<string>();
   const memory = new Set<string>();
   const visit = (node: ts.Node): void => {
     if (ts.isPropertySignature(node)) memory.add(nameOf(node.name));
     if (ts.isLiteralTypeNode(node) && ts.isStringLiteral(node.literal)) memory.add(node.literal.text);
+    if (ts.isArrayLiteralExpression(node))
+      for (const element of node.elements) if (ts.isStringLiteral(element)) memory.add(element.text);
     if (ts.isCallExpression(node) && /^(read|lookup)/.test(node.expression.getText()))
       for (const argument of node.arguments) if (ts.isStringLiteral(argument)) wire.add(argument.text);
     if (ts.isPropertyAccessExpression(node) && /^(fields|item|head|asObject\(.*\))$/s.test(node.expression.getText()))
       wire.add(node.name.text);
     if (!ts.isPropertyAssignment(node) && !ts.isShorthandPropertyAssignment(node)) return;
     const definition = definitionOf(node);
-    if (!/^(encode|WIRE_)/.test(definition)) return;
-    wire.add(nameOf(node.name));
-    const value = ts.isPropertyAssignment(node) ? node.initializer : null;
-    const isWireValue = definition.startsWith("encode") || definition === "WIRE_PHASE";
-    if (value !== null && ts.isStringLiteral(value) && isWireValue) wire.add(value.text);
+    if (!/^(encode\w*|[A-Z_]+)$/.test(definition)) return;
+    if (!ts.isComputedPropertyName(node.name)) (definition === "FIELD" ? memory : wire).add(nameOf(node.name));
+    if (ts.isPropertyAssignment(node) && ts.isStringLiteral(node.initializer)) wire.add(node.initializer.text);
   };
   for (const file of sourceFilesBelow(PROTOCOL)) walk(parse(file), visit);
   return { wire, memory };
