--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Transactions that are carried out late, or twice, must change nothing: each is guarded by conditions on versions.
+ * @module
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { S } from "../src/model/index.js";
@@ -6,59 +10,69 @@
 import { GraphSite, JOB_FIELDS } from "./sim/graph-site.js";
 import { nightOf } from "./sim/night.js";
 
-/** A transaction as it got to the state service, whoever sent it. */
-interface Late {
+/** A transaction as it reached the state service, whoever sent it. */
+interface SentTransaction {
   readonly body: string;
-  readonly at: number;
+  readonly sentAt: number;
 }
 
+/** One example of what a late transaction would change, by kind of key. */
+type LateEffects = ReadonlyMap<string, string>;
+
+/** A transaction as young as this may just be under way for the first time. */
+const MIN_AGE = S / 2;
+/** No longer than a cut connection holds a message back. */
+const MAX_AGE = 90 * S;
+const PROBE_INTERVAL = 1.7 * S;
+
 /** `c/range/wk-1/0` and `c/range/wk-2/3` are of one kind. */
 const kindOf = (key: string): string => key.split("/").slice(0, 2).join("/");
 
 /**
- * Looks, while the site runs, at what each transaction of the last while would change if it were carried out now: late,
- * as the twin of one that was tried again for want of an answer does. Returns the kinds of keys that any of them would have changed, with an example.
+ * Looks, while the site runs, at what each transaction of the last 90 s would change if it were carried out now: late, as
+ * the twin of one that was tried again for want of an answer is. Collects the kinds of keys that any of them would have
+ * changed, with an example. `alter`: applied to each transaction before it is looked at.
  */
-const watchLate = (cluster: Cluster, alter: (body: string) => string = (body) => body): ReadonlyMap<string, string> => {
-  const sent: Late[] = [];
-  const found = new Map<string, string>();
-  cluster.state.onTransaction = (body) => {
-    sent.push({ body: alter(body), at: cluster.world.now });
+const watchLateEffects = (cluster: Cluster, alter: (body: string) => string = (body) => body): LateEffects => {
+  const { state, world } = cluster;
+  const transactions: SentTransaction[] = [];
+  const effects = new Map<string, string>();
+  state.onTransaction = (body) => {
+    transactions.push({ body: alter(body), sentAt: world.now });
   };
-  const look = (): void => {
-    // One of the last moment may just be under way for the first time.
-    for (const { body, at } of sent) {
-      if (cluster.world.now - at < S / 2) continue;
-      for (const key of cluster.state.lateEffect(body)) {
-        if (!found.has(kindOf(key)))
-          found.set(kindOf(key), `${key} ${(cluster.world.now - at) / S} s late: ${body.slice(0, 300)}`);
-      }
+  const recordEffects = ({ body, sentAt }: SentTransaction): void => {
+    const age = world.now - sentAt;
+    if (age < MIN_AGE) return;
+    for (const key of state.lateEffect(body)) {
+      if (!effects.has(kindOf(key))) effects.set(kindOf(key), `${key} ${age / S} s late: ${body.slice(0, 300)}`);
     }
-    // No longer than a cut holds a message back.
-    while ((sent[0]?.at ?? cluster.world.now) < cluster.world.now - 90 * S) sent.shift();
-    cluster.world.after(1.7 * S, look);
   };
-  cluster.world.after(S, look);
-  return found;
+  const probe = (): void => {
+    transactions.forEach(recordEffects);
+    while ((transactions[0]?.sentAt ?? world.now) < world.now - MAX_AGE) transactions.shift();
+    world.after(PROBE_INTERVAL, probe);
+  };
+  world.after(S, probe);
+  return effects;
 };
 
 /**
- * What is said again at the next look where it is wrong (docs/meetings.md, "Late writes"): whether a holder can take nothing
- * more, which its next tick mends.
+ * What is written again at the next look where it is wrong (docs/meetings.md, "Late writes"): whether a shard's leader can
+ * take nothing more, which its next tick corrects.
  */
-const MENDS_ITSELF = ["c/full"];
+const SELF_CORRECTING_KINDS = ["c/full"];
 
-const harmful = (found: ReadonlyMap<string, string>): readonly string[] =>
-  [...found].filter(([kind]) => !MENDS_ITSELF.includes(kind)).map(([, example]) => example);
+const harmfulEffects = (effects: LateEffects): readonly string[] =>
+  [...effects].filter(([kind]) => !SELF_CORRECTING_KINDS.includes(kind)).map(([, example]) => example);
 
-test("no transaction of a day with takeovers and cancellations changes anything when it is carried out late or once more", async () => {
+test("no transaction of a day with failovers and cancellations changes anything when it is carried out late or once more", async () => {
   for (const mesh of [false, true]) {
-    let found: ReadonlyMap<string, string> = new Map();
+    let effects: LateEffects = new Map();
     const cluster = await nightOf({
       mesh,
       seed: mesh ? 72 : 73,
       more: (c) => {
-        found = watchLate(c);
+        effects = watchLateEffects(c);
         const random = new Random(5);
         for (let number = 0; number < 30; number += 1) {
           const job = { ...randomJob(random, number), ref: `wk-7000${10 + number}` };
@@ -78,17 +92,17 @@
     await cluster.run(40 * S);
     cluster.crash(cluster.holder(), 20 * S);
     await cluster.run(90 * S);
-    assert.deepEqual(harmful(found), []);
+    assert.deepEqual(harmfulEffects(effects), []);
     assert.deepEqual(cluster.errors, []);
   }
 });
 
-test("conditions that are left out are caught", async () => {
-  let found: ReadonlyMap<string, string> = new Map();
-  const bare = (body: string): string => JSON.stringify({ ...(JSON.parse(body) as object), if: [] });
-  const cluster = await nightOf({ mesh: false, more: (c) => (found = watchLate(c, bare)) });
+test("transactions without their conditions are found to change something when carried out late", async () => {
+  let effects: LateEffects = new Map();
+  const withoutConditions = (body: string): string => JSON.stringify({ ...(JSON.parse(body) as object), if: [] });
+  const cluster = await nightOf({ mesh: false, more: (c) => (effects = watchLateEffects(c, withoutConditions)) });
   await cluster.run(30 * S);
-  const kinds = [...found.keys()];
+  const kinds = [...effects.keys()];
   for (const kind of ["c/job", "c/range"])
     assert.ok(
       kinds.some((seen) => seen.startsWith(kind)),
@@ -98,9 +112,9 @@
 
 const step = (task_id: string, more: object = {}): object => ({ task_id, ...more });
 
-test("the same with graphs: withdrawn, cleared, uploaded in parts and put together", async () => {
+test("no late transaction changes anything with graphs: withdrawn, cleared, uploaded in parts and put together", async () => {
   const site = new GraphSite(31);
-  const found = watchLate(site);
+  const effects = watchLateEffects(site);
   await site.run(10 * S);
   await site.post("dr-a", [step("a"), step("b", { upstream: ["a"] })]);
   await site.post("dr-b", [step("a"), step("b", { upstream: ["a"] })]);
@@ -130,5 +144,5 @@
   // What was never put together is dropped in the end.
   await site.ask("POST", "/v2/graphs", { ref: "dr-d", part: 0, parts: 2, text: "half" });
   await site.run(40 * S);
-  assert.deepEqual(harmful(found), []);
+  assert.deepEqual(harmfulEffects(effects), []);
 });
