--- a/src/storage/batch-assembly.ts
+++ b/src/storage/batch-assembly.ts
@@ -13,7 +13,7 @@
 
 /** Bounds of one batch, in writes. */
 export interface BatchBounds {
-  /** What the state service takes at once. */
+  /** What the key-value store takes at once. */
   readonly maxWritesPerTransaction: number;
   /** What the write budget has at present. */
   readonly availableWrites: number;
--- a/src/storage/cancellation-reason.ts
+++ b/src/storage/cancellation-reason.ts
@@ -4,7 +4,9 @@
  */
 import type { JsonObject } from "../protocol/json.js";
 
-/** `error`, `timeout`: the attempt was given up. `graph`: withdrawn with what it is part of. `cleared`: to be redone. */
+/**
+ * `error`, `timeout`: the attempt was given up. `graph`: withdrawn with what it is part of. `cleared`: to be redone.
+ */
 export const CANCELLATION_REASONS = ["error", "timeout", "graph", "cleared"] as const;
 /** One of `CANCELLATION_REASONS`. */
 export type CancellationReason = (typeof CANCELLATION_REASONS)[number];
--- a/src/storage/job-records.ts
+++ b/src/storage/job-records.ts
@@ -64,7 +64,9 @@
   };
 };
 
-/** The jobs that this one depends on, wherever its list lies; null while a part of the list is not among the entries. */
+/**
+ * The jobs that this one depends on, wherever its list lies; null while a part of the list is not among the entries.
+ */
 export const recordedDependencies = (
   { spec, dependencyList }: JobRecord,
   entries: ReadonlyMap<string, { readonly value: unknown }>,
--- a/src/storage/key-value-store.ts
+++ b/src/storage/key-value-store.ts
@@ -1,5 +1,5 @@
 /**
- * Client of the state service: a consensus-backed key-value store with leases, watches and compare-and-swap transactions.
+ * Client of the key-value store: consensus-backed, with leases, watches and compare-and-swap transactions.
  * @module
  */
 import { formatJson, type Uint64 } from "../protocol/json.js";
@@ -26,7 +26,7 @@
   watchResultOf,
 } from "./store-results.js";
 
-/** What one process may ask of the state service. */
+/** What one process may ask of the key-value store. */
 export interface StoreBudget {
   /** Requests a second. */
   readonly requestsPerS: number;
@@ -41,7 +41,7 @@
 /** What a `KeyValueStore` needs. */
 export interface KeyValueStoreOptions {
   readonly http: HttpClient;
-  /** Host and port of the state service. */
+  /** Host and port of the key-value store. */
   readonly address: string;
   readonly clock: Clock;
   readonly log: Log;
@@ -78,7 +78,7 @@
 const confirmed = (): true => true;
 
 /**
- * Sends requests to the state service, paced by the budget, and tells apart what was not executed from what may have
+ * Sends requests to the key-value store, paced by the budget, and tells apart what was not executed from what may have
  * been. Failures are results; nothing is thrown, and nothing is tried again here.
  */
 export class KeyValueStore {
@@ -88,7 +88,7 @@
     this.pacer = new RequestPacer(options.clock, options.budget.requestsPerS, options.random);
   }
 
-  /** What this process may ask of the state service. */
+  /** What this process may ask of the key-value store. */
   get budget(): StoreBudget {
     return this.options.budget;
   }
@@ -141,7 +141,10 @@
     return this.resultOf(await this.request("POST", "/grants", { ttlMs: toWholeMs(ttl) }), decodeLeaseId);
   }
 
-  /** Not paced by the budget: a renewal kept waiting costs more than a request too many. `missing`: the lease has expired. */
+  /**
+   * Not paced by the budget: a renewal kept waiting costs more than a request too many. `missing`: the lease has
+   * expired.
+   */
   async renewLease(lease: Uint64): Promise<StoreResult<true>> {
     this.pacer.countUnpaced();
     return this.resultOf(await this.request("POST", `/grants/${lease}/touch`, {}), confirmed);
@@ -154,7 +157,7 @@
   }
 
   /**
-   * The changes below the prefix after the revision `from`; where there are none the state service waits for one, no
+   * The changes below the prefix after the revision `from`; where there are none the key-value store waits for one, no
    * longer than `wait`. `missing` when `from` is too old: the entries are to be listed again.
    */
   async watch(prefix: string, from: Uint64, wait: Micros): Promise<StoreResult<ChangeList>> {
--- a/src/storage/log-events.ts
+++ b/src/storage/log-events.ts
@@ -5,7 +5,7 @@
 
 /** The texts of the events, in the form "subject verb". */
 export const LogEvent = {
-  /** The state service takes no transaction as large: `writes` (count), `body` (of the response, cut short). */
+  /** The key-value store takes no transaction as large: `writes` (count), `body` (of the response, cut short). */
   TransactionRefused: "transaction refused",
   /** A response that can't be read, or with a status that is not known: `error`. */
   StoreResponseMalformed: "store response malformed",
--- a/src/storage/pending-transaction.ts
+++ b/src/storage/pending-transaction.ts
@@ -8,7 +8,7 @@
 import type { TransactionResult } from "./store-results.js";
 import type { WritePriority } from "./write-priority.js";
 
-/** What becomes of a submitted transaction; the batcher itself waits for a busy state service. */
+/** What becomes of a submitted transaction; the batcher itself waits for a busy key-value store. */
 export type SubmissionResult = Exclude<TransactionResult, { readonly kind: "busy" }>;
 
 /** A submitted transaction. It is carried out as a whole or not at all. */
@@ -21,6 +21,6 @@
   readonly buildWrites: () => readonly WriteOperation[];
   readonly resolve: (result: SubmissionResult) => void;
   readonly queuedAt: Micros;
-  /** How often the state service was too busy for it. */
+  /** How often the key-value store was too busy for it. */
   attempts: number;
 }
--- a/src/storage/request-pacer.ts
+++ b/src/storage/request-pacer.ts
@@ -1,15 +1,18 @@
 /**
- * Pacing of the requests that one process sends to the state service.
+ * Pacing of the requests that one process sends to the key-value store.
  * @module
  */
 import { type Clock, ms, sleep } from "../transport/clock.js";
 import { RateLimiter } from "../transport/rate-limiter.js";
 
-/** After a response that says "too many requests" none is sent for this long (milliseconds), and up to the other longer. */
+/**
+ * After a response that says "too many requests" none is sent for this long (milliseconds), and up to the other
+ * longer.
+ */
 const MIN_PAUSE_MS = 50;
 const PAUSE_SPREAD_MS = 150;
 
-/** Keeps the requests of one process to a rate, and to less where the state service refuses that. */
+/** Keeps the requests of one process to a rate, and to less where the key-value store refuses that. */
 export class RequestPacer {
   private readonly limit: RateLimiter;
 
@@ -34,7 +37,10 @@
     this.limit.take(1);
   }
 
-  /** The state service has refused a request because too many were sent: pauses for 50 to 200 ms, at a lower rate then. */
+  /**
+   * The key-value store has refused a request because too many were sent: pauses for 50 to 200 ms, at a lower rate
+   * then.
+   */
   recordTooManyRequests(): void {
     this.limit.backOff(ms(MIN_PAUSE_MS + PAUSE_SPREAD_MS * this.random()));
   }
--- a/src/storage/store-results.ts
+++ b/src/storage/store-results.ts
@@ -14,11 +14,17 @@
   | { readonly kind: "ok"; readonly value: T }
   | { readonly kind: "refused" | "lost" | "missing" };
 
-/** What became of a compare-and-swap transaction. `version`: that of all keys that it wrote. `keys`: whose condition failed. */
+/**
+ * What became of a compare-and-swap transaction. `version`: that of all keys that it wrote. `keys`: whose condition
+ * failed.
+ */
 export type TransactionResult =
   | { readonly kind: "ok"; readonly version: Uint64 }
   | { readonly kind: "conflict"; readonly keys: readonly string[] }
-  /** Surely not executed, and never will be as it is: a value or the whole is larger than the state service takes by now. */
+  /**
+   * Surely not executed, and never will be as it is: a value or the whole is larger than the key-value store takes by
+   * now.
+   */
   | { readonly kind: "too large" }
   /** `busy`: surely not executed, because a limit was passed; the same may be sent again a little later. */
   | { readonly kind: "refused" | "lost" }
@@ -31,7 +37,7 @@
 const STATUS_NOT_FOUND = 404;
 const STATUS_CONFLICT = 409;
 const STATUS_GONE = 410;
-/** The state service's limit on requests or on writes is passed. */
+/** The key-value store's limit on requests or on writes is passed. */
 export const STATUS_TOO_MANY_REQUESTS = 429;
 const STATUS_UNAVAILABLE = 503;
 
@@ -59,7 +65,7 @@
   return decodeBody(outcome, decode, log);
 };
 
-/** The result of a watch; `missing` where the revision to begin after is too old for the state service. */
+/** The result of a watch; `missing` where the revision to begin after is too old for the key-value store. */
 export const watchResultOf = <T>(outcome: HttpOutcome, decode: (body: unknown) => T, log: Log): StoreResult<T> => {
   if (outcome.kind === "answer" && outcome.status === STATUS_GONE) return { kind: "missing" };
   return storeResultOf(outcome, decode, log);
--- a/src/storage/transaction-batch.ts
+++ b/src/storage/transaction-batch.ts
@@ -6,8 +6,8 @@
 import type { WriteOperation } from "../protocol/key-value-store.js";
 import type { PendingTransaction, SubmissionResult } from "./pending-transaction.js";
 
-/** A transaction has at most so many conditions for each write that it may have. */
-const MAX_CONDITIONS_PER_WRITE = 4;
+/** A transaction may have this many conditions for each of `maxWritesPerTransaction`. */
+export const MAX_CONDITIONS_PER_WRITE = 4;
 /** Nothing is added to a batch whose writes are larger than this as text; the last one added may go beyond it. */
 const MAX_BATCH_BYTES = 48 * 1_024;
 
@@ -23,7 +23,7 @@
   /** Of the writes as text. */
   private bytes = 0;
 
-  /** `maxWritesPerTransaction`: what the state service takes at once. */
+  /** `maxWritesPerTransaction`: what the key-value store takes at once. */
   constructor(private readonly maxWritesPerTransaction: number) {}
 
   /**
--- a/src/storage/transaction-batcher.ts
+++ b/src/storage/transaction-batcher.ts
@@ -46,12 +46,15 @@
     this.sender = new TransactionSender({ store, clock, random, queues: this.queues, limits: this.limits });
   }
 
-  /** Size of the largest value that may be written, in bytes: as set, and less where the state service refused as much. */
+  /**
+   * Size of the largest value that may be written, in bytes: as set, and less where the key-value store refused as
+   * much.
+   */
   get maxValueBytes(): number {
     return this.limits.maxValueBytes;
   }
 
-  /** Writes that one transaction may have: as set, and fewer where the state service refused as many. */
+  /** Writes that one transaction may have: as set, and fewer where the key-value store refused as many. */
   get maxWritesPerTransaction(): number {
     return this.limits.maxWritesPerTransaction;
   }
--- a/src/storage/transaction-queues.ts
+++ b/src/storage/transaction-queues.ts
@@ -77,7 +77,10 @@
     return this.batchCount % TURN_INTERVAL === 0;
   }
 
-  /** Of the priorities with something overdue, each in its turn: the worst of them alone would keep the others out again. */
+  /**
+   * Of the priorities with something overdue, each in its turn: the worst of them alone would keep the others out
+   * again.
+   */
   private nextOverdue(): PendingTransaction | null {
     for (let step = 1; step <= TURN_ORDER.length; step += 1) {
       const priority = TURN_ORDER[(this.lastTurn + step) % TURN_ORDER.length] ?? "normal";
--- a/src/storage/watch-cache.ts
+++ b/src/storage/watch-cache.ts
@@ -16,9 +16,9 @@
 const NO_WAIT = 0 as Micros;
 const LIST_RETRY_DELAY = ms(200);
 const WATCH_RETRY_DELAY = ms(150);
-/** All controllers together spend this share of the state service's requests on watching. */
+/** All controllers together spend this share of the key-value store's requests on watching. */
 export const WATCH_REQUEST_SHARE = 0.3;
-/** All controllers together spend this share of the state service's requests on `sync`. */
+/** All controllers together spend this share of the key-value store's requests on `sync`. */
 export const SYNC_REQUEST_SHARE = 0.25;
 const MIN_REQUEST_INTERVAL = ms(15);
 
@@ -100,7 +100,7 @@
   }
 
   /**
-   * Resolves to true once the cache holds all that was decided before the call; to false where the state service gave no
+   * Resolves to true once the cache holds all that was decided before the call; to false where the key-value store gave no
    * answer. Calls made at about the same time share one request.
    */
   sync(): Promise<boolean> {
@@ -135,7 +135,7 @@
     return changes;
   }
 
-  /** False where the state service gave no answer, or the entries have to be listed first. */
+  /** False where the key-value store gave no answer, or the entries have to be listed first. */
   private async catchUp(from: Uint64, wait: Micros): Promise<boolean> {
     const { store, prefix, clock } = this.options;
     const sentAt = clock.now();
@@ -154,7 +154,10 @@
     return true;
   }
 
-  /** The changes that are new here. Two requests overlap; what the other one brought must not be undone by an older change. */
+  /**
+   * The changes that are new here. Two requests overlap; what the other one brought must not be undone by an older
+   * change.
+   */
   private advance(known: Uint64, { changes, revision }: ChangeList): readonly KeyChange[] {
     if (revision > known) this.revision = revision;
     return changes.filter(({ version }) => version > known);
--- a/src/storage/write-limits.ts
+++ b/src/storage/write-limits.ts
@@ -1,5 +1,5 @@
 /**
- * Limits of the state service on what is written, as set and as learnt from its refusals.
+ * Limits of the key-value store on what is written, as set and as learnt from its refusals.
  * @module
  */
 import { formatJson } from "../protocol/json.js";
@@ -9,7 +9,10 @@
 /** No limit on values is taken to be below this: what is smaller was refused for something else. */
 const MIN_VALUE_BYTES = 512;
 
-/** How large a value, and how many writes at once, may be: as set, and less where the state service has refused as much. */
+/**
+ * How large a value, and how many writes at once, may be: as set, and less where the key-value store has refused as
+ * much.
+ */
 export class WriteLimits {
   private valueBytes: number;
   private writesPerTransaction: number;
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -10,7 +10,7 @@
 import { GraphSite, JOB_FIELDS } from "./sim/graph-site.js";
 import { nightOf } from "./sim/night.js";
 
-/** A transaction as it reached the state service, whoever sent it. */
+/** A transaction as it reached the key-value store, whoever sent it. */
 interface SentTransaction {
   readonly body: string;
   readonly sentAt: number;
--- a/test/transaction-batcher.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -184,7 +184,7 @@
   assert.ok(batcher.maxWritesPerTransaction <= 2);
 });
 
-test("a state service that stays busy is tried eight times more, then the transaction is refused", async () => {
+test("a key-value store that stays busy is tried eight times more, then the transaction is refused", async () => {
   const { world, sent, results, submit } = makeBatcher(() => ({ kind: "busy" }));
   submit("a");
   await world.run(60_000_000, nothing);
