--- a/src/coordination/scheduling/capacity-reservation.ts
+++ b/src/coordination/scheduling/capacity-reservation.ts
@@ -39,7 +39,7 @@
   | { readonly kind: "reserve"; readonly reservation: Reservation }
   | { readonly kind: "unreserve"; readonly job: Job; readonly why: "begun" | "in vain" | "ended" }
   /** Nowhere will there be room for it in a time that could be waited for. */
-  | { readonly kind: "no such room"; readonly job: Job };
+  | { readonly kind: "no capacity to reserve"; readonly job: Job };
 
 /** So many tasks at once a job needs to have begun: a gang all of them, a service half, an array one. */
 const tasksNeeded = ({ shape, tasks }: JobSpec): number => {
@@ -191,7 +191,7 @@
     const at = limited ? limitAvailableAt(snapshot, job) : chosen === null ? null : Math.max(now, ...chosen.values());
     if (chosen === null || at === null) {
       retryAt.set(job, (now + RETRY_DELAY) as Micros);
-      yield { kind: "no such room", job };
+      yield { kind: "no capacity to reserve", job };
       continue;
     }
     const until = Math.min(now + MAX_RESERVATION, now + (at - now) * RESERVATION_FACTOR + RESERVATION_SLACK) as Micros;
--- a/src/coordination/scheduling/placement-round.ts
+++ b/src/coordination/scheduling/placement-round.ts
@@ -1,88 +1,19 @@
+/**
+ * One placement round over the waiting jobs of a shard. Its stages: order the jobs, index the machines that can take tasks,
+ * place boosted jobs, reserve capacity for late ones, place the rest, and preempt for what found no capacity.
+ */
 import type { Job } from "../../cluster/job.js";
-import type { Machine } from "../../cluster/machine.js";
-import type { ShardState } from "../../cluster/shard-state.js";
-import { attemptOf, type Task } from "../../cluster/task.js";
-import { allowedStarts } from "../workers/failure-attribution.js";
-import {
-  buildCandidateIndex,
-  type Candidate,
-  type CandidateIndex,
-  copyCandidate,
-  isKnownExhausted,
-  markExhausted,
-  zoneWithMostCapacity,
-} from "./candidate-index.js";
-import {
-  hasStarted,
-  isLimitReserved,
-  type ReservationAction,
-  type ReservationState,
-  reserveCapacity,
-} from "./capacity-reservation.js";
-import { zoneCounts } from "./eligibility.js";
+import type { Task } from "../../cluster/task.js";
+import { buildCandidateIndex, type CandidateIndex } from "./candidate-index.js";
+import { hasStarted, type ReservationState, reserveCapacity } from "./capacity-reservation.js";
 import { GuaranteeUsage } from "./guarantee-usage.js";
 import { waitingJobs } from "./job-order.js";
-import { assign } from "./placement/bfgp.js";
-import { type PreemptAction, PreemptionBudget, type PreemptionState, preemptFor } from "./preemption.js";
+import { placeJob } from "./job-placement.js";
+import { PreemptionBudget, type PreemptionState, preemptFor } from "./preemption.js";
+import type { RoundAction } from "./round-action.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 import { writePriorityOf } from "./start-deadline.js";
 import { type BoostedJobs, boostStarvedJobs, START_BOUND, StartHistory } from "./starvation.js";
-import { createTaskPlacer } from "./task-placer.js";
-
-/** Why tasks of a job go on waiting after a round. */
-export type WaitReason =
-  /** One more would pass the team's limit. */
-  | "team limit"
-  /** No machine that the job may use has room for one. */
-  | "no room"
-  /** No zone has room for a job whose tasks stay in one. */
-  | "no zone"
-  /** What has been placed already takes all the writes that the state service allows for the next seconds. */
-  | "records"
-  /** A gang's tasks are in back-off, or some of them are still on machines. */
-  | "gang incomplete";
-
-export type RoundAction =
-  | { readonly kind: "place"; readonly task: Task; readonly machine: Machine }
-  /** A gang that lost a task cannot go on. */
-  | { readonly kind: "dissolve"; readonly job: Job }
-  | { readonly kind: "wait"; readonly job: Job; readonly reason: WaitReason }
-  /** Work within guarantees has come to exceed all room there is, or no longer does; in thousandths of CPUs. */
-  | { readonly kind: "guarantees"; readonly short: boolean; readonly claimed: number; readonly room: number }
-  | PreemptAction
-  | ReservationAction;
-
-/** What an action changes in the picture; records, commands and waking are for whoever carries it out. */
-export const applyAction = (shard: ShardState, action: RoundAction): void => {
-  switch (action.kind) {
-    case "place": {
-      const { task, machine } = action;
-      shard.assignTask(task, machine);
-      task.desired = { kind: "placed", attempt: attemptOf(task.desired) + 1, machine: machine.name };
-      return;
-    }
-    case "look later":
-      action.task.nextPreemptionSearch = action.at;
-      return;
-    case "stop":
-      for (const { task, graceS, notBefore } of action.victims) {
-        task.stopRequest = { graceS };
-        task.earliestStart = notBefore;
-      }
-      return;
-    case "dissolve": {
-      const { checkpointIntervalS, checkpointDurationS } = action.job.spec;
-      for (const task of action.job.placedTasks)
-        task.stopRequest ??= { graceS: checkpointIntervalS > 0 ? Math.ceil(checkpointDurationS) : 0 };
-      return;
-    }
-    case "wait":
-    case "guarantees":
-    case "reserve":
-    case "unreserve":
-    case "no such room":
-  }
-};
 
 /** What is kept from round to round. */
 export interface RoundState extends PreemptionState, ReservationState {
@@ -90,6 +21,7 @@
   readonly startHistory: StartHistory;
 }
 
+/** The state before the first round of a leader. */
 export const newRoundState = (): RoundState => ({
   promised: new Map(),
   budget: new PreemptionBudget(),
@@ -99,202 +31,106 @@
   retryAt: new Map(),
 });
 
-/** Where it has become so, it only ends once there is clearly more room than is claimed. */
+/** An overcommitment of guarantees only ends once claims are below this share of the capacity. */
 const OVERCOMMIT_END_SHARE = 0.9;
 
-/** So many of the machines with work have to be known for their room to tell anything. */
+/** This share of the machines with tasks has to be ready for their capacity to tell anything. */
 const MIN_KNOWN_SHARE = 0.8;
 
+/** What the stages of one round share. */
+interface Round {
+  readonly snapshot: SchedulerSnapshot;
+  readonly state: RoundState;
+  readonly candidateIndex: CandidateIndex;
+  /** Tasks on ready machines when the round began. */
+  readonly runningTasks: number;
+}
+
 const countMachinesWithTasks = ({ shard }: SchedulerSnapshot): number => {
   let count = 0;
   for (const { tasks } of shard.machines.values()) if (tasks.size > 0) count += 1;
   return count;
 };
 
-/** What came of a job: the first task without room, or that it may go on, or nothing to make room for. */
-type Unplaced = Task | "more" | null;
+/** Reports where the guarantees have come to exceed the capacity, in thousandths of CPUs, or no longer do. */
+function* reportOvercommitment({ snapshot, state, candidateIndex }: Round, capacity: number): Generator<RoundAction> {
+  const { machines, guarantees } = candidateIndex;
+  const { claimed } = guarantees;
+  const overcommitted = claimed > capacity * (state.guaranteesOvercommitted ? OVERCOMMIT_END_SHARE : 1);
+  if (overcommitted === state.guaranteesOvercommitted) return;
+  // A new leader has hardly heard of its machines yet: that their capacity is unknown is no overcommitment.
+  if (machines.length < MIN_KNOWN_SHARE * countMachinesWithTasks(snapshot)) return;
+  state.guaranteesOvercommitted = overcommitted;
+  yield { kind: "guarantees", overcommitted, claimed, capacity };
+}
 
-/** All of a gang's open tasks in this round, or none. */
-function* placeGang(
-  snapshot: SchedulerSnapshot,
-  job: Job,
-  candidateIndex: CandidateIndex,
-  counts: Map<string, number>,
-): Generator<RoundAction, Unplaced> {
-  const { shard, now } = snapshot;
-  const { spec } = job;
-  while (shard.createNextTaskRange(job));
-  const tasks = [...job.waitingTasks].sort((a, b) => a.index - b.index);
-  const first = tasks[0];
-  if (first === undefined) return null;
-  if (tasks.some((task) => task.earliestStart > now)) {
-    yield { kind: "wait", job, reason: "gang incomplete" };
-    return null;
-  }
-  if (job.placedTasks.size > 0) {
-    // The sooner the rest is stopped, the sooner it starts anew together.
-    yield { kind: "dissolve", job };
-    return null;
-  }
-  if (isLimitReserved(candidateIndex.reservation, job) || !shard.withinLimit(spec, tasks.length)) {
-    yield { kind: "wait", job, reason: "team limit" };
-    return null;
-  }
-  // Works on copies: nothing of a gang that does not fit whole must be left behind.
-  const pools = candidateIndex.pools.map((pool) => ({ ...pool, candidates: pool.candidates.map(copyCandidate) }));
-  const run = createTaskPlacer(snapshot, job, { ...candidateIndex, pools }, counts);
-  const chosen: Candidate[] = [];
-  for (const task of tasks) {
-    const candidate = run.nextCandidate();
-    if (candidate === null) return task;
-    assign(spec, candidate);
-    run.confirm(candidate);
-    if (!shard.fitsInRecord(task, candidate.machine.name)) {
-      yield { kind: "wait", job, reason: "records" };
-      return null;
-    }
-    chosen.push(candidate);
-  }
-  const originals = new Map(
-    candidateIndex.pools.flatMap(({ candidates }) => candidates.map((candidate) => [candidate.machine, candidate])),
-  );
-  for (const [index, task] of tasks.entries()) {
-    const server = originals.get(chosen[index]?.machine as Machine);
-    if (server === undefined) continue;
-    yield { kind: "place", task, machine: server.machine };
-    assign(spec, server);
-  }
-  return null;
+/** Places a job and counts its starts. Returns the first task for which there was no capacity, if there is one. */
+function* placeAndCount(round: Round, job: Job, boosted: BoostedJobs | null): Generator<RoundAction, Task | null> {
+  const { snapshot, state, candidateIndex, runningTasks } = round;
+  const placedBefore = job.placedTasks.size;
+  const unplaced = yield* placeJob(snapshot, job, candidateIndex, boosted);
+  for (let placed = placedBefore; placed < job.placedTasks.size; placed += 1) state.budget.taskStarted(runningTasks);
+  if (job.placedTasks.size > placedBefore) state.startHistory.jobStarted(job);
+  return unplaced;
 }
 
-/** Places a job's waiting tasks, one after the other. */
-function* placeJob(
-  snapshot: SchedulerSnapshot,
-  job: Job,
-  candidateIndex: CandidateIndex,
-  boosted: BoostedJobs | null,
-): Generator<RoundAction, Unplaced> {
-  const { shard, now } = snapshot;
-  const { spec } = job;
-  const counts = zoneCounts(job);
-  if (spec.singleZone && job.placedTasks.size === 0) {
-    const zone = zoneWithMostCapacity(job, candidateIndex);
-    if (zone === null) return [...job.waitingTasks][0] ?? null;
-    // Keeps the other zones out even before the first task is there.
-    counts.set(zone, Number.MIN_VALUE);
-  }
-  if (spec.shape === "gang") {
-    const all = spec.demand.cpu * spec.tasks;
-    if (boosted !== null && boosted.left < all) return null;
-    const left = yield* placeGang(snapshot, job, candidateIndex, counts);
-    if (boosted !== null && job.waitingTasks.size === 0) boosted.left -= all;
-    return left;
-  }
-  const tasks = [...job.waitingTasks].filter((task) => task.earliestStart <= now).sort((a, b) => a.index - b.index);
-  const first = tasks[0];
-  if (first !== undefined && isKnownExhausted(job, candidateIndex, now)) {
-    if (shard.withinLimit(spec)) return first;
-    yield { kind: "wait", job, reason: "team limit" };
-    return null;
+/** Jobs of the boosted stage for which capacity is to be sought. */
+interface BoostedOutcome {
+  /** Jobs that have waited for too long and not started, the longest waiting first. */
+  readonly late: readonly Job[];
+  /** The first task without capacity of each job. Capacity only shrinks within a round: it is not searched again. */
+  readonly unplacedTasks: ReadonlyMap<Job, Task>;
+}
+
+/** Places the jobs that go before all others. */
+function* placeBoosted(round: Round, boosted: BoostedJobs): Generator<RoundAction, BoostedOutcome> {
+  const { now } = round.snapshot;
+  const late: Job[] = [];
+  const unplacedTasks = new Map<Job, Task>();
+  for (const job of boosted.jobs) {
+    const unplaced = yield* placeAndCount(round, job, boosted);
+    if (unplaced !== null) unplacedTasks.set(job, unplaced);
+    if (now - job.waitingSince > START_BOUND && !hasStarted(job)) late.push(job);
   }
-  const run = createTaskPlacer(snapshot, job, candidateIndex, counts);
-  const lane = writePriorityOf(job, snapshot.settings);
-  let heldBack = 0;
-  for (const task of tasks) {
-    if (allowedStarts(job, now) === 0 || (boosted !== null && boosted.left < spec.demand.cpu)) return null;
-    if (isLimitReserved(candidateIndex.reservation, job) || !shard.withinLimit(spec)) {
-      yield { kind: "wait", job, reason: "team limit" };
-      return null;
-    }
-    const candidate = run.nextCandidate();
-    if (candidate === null) {
-      markExhausted(job, candidateIndex, now);
-      return task;
-    }
-    // The range's value would become larger than is taken: until some of it has ended, others of the job go on.
-    if (!shard.fitsInRecord(task, candidate.machine.name)) {
-      heldBack += 1;
-      continue;
-    }
-    // Placed ahead of its record, a task only keeps room from those whose record is about to be written; that one
-    // write takes along all that its range is given meanwhile.
-    if (task.range.placementPendingSince === null) {
-      if (candidateIndex.recordBudget[lane] < 1) {
-        yield { kind: "wait", job, reason: "records" };
-        return null;
-      }
-      candidateIndex.recordBudget.normal -= 1;
-      if (lane === "urgent") candidateIndex.recordBudget.urgent -= 1;
-    }
-    yield { kind: "place", task, machine: candidate.machine };
-    assign(spec, candidate);
-    run.confirm(candidate);
-    if (boosted !== null) boosted.left -= spec.demand.cpu;
+  return { late, unplacedTasks };
+}
+
+/** Are there writes left for the job's placements, or placements of it whose write is still to come? */
+const hasRecordBudget = ({ snapshot, candidateIndex }: Round, job: Job): boolean =>
+  candidateIndex.recordBudget[writePriorityOf(job, snapshot.settings)] >= 1 ||
+  job.ranges.some(({ placementPendingSince }) => placementPendingSince !== null);
+
+/** Places one job in its turn, and preempts for it where the rules allow it. `knownUnplaced`: known from a stage before. */
+function* placeInTurn(round: Round, job: Job, knownUnplaced: Task | undefined): Generator<RoundAction> {
+  // Not looked at any closer: with thousands of jobs waiting for the records, rounds would take seconds to no avail.
+  if (!hasRecordBudget(round, job)) {
+    yield { kind: "wait", job, reason: "record budget" };
+    return;
   }
-  return job.waitingTasks.size === heldBack && shard.createNextTaskRange(job) ? "more" : null;
+  if (job.waitingTasks.size === 0) return;
+  const unplaced = knownUnplaced ?? (yield* placeAndCount(round, job, null));
+  if (unplaced === null) return;
+  yield { kind: "wait", job, reason: job.spec.singleZone && job.placedTasks.size === 0 ? "no zone" : "no capacity" };
+  if (job.spec.shape !== "gang") yield* preemptFor(round.snapshot, round.state, unplaced, round.candidateIndex);
 }
 
 /**
  * One placement round: what is waiting, in order, each task on the machine that Algorithm 1 chooses (docs/design.md),
- * and room made where the rules allow it.
+ * and capacity made where the rules allow it. The caller carries out each action before it asks for the next one.
  */
 export function* decideRound(snapshot: SchedulerSnapshot, state: RoundState): Generator<RoundAction> {
   const guarantees = new GuaranteeUsage(snapshot);
   const jobs = waitingJobs(snapshot);
   if (jobs.length === 0) return;
   const candidateIndex = buildCandidateIndex(snapshot, jobs, guarantees, state.reservation);
-  const room = candidateIndex.machines.reduce((sum, { type }) => sum + (type?.capacity.cpu ?? 0), 0);
-  const short = guarantees.claimed > room * (state.guaranteesOvercommitted ? OVERCOMMIT_END_SHARE : 1);
-  // A new holder has hardly heard of its machines yet: that their room is unknown does not make it short.
-  if (
-    short !== state.guaranteesOvercommitted &&
-    candidateIndex.machines.length >= MIN_KNOWN_SHARE * countMachinesWithTasks(snapshot)
-  ) {
-    state.guaranteesOvercommitted = short;
-    yield { kind: "guarantees", short, claimed: guarantees.claimed, room };
-  }
-  const running = candidateIndex.machines.reduce((sum, { tasks }) => sum + tasks.size, 0);
-  const boosted = boostStarvedJobs(snapshot, state.startHistory, jobs, room);
-  const late: Job[] = [];
-  // Room only shrinks within a round: what found none is not to look for it a second time.
-  const without = new Map<Job, Task>();
-  for (const job of boosted.jobs) {
-    const left = yield* placeAllRanges(snapshot, state, job, candidateIndex, running, boosted);
-    if (left !== null) without.set(job, left);
-    if (snapshot.now - job.waitingSince > START_BOUND && !hasStarted(job)) late.push(job);
-  }
-  yield* reserveCapacity(snapshot, state, late, candidateIndex.machines);
+  const { machines } = candidateIndex;
+  const capacity = machines.reduce((sum, { type }) => sum + (type?.capacity.cpu ?? 0), 0);
+  const runningTasks = machines.reduce((sum, { tasks }) => sum + tasks.size, 0);
+  const round: Round = { snapshot, state, candidateIndex, runningTasks };
+  yield* reportOvercommitment(round, capacity);
+  const boosted = boostStarvedJobs(snapshot, state.startHistory, jobs, capacity);
+  const { late, unplacedTasks } = yield* placeBoosted(round, boosted);
+  yield* reserveCapacity(snapshot, state, late, machines);
   candidateIndex.reservation = state.reservation;
-  for (const job of jobs) {
-    // Not looked at any closer: with thousands of jobs waiting for the records, rounds would take seconds to no avail.
-    if (
-      candidateIndex.recordBudget[writePriorityOf(job, snapshot.settings)] < 1 &&
-      !job.ranges.some(({ placementPendingSince }) => placementPendingSince !== null)
-    ) {
-      yield { kind: "wait", job, reason: "records" };
-      continue;
-    }
-    if (job.waitingTasks.size === 0) continue;
-    const left = without.get(job) ?? (yield* placeAllRanges(snapshot, state, job, candidateIndex, running, null));
-    if (left === null) continue;
-    yield { kind: "wait", job, reason: job.spec.singleZone && job.placedTasks.size === 0 ? "no zone" : "no room" };
-    if (job.spec.shape !== "gang") yield* preemptFor(snapshot, state, left, candidateIndex);
-  }
-}
-
-/** Range by range. Returns the first task without room, if there is one. */
-function* placeAllRanges(
-  snapshot: SchedulerSnapshot,
-  state: RoundState,
-  job: Job,
-  candidateIndex: CandidateIndex,
-  running: number,
-  boosted: BoostedJobs | null,
-): Generator<RoundAction, Task | null> {
-  const before = job.placedTasks.size;
-  let left = yield* placeJob(snapshot, job, candidateIndex, boosted);
-  while (left === "more") left = yield* placeJob(snapshot, job, candidateIndex, boosted);
-  for (let at = before; at < job.placedTasks.size; at += 1) state.budget.taskStarted(running);
-  if (job.placedTasks.size > before) state.startHistory.jobStarted(job);
-  return left;
+  for (const job of jobs) yield* placeInTurn(round, job, unplacedTasks.get(job));
 }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -2,6 +2,7 @@
 import type { Machine } from "../../cluster/machine.js";
 import { attemptOf, type Task } from "../../cluster/task.js";
 import type { MachineType } from "../../protocol/cloud.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
 import type { Resources } from "../../protocol/resources.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import { allowedStarts } from "../workers/failure-attribution.js";
@@ -43,9 +44,14 @@
 }
 
 export type PreemptAction =
-  | { readonly kind: "stop"; readonly by: Task; readonly machine: Machine; readonly victims: readonly PreemptedTask[] }
+  | {
+      readonly kind: "preempt";
+      readonly by: Task;
+      readonly machine: Machine;
+      readonly victims: readonly PreemptedTask[];
+    }
   /** Room is not to be made for the task again before. */
-  | { readonly kind: "look later"; readonly task: Task; readonly at: Micros };
+  | { readonly kind: "postpone search"; readonly task: Task; readonly notBefore: Micros };
 
 /**
  * How many more tasks may be stopped for guarantees, or moved: one for every so many starts. Where guarantees, bursts and
@@ -75,6 +81,13 @@
   readonly budget: PreemptionBudget;
 }
 
+/** The time that a task which is stopped is given to save its progress, in whole seconds; 0 where it saves none. */
+export const checkpointGraceS = ({
+  checkpointIntervalS,
+  checkpointDurationS,
+}: Pick<JobSpec, "checkpointIntervalS" | "checkpointDurationS">): number =>
+  checkpointIntervalS > 0 ? Math.ceil(checkpointDurationS) : 0;
+
 const guaranteePatience = ({ settings }: SchedulerSnapshot): number => {
   const objective = settings.objectives.find(({ kind }) => kind === "guarantee");
   return (objective?.within ?? GUARANTEE_TIME) * GUARANTEE_PATIENCE;
@@ -263,7 +276,7 @@
     const choice = cheapestVictims(snapshot, task, machine, machine.type, found);
     if (choice !== null && (best === null || choice.cost < best.cost)) best = choice;
   }
-  yield { kind: "look later", task, at: (now + (best === null ? PREEMPT_RETRY : PREEMPT_PAUSE)) as Micros };
+  yield { kind: "postpone search", task, notBefore: (now + (best === null ? PREEMPT_RETRY : PREEMPT_PAUSE)) as Micros };
   if (best === null) return false;
   const optional = best.victims.filter(({ reason }) => reason !== "outranked").length;
   if (!budget.take(optional)) return false;
@@ -271,17 +284,16 @@
   promised.set(machine, { free: subtractResources(best.free, spec.demand), until: (now + PROMISE) as Micros });
   counts.set(machine.zone, (counts.get(machine.zone) ?? 0) + 1);
   const victims = best.victims.map(({ task: victim, reason }): PreemptedTask => {
-    const { checkpointIntervalS, checkpointDurationS } = victim.job.spec;
     return {
       task: victim,
-      graceS: checkpointIntervalS > 0 ? Math.ceil(checkpointDurationS) : 0,
+      graceS: checkpointGraceS(victim.job.spec),
       // Without a pause it could be back before the other has come.
       notBefore: (now + (reason === "moved" ? MOVE_PAUSE : PREEMPT_PAUSE)) as Micros,
       reason,
     };
   });
   for (const { task: victim } of victims) candidateIndex.guarantees.taskStopped(victim);
-  yield { kind: "stop", by: task, machine, victims };
+  yield { kind: "preempt", by: task, machine, victims };
   // Their room is spoken for: nothing else of this round is to count on it.
   for (const { candidates } of candidateIndex.pools) {
     const at = candidates.findIndex((candidate) => candidate.machine === machine);
@@ -303,7 +315,7 @@
     if (!zoneAllowed(spec, counts, machine.zone)) continue;
     room.free = subtractResources(room.free, spec.demand);
     counts.set(machine.zone, (counts.get(machine.zone) ?? 0) + 1);
-    yield { kind: "look later", task, at: (snapshot.now + PREEMPT_PAUSE) as Micros };
+    yield { kind: "postpone search", task, notBefore: (snapshot.now + PREEMPT_PAUSE) as Micros };
     return true;
   }
   return false;
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -4,7 +4,8 @@
 import { LogEvent } from "../log-events.js";
 import { summarizePools } from "./candidate-index.js";
 import type { InspectionCounter } from "./placement/ranking.js";
-import { applyAction, decideRound, newRoundState, type RoundAction } from "./placement-round.js";
+import { decideRound, newRoundState } from "./placement-round.js";
+import { applyAction, type RoundAction } from "./round-action.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 import { writePriorityOf } from "./start-deadline.js";
 
@@ -111,7 +112,7 @@
       case "place":
         this.taskStates.recordPlacement(action.task.range);
         return;
-      case "stop": {
+      case "preempt": {
         const { by, machine, victims } = action;
         log.info(LogEvent.TaskPreempted, {
           task: by.name,
@@ -126,9 +127,9 @@
         for (const { machine: on } of action.job.placedTasks) if (on !== null) this.context.scheduleCommands(on);
         return;
       case "guarantees":
-        log.info(action.short ? LogEvent.GuaranteesOvercommitted : LogEvent.GuaranteesSatisfiable, {
+        log.info(action.overcommitted ? LogEvent.GuaranteesOvercommitted : LogEvent.GuaranteesSatisfiable, {
           claimedCpus: action.claimed / 1_000,
-          roomCpus: action.room / 1_000,
+          roomCpus: action.capacity / 1_000,
         });
         return;
       case "reserve": {
@@ -144,10 +145,10 @@
       case "unreserve":
         log.info(LogEvent.ReservationReleased, { job: action.job.spec.id, why: action.why });
         return;
-      case "no such room":
+      case "no capacity to reserve":
         log.info(LogEvent.ReservationImpossible, { job: action.job.spec.id, tasks: action.job.spec.tasks });
         return;
-      case "look later":
+      case "postpone search":
       case "wait":
     }
   }
--- a/src/coordination/scheduling/starvation.ts
+++ b/src/coordination/scheduling/starvation.ts
@@ -83,7 +83,7 @@
 export interface BoostedJobs {
   readonly jobs: readonly Job[];
   /** Thousandths of CPUs. */
-  left: number;
+  remaining: number;
 }
 
 /**
@@ -106,12 +106,12 @@
     for (const job of late) job.boosted ||= now - job.waitingSince > START_BOUND || served.isStarving(job, starving);
   }
   const jobs = waiting.filter(({ boosted }) => boosted);
-  if (jobs.length === 0) return { jobs, left: 0 };
+  if (jobs.length === 0) return { jobs, remaining: 0 };
   let used = 0;
   for (const { boosted: lifted, placedTasks, spec } of shard.jobs.values())
     if (lifted) used += placedTasks.size * spec.demand.cpu;
   jobs.sort((a, b) => a.waitingSince - b.waitingSince);
   // One of them may take more than the share by itself, and must get its turn all the same.
   const first = used === 0 && jobs[0] !== undefined ? cpuToStart(jobs[0].spec) : 0;
-  return { jobs, left: Math.max(first, room * BOOST_SHARE - used) };
+  return { jobs, remaining: Math.max(first, room * BOOST_SHARE - used) };
 };
--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -15,12 +15,8 @@
 import { DependencyTracker } from "../coordination/jobs/dependency-tracker.js";
 import { LoadShedder } from "../coordination/overload/load-shedder.js";
 import { neverRuns } from "../coordination/scheduling/eligibility.js";
-import {
-  applyAction,
-  decideRound,
-  newRoundState,
-  type RoundAction,
-} from "../coordination/scheduling/placement-round.js";
+import { decideRound, newRoundState } from "../coordination/scheduling/placement-round.js";
+import { applyAction, type RoundAction } from "../coordination/scheduling/round-action.js";
 import { MAX_PREEMPTION_SEARCHES } from "../coordination/scheduling/scheduler.js";
 import type { SchedulerSnapshot } from "../coordination/scheduling/scheduler-snapshot.js";
 import { decideEvictions } from "../coordination/workers/graceful-eviction.js";
@@ -539,14 +535,14 @@
       case "place":
         this.mark(action.task.range);
         return;
-      case "stop":
+      case "preempt":
         this.attend(action.machine);
         this.command(action.machine);
         return;
       case "dissolve":
         for (const { machine } of action.job.placedTasks) if (machine !== null) this.command(machine);
         return;
-      case "look later":
+      case "postpone search":
       case "wait":
     }
   }
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -11,7 +11,8 @@
   planScaling,
 } from "../src/coordination/autoscaling/scale-plan.js";
 import { neverRuns, type Unready, unready } from "../src/coordination/scheduling/eligibility.js";
-import { decideRound, newRoundState, type RoundAction } from "../src/coordination/scheduling/placement-round.js";
+import { decideRound, newRoundState } from "../src/coordination/scheduling/placement-round.js";
+import type { RoundAction } from "../src/coordination/scheduling/round-action.js";
 import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
 import { decideEvictions } from "../src/coordination/workers/graceful-eviction.js";
 import { HostClock, World } from "../src/model/index.js";
@@ -61,7 +62,7 @@
     for (const action of decideRound(picture(), newRoundState())) {
       actions.push(action);
       if (action.kind === "place") shard.assignTask(action.task, action.machine);
-      if (action.kind === "look later") action.task.nextPreemptionSearch = action.at;
+      if (action.kind === "postpone search") action.task.nextPreemptionSearch = action.notBefore;
     }
     return actions;
   };
@@ -85,13 +86,13 @@
   // The limited team fills the machine up to its own limit: 16 CPUs.
   assert.deepEqual(waits(round()), [
     "wk-limited: team limit",
-    "wk-large: no room",
+    "wk-large: no capacity",
     "wk-one-zone: no zone",
-    "wk-gang: no room",
+    "wk-gang: no capacity",
   ]);
   for (const task of [...(block.jobs.get("wk-limited")?.placedTasks ?? [])]) block.releaseTask(task);
   block.jobs.delete("wk-limited");
-  assert.deepEqual(waits(round()), ["wk-large: no room", "wk-one-zone: no zone", "wk-gang: no room"]);
+  assert.deepEqual(waits(round()), ["wk-large: no capacity", "wk-one-zone: no zone", "wk-gang: no capacity"]);
   assert.equal(block.jobs.get("wk-large")?.placedTasks.size, 1);
 });
 
@@ -116,13 +117,13 @@
   lower.add({ shards: 1, cpus: 6, rank: "high" }, "wk-high");
   // Not seen running yet: a start may be under way, and nothing is stopped on a guess.
   assert.deepEqual(
-    lower.round().filter(({ kind }) => kind === "stop"),
+    lower.round().filter(({ kind }) => kind === "preempt"),
     [],
   );
   lower.running(low);
   for (const task of lower.block.jobs.get("wk-high")?.waitingTasks ?? []) task.nextPreemptionSearch = 0 as Micros;
-  const stop = lower.round().find((action) => action.kind === "stop");
-  assert.ok(stop?.kind === "stop");
+  const stop = lower.round().find((action) => action.kind === "preempt");
+  assert.ok(stop?.kind === "preempt");
   assert.equal(stop.by.job.spec.id, "wk-high");
   assert.deepEqual(
     stop.victims.map(({ reason, graceS }) => [reason, graceS]),
@@ -139,13 +140,13 @@
   entitled.add({ shards: 1, cpus: 4, owner: "capped" }, "wk-entitled");
   // Patience first: room may come up by itself.
   assert.equal(
-    entitled.round().some(({ kind }) => kind === "stop"),
+    entitled.round().some(({ kind }) => kind === "preempt"),
     false,
   );
   entitled.world.now += 7_000_000;
   entitled.machine.reachability.lastHeartbeatAt = entitled.clock.now();
-  const guarantee = entitled.round().find((action) => action.kind === "stop");
-  assert.ok(guarantee?.kind === "stop" && guarantee.victims[0]?.reason === "guarantee");
+  const guarantee = entitled.round().find((action) => action.kind === "preempt");
+  assert.ok(guarantee?.kind === "preempt" && guarantee.victims[0]?.reason === "guarantee");
 });
 
 test("a machine that takes nothing says why", () => {
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -5,12 +5,8 @@
 import { ShardState } from "../src/cluster/shard-state.js";
 import { attemptOf, type Task } from "../src/cluster/task.js";
 import { MAX_ATTEMPTS } from "../src/coordination/scheduling/guarantee-usage.js";
-import {
-  applyAction,
-  decideRound,
-  newRoundState,
-  type RoundAction,
-} from "../src/coordination/scheduling/placement-round.js";
+import { decideRound, newRoundState } from "../src/coordination/scheduling/placement-round.js";
+import { applyAction, type RoundAction } from "../src/coordination/scheduling/round-action.js";
 import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
 import { HostClock, World } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job-messages.js";
@@ -82,7 +78,7 @@
     };
     for (const action of decideRound(snapshot, this.memory)) {
       applyAction(this.block, action);
-      if (action.kind === "stop") {
+      if (action.kind === "preempt") {
         for (const { task } of action.victims) this.stops.set(task.name, (this.stops.get(task.name) ?? 0) + 1);
       }
       check(action);
@@ -192,7 +188,7 @@
       scene.add(`wk-${next}`, { owner: name, shards: luck.int(1, 5), cpus: 4, guessS: 8 });
     }
     scene.round((action) => {
-      if (action.kind !== "stop") return;
+      if (action.kind !== "preempt") return;
       for (const { task, reason } of action.victims) {
         assert.ok(attemptOf(task.desired) <= MAX_ATTEMPTS, "stopped once too often");
         if (reason === "guarantee") assert.ok(scene.staying(task.job.spec.team) >= 16, "below its guarantee");
@@ -213,7 +209,7 @@
   const second = scene.add("wk-2", { owner: "b", shards: 8, cpus: 1, guessS: 600 });
   round();
   const said = actions.find(({ kind }) => kind === "guarantees");
-  assert.ok(said?.kind === "guarantees" && said.short && said.claimed === 24_000 && said.room === 16_000);
+  assert.ok(said?.kind === "guarantees" && said.overcommitted && said.claimed === 24_000 && said.capacity === 16_000);
   scene.pass(1_000_000);
   // As room comes free it goes to the team that has less of its own guarantee, whoever asked first.
   for (const task of [...large.placedTasks].slice(0, 8)) task.stopRequest = { graceS: 0 };
@@ -233,7 +229,7 @@
   scene.add("wk-2", { owner: "a", shards: 1, cpus: 1 });
   const said: boolean[] = [];
   const listen = (action: RoundAction): void => {
-    if (action.kind === "guarantees") said.push(action.short);
+    if (action.kind === "guarantees") said.push(action.overcommitted);
   };
   scene.round(listen);
   assert.deepEqual(said, []);
