--- a/src/mesh/index.ts
+++ b/src/mesh/index.ts
@@ -1,21 +1,19 @@
-/** Connections between controllers: what each of them reaches, and calls through a sibling where the own way fails. */
+/**
+ * Connections between controllers: what each of them reaches, and calls through a peer where the direct link fails.
+ * @module
+ */
 
+export { MalformedFrameError } from "./errors.js";
+export { encodeFrame, FrameDecoder, MAX_FRAME_BYTES } from "./frame-codec.js";
 export type { FrameConnection, FrameTransport } from "./frame-connection.js";
-export {
-  AGE_NEVER,
-  encodeFrame,
-  FrameDecoder,
-  MAX_FRAME_BYTES,
-  MalformedFrameError,
-  type MeshFrame,
-  type PeerHeartbeat,
-} from "./frames.js";
+export { AGE_NEVER, type MeshFrame, type PeerHeartbeat } from "./frames.js";
+export { LinkStatus } from "./link-status.js";
+export { LogEvent } from "./log-events.js";
 export { Mesh, type MeshOptions } from "./mesh.js";
 export { createMeshFactory } from "./mesh-factory.js";
 export { PhiAccrualDetector } from "./phi-accrual-detector.js";
 export {
   type CallTarget,
-  type LinkStatus,
   linkStatusOf,
   type PeerSnapshot,
   selectRelayPeer,
--- /dev/null
+++ b/src/mesh/log-events.ts
@@ -0,0 +1,21 @@
+/** Events that the mesh writes to the log: the one list of their texts, each "subject verb". */
+
+/** Texts of the mesh's log events. */
+export const LogEvent = {
+  /** The process had no turn for more than a second. */
+  EventLoopStalled: "I stood still",
+  /** Bytes from a peer, or from whoever connected to `mesh_addr`, are no frame that is expected there. */
+  FrameMalformed: "mesh frame",
+  /** What this controller reaches has changed, and the change has lasted. */
+  LinksChanged: "links",
+  /** `mesh_addr` cannot be listened on; the service goes on without incoming connections of peers. */
+  ListenFailed: "mesh_addr: cannot listen",
+  /** Counts of relayed calls since the last such line. */
+  MeshSummarized: "mesh",
+  PeerConnected: "mesh up",
+  PeerDisconnected: "mesh down",
+  /** No heartbeat of a peer for so long that its connection is given up. */
+  PeerSilent: "mesh silent",
+  /** A call for a peer ended in an error of this process. */
+  RelayFailed: "carrying failed",
+} as const;
--- a/src/mesh/mesh-factory.ts
+++ b/src/mesh/mesh-factory.ts
@@ -1,29 +1,34 @@
+/** Makes a controller's mesh from its settings. */
 import type { Micros } from "../transport/clock.js";
 import { Mesh, type MeshOptions } from "./mesh.js";
+import type { MeshMember } from "./peer-registry.js";
 
-/** What of a controller's settings the mesh needs. */
-interface MeshSettings {
+/** The part of a controller's settings that the mesh needs. */
+export interface MeshSettings {
   readonly label: string;
-  readonly peers: readonly { readonly label: string; readonly address: string }[];
+  readonly peers: readonly MeshMember[];
   readonly storeAddress: string;
   readonly cloudAddress: string;
   readonly workers: { readonly heartbeatInterval: Micros };
 }
 
-type MeshEnvironment = Pick<MeshOptions, "clock" | "log" | "http" | "random" | "transport" | "incarnation"> & {
+/** What is there before the controller. */
+export interface MeshEnvironment
+  extends Pick<MeshOptions, "clock" | "log" | "http" | "random" | "transport" | "incarnation"> {
   readonly settings: MeshSettings;
-};
+}
 
-type MeshCallbacks = Pick<MeshOptions, "loadLevel" | "leadership" | "handleHeartbeat">;
+/** What the mesh asks of the controller. */
+export type MeshCallbacks = Pick<MeshOptions, "loadLevel" | "leadership" | "handleHeartbeat">;
 
-/** The mesh of one controller, made once the rest of it stands. */
+/** The mesh of one controller, made when the controller is. */
 export const createMeshFactory =
-  ({ settings, ...outside }: MeshEnvironment) =>
-  (dependencies: MeshCallbacks): Mesh => {
+  ({ settings, ...environment }: MeshEnvironment) =>
+  (callbacks: MeshCallbacks): Mesh => {
     const { label, peers, storeAddress, cloudAddress, workers } = settings;
     return new Mesh({
-      ...outside,
-      ...dependencies,
+      ...environment,
+      ...callbacks,
       label,
       peers,
       storeAddress,
--- a/src/mesh/peer-connection.ts
+++ b/src/mesh/peer-connection.ts
@@ -1,187 +1,174 @@
-import { type Clock, type Micros, ms, seconds, type Timer } from "../transport/clock.js";
+/** The one connection to a peer, kept open. */
+import { type Clock, seconds, type Timer } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
+import { MalformedFrameError } from "./errors.js";
+import { encodeFrame, FrameDecoder } from "./frame-codec.js";
 import type { FrameConnection, FrameTransport } from "./frame-connection.js";
-import { encodeFrame, FrameDecoder, MalformedFrameError, type MeshFrame, type PeerHeartbeat } from "./frames.js";
-import { PhiAccrualDetector } from "./phi-accrual-detector.js";
-
-export const HEARTBEAT_PERIOD = ms(400);
-const MIN_RECONNECT_DELAY = ms(200);
-const MAX_RECONNECT_DELAY = seconds(5);
-/** So unlikely a silence is no silence: the connection is given up, with whatever is still under way in it. */
-const SILENCE_PHI = 40;
-/** A connection over which nothing has been said for so long from its beginning is no better than none. */
-const FIRST_HEARTBEAT_TIMEOUT = seconds(4);
-const MAX_QUEUED_BYTES = 8 * 1024 * 1024;
+import type { HelloFrame, MeshFrame, RelayFrame } from "./frames.js";
+import { LogEvent } from "./log-events.js";
+import { PeerLiveness } from "./peer-liveness.js";
+import { ReconnectTimer } from "./reconnect-timer.js";
+import { SendQueue } from "./send-queue.js";
 
-/** In which order frames leave where the connection takes no more: beats first, answers before questions. */
-const FRAME_PRIORITIES = ["hello", "heartbeat", "relay-response", "relay-request"] as const;
+/** A connection without a heartbeat for so long from its beginning is given up. */
+const FIRST_HEARTBEAT_TIMEOUT = seconds(4);
 
+/** Receives what comes from a peer. */
 export interface PeerConnectionListener {
-  onFrame(frame: Exclude<MeshFrame, { readonly type: "hello" | "heartbeat" }>): void;
-  /** The connection has ended: what was asked over it may have been executed. */
+  onFrame(frame: RelayFrame): void;
+  /** The connection has ended: what was requested over it may have been executed. */
   onClosed(): void;
 }
 
-/** The one connection to a sibling, kept up. Of the two, the one whose label comes first dials. */
+/** What the connection to one peer needs. */
+export interface PeerConnectionOptions {
+  readonly clock: Clock;
+  readonly log: Log;
+  readonly transport: FrameTransport;
+  /** Uniform in [0, 1), for jitter. */
+  readonly random: () => number;
+  /** Label of the peer. */
+  readonly label: string;
+  /** `host:port` of the peer. */
+  readonly address: string;
+  /** Opens the connection, rather than wait for the peer to do so. */
+  readonly initiates: boolean;
+  /** Sent first on each connection. */
+  readonly hello: HelloFrame;
+  readonly listener: PeerConnectionListener;
+}
+
+/** Of two controllers, one opens the connection, and opens it again whenever it ends. */
 export class PeerConnection {
+  private readonly queue = new SendQueue();
+  private readonly reconnectTimer: ReconnectTimer;
+  private firstHeartbeatTimer: Timer | null = null;
   private connection: FrameConnection | null = null;
+  /** The other side has said that it is this peer. */
   private identified = false;
-  private awaitsDrain = false;
-  private failedAttempts = 0;
-  private reconnectTimer: Timer | null = null;
-  private readonly queues = new Map<MeshFrame["type"], Buffer[]>(FRAME_PRIORITIES.map((lane) => [lane, []]));
-  private queuedBytes = 0;
-  readonly detector = new PhiAccrualDetector(HEARTBEAT_PERIOD);
-  heartbeat: PeerHeartbeat | null = null;
-
-  constructor(
-    readonly label: string,
-    private readonly address: string,
-    private readonly initiates: boolean,
-    private readonly hello: MeshFrame,
-    private readonly environment: {
-      readonly clock: Clock;
-      readonly log: Log;
-      readonly transport: FrameTransport;
-      readonly random: () => number;
-    },
-    private readonly listener: PeerConnectionListener,
-  ) {}
+  private stopped = false;
+  readonly liveness = new PeerLiveness();
+
+  constructor(private readonly options: PeerConnectionOptions) {
+    this.reconnectTimer = new ReconnectTimer(options.clock, options.random);
+  }
 
   start(): void {
-    if (this.initiates) this.connect();
+    if (this.options.initiates) this.connect();
   }
 
-  /** A connection over which the sibling has said who it is; an older one is given up for it. */
+  /** Closes the connection and opens or accepts no more. */
+  stop(): void {
+    this.stopped = true;
+    this.detach();
+  }
+
+  /** Takes over a connection on which the peer has said who it is, with the frames that came behind; closes an older one. */
   accept(connection: FrameConnection, frames: readonly MeshFrame[]): void {
+    if (this.stopped) {
+      connection.close();
+      return;
+    }
     this.detach();
     this.attach(connection);
     this.identified = true;
     for (const frame of frames) this.receive(frame);
   }
 
-  /** Connected, and heard of lately enough to be counted on. */
+  /** Connected, with heartbeats recent enough to rely on the peer. */
   isUsable(now: number): boolean {
-    return this.connection !== null && this.identified && this.heartbeat !== null && this.detector.phi(now) < 3;
+    return this.connection !== null && this.identified && this.liveness.isAlive(now);
   }
 
-  /** False: it will not leave; nothing of it has. */
+  /** False: nothing of the frame will be sent. */
   send(frame: MeshFrame): boolean {
     if (this.connection === null || !this.identified) return false;
-    const data = encodeFrame(frame);
-    if (this.queuedBytes + data.length > MAX_QUEUED_BYTES) return false;
-    this.queues.get(frame.type)?.push(data);
-    this.queuedBytes += data.length;
-    this.flush();
+    if (!this.queue.push(frame.type, encodeFrame(frame))) return false;
+    this.queue.flushTo(this.connection);
     return true;
   }
 
-  /** To be called with every beat. */
+  /** To be called once a heartbeat period. */
   closeIfSilent(now: number): void {
-    if (
-      this.connection !== null &&
-      this.identified &&
-      this.detector.phi(now) > SILENCE_PHI &&
-      this.heartbeat !== null
-    ) {
-      this.environment.log.info("mesh silent", { peer: this.label });
-      this.reconnect();
-    }
+    if (this.connection === null || !this.identified || !this.liveness.isSilent(now)) return;
+    this.options.log.info(LogEvent.PeerSilent, { peer: this.options.label });
+    this.reconnect();
   }
 
   private connect(): void {
-    this.reconnectTimer = null;
-    const connection = this.environment.transport.connect(this.address);
+    const connection = this.options.transport.connect(this.options.address);
     this.attach(connection);
-    connection.write(encodeFrame(this.hello));
+    connection.write(encodeFrame(this.options.hello));
   }
 
   private attach(connection: FrameConnection): void {
     const decoder = new FrameDecoder();
     this.connection = connection;
     this.identified = false;
-    this.awaitsDrain = false;
-    this.heartbeat = null;
-    this.detector.reset();
+    this.liveness.reset();
     connection.onData = (data) => {
       if (this.connection !== connection) return;
       try {
         for (const frame of decoder.decode(data)) this.receive(frame);
       } catch (error) {
         if (!(error instanceof MalformedFrameError)) throw error;
-        this.environment.log.error("mesh frame", { peer: this.label, error: error.message });
-        this.reconnect();
+        this.closeMalformed(error.message);
       }
     };
     connection.onDrain = () => {
-      this.awaitsDrain = false;
-      this.flush();
+      this.queue.resume();
+      if (this.connection !== null) this.queue.flushTo(this.connection);
     };
     connection.onClosed = () => {
       if (this.connection === connection) this.reconnect();
     };
-    this.environment.clock.after(FIRST_HEARTBEAT_TIMEOUT, () => {
-      if (this.connection === connection && this.heartbeat === null) this.reconnect();
+    this.firstHeartbeatTimer = this.options.clock.after(FIRST_HEARTBEAT_TIMEOUT, () => {
+      if (this.liveness.heartbeat === null) this.reconnect();
     });
-    // The side that has been dialled answers with its own name.
-    if (!this.initiates) connection.write(encodeFrame(this.hello));
+    if (!this.options.initiates) connection.write(encodeFrame(this.options.hello));
+  }
+
+  private closeMalformed(error: string): void {
+    this.options.log.error(LogEvent.FrameMalformed, { peer: this.options.label, error });
+    this.reconnect();
   }
 
   private receive(frame: MeshFrame): void {
+    const { clock, log, label, listener } = this.options;
     if (frame.type === "hello") {
-      if (frame.label !== this.label) {
-        this.environment.log.error("mesh frame", { peer: this.label, error: `says it is ${frame.label}` });
-        this.reconnect();
+      if (frame.label !== label) {
+        this.closeMalformed(`hello of ${frame.label}`);
         return;
       }
       this.identified = true;
-      this.failedAttempts = 0;
-      return;
-    }
-    if (!this.identified) return;
-    if (frame.type !== "heartbeat") {
-      this.listener.onFrame(frame);
+      this.reconnectTimer.reset();
+    } else if (!this.identified) {
       return;
-    }
-    // Doubled or from before: the newest one counts.
-    if (this.heartbeat !== null && frame.heartbeat.sequence <= this.heartbeat.sequence) return;
-    if (this.heartbeat === null) this.environment.log.info("mesh up", { peer: this.label });
-    this.heartbeat = frame.heartbeat;
-    this.detector.recordHeartbeat(this.environment.clock.now());
-  }
-
-  private flush(): void {
-    for (const lane of FRAME_PRIORITIES) {
-      const queue = this.queues.get(lane) ?? [];
-      for (let data = queue[0]; data !== undefined && !this.awaitsDrain && this.connection !== null; data = queue[0]) {
-        queue.shift();
-        this.queuedBytes -= data.length;
-        this.awaitsDrain = !this.connection.write(data);
-      }
+    } else if (frame.type === "heartbeat") {
+      if (this.liveness.heartbeat === null) log.info(LogEvent.PeerConnected, { peer: label });
+      this.liveness.record(frame.heartbeat, clock.now());
+    } else {
+      listener.onFrame(frame);
     }
   }
 
   private detach(): void {
     const { connection } = this;
     this.connection = null;
-    this.reconnectTimer?.cancel();
-    this.reconnectTimer = null;
-    for (const queue of this.queues.values()) queue.length = 0;
-    this.queuedBytes = 0;
+    this.reconnectTimer.cancel();
+    this.firstHeartbeatTimer?.cancel();
+    this.firstHeartbeatTimer = null;
+    this.queue.clear();
     if (connection === null) return;
-    if (this.heartbeat !== null) this.environment.log.info("mesh down", { peer: this.label });
-    this.heartbeat = null;
+    if (this.liveness.heartbeat !== null)
+      this.options.log.info(LogEvent.PeerDisconnected, { peer: this.options.label });
+    this.liveness.reset();
     connection.close();
-    this.listener.onClosed();
+    this.options.listener.onClosed();
   }
 
   private reconnect(): void {
     this.detach();
-    if (!this.initiates || this.reconnectTimer !== null) return;
-    this.failedAttempts += 1;
-    const pause = Math.min(MAX_RECONNECT_DELAY, MIN_RECONNECT_DELAY * 2 ** Math.min(10, this.failedAttempts - 1));
-    // With jitter: after a healed cut all would dial in the same moment.
-    const delay = (pause * (0.5 + this.environment.random() / 2)) as Micros;
-    this.reconnectTimer = this.environment.clock.after(delay, () => this.connect());
+    if (this.options.initiates) this.reconnectTimer.schedule(() => this.connect());
   }
 }
--- /dev/null
+++ b/src/mesh/peer-registry.ts
@@ -0,0 +1,119 @@
+/** The connections to all peers, by label. */
+import type { Clock, Micros } from "../transport/clock.js";
+import type { Log } from "../transport/log.js";
+import type { FrameTransport } from "./frame-connection.js";
+import type { HelloFrame, PeerHeartbeat, RelayFrame } from "./frames.js";
+import { awaitHello } from "./incoming-handshake.js";
+import { PeerStatus } from "./link-status.js";
+import { PeerConnection } from "./peer-connection.js";
+import type { PeerSnapshot } from "./relay-route.js";
+
+/** A controller of the deployment. */
+export interface MeshMember {
+  readonly label: string;
+  /** `host:port` of its mesh. */
+  readonly address: string;
+}
+
+/** What the registry needs. */
+export interface PeerRegistryOptions {
+  readonly clock: Clock;
+  readonly log: Log;
+  /** Uniform in [0, 1), for jitter. */
+  readonly random: () => number;
+  readonly transport: FrameTransport;
+  /** Label and incarnation of this controller. */
+  readonly label: string;
+  readonly incarnation: string;
+  readonly peers: readonly MeshMember[];
+}
+
+/** Receives what comes from the peers. */
+export interface PeerListener {
+  onFrame(peer: string, frame: RelayFrame): void;
+  /** The connection to the peer has ended. */
+  onClosed(peer: string): void;
+}
+
+/** Opens, accepts and closes the connections to the peers. */
+export class PeerRegistry {
+  private readonly peers: ReadonlyMap<string, PeerConnection>;
+
+  constructor(
+    private readonly options: PeerRegistryOptions,
+    listener: PeerListener,
+  ) {
+    this.peers = new Map(options.peers.map((member) => [member.label, this.connectionTo(member, listener)]));
+  }
+
+  start(): void {
+    const { clock, log, transport } = this.options;
+    const peerOf = (label: string): PeerConnection | undefined => this.connectingPeer(label);
+    transport.listen((connection) => awaitHello(connection, { clock, log, peerOf }));
+    for (const peer of this.peers.values()) peer.start();
+  }
+
+  /** Closes all connections for good. The transport is closed by whoever opened it. */
+  stop(): void {
+    for (const peer of this.peers.values()) peer.stop();
+  }
+
+  /** Undefined: no controller of this label is configured. */
+  get(label: string): PeerConnection | undefined {
+    return this.peers.get(label);
+  }
+
+  /** All peers as they are now, in the order of the settings. */
+  snapshots(): PeerSnapshot[] {
+    const now = this.options.clock.now();
+    return [...this.peers].map(([label, peer]) => ({
+      label,
+      usable: peer.isUsable(now),
+      heartbeat: peer.liveness.heartbeat,
+      phi: peer.liveness.phi(now),
+    }));
+  }
+
+  /** Status of each connection, by label. */
+  statuses(): Record<string, PeerStatus> {
+    const now = this.options.clock.now();
+    return Object.fromEntries(
+      [...this.peers].map(([label, peer]) => [
+        label,
+        peer.isUsable(now) ? PeerStatus.Connected : PeerStatus.Disconnected,
+      ]),
+    );
+  }
+
+  /** Gives up silent peers, and sends the heartbeat to all others that are connected. */
+  broadcast(heartbeat: PeerHeartbeat, now: Micros): void {
+    for (const peer of this.peers.values()) {
+      peer.closeIfSilent(now);
+      peer.send({ type: "heartbeat", heartbeat });
+    }
+  }
+
+  private connectionTo({ label, address }: MeshMember, listener: PeerListener): PeerConnection {
+    const { clock, log, transport, random, label: ownLabel, incarnation } = this.options;
+    const hello: HelloFrame = { type: "hello", label: ownLabel, incarnation };
+    return new PeerConnection({
+      clock,
+      log,
+      transport,
+      random,
+      label,
+      address,
+      initiates: ownLabel < label,
+      hello,
+      listener: {
+        onFrame: (frame) => listener.onFrame(label, frame),
+        onClosed: () => listener.onClosed(label),
+      },
+    });
+  }
+
+  /** Only peers that are to open the connection, so that two connections do not replace each other in turn. */
+  private connectingPeer(label: string): PeerConnection | undefined {
+    return label < this.options.label ? this.peers.get(label) : undefined;
+  }
+}
--- /dev/null
+++ b/src/mesh/relay-statistics.ts
@@ -0,0 +1,82 @@
+/** Counts of relayed calls, for a line in the log every half minute. */
+import hdr from "hdr-histogram-js";
+import { type Clock, type Micros, seconds } from "../transport/clock.js";
+import type { Log } from "../transport/log.js";
+import { LogEvent } from "./log-events.js";
+
+const SUMMARY_PERIOD = seconds(30);
+const MAX_DURATION_MS = 60_000;
+const MICROS_PER_MILLISECOND = 1_000;
+
+const zeroCounts = () => ({
+  /** Calls that peers were asked to relay. */
+  relayedCalls: 0,
+  /** Those of them without an answer. */
+  failedCalls: 0,
+  /** Workers' heartbeats that were forwarded to the shard's leader. */
+  forwardedHeartbeats: 0,
+  /** Calls relayed for peers. */
+  servedCalls: 0,
+  /** Calls that peers asked for, and that were refused under load. */
+  rejectedCalls: 0,
+});
+
+/** Counts since the last line, and the durations of calls that peers relayed. */
+export class RelayStatistics {
+  private counts = zeroCounts();
+  private readonly durationsMs = hdr.build({
+    highestTrackableValue: MAX_DURATION_MS,
+    numberOfSignificantValueDigits: 2,
+  });
+  private summarizedAt: Micros;
+
+  constructor(
+    clock: Clock,
+    private readonly log: Log,
+  ) {
+    this.summarizedAt = clock.now();
+  }
+
+  /** A peer has relayed a call for this controller in `duration`. */
+  recordCall(duration: Micros, answered: boolean): void {
+    this.counts.relayedCalls += 1;
+    if (!answered) this.counts.failedCalls += 1;
+    this.durationsMs.recordValue(Math.min(MAX_DURATION_MS, Math.ceil(duration / MICROS_PER_MILLISECOND)));
+  }
+
+  /** A worker's heartbeat was forwarded to the shard's leader. */
+  recordForwardedHeartbeat(): void {
+    this.counts.forwardedHeartbeats += 1;
+  }
+
+  /** A call is being made for a peer. */
+  recordServedCall(): void {
+    this.counts.servedCalls += 1;
+  }
+
+  /** A call that a peer asked for was refused under load. */
+  recordRejectedCall(): void {
+    this.counts.rejectedCalls += 1;
+  }
+
+  /** Once a period: writes the counts to the log if anything was relayed, and starts anew. */
+  summarize(now: Micros): void {
+    if (now - this.summarizedAt < SUMMARY_PERIOD) return;
+    this.summarizedAt = now;
+    if (this.isActive()) this.log.info(LogEvent.MeshSummarized, { ...this.counts, ...this.percentiles() });
+    this.counts = zeroCounts();
+    this.durationsMs.reset();
+  }
+
+  private isActive(): boolean {
+    const { relayedCalls, forwardedHeartbeats, servedCalls, rejectedCalls } = this.counts;
+    return relayedCalls + forwardedHeartbeats + servedCalls + rejectedCalls > 0;
+  }
+
+  private percentiles(): { readonly callP50Ms: number; readonly callP99Ms: number } {
+    return {
+      callP50Ms: this.durationsMs.getValueAtPercentile(50),
+      callP99Ms: this.durationsMs.getValueAtPercentile(99),
+    };
+  }
+}
--- a/src/mesh/tcp-frame-transport.ts
+++ b/src/mesh/tcp-frame-transport.ts
@@ -1,18 +1,22 @@
+/** Connections between controllers over TCP. */
 import { connect, createServer, type Server, type Socket } from "node:net";
 import { splitAddress } from "../transport/http-client.js";
 import type { Log } from "../transport/log.js";
 import type { FrameConnection, FrameTransport } from "./frame-connection.js";
+import { LogEvent } from "./log-events.js";
 
-const ignore = (): void => undefined;
-/** More than siblings there can be: somebody else knocks. */
+/** More than there can be peers: what exceeds it comes from elsewhere. */
 const MAX_INCOMING_CONNECTIONS = 64;
 const KEEP_ALIVE_MS = 10_000;
 
+const ignore = (): void => undefined;
+
 const connectionOf = (socket: Socket): FrameConnection => {
   const connection: FrameConnection = {
     write: (data) => socket.write(data),
     close: () => {
       socket.removeAllListeners();
+      // A destroyed socket may still report an error, which without a listener would end the process.
       socket.on("error", ignore);
       socket.destroy();
     },
@@ -34,16 +38,17 @@
   return connection;
 };
 
-/** Connections over TCP. */
+/** Opens and accepts TCP connections. */
 export class TcpFrameTransport implements FrameTransport {
   private server: Server | null = null;
 
+  /** `address`: `host:port` to listen on. */
   constructor(
     private readonly address: string,
     private readonly log: Log,
   ) {}
 
-  /** Takes no more connections; those there are stay. */
+  /** Accepts no more connections; those that are open stay. */
   close(): void {
     this.server?.close();
   }
@@ -52,12 +57,14 @@
     return connectionOf(connect(splitAddress(address)));
   }
 
-  listen(onConnection: (wire: FrameConnection) => void): void {
+  listen(onConnection: (connection: FrameConnection) => void): void {
     const server = createServer((socket) => onConnection(connectionOf(socket)));
     this.server = server;
     server.maxConnections = MAX_INCOMING_CONNECTIONS;
-    // Without the mesh the service goes on as it did before there was one.
-    server.on("error", (error) => this.log.error("mesh_addr: cannot listen", { error: String(error) }));
+    // The service works without a mesh, so this ends neither the process nor the other direction of connections.
+    server.on("error", (error) =>
+      this.log.error(LogEvent.ListenFailed, { setting: "mesh_addr", error: String(error) }),
+    );
     server.listen(splitAddress(this.address));
   }
 }
--- a/src/mesh/upstream-link-monitor.ts
+++ b/src/mesh/upstream-link-monitor.ts
@@ -1,22 +1,31 @@
+/** Health of the direct links to the key-value store and the cloud, from the outcomes of calls and from probes. */
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
 import type { HttpClient, HttpOutcome } from "../transport/http.js";
 import { AGE_NEVER } from "./frames.js";
+import type { LinkStatus } from "./link-status.js";
 import {
   type CallTarget,
-  type LinkStatus,
   linkStatusOf,
   type PeerSnapshot,
   type UpstreamLinks,
+  type UpstreamService,
 } from "./relay-route.js";
 
-const STORE_PROBE_PERIOD = seconds(1);
-const CLOUD_PROBE_PERIOD = seconds(5);
+const PROBE_PERIOD: Readonly<Record<UpstreamService, Micros>> = { store: seconds(1), cloud: seconds(5) };
+const PROBE_TIMEOUT = seconds(1.5);
+/** Read-only requests that each service answers cheaply. */
+const PROBE_PATH: Readonly<Record<UpstreamService, string>> = { store: "/kv/c/leader", cloud: "/hosts?page=1" };
 
-type UpstreamService = Exclude<CallTarget, "worker">;
+const SERVICE_UNAVAILABLE = 503;
+/** In the body of a 503 of the cloud that has no machine to rent, which is no failure of the link. */
+const NO_CAPACITY = "no capacity";
+const MICROS_PER_MILLISECOND = 1_000;
 
 interface LinkState {
   failing: boolean;
+  /** The latest call was answered with 503. */
   refused: boolean;
+  /** Null: no answer since the start. */
   lastAnswerAt: Micros | null;
   nextProbeAt: Micros;
 }
@@ -28,77 +37,82 @@
   nextProbeAt: 0 as Micros,
 });
 
+/** What a monitor needs. */
 export interface UpstreamLinkMonitorOptions {
   readonly clock: Clock;
-  /** By the own way. */
+  /** Calls over the direct link. */
   readonly http: HttpClient;
   readonly storeAddress: string;
   readonly cloudAddress: string;
 }
 
-/** This controller's own ways to the state service and the cloud: what calls by them have said, and whether they are back. */
+/** State of this controller's direct links to the services. */
 export class UpstreamLinkMonitor {
-  private readonly links: Record<UpstreamService, LinkState> = { store: initialLinkState(), cloud: initialLinkState() };
+  private readonly links: Record<UpstreamService, LinkState> = {
+    store: initialLinkState(),
+    cloud: initialLinkState(),
+  };
 
   constructor(private readonly options: UpstreamLinkMonitorOptions) {}
 
+  /** Which service has this address; any other address is a worker's. */
   targetOf(address: string): CallTarget {
     if (address === this.options.storeAddress) return "store";
     return address === this.options.cloudAddress ? "cloud" : "worker";
   }
 
+  /** Whether the latest call over each link failed. */
   get failing(): UpstreamLinks["failing"] {
     return { store: this.links.store.failing, cloud: this.links.cloud.failing };
   }
 
-  /** How long ago a call had an answer; `NEVER` where the way fails. */
-  ageMs(target: UpstreamService): number {
-    const { lastAnswerAt: goodAt, failing } = this.links[target];
-    return goodAt === null || failing ? AGE_NEVER : Math.ceil((this.options.clock.now() - goodAt) / 1_000);
+  /** Milliseconds since the service last answered; `AGE_NEVER` while the link fails. */
+  ageMs(service: UpstreamService): number {
+    const { lastAnswerAt, failing } = this.links[service];
+    if (lastAnswerAt === null || failing) return AGE_NEVER;
+    return Math.ceil((this.options.clock.now() - lastAnswerAt) / MICROS_PER_MILLISECOND);
   }
 
-  /** For people. */
-  statusOf(target: UpstreamService, links: UpstreamLinks, peers: readonly PeerSnapshot[]): LinkStatus {
-    const { lastAnswerAt: goodAt, refused } = this.links[target];
-    return linkStatusOf(target, links, goodAt !== null, refused, peers);
+  /** Status for operators. */
+  statusOf(service: UpstreamService, links: UpstreamLinks, peers: readonly PeerSnapshot[]): LinkStatus {
+    const { lastAnswerAt, refused } = this.links[service];
+    return linkStatusOf(service, links, { answered: lastAnswerAt !== null, refused }, peers);
   }
 
-  /** What a call by the own way says of it. */
+  /** Takes the outcome of a call over the direct link. Calls to workers say nothing here. */
   recordOutcome(target: CallTarget, outcome: HttpOutcome): void {
     if (target === "worker") return;
     const link = this.links[target];
     const now = this.options.clock.now();
-    const refused = outcome.kind === "answer" && outcome.status === 503;
+    const refused = outcome.kind === "answer" && outcome.status === SERVICE_UNAVAILABLE;
     if (outcome.kind === "answer" && !refused) {
       link.failing = false;
       link.refused = false;
       link.lastAnswerAt = now;
       return;
     }
-    // Full of requests is no failure of the way; an empty cloud answers 503, too.
-    if (refused && target === "cloud" && outcome.body.includes("no capacity")) {
+    if (refused && target === "cloud" && outcome.body.includes(NO_CAPACITY)) {
       link.lastAnswerAt = now;
       return;
     }
-    if (!link.failing)
-      link.nextProbeAt = (now + (target === "store" ? STORE_PROBE_PERIOD : CLOUD_PROBE_PERIOD)) as Micros;
+    if (!link.failing) link.nextProbeAt = (now + PROBE_PERIOD[target]) as Micros;
     link.failing = true;
     link.refused = refused;
   }
 
-  /** While a way fails it is tried again and again, so that calls come back to it. */
+  /** Probes the links that fail, each once a period, so that calls return to a link that works again. */
   probeFailingLinks(): void {
-    const { clock, http, storeAddress, cloudAddress } = this.options;
-    const now = clock.now();
-    const look = (target: UpstreamService, address: string, path: string, period: Micros): void => {
-      const way = this.links[target];
-      if (!way.failing || now < way.nextProbeAt) return;
-      way.nextProbeAt = (now + period) as Micros;
-      void http
-        .call(address, { method: "GET", target: path, body: "" }, seconds(1.5))
-        .then((outcome) => this.recordOutcome(target, outcome));
-    };
-    look("store", storeAddress, "/kv/c/leader", STORE_PROBE_PERIOD);
-    look("cloud", cloudAddress, "/hosts?page=1", CLOUD_PROBE_PERIOD);
+    const now = this.options.clock.now();
+    this.probe("store", this.options.storeAddress, now);
+    this.probe("cloud", this.options.cloudAddress, now);
+  }
+
+  private probe(service: UpstreamService, address: string, now: Micros): void {
+    const link = this.links[service];
+    if (!link.failing || now < link.nextProbeAt) return;
+    link.nextProbeAt = (now + PROBE_PERIOD[service]) as Micros;
+    void this.options.http
+      .call(address, { method: "GET", target: PROBE_PATH[service], body: "" }, PROBE_TIMEOUT)
+      .then((outcome) => this.recordOutcome(service, outcome));
   }
 }
--- a/test/mesh.test.ts
+++ b/test/mesh.test.ts
@@ -152,13 +152,13 @@
 });
 
 test("how a link stands is told apart by what siblings say", () => {
-  const standing = (ways: UpstreamLinks, refused: boolean, peers: PeerSnapshot[]): string =>
-    linkStatusOf("store", ways, true, refused, peers);
+  const standing = (links: UpstreamLinks, refused: boolean, peers: PeerSnapshot[]): string =>
+    linkStatusOf("store", links, { answered: true, refused }, peers);
   assert.equal(standing(fine, false, []), "reached");
   assert.equal(standing(noStore, false, [peer("a")]), "away for me only");
   assert.equal(standing(noStore, true, [peer("a")]), "refused to me");
   assert.equal(standing(noStore, true, [peer("a", {}, { storeAgeMs: AGE_NEVER })]), "away for everybody");
-  assert.equal(linkStatusOf("cloud", fine, false, false, []), "not asked yet");
+  assert.equal(linkStatusOf("cloud", fine, { answered: false, refused: false }, []), "not asked yet");
 });
 
 test("over real sockets a frame arrives whole, and an end is noticed on the other side", async () => {
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -42,7 +42,7 @@
   writeSegments,
   writeUpload,
 } from "../src/graphs/index.js";
-import { AGE_NEVER, encodeFrame, FrameDecoder, type MeshFrame } from "../src/mesh/frames.js";
+import { AGE_NEVER, encodeFrame, FrameDecoder, type MeshFrame } from "../src/mesh/index.js";
 import type { JobSpec } from "../src/protocol/job-spec.js";
 import { formatJson, parseJson } from "../src/protocol/json.js";
 import { CANCELLATION_REASONS } from "../src/storage/cancellation-reason.js";
