--- a/test/links.test.ts
+++ b/test/links.test.ts
@@ -99,7 +99,7 @@
   assert.equal(result.takeovers, 0);
   assert.ok(result.gap < 3);
   const lines = result.cluster.log;
-  assert.ok(lines.some((line) => line.includes(" mesh down ")));
-  const said = lines.filter((line) => / mesh (up|down) /.test(line));
-  assert.match(said.at(-1) ?? "", / mesh up /);
+  assert.ok(lines.some((line) => line.includes(" peer disconnected ")));
+  const said = lines.filter((line) => / peer (connected|disconnected) /.test(line));
+  assert.match(said.at(-1) ?? "", / peer connected /);
 });
