--- a/test/key-value-store.test.ts
+++ b/test/key-value-store.test.ts
@@ -5,7 +5,7 @@
 import type { Micros } from "../src/transport/clock.js";
 import type { HttpClient, HttpOutcome } from "../src/transport/http.js";
 import type { Log, LogFields } from "../src/transport/log.js";
-import { nothing } from "./block-fixtures.js";
+import { nothing } from "./shard-fixtures.js";
 
 const answer = (status: number, body: string): HttpOutcome => ({ kind: "answer", status, body, retryAfterS: null });
 
