--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -1,3 +1,4 @@
+/** What the parts of a controller share: services, the lease of a shard, and the context of the shard's leader. */
 import type { DependencyGraph } from "../cluster/dependency-graph.js";
 import type { ClusterEventListener } from "../cluster/events.js";
 import type { Job } from "../cluster/job.js";
@@ -17,7 +18,7 @@
 import type { Log } from "../transport/log.js";
 import type { LoadShedder } from "./overload/load-shedder.js";
 
-/** What every part of the program is handed. */
+/** The services that every part of a controller uses. */
 export interface Services {
   readonly clock: Clock;
   readonly log: Log;
@@ -27,70 +28,58 @@
   readonly store: KeyValueStore;
   readonly transactions: TransactionBatcher;
   readonly cache: WatchCache;
-  /** Which current jobs await which; kept by every controller. */
+  /** Dependencies between current jobs; kept by every controller. */
   readonly dependencies: DependencyGraph;
-  /** Uniform in [0, 1). */
+  /** A random number, uniform in [0, 1). */
   readonly random: () => number;
   readonly eventListener: ClusterEventListener;
   readonly loadShedder: LoadShedder;
-  /** Time of day in milliseconds, true within `settings.clockError`; null where there is none to rely on. */
+  /** Time of day in milliseconds, true within `settings.clockError`; null if there is none to rely on. */
   readonly wallClock: (() => number) | null;
+  /** Told how many machines and tasks each round and scale plan has examined; null: not wanted. */
   readonly onInspected: ((looks: number) => void) | null;
-  /** Where controllers are connected: when the own way to the workers was last found cut, or open again. */
+  /** When this controller's own path to the workers was last found cut or restored; null: never, or there is no mesh. */
   readonly workerPathChangedAt: () => Micros | null;
 }
 
-/** A leased block of machines. `number` is fresh at every handover. */
+/** The lease of a shard (a set of machines). `epoch` is fresh at every acquisition. */
 export interface ShardLease {
   readonly shard: number;
   readonly epoch: number;
   readonly key: string;
   readonly version: Uint64;
-  /** By this process's own clock, counted from before the request that renewed it. */
+  /** By this process's steady clock, counted from before the request that renewed the lease was sent. */
   isValid(): boolean;
 }
 
+/** The services, with the shard and what its leader's collaborators ask of each other. */
 export interface ShardContext extends Services {
   readonly shard: ShardState;
   readonly lease: ShardLease;
-  /** Another holder has, or may have, the block: nothing more may be done in its name. */
+  /** Another controller leads the shard, or may lead it: nothing more may be done in the shard's name. */
   onFenced(): void;
-  /** The picture is wrong: start over under a fresh number, since commands under this one may be under way. */
+  /** The state in memory is wrong: acquire the shard under a fresh epoch, since commands of this one may be in flight. */
   onInconsistent(): void;
-  /** Room or work has appeared. */
+  /** Capacity or work has appeared: a placement round is due. */
   scheduleRound(): void;
+  /** The machine has commands to be sent. */
   scheduleCommands(machine: Machine): void;
-  /** The machine ought to be up, but nothing has been heard of it here. */
+  /** The machine ought to be up, but this leader has no heartbeat of it. */
   queryStatus(machine: Machine): void;
-  /** Shows the worker our token at once. */
+  /** Sends the worker this lease's fencing token at once. */
   announceFencingToken(machine: Machine): void;
-  /** Not while the machine's zone is on record as not answered. */
+  /** False while the machine's zone is on record as unreachable. */
   mayStartTasks(machine: Machine): boolean;
-  /** The job's last word is on record. */
+  /** The job's outcome is on record. */
   onJobEnded(job: Job, end: OutcomeRecord): void;
-  /** A task ended badly. */
+  /** An attempt of the task has failed. */
   onTaskFailed(task: Task, reason: ExitReason): void;
 }
 
-/** Raised so often at most within one lease of a block. */
-export const FENCING_SEQUENCES = 65_536;
-
-/** Tokens stay exact as plain numbers; both parts are checked. */
-export const fencingTokenOf = (lease: ShardLease, machine: Machine): number => {
-  if (machine.fencing.sequence >= FENCING_SEQUENCES - 1 || lease.epoch >= 2 ** 36)
-    throw new Error("token out of range");
-  return lease.epoch * FENCING_SEQUENCES + machine.fencing.sequence;
-};
-
-/** What answers to reports carry: where it is in doubt whether they get there, a token that nothing else shows. */
-export const responseTokenOf = (lease: ShardLease, machine: Machine): number =>
-  fencingTokenOf(lease, machine) + (machine.reachability.probeToken === null ? 0 : 1);
-
-/** Some are kept back for starts that get lost before the block is taken under a fresh number. */
-export const hasFencingSequencesLeft = (machine: Machine): boolean =>
-  machine.fencing.sequence < FENCING_SEQUENCES - 1_000;
-
-export const firstFencingToken = (lease: ShardLease): number => lease.epoch * FENCING_SEQUENCES;
-
+/**
+ * The delay before the next attempt: `first` doubled with each failure, at most `most`.
+ *
+ * @param failures the number of attempts that have failed since the last success
+ */
 export const exponentialBackoff = (failures: number, first: Micros, most: Micros): Micros =>
   Math.min(most, first * 2 ** Math.min(20, failures)) as Micros;
--- a/src/coordination/jobs/job-watcher.ts
+++ b/src/coordination/jobs/job-watcher.ts
@@ -3,8 +3,9 @@
 import { decodeJobRecord } from "../../storage/job-records.js";
 import { CURRENT_PREFIX, jobKey, jobOfDependencyListKey, jobOfKey, taskRangeOfKey } from "../../storage/keys.js";
 import { seconds } from "../../transport/clock.js";
-import { firstFencingToken, type ShardContext } from "../context.js";
+import type { ShardContext } from "../context.js";
 import type { Extension } from "../extension.js";
+import { firstFencingToken } from "../fencing-token.js";
 import { LogEvent } from "../log-events.js";
 import type { HeartbeatProcessor } from "../workers/heartbeat-processor.js";
 import type { DependencyTracker } from "./dependency-tracker.js";
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,5 +1,6 @@
 import type { Micros } from "../../transport/clock.js";
-import { firstFencingToken, type ShardContext } from "../context.js";
+import type { ShardContext } from "../context.js";
+import { firstFencingToken } from "../fencing-token.js";
 import type { TaskStateWriter } from "../jobs/task-state-writer.js";
 import { LogEvent } from "../log-events.js";
 import { summarizePools } from "./candidate-index.js";
--- a/src/coordination/workers/command-dispatcher.ts
+++ b/src/coordination/workers/command-dispatcher.ts
@@ -5,7 +5,8 @@
 import { type Micros, ms, seconds } from "../../transport/clock.js";
 import type { HttpOutcome } from "../../transport/http.js";
 import { WORKER_REQUEST_TIMEOUT } from "../../transport/timeouts.js";
-import { fencingTokenOf, firstFencingToken, hasFencingSequencesLeft, type ShardContext } from "../context.js";
+import type { ShardContext } from "../context.js";
+import { fencingTokenOf, firstFencingToken, hasFencingSequencesLeft } from "../fencing-token.js";
 import { LogEvent } from "../log-events.js";
 import { decideEvictions } from "./graceful-eviction.js";
 import type { HeartbeatProcessor } from "./heartbeat-processor.js";
--- a/src/coordination/workers/heartbeat-processor.ts
+++ b/src/coordination/workers/heartbeat-processor.ts
@@ -6,8 +6,11 @@
 import type { Uint64 } from "../../protocol/json.js";
 import type { Heartbeat } from "../../protocol/worker.js";
 import { type Micros, seconds } from "../../transport/clock.js";
-import { FENCING_SEQUENCES, fencingTokenOf, firstFencingToken, type ShardContext } from "../context.js";
+
+import type { ShardContext } from "../context.js";
+import { FENCING_SEQUENCES, fencingTokenOf, firstFencingToken } from "../fencing-token.js";
 import { LogEvent } from "../log-events.js";
+
 import { classifyHeartbeat, type HeartbeatFreshness, type HeartbeatSource } from "./heartbeat-freshness.js";
 import { ReachabilityTracker } from "./reachability-tracker.js";
 import { TaskExitHandler, type TaskExitStateWriter } from "./task-exit-handler.js";
--- a/src/coordination/workers/reachability-tracker.ts
+++ b/src/coordination/workers/reachability-tracker.ts
@@ -2,7 +2,8 @@
 
 import type { Machine } from "../../cluster/machine.js";
 import type { Heartbeat } from "../../protocol/worker.js";
-import { fencingTokenOf, type ShardContext } from "../context.js";
+import type { ShardContext } from "../context.js";
+import { fencingTokenOf } from "../fencing-token.js";
 import { LogEvent } from "../log-events.js";
 import type { HeartbeatSource } from "./heartbeat-freshness.js";
 import { commandsArrive, isReachable, recordHeartbeat, recordStatusReply, responsesArrive } from "./reachability.js";
--- a/src/coordination/workers/status-query-queue.ts
+++ b/src/coordination/workers/status-query-queue.ts
@@ -1,5 +1,6 @@
 import type { Machine } from "../../cluster/machine.js";
-import { firstFencingToken, type Services, type ShardLease } from "../context.js";
+import type { Services, ShardLease } from "../context.js";
+import { firstFencingToken } from "../fencing-token.js";
 import type { CommandDispatcher } from "./command-dispatcher.js";
 
 /** Machines asked for their state at once after a handover. */
