--- a/src/cluster/machine.ts
+++ b/src/cluster/machine.ts
@@ -22,7 +22,7 @@
   readonly spot: boolean;
 }
 
-/** What is known of a worker by its own counters, and how far these are verified (docs/evidence.md). */
+/** What is known of a worker by its own counters, and how far these are verified (docs/heartbeat-evidence.md). */
 export interface WorkerCounters {
   /** Null while no heartbeat has been processed. */
   incarnation: Uint64 | null;
--- a/src/coordination/leadership/lease-authority.ts
+++ b/src/coordination/leadership/lease-authority.ts
@@ -3,7 +3,7 @@
 import type { Micros } from "../../transport/clock.js";
 import type { HeartbeatFreshness } from "../workers/heartbeat-freshness.js";
 
-/** What a controller's right to act for a block rests on, by its own steady clock (docs/meetings.md). */
+/** What a controller's right to act for a block rests on, by its own steady clock (docs/fault-combinations.md). */
 export interface LeaseState {
   /** It is the holder on record, under the grant that it renews, as far as it knows. */
   readonly isHolder: boolean;
--- a/src/coordination/workers/heartbeat-freshness.ts
+++ b/src/coordination/workers/heartbeat-freshness.ts
@@ -19,7 +19,7 @@
   | { readonly kind: "status-reply"; readonly askedAt: Micros };
 
 /**
- * What may follow from a worker's message (docs/evidence.md):
+ * What may follow from a worker's message (docs/heartbeat-evidence.md):
  * `stale`: nothing. `suspect`: nothing, but a worker whose counters have begun anew looks the same, so it is worth a
  * question. `unverified`: nothing but whom to ask, since it may be from before our time. `counters-reset`: the counters have begun
  * anew; commands of before may still arrive. `verified`: written in our time, so alive and in this session; commands under
--- a/src/mesh/link-status.ts
+++ b/src/mesh/link-status.ts
@@ -1,4 +1,4 @@
-/** Status of a controller's links in the words that operators read in `/links` and in the log (docs/links.md). */
+/** Status of a controller's links in the words that operators read in `/links` and in the log (docs/peer-links.md). */
 
 /** Status of the link to the key-value store or to the cloud. */
 export const LinkStatus = {
--- a/src/settings/cancellation.ts
+++ b/src/settings/cancellation.ts
@@ -17,7 +17,7 @@
 /** The longest that a worker's lease may last by the clock of anybody else. */
 export const maxWorkerLease = (lease: Micros): Micros => Math.ceil(lease * MAX_CLOCK_DRIFT_FACTOR) as Micros;
 
-/** The longest time from a confirmed cancellation to the end of the job's last task, by its terms (docs/meetings.md). */
+/** The longest time from a confirmed cancellation to the end of the job's last task, by its terms (docs/fault-combinations.md). */
 export interface CancellationTerms {
   /** A leader that has not learnt of it may answer workers for so long. */
   readonly shardLease: Micros;
--- a/test/evidence.test.ts
+++ b/test/evidence.test.ts
@@ -426,7 +426,7 @@
       case "back anew":
         Object.assign(worker, { session: 1, tick: 0, token: 0 });
         worker.known.clear();
-        // What was freed before can't be fenced against a life of which nobody knew yet (docs/evidence.md): assumed not to
+        // What was freed before can't be fenced against a life of which nobody knew yet (docs/heartbeat-evidence.md): assumed not to
         // arrive after it. What still counts as being there is fenced first.
         if (this.freed) {
           this.late.length = 0;
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -57,7 +57,7 @@
 };
 
 /**
- * What is written again at the next look where it is wrong (docs/meetings.md, "Late writes"): whether a shard's leader can
+ * What is written again at the next look where it is wrong (docs/fault-combinations.md, "Late writes"): whether a shard's leader can
  * take nothing more, which its next tick corrects.
  */
 const SELF_CORRECTING_KINDS = ["c/full"];
--- a/test/second-page.test.ts
+++ b/test/second-page.test.ts
@@ -8,7 +8,7 @@
 
 /**
  * The meetings of the users' second page, each brought about by one test that also asserts that it did come about
- * (docs/meetings.md has the table). By hand: RAINRIDGE_MEETING_SEEDS=71,72,73,74 plays each with four seeds.
+ * (docs/fault-combinations.md has the table). By hand: RAINRIDGE_MEETING_SEEDS=71,72,73,74 plays each with four seeds.
  */
 const SEEDS = (process.env.RAINRIDGE_MEETING_SEEDS ?? "71").split(",").map(Number);
 
@@ -267,7 +267,7 @@
 });
 
 test("a start held back by a cut lands on a machine that was back meanwhile with its counters anew", async () => {
-  // Known to fail (KNOWN-RED.txt): no token, session or number tells the two lives of the machine apart (docs/evidence.md).
+  // Known to fail (KNOWN-RED.txt): no token, session or number tells the two lives of the machine apart (docs/heartbeat-evidence.md).
   const c = new Cluster(17);
   c.cloud.boots = { never: 0, late: 0, early: 0 };
   for (const [number, area] of ["east", "west"].entries()) {
