--- a/src/coordination/leadership/shard-leader.ts
+++ b/src/coordination/leadership/shard-leader.ts
@@ -231,12 +231,12 @@
     });
   }
 
-  /** How things stand with the machines, for people; `roomKeptFor`: the job for which room that comes free is kept. */
+  /** The state of the machines, for operators. */
   get fleetHealth(): MachineLinks {
     return {
       ...this.failureDetector.fleetHealth(),
-      mayAct: this.lease.isValid(),
-      roomKeptFor: this.scheduler.reservedForJob,
+      leaseValid: this.lease.isValid(),
+      reservedForJob: this.scheduler.reservedForJob,
     };
   }
 
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -49,9 +49,9 @@
 
 export interface FleetHealth {
   readonly up: number;
-  readonly heardNotReached: readonly string[];
+  readonly unresponsive: readonly string[];
   readonly silent: readonly string[];
-  readonly zonesCut: readonly string[];
+  readonly unreachableZones: readonly string[];
 }
 
 /** Finds machines, zones or all that have fallen silent or are not reached, and has them given up. */
@@ -76,9 +76,9 @@
     const up = [...shard.machines.values()].filter(({ state }) => state === "up");
     return {
       up: up.length,
-      heardNotReached: up.filter(({ reachability }) => !isReachable(reachability)).map(({ name }) => name),
+      unresponsive: up.filter(({ reachability }) => !isReachable(reachability)).map(({ name }) => name),
       silent: up.filter(({ reachability: { lastHeartbeatAt } }) => lastHeartbeatAt < late).map(({ name }) => name),
-      zonesCut: [...this.dependencies.autoscaler.unreachableZones],
+      unreachableZones: [...this.dependencies.autoscaler.unreachableZones],
     };
   }
 
--- a/src/protocol/links.ts
+++ b/src/protocol/links.ts
@@ -16,15 +16,15 @@
 export interface MachineLinks {
   readonly up: number;
   /** Their heartbeats arrive, but they do not answer. */
-  readonly heardNotReached: readonly string[];
+  readonly unresponsive: readonly string[];
   /** Their heartbeats do not arrive. */
   readonly silent: readonly string[];
   /** Zones of which no machine answers. */
-  readonly zonesCut: readonly string[];
+  readonly unreachableZones: readonly string[];
   /** Whether the shard's lease is valid. */
-  readonly mayAct: boolean;
+  readonly leaseValid: boolean;
   /** Job for which capacity is reserved; null: none. */
-  readonly roomKeptFor: string | null;
+  readonly reservedForJob: string | null;
 }
 
 const linkTableCodec = new RecordCodec<LinkTable>({
@@ -36,11 +36,11 @@
 
 const machineLinksCodec = new RecordCodec<MachineLinks>({
   up: "up",
-  heardNotReached: "heardNotReached",
+  unresponsive: "heardNotReached",
   silent: "silent",
-  zonesCut: "zonesCut",
-  mayAct: "mayAct",
-  roomKeptFor: "roomKeptFor",
+  unreachableZones: "zonesCut",
+  leaseValid: "mayAct",
+  reservedForJob: "roomKeptFor",
 });
 
 /** Answer to `/links`. `table` is null without a mesh, `machines` where the controller leads no shard. */
--- a/test/wire-forms.test.ts
+++ b/test/wire-forms.test.ts
@@ -306,15 +306,15 @@
   };
   const machines: MachineLinks = {
     up: 7,
-    heardNotReached: ["n-1"],
+    unresponsive: ["n-1"],
     silent: ["n-2"],
-    zonesCut: ["east"],
-    mayAct: true,
-    roomKeptFor: "wk-1",
+    unreachableZones: ["east"],
+    leaseValid: true,
+    reservedForJob: "wk-1",
   };
   messages.matches("links/held", formatJson(encodeLinks(table, machines)));
   messages.matches("links/not held", formatJson(encodeLinks(table, null)));
-  messages.matches("links/without a mesh", formatJson(encodeLinks(null, { ...machines, roomKeptFor: null })));
+  messages.matches("links/without a mesh", formatJson(encodeLinks(null, { ...machines, reservedForJob: null })));
 });
 
 test("every fixture of messages is compared", () => {
