--- a/test/client.test.ts
+++ b/test/client.test.ts
@@ -14,14 +14,14 @@
     });
   });
 
-test("client and server speak over real sockets, and errors are one line", async () => {
+test("requests pass between client and server over TCP, and each failure is one line", async () => {
   const port = await freePort();
-  const seen: string[] = [];
+  const requests: string[] = [];
   const server = new HttpServer(
     systemClock,
     { maxConnections: 10, keepConnections: 10, requestTimeout: seconds(5), idleTimeout: seconds(5), maxBusy: 10 },
     async (request) => {
-      seen.push(`${request.method} ${request.target}`);
+      requests.push(`${request.method} ${request.target}`);
       if (request.target.endsWith("/abort")) return { status: 503, body: "{}", retryAfterS: 2 };
       return { status: 200, body: '{"ref":"wk-1","phase":"done"}' };
     },
@@ -29,22 +29,23 @@
   );
   await server.listen("127.0.0.1", port);
   const address = `127.0.0.1:${port}`;
-  const failing = (work: Promise<string>, text: RegExp): Promise<void> =>
+  const assertFails = (work: Promise<string>, text: RegExp): Promise<void> =>
     assert.rejects(
       work,
       (error) => error instanceof ClientError && text.test(error.message) && !/\n/.test(error.message),
     );
   assert.equal(await showJob(address, "wk-1"), '{"ref":"wk-1","phase":"done"}');
-  await failing(abortJob(address, "wk-1"), /status 503.*2 s/);
-  await failing(showJob(address, "a/b"), /not a job id/);
-  await failing(showJob("nowhere", "wk-1"), /not an address/);
-  await failing(submitJob(address, "/no/such/file"), /ENOENT/);
-  await failing(showJob(`127.0.0.1:${await freePort()}`, "wk-1"), /cannot be reached/);
-  assert.deepEqual(seen, ["GET /v2/runs/wk-1", "POST /v2/runs/wk-1/abort"]);
+  await assertFails(abortJob(address, "wk-1"), /status 503.*2 s/);
+  await assertFails(showJob(address, "a/b"), /not a job id/);
+  await assertFails(showJob("nowhere", "wk-1"), /not an address/);
+  await assertFails(submitJob(address, "/no/such/file"), /ENOENT/);
+  await assertFails(showJob(`127.0.0.1:${await freePort()}`, "wk-1"), /cannot be reached/);
+  assert.deepEqual(requests, ["GET /v2/runs/wk-1", "POST /v2/runs/wk-1/abort"]);
   await server.close();
 });
 
-const closed = (socket: Socket): Promise<string> =>
+/** Everything that the server sends until it closes the connection. */
+const receiveUntilClosed = (socket: Socket): Promise<string> =>
   new Promise((resolve) => {
     let text = "";
     socket.on("data", (data) => {
@@ -54,23 +55,23 @@
     socket.on("close", () => resolve(text));
   });
 
-test("slow, idle, surplus and garbled connections end, and too much work is shed", async () => {
+test("the server closes slow, idle, surplus and malformed connections, and sheds requests beyond its limit", async () => {
   const port = await freePort();
-  let release = (): void => undefined;
-  const held = new Promise<void>((resolve) => {
-    release = resolve;
+  let releaseHandler = (): void => undefined;
+  const handlerReleased = new Promise<void>((resolve) => {
+    releaseHandler = resolve;
   });
-  let enter = (): void => undefined;
-  const entered = new Promise<void>((resolve) => {
-    enter = resolve;
+  let markEntered = (): void => undefined;
+  const handlerEntered = new Promise<void>((resolve) => {
+    markEntered = resolve;
   });
   const server = new HttpServer(
     systemClock,
     { maxConnections: 3, keepConnections: 3, requestTimeout: seconds(1), idleTimeout: seconds(0.2), maxBusy: 1 },
     async (request) => {
       if (request.target === "/held") {
-        enter();
-        await held;
+        markEntered();
+        await handlerReleased;
       }
       return { status: 200, body: "{}" };
     },
@@ -82,32 +83,32 @@
     socket.write(text);
     return socket;
   };
-  // None of these ever ends on the client's side.
-  assert.equal(await closed(open("GET /slow HTTP/1.1\r\nHost")), "");
-  assert.match(await closed(open("GET /once HTTP/1.1\r\n\r\n")), /^HTTP\/1\.1 200 /);
-  assert.match(await closed(open("nonsense\r\n\r\n")), /^HTTP\/1\.1 400 [\s\S]*Connection: close/);
-  const busy = closed(open("GET /held HTTP/1.1\r\n\r\n"));
-  await entered;
-  assert.match(await closed(open("GET /more HTTP/1.1\r\n\r\n")), /^HTTP\/1\.1 503 [\s\S]*Retry-After: 1/);
+  // The client's side closes none of these.
+  assert.equal(await receiveUntilClosed(open("GET /slow HTTP/1.1\r\nHost")), "");
+  assert.match(await receiveUntilClosed(open("GET /once HTTP/1.1\r\n\r\n")), /^HTTP\/1\.1 200 /);
+  assert.match(await receiveUntilClosed(open("nonsense\r\n\r\n")), /^HTTP\/1\.1 400 [\s\S]*Connection: close/);
+  const busy = receiveUntilClosed(open("GET /held HTTP/1.1\r\n\r\n"));
+  await handlerEntered;
+  assert.match(await receiveUntilClosed(open("GET /more HTTP/1.1\r\n\r\n")), /^HTTP\/1\.1 503 [\s\S]*Retry-After: 1/);
   const sockets = [open("G"), open("G")];
-  const waiting = sockets.map(closed);
+  const waiting = sockets.map(receiveUntilClosed);
   await Promise.all(sockets.map((socket) => new Promise((resolve) => socket.once("connect", resolve))));
-  assert.equal(await closed(open("GET /surplus HTTP/1.1\r\n\r\n")), "");
+  assert.equal(await receiveUntilClosed(open("GET /surplus HTTP/1.1\r\n\r\n")), "");
   assert.deepEqual(await Promise.all(waiting), ["", ""]);
-  release();
+  releaseHandler();
   assert.match(await busy, /^HTTP\/1\.1 200 /);
   await server.close();
 });
 
-test("a client that sends a byte now and then does not keep its connection", async () => {
-  // Each byte used to start the time for the whole request anew.
+test("the time of a request runs from its first byte, and further bytes do not extend it", async () => {
+  // Each byte used to start the time of the whole request anew.
   const port = await freePort();
-  const times: { readonly run: () => void; readonly delay: number; cancelled: boolean }[] = [];
+  const timers: { readonly run: () => void; readonly delay: number; cancelled: boolean }[] = [];
   const clock = {
     now: () => 0 as Micros,
     after: (delay: Micros, run: () => void) => {
       const timer = { run, delay, cancelled: false };
-      times.push(timer);
+      timers.push(timer);
       return {
         cancel: () => {
           timer.cancelled = true;
@@ -123,51 +124,54 @@
   );
   await server.listen("127.0.0.1", port);
   const socket = connect(port, "127.0.0.1");
-  const ended = closed(socket);
-  const next = (): Promise<void> => new Promise((resolve) => setTimeout(resolve, 20));
+  const ended = receiveUntilClosed(socket);
+  const nextByteTime = (): Promise<void> => new Promise((resolve) => setTimeout(resolve, 20));
   await new Promise((resolve) => socket.once("connect", resolve));
-  const live = (): typeof times => times.filter(({ cancelled }) => !cancelled);
+  const activeTimers = (): typeof timers => timers.filter(({ cancelled }) => !cancelled);
   // On a new connection, and on one that has served a request already.
   for (const text of ["GET /a HTTP/1.1\r\n\r", "\nGET /b HTTP/1.1\r\n"]) {
     for (const byte of text) {
       socket.write(byte);
-      await next();
+      await nextByteTime();
     }
   }
-  const counted = times.length;
-  const last = live()[0];
-  last?.run();
-  const text = await Promise.race([ended, next().then(() => "still open")]);
+  const timerCount = timers.length;
+  const requestTimer = activeTimers()[0];
+  requestTimer?.run();
+  const text = await Promise.race([ended, nextByteTime().then(() => "still open")]);
   socket.destroy();
   await server.close();
-  assert.equal(counted, 3, "once for the connection, once for its idle time, once for the second request");
-  assert.equal(last?.delay, seconds(10));
+  assert.equal(timerCount, 3, "once for the connection, once for its idle time, once for the second request");
+  assert.equal(requestTimer?.delay, seconds(10));
   assert.match(text, /^HTTP\/1\.1 200 /);
 });
 
-test("links are shown as a table, with a line for each trouble and none where all is well", () => {
-  const well = {
+test("links are shown as a table, with a line for each problem", () => {
+  const healthy = {
     state: "reached",
     cloud: "reached",
     workers: "heard",
     siblings: { "ctl-1": "reached" },
     machines: { up: 7, heardNotReached: [], silent: [], zonesCut: [], mayAct: true, roomKeptFor: null },
   };
-  assert.match(linksText(well), /state service +reached[\s\S]*ctl-1 +reached[\s\S]*7 up, held here[\s\S]*no troubles$/);
-  const seven = Array.from({ length: 7 }, (_, at) => `n-${at}`);
-  const ill = {
-    ...well,
+  assert.match(
+    linksText(healthy),
+    /state service +reached[\s\S]*ctl-1 +reached[\s\S]*7 up, held here[\s\S]*no troubles$/,
+  );
+  const machineNames = Array.from({ length: 7 }, (_, index) => `n-${index}`);
+  const degraded = {
+    ...healthy,
     state: "refused to me",
     siblings: { "ctl-1": "not reached" },
-    machines: { ...well.machines, heardNotReached: seven, mayAct: false, roomKeptFor: "wk-1" },
+    machines: { ...healthy.machines, heardNotReached: machineNames, mayAct: false, roomKeptFor: "wk-1" },
   };
-  assert.deepEqual(troublesIn(ill), [
+  assert.deepEqual(troublesIn(degraded), [
     "state service: refused to me",
     "controller ctl-1: not reached",
     "holds the machines without the right to act: no word of the state service",
     "machines heard, but not reached: n-0, n-1, n-2, n-3, n-4 and 2 more",
     "room that comes free is kept for wk-1",
   ]);
-  // Not held here, and no mesh: nothing to tell.
+  // The controller leads no shard, and there is no mesh.
   assert.deepEqual(troublesIn({ machines: null }), []);
 });
--- a/test/json.test.ts
+++ b/test/json.test.ts
@@ -3,8 +3,9 @@
 import { formatJson, MalformedMessageError, parseJson, readUint64 } from "../src/protocol/json.js";
 import { decodeChanges, encodeTransaction } from "../src/protocol/key-value-store.js";
 import { decodeHeartbeat, encodeHeartbeatResponse } from "../src/protocol/worker.js";
+import { RainridgeError } from "../src/transport/errors.js";
 
-test("integers up to 2^64 survive reading and writing, and compare rightly", () => {
+test("integers up to 2^64 - 1 are read, compared and written without loss", () => {
   const big = 18_446_744_073_709_551_615n;
   assert.equal(readUint64(parseJson(`{"n":${big}}`) as { n: unknown }, "n"), big);
   assert.equal(formatJson({ n: big, m: 7 }), `{"n":${big},"m":7}`);
@@ -27,8 +28,16 @@
   assert.equal(formatJson(encodeHeartbeatResponse(big, [])), `{"baton":${big},"orders":[]}`);
 });
 
-test("what is no count is refused", () => {
+test("values that are not integers from 0 to 2^64 - 1 are refused", () => {
   for (const text of ['{"n":18446744073709551616}', '{"n":-1}', '{"n":1.5}', '{"n":"1"}', "{}"]) {
     assert.throws(() => readUint64(parseJson(text) as { n: unknown }, "n"), MalformedMessageError, text);
   }
 });
+
+test("a malformed message is told from other errors by its code", () => {
+  assert.throws(
+    () => readUint64({}, "n"),
+    (error) =>
+      error instanceof RainridgeError && error.code === "MESSAGE_MALFORMED" && error.message === "n: not a count",
+  );
+});
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -6,7 +6,7 @@
 import { cancellationTerms } from "../src/settings/cancellation.js";
 import { SettingsError } from "../src/settings/errors.js";
 import { DEFAULT_OPTIONS, loadOptions } from "../src/settings/options.js";
-import { parseSettings } from "../src/settings/parse-settings.js";
+import { loadSettings, parseSettings } from "../src/settings/parse-settings.js";
 import { shardLeaseDuration } from "../src/settings/shard-lease.js";
 import { settingsText } from "./fixtures.js";
 
@@ -84,3 +84,14 @@
     await assert.rejects(loadOptions(file), (error) => error instanceof SettingsError && error.message.includes(word));
   }
 });
+
+test("an error of settings has a code and keeps its cause", async () => {
+  const missing = join(mkdtempSync(join(tmpdir(), "rainridge-")), "missing");
+  const hasCause = (error: unknown): boolean =>
+    error instanceof SettingsError && error.code === "SETTINGS_INVALID" && error.cause instanceof Error;
+  assert.throws(() => loadSettings(missing), hasCause);
+  assert.throws(() => loadSettings(missing), { message: `${missing}: ENOENT` });
+  assert.throws(() => parseSettings("label = "), hasCause);
+  await assert.rejects(loadOptions(missing), hasCause);
+  await assert.rejects(loadOptions(missing), { message: `${missing}: cannot be read` });
+});
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -148,14 +148,14 @@
   "job/origin": { ...withSpec({ ...plainSpec, origin: { graph: "dr-2", position: 0 } }), failuresByTask: {} },
   "job/noTypes": withSpec({ ...plainSpec, types: [] }),
   ...Object.fromEntries(
-    CANCELLATION_REASONS.map((why): [string, JobRecord] => [
-      `job/${why}`,
-      { ...withSpec(plainSpec), cancelled: true, cancellationReason: why },
+    CANCELLATION_REASONS.map((reason): [string, JobRecord] => [
+      `job/${reason}`,
+      { ...withSpec(plainSpec), cancelled: true, cancellationReason: reason },
     ]),
   ),
 };
 
-/** Fields in the orders in which the front door and the notes of steps put them on record the first time. */
+/** Fields in the orders in which the job API and the task state writer put them on record the first time. */
 const jobsAsFirstWritten: Readonly<Record<string, JobRecord>> = {
   "job/accepted with a list of its own": {
     spec: plainSpec,
@@ -251,20 +251,20 @@
   "member/plain": { leaseId: 7, incarnation: "ab-1" },
   "member/large lease": { leaseId: 18_446_744_073_709_551_615n, incarnation: "ab-2" },
 };
-const blocks: Readonly<Record<string, ShardRecord>> = {
+const shards: Readonly<Record<string, ShardRecord>> = {
   "block/plain": { label: "ctl-0", incarnation: "ab-1", epoch: 12 },
 };
-const ends: Readonly<Record<string, OutcomeRecord>> = {
+const outcomes: Readonly<Record<string, OutcomeRecord>> = {
   "end/done": { phase: "done", completedTasks: 3 },
   "end/cancelled": { phase: "cancelled", completedTasks: 0 },
   ...Object.fromEntries(
-    CANCELLATION_REASONS.map((why): [string, OutcomeRecord] => [
-      `end/${why}`,
-      { phase: "cancelled", completedTasks: 1, cancellationReason: why },
+    CANCELLATION_REASONS.map((reason): [string, OutcomeRecord] => [
+      `end/${reason}`,
+      { phase: "cancelled", completedTasks: 1, cancellationReason: reason },
     ]),
   ),
 };
-const silences: Readonly<Record<string, UnreachableZonesRecord>> = {
+const unreachableZones: Readonly<Record<string, UnreachableZonesRecord>> = {
   "silence/none": { epoch: 1, unansweredSinceMs: {} },
   "silence/two": { epoch: 12, unansweredSinceMs: { east: 1_773_446_400_123, west: 0 } },
 };
@@ -275,7 +275,7 @@
   readonly read: (stored: unknown) => T;
 }
 
-const checkForm = <T>({ values, write, read }: Form<T>): void => {
+const assertFormKept = <T>({ values, write, read }: Form<T>): void => {
   for (const [name, value] of Object.entries(values)) {
     records.matches(name, formatJson(write(value)));
     const found = read(parseJson(records.text(name)));
@@ -285,7 +285,7 @@
 };
 
 test("records of jobs keep their stored form", () => {
-  checkForm({ values: jobs, write: encodeJobRecord, read: decodeJobRecord });
+  assertFormKept({ values: jobs, write: encodeJobRecord, read: decodeJobRecord });
 });
 
 test("records of jobs keep the order of fields of their first writing", () => {
@@ -321,14 +321,14 @@
   assert.equal(taskRangeBytes(tasks), 26);
 });
 
-test("records of members, leases, ends and unreachable zones keep their stored form", () => {
-  checkForm({ values: members, write: encodeMemberRecord, read: decodeMemberRecord });
-  checkForm({ values: blocks, write: encodeShardRecord, read: decodeShardRecord });
-  checkForm({ values: ends, write: encodeOutcomeRecord, read: decodeOutcomeRecord });
-  checkForm({ values: silences, write: encodeUnreachableZones, read: decodeUnreachableZones });
+test("records of members, shards, outcomes and unreachable zones keep their stored form", () => {
+  assertFormKept({ values: members, write: encodeMemberRecord, read: decodeMemberRecord });
+  assertFormKept({ values: shards, write: encodeShardRecord, read: decodeShardRecord });
+  assertFormKept({ values: outcomes, write: encodeOutcomeRecord, read: decodeOutcomeRecord });
+  assertFormKept({ values: unreachableZones, write: encodeUnreachableZones, read: decodeUnreachableZones });
 });
 
-test("a list of awaited jobs in parts is read in their order", () => {
+test("a dependency list in parts is read in their order", () => {
   const record: JobRecord = { ...withSpec(plainSpec), dependencyList: { digest: "d", parts: 2 } };
   const entries = new Map(
     [0, 1].map((part) => [
@@ -340,10 +340,10 @@
 });
 
 test("records of graph runs keep their stored form", () => {
-  checkForm({ values: headers, write: writeHeader, read: readHeader });
-  checkForm({ values: endedRuns, write: writeEnded, read: readEnded });
-  checkForm({ values: segments, write: writeSegment, read: readSegment });
-  checkForm({ values: uploads, write: writeUpload, read: readUpload });
+  assertFormKept({ values: headers, write: writeHeader, read: readHeader });
+  assertFormKept({ values: endedRuns, write: writeEnded, read: readEnded });
+  assertFormKept({ values: segments, write: writeSegment, read: readSegment });
+  assertFormKept({ values: uploads, write: writeUpload, read: readUpload });
 });
 
 test("a run's header keeps the order of fields of its acceptance", () => {
--- a/test/wire-forms.test.ts
+++ b/test/wire-forms.test.ts
@@ -161,8 +161,8 @@
     { ...machine, name: "n-3", address: null, spot: false, state: "failed", ageS: 1 },
   ];
   assert.deepEqual(await cloudFor("cloud/list").listMachines(), { kind: "ok", value: machines });
-  const rented = await cloudFor("cloud/rent").provision("ask-1", "big", "east", true, 2);
-  assert.deepEqual(rented, { kind: "ok", value: ["n-4", "n-5"] });
+  const provisioned = await cloudFor("cloud/rent").provision("ask-1", "big", "east", true, 2);
+  assert.deepEqual(provisioned, { kind: "ok", value: ["n-4", "n-5"] });
   const refused = await cloudFor("cloud/no capacity", 503).provision("ask-2", "small", "west", false, 1);
   assert.deepEqual(refused, { kind: "refused" });
   assert.deepEqual(await cloudFor("cloud/delete").deleteMachines(["n-1", "n-2"]), { kind: "ok", value: true });
@@ -222,8 +222,8 @@
   const phases: readonly JobPhase[] = ["queued", "running", "done", "cancelled"];
   for (const phase of phases) messages.matches(`phase/${phase}`, formatJson(encodePhase("wk-1", phase)));
   messages.matches("status/running", formatJson(encodeStatus("wk-1", "running", 1, 2)));
-  const awaits = Array.from({ length: 21 }, (_, at) => `wk-${at}`);
-  messages.matches("status/awaits", formatJson(encodeStatus("wk-1", "queued", 0, 0, awaits)));
+  const unfinished = Array.from({ length: 21 }, (_, index) => `wk-${index}`);
+  messages.matches("status/awaits", formatJson(encodeStatus("wk-1", "queued", 0, 0, unfinished)));
 });
 
 const heartbeat: Heartbeat = {
