--- a/test/documentation.test.ts
+++ b/test/documentation.test.ts
@@ -112,6 +112,17 @@
   );
 });
 
+test("files and folders that README and CONTRIBUTING name exist", () => {
+  for (const page of ["README.md", "CONTRIBUTING.md"]) {
+    const paths = codeSpans(readFileSync(page, "utf8")).filter((text) =>
+      /^(src|test|deploy|docs)\/[\w/.-]+$/.test(text),
+    );
+    assert.ok(paths.length > 2, `${page}: hardly any files are named`);
+    const missing = paths.filter((path) => !existsSync(path));
+    assert.deepEqual(missing, [], page);
+  }
+});
+
 test("relative links of the pages resolve", () => {
   assert.ok(PAGES.every((file) => statSync(file).isFile()));
   assert.deepEqual(PAGES.flatMap(linkFaults), []);
