--- a/src/coordination/scheduling/placement-round.ts
+++ b/src/coordination/scheduling/placement-round.ts
@@ -5,11 +5,14 @@
 import type { Job } from "../../cluster/job.js";
 import type { Task } from "../../cluster/task.js";
 import { buildCandidateIndex, type CandidateIndex } from "./candidate-index.js";
-import { hasStarted, type ReservationState, reserveCapacity } from "./capacity-reservation.js";
+import { type ReservationState, reserveCapacity } from "./capacity-reservation.js";
 import { GuaranteeUsage } from "./guarantee-usage.js";
 import { waitingJobs } from "./job-order.js";
 import { placeJob } from "./job-placement.js";
-import { PreemptionBudget, type PreemptionState, preemptFor } from "./preemption.js";
+import { hasStarted } from "./job-start.js";
+import { type PreemptionState, preemptFor } from "./preemption.js";
+import { PreemptionBudget } from "./preemption-budget.js";
+import { PromisedCapacity } from "./promised-capacity.js";
 import type { RoundAction } from "./round-action.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 import { writePriorityOf } from "./start-deadline.js";
@@ -23,12 +26,12 @@
 
 /** The state before the first round of a leader. */
 export const newRoundState = (): RoundState => ({
-  promised: new Map(),
-  budget: new PreemptionBudget(),
+  promisedCapacity: new PromisedCapacity(),
+  preemptionBudget: new PreemptionBudget(),
   guaranteesOvercommitted: false,
   startHistory: new StartHistory(),
   reservation: null,
-  retryAt: new Map(),
+  reservationRetryAt: new Map(),
 });
 
 /** An overcommitment of guarantees only ends once claims are below this share of the capacity. */
@@ -69,7 +72,8 @@
   const { snapshot, state, candidateIndex, runningTasks } = round;
   const placedBefore = job.placedTasks.size;
   const unplaced = yield* placeJob(snapshot, job, candidateIndex, boosted);
-  for (let placed = placedBefore; placed < job.placedTasks.size; placed += 1) state.budget.taskStarted(runningTasks);
+  for (let placed = placedBefore; placed < job.placedTasks.size; placed += 1)
+    state.preemptionBudget.taskStarted(runningTasks);
   if (job.placedTasks.size > placedBefore) state.startHistory.jobStarted(job);
   return unplaced;
 }
--- /dev/null
+++ b/src/coordination/scheduling/reservation-search.ts
@@ -0,0 +1,152 @@
+/** When capacity for a job is expected to come free, and on which machines, by the estimates of what runs there. */
+import type { Job } from "../../cluster/job.js";
+import type { Machine } from "../../cluster/machine.js";
+import type { Task } from "../../cluster/task.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
+import { type Micros, seconds } from "../../transport/clock.js";
+import { allows, zoneAllowed, zoneCounts } from "./eligibility.js";
+import { tasksPlacedTogether } from "./job-start.js";
+import { addResources, countThatFit, subtractResources } from "./placement/bfgp.js";
+import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
+
+/** Beyond this nothing is reserved for a job: the capacity is worth more to others, and the wait has another remedy. */
+export const MAX_RESERVATION = seconds(100);
+/** A running task is expected to go on for at least this, however long past its estimate. */
+const MIN_REMAINING = seconds(1);
+
+/** A machine that is expected to have capacity for so many of a job's tasks from a time on. */
+interface ExpectedCapacity {
+  readonly availableAt: Micros;
+  readonly count: number;
+}
+
+/** When a task is expected to end, by its owner's estimate; null for replicas and where nothing is said of its time. */
+const expectedEnd = ({ runningSince, job: { spec } }: Task, now: Micros): Micros | null => {
+  if (spec.shape === "service" || spec.estimatedRunS <= 0) return null;
+  return Math.max((runningSince ?? now) + seconds(spec.estimatedRunS), now + MIN_REMAINING) as Micros;
+};
+
+/** Tasks with their expected ends, soonest first; those of which no end is expected are left out. */
+const expectedEnds = (tasks: Iterable<Task>, now: Micros): { readonly end: Micros; readonly task: Task }[] => {
+  const ends: { readonly end: Micros; readonly task: Task }[] = [];
+  for (const task of tasks) {
+    const end = expectedEnd(task, now);
+    if (end !== null) ends.push({ end, task });
+  }
+  return ends.sort((a, b) => a.end - b.end);
+};
+
+/**
+ * When the machine will have capacity for a task of the job, as its tasks are expected to end; `untilAllEnded`: as many
+ * tasks as fit once all of these have ended. Null where it never will.
+ */
+const capacityAvailableAt = (
+  machine: Machine,
+  spec: JobSpec,
+  untilAllEnded: boolean,
+  now: Micros,
+): ExpectedCapacity | null => {
+  const { type } = machine;
+  if (type === null) return null;
+  let free = subtractResources(type.capacity, machine.load.used);
+  if (!untilAllEnded && countThatFit(spec.demand, free) > 0) return { availableAt: now, count: 1 };
+  let availableAt = now;
+  for (const { end, task } of expectedEnds(machine.tasks, now)) {
+    free = addResources(free, task.job.spec.demand);
+    availableAt = end;
+    if (!untilAllEnded && countThatFit(spec.demand, free) > 0) return { availableAt, count: 1 };
+  }
+  const count = countThatFit(spec.demand, free);
+  return count === 0 ? null : { availableAt, count };
+};
+
+function* placedTasksOfTeam({ shard, inspection }: SchedulerSnapshot, team: string): Generator<Task> {
+  for (const { spec, placedTasks } of shard.jobs.values()) {
+    if (spec.team !== team) continue;
+    inspection.count += placedTasks.size;
+    yield* placedTasks;
+  }
+}
+
+/** When so much of its team's limit is expected to be free that the job can start; null where not within bounds. */
+export const limitAvailableAt = (snapshot: SchedulerSnapshot, { spec }: Job): Micros | null => {
+  const { shard, now, settings } = snapshot;
+  const limit = settings.teams.get(spec.team)?.limit;
+  if (limit === undefined) return now;
+  const ends = expectedEnds(placedTasksOfTeam(snapshot, spec.team), now);
+  const used = shard.teamUsage(spec.team);
+  const tasks = tasksPlacedTogether(spec);
+  let cpu = used.cpu + spec.demand.cpu * tasks;
+  let gpu = used.gpu + spec.demand.gpu * tasks;
+  const withinLimit = (): boolean =>
+    (limit.cpu === null || cpu <= limit.cpu) && (limit.gpu === null || gpu <= limit.gpu);
+  let availableAt = now;
+  for (const { end, task } of ends) {
+    if (withinLimit()) break;
+    availableAt = end;
+    cpu -= task.job.spec.demand.cpu;
+    gpu -= task.job.spec.demand.gpu;
+  }
+  return withinLimit() && availableAt - now <= MAX_RESERVATION ? availableAt : null;
+};
+
+interface MachineCapacity extends ExpectedCapacity {
+  readonly machine: Machine;
+}
+
+/** Machines that the job may use and that will have capacity for it, soonest and largest first. */
+const machinesByAvailability = (
+  snapshot: SchedulerSnapshot,
+  job: Job,
+  machines: readonly Machine[],
+): MachineCapacity[] => {
+  const { spec } = job;
+  const zoneTaskCounts = zoneCounts(job);
+  const untilAllEnded = spec.shape === "gang";
+  const available = machines.flatMap((machine) => {
+    if (!allows(spec, machine.typeName, machine.zone, machine.spot)) return [];
+    if (!zoneAllowed(spec, zoneTaskCounts, machine.zone)) return [];
+    const capacity = capacityAvailableAt(machine, spec, untilAllEnded, snapshot.now);
+    return capacity === null ? [] : [{ machine, ...capacity }];
+  });
+  snapshot.inspection.count += machines.length;
+  return available.sort((a, b) => a.availableAt - b.availableAt || b.count - a.count);
+};
+
+/** The first machines, of one zone or of all, that together hold so many tasks; null where all of them do not. */
+const takeMachines = (
+  available: readonly MachineCapacity[],
+  zone: string | null,
+  tasks: number,
+  now: Micros,
+): { readonly machines: Map<Machine, Micros>; readonly completeAt: Micros } | null => {
+  const machines = new Map<Machine, Micros>();
+  let remaining = tasks;
+  let completeAt = now;
+  for (const { machine, availableAt, count } of available) {
+    if (zone !== null && machine.zone !== zone) continue;
+    machines.set(machine, availableAt);
+    completeAt = Math.max(completeAt, availableAt) as Micros;
+    remaining -= count;
+    if (remaining <= 0) return { machines, completeAt };
+  }
+  return null;
+};
+
+/** The machines that will have capacity for the job soonest, and when; null where they will not within bounds. */
+export const earliestMachines = (
+  snapshot: SchedulerSnapshot,
+  job: Job,
+  machines: readonly Machine[],
+): Map<Machine, Micros> | null => {
+  const { spec } = job;
+  const { now } = snapshot;
+  const available = machinesByAvailability(snapshot, job, machines);
+  const zones = spec.singleZone ? new Set(available.map(({ machine }) => machine.zone)) : [null];
+  let earliest: ReturnType<typeof takeMachines> = null;
+  for (const zone of zones) {
+    const taken = takeMachines(available, zone, tasksPlacedTogether(spec), now);
+    if (taken !== null && (earliest === null || taken.completeAt < earliest.completeAt)) earliest = taken;
+  }
+  return earliest === null || earliest.completeAt - now > MAX_RESERVATION ? null : earliest.machines;
+};
--- a/src/coordination/scheduling/round-action.ts
+++ b/src/coordination/scheduling/round-action.ts
@@ -4,7 +4,8 @@
 import type { ShardState } from "../../cluster/shard-state.js";
 import { attemptOf, type Task } from "../../cluster/task.js";
 import type { ReservationAction } from "./capacity-reservation.js";
-import { checkpointGraceS, type PreemptAction } from "./preemption.js";
+import type { PreemptAction } from "./preemption.js";
+import { checkpointGraceS } from "./preemption-cost.js";
 
 /** Why tasks of a job go on waiting after a round. */
 export type WaitReason =
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -144,7 +144,7 @@
         return;
       }
       case "unreserve":
-        log.info(LogEvent.ReservationReleased, { job: action.job.spec.id, why: action.why });
+        log.info(LogEvent.ReservationReleased, { job: action.job.spec.id, reason: action.reason });
         return;
       case "no capacity to reserve":
         log.info(LogEvent.ReservationImpossible, { job: action.job.spec.id, tasks: action.job.spec.tasks });
--- a/src/coordination/scheduling/starvation.ts
+++ b/src/coordination/scheduling/starvation.ts
@@ -2,7 +2,7 @@
 import type { Job } from "../../cluster/job.js";
 import type { JobSpec } from "../../protocol/job-spec.js";
 import { seconds } from "../../transport/clock.js";
-import { cpuToStart, hasStarted } from "./capacity-reservation.js";
+import { cpuToStart, hasStarted } from "./job-start.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 /** Fewer than this of a class's or team's jobs begun: then those that have waited longest go first for a while. */
