--- a/test/mesh.test.ts
+++ b/test/mesh.test.ts
@@ -7,6 +7,7 @@
   encodeFrame,
   type FrameConnection,
   FrameDecoder,
+  LogEvent,
   linkStatusOf,
   MAX_FRAME_BYTES,
   MalformedFrameError,
@@ -20,17 +21,18 @@
 } from "../src/mesh/index.js";
 import { HostClock, World } from "../src/model/index.js";
 import type { Micros } from "../src/transport/clock.js";
+import { RainridgeError } from "../src/transport/errors.js";
 import type { HttpOutcome } from "../src/transport/http.js";
 import { forSeeds, Random } from "./random.js";
 
-const BEAT: MeshFrame = {
+const HEARTBEAT: MeshFrame = {
   type: "heartbeat",
   heartbeat: { sequence: 7, loadLevel: 1, storeAgeMs: 120, cloudAgeMs: AGE_NEVER, cutOffFromWorkers: true },
 };
 
 const FRAMES: readonly MeshFrame[] = [
   { type: "hello", label: "ctl-0", incarnation: "abc" },
-  BEAT,
+  HEARTBEAT,
   {
     type: "relay-request",
     id: 9,
@@ -45,17 +47,17 @@
   { type: "relay-response", id: 11, outcome: { kind: "unsent" } },
 ];
 
-test("frames of version 1 are written as they always were", () => {
-  // Golden: a controller of another version reads these bytes.
+test("frames of version 1 are encoded byte for byte", () => {
+  // Golden bytes: controllers of other versions decode them.
   assert.equal(encodeFrame(FRAMES[0] as MeshFrame).toString("hex"), "0000001201010000000563746c2d3000000003616263");
-  assert.equal(encodeFrame(BEAT).toString("hex"), "0000001001020000000701000000 78ffffffff01".replace(" ", ""));
+  assert.equal(encodeFrame(HEARTBEAT).toString("hex"), "0000001001020000000701000000 78ffffffff01".replace(" ", ""));
   assert.equal(encodeFrame(FRAMES[7] as MeshFrame).toString("hex"), "0000000701040000000b00");
 });
 
-test("frames survive any cutting into parts, and unknown types and added fields are skipped", () => {
+test("frames are decoded from parts of any size, and unknown types and added fields are skipped", () => {
   const unknown = Buffer.from("0000000501630a0b0c", "hex");
-  // A later version's beat, with something behind what is known here.
-  const longer = Buffer.concat([encodeFrame(BEAT), Buffer.from("beef", "hex")]);
+  // A heartbeat of a later version, with bytes behind the fields of this one.
+  const longer = Buffer.concat([encodeFrame(HEARTBEAT), Buffer.from("beef", "hex")]);
   longer.writeUInt32BE(longer.length - 4);
   longer.writeUInt8(2, 4);
   const all = Buffer.concat([...FRAMES.map(encodeFrame), unknown, longer, encodeFrame(FRAMES[0] as MeshFrame)]);
@@ -67,11 +69,11 @@
       got.push(...reader.decode(all.subarray(at, at + step)));
       at += step;
     }
-    assert.deepEqual(got, [...FRAMES, BEAT, FRAMES[0]]);
+    assert.deepEqual(got, [...FRAMES, HEARTBEAT, FRAMES[0]]);
   });
 });
 
-test("whatever comes instead of frames ends in one kind of error and nothing else", () => {
+test("bytes that are no frames throw MalformedFrameError and nothing else", () => {
   assert.throws(() => new FrameDecoder().decode(Buffer.from("ffffffff0101", "hex")), MalformedFrameError);
   assert.throws(() => new FrameDecoder().decode(Buffer.from("GET / HTTP/1.1\r\n\r\n")), MalformedFrameError);
   const head = Buffer.alloc(4);
@@ -92,31 +94,31 @@
   assert.ok(errors > 50, `${errors} of 400`);
 });
 
-test("a silence is suspected sooner the more regular the beats were, and hardly ever wrongly", () => {
+test("the accrual detector suspects a silence sooner the more regular heartbeats were, without false alarms", () => {
   const random = new Random(3);
   const PERIOD = 400_000;
-  const steady = new PhiAccrualDetector(PERIOD);
-  const shaky = new PhiAccrualDetector(PERIOD);
+  const regular = new PhiAccrualDetector(PERIOD);
+  const irregular = new PhiAccrualDetector(PERIOD);
   let now = 0;
-  let at = 0;
-  let wrong = 0;
-  for (let beat = 0; beat < 20_000; beat += 1) {
+  let irregularNow = 0;
+  let falseAlarms = 0;
+  for (let count = 0; count < 20_000; count += 1) {
     now += PERIOD + random.int(0, 20_000);
-    if (beat > 10 && steady.phi(now) > 3) wrong += 1;
-    steady.recordHeartbeat(now);
-    at += random.int(50_000, 900_000);
-    shaky.recordHeartbeat(at);
+    if (count > 10 && regular.phi(now) > 3) falseAlarms += 1;
+    regular.recordHeartbeat(now);
+    irregularNow += random.int(50_000, 900_000);
+    irregular.recordHeartbeat(irregularNow);
   }
-  assert.equal(wrong, 0);
-  const noticed = (detector: PhiAccrualDetector, last: number): number => {
+  assert.equal(falseAlarms, 0);
+  const detectionTime = (detector: PhiAccrualDetector, last: number): number => {
     let silence = 0;
     while (detector.phi(last + silence) < 3) silence += 10_000;
     return silence;
   };
-  assert.ok(noticed(steady, now) < 3 * PERIOD, `${noticed(steady, now)} us`);
-  assert.ok(noticed(shaky, at) > noticed(steady, now));
-  assert.ok(noticed(shaky, at) < 10 * PERIOD);
-  assert.equal(new PhiAccrualDetector(PERIOD).phi(0), Number.POSITIVE_INFINITY, "never heard");
+  assert.ok(detectionTime(regular, now) < 3 * PERIOD, `${detectionTime(regular, now)} us`);
+  assert.ok(detectionTime(irregular, irregularNow) > detectionTime(regular, now));
+  assert.ok(detectionTime(irregular, irregularNow) < 10 * PERIOD);
+  assert.equal(new PhiAccrualDetector(PERIOD).phi(0), Number.POSITIVE_INFINITY, "no heartbeat yet");
 });
 
 const peer = (
@@ -130,55 +132,55 @@
   heartbeat: { sequence: 1, loadLevel: 0, storeAgeMs: 100, cloudAgeMs: 100, cutOffFromWorkers: false, ...heartbeat },
   ...fields,
 });
-const fine: UpstreamLinks = { failing: { store: false, cloud: false }, cutOffFromWorkers: false };
-const noStore: UpstreamLinks = { failing: { store: true, cloud: false }, cutOffFromWorkers: false };
+const allUp: UpstreamLinks = { failing: { store: false, cloud: false }, cutOffFromWorkers: false };
+const storeDown: UpstreamLinks = { failing: { store: true, cloud: false }, cutOffFromWorkers: false };
 
-test("a call goes through a sibling only where the own way fails and that sibling's does not", () => {
-  assert.equal(selectRelayPeer("store", fine, [peer("a")]), null);
-  assert.equal(selectRelayPeer("store", noStore, [peer("a")]), "a");
-  assert.equal(selectRelayPeer("cloud", noStore, [peer("a")]), null);
-  assert.equal(selectRelayPeer("store", noStore, [peer("a", { usable: false }), peer("b")]), "b");
-  assert.equal(selectRelayPeer("store", noStore, [peer("a", {}, { storeAgeMs: AGE_NEVER })]), null);
-  assert.equal(selectRelayPeer("store", noStore, [peer("a", { heartbeat: null })]), null);
-  // The one with less to do, then the one surer to be there; what is full is left alone.
-  assert.equal(selectRelayPeer("store", noStore, [peer("a", {}, { loadLevel: 1 }), peer("b")]), "b");
-  assert.equal(selectRelayPeer("store", noStore, [peer("a", { phi: 1 }), peer("b")]), "b");
-  assert.equal(selectRelayPeer("store", noStore, [peer("a", {}, { loadLevel: 3 })]), null);
-  const deaf: UpstreamLinks = { ...fine, cutOffFromWorkers: true };
-  assert.equal(selectRelayPeer("worker", deaf, [peer("a", {}, { cutOffFromWorkers: true }), peer("b")]), "b");
-  // A machine heard through a sibling is spoken to through it, whoever else is there.
-  assert.equal(selectRelayPeer("worker", fine, [peer("a"), peer("b")], "b"), "b");
-  assert.equal(selectRelayPeer("worker", fine, [peer("a"), peer("b", { usable: false })], "b"), null);
+test("a call is relayed only if the direct link fails, through a peer whose link works", () => {
+  assert.equal(selectRelayPeer("store", allUp, [peer("a")]), null);
+  assert.equal(selectRelayPeer("store", storeDown, [peer("a")]), "a");
+  assert.equal(selectRelayPeer("cloud", storeDown, [peer("a")]), null);
+  assert.equal(selectRelayPeer("store", storeDown, [peer("a", { usable: false }), peer("b")]), "b");
+  assert.equal(selectRelayPeer("store", storeDown, [peer("a", {}, { storeAgeMs: AGE_NEVER })]), null);
+  assert.equal(selectRelayPeer("store", storeDown, [peer("a", { heartbeat: null })]), null);
+  // The less loaded peer, then the less suspected one; a saturated peer relays nothing.
+  assert.equal(selectRelayPeer("store", storeDown, [peer("a", {}, { loadLevel: 1 }), peer("b")]), "b");
+  assert.equal(selectRelayPeer("store", storeDown, [peer("a", { phi: 1 }), peer("b")]), "b");
+  assert.equal(selectRelayPeer("store", storeDown, [peer("a", {}, { loadLevel: 3 })]), null);
+  const cutOff: UpstreamLinks = { ...allUp, cutOffFromWorkers: true };
+  assert.equal(selectRelayPeer("worker", cutOff, [peer("a", {}, { cutOffFromWorkers: true }), peer("b")]), "b");
+  // A worker whose heartbeats come through a peer is called through that peer, whatever other peers there are.
+  assert.equal(selectRelayPeer("worker", allUp, [peer("a"), peer("b")], "b"), "b");
+  assert.equal(selectRelayPeer("worker", allUp, [peer("a"), peer("b", { usable: false })], "b"), null);
 });
 
-test("how a link stands is told apart by what siblings say", () => {
-  const standing = (links: UpstreamLinks, refused: boolean, peers: PeerSnapshot[]): string =>
+test("the status of a link is told apart by peers' heartbeats", () => {
+  const statusOf = (links: UpstreamLinks, refused: boolean, peers: PeerSnapshot[]): string =>
     linkStatusOf("store", links, { answered: true, refused }, peers);
-  assert.equal(standing(fine, false, []), "reached");
-  assert.equal(standing(noStore, false, [peer("a")]), "away for me only");
-  assert.equal(standing(noStore, true, [peer("a")]), "refused to me");
-  assert.equal(standing(noStore, true, [peer("a", {}, { storeAgeMs: AGE_NEVER })]), "away for everybody");
-  assert.equal(linkStatusOf("cloud", fine, { answered: false, refused: false }, []), "not asked yet");
+  assert.equal(statusOf(allUp, false, []), "reached");
+  assert.equal(statusOf(storeDown, false, [peer("a")]), "away for me only");
+  assert.equal(statusOf(storeDown, true, [peer("a")]), "refused to me");
+  assert.equal(statusOf(storeDown, true, [peer("a", {}, { storeAgeMs: AGE_NEVER })]), "away for everybody");
+  assert.equal(linkStatusOf("cloud", allUp, { answered: false, refused: false }, []), "not asked yet");
 });
 
-test("over real sockets a frame arrives whole, and an end is noticed on the other side", async () => {
+test("over TCP a large frame arrives whole, and a close is noticed on the other side", async () => {
   const log = { error: (event: string) => assert.fail(event), info: () => undefined, debug: () => undefined };
-  // A port that is free just now; nothing else of the tests listens at this number.
+  // A free port; no other test listens on it.
   const probe = createServer();
   await new Promise<void>((resolve) => probe.listen(0, "127.0.0.1", resolve));
   const { port } = probe.address() as AddressInfo;
   await new Promise((resolve) => probe.close(resolve));
   const address = `127.0.0.1:${port}`;
-  const there = new TcpFrameTransport(address, log);
-  const got = new Promise<MeshFrame[]>((resolve, reject) => {
-    there.listen((wire) => {
-      const reader = new FrameDecoder();
-      wire.onData = (data) => {
+  const receiver = new TcpFrameTransport(address, log);
+  const received = new Promise<MeshFrame[]>((resolve, reject) => {
+    receiver.listen((connection) => {
+      const decoder = new FrameDecoder();
+      connection.onData = (data) => {
         try {
-          const frames = reader.decode(data);
+          const frames = decoder.decode(data);
           if (frames.length === 0) return;
           resolve(frames);
-          wire.close();
+          connection.close();
         } catch (error) {
           reject(error);
         }
@@ -193,26 +195,27 @@
     timeoutMs: 5,
     request: { method: "POST", target: "/txn", body },
   };
-  const near = new TcpFrameTransport("127.0.0.1:1", log).connect(address);
-  const ended = new Promise<void>((resolve) => {
-    near.onClosed = resolve;
+  const sender = new TcpFrameTransport("127.0.0.1:1", log).connect(address);
+  const closed = new Promise<void>((resolve) => {
+    sender.onClosed = resolve;
   });
-  near.write(encodeFrame(sent));
-  assert.deepEqual(await got, [sent]);
-  await ended;
-  there.close();
+  sender.write(encodeFrame(sent));
+  assert.deepEqual(await received, [sent]);
+  await closed;
+  receiver.close();
 });
 
-/** A mesh of one sibling, over connections that the test plays the other side of. */
-const alone = (answers: boolean) => {
+/** A mesh with one peer, whose side of the connections the test plays. `peerAnswers`: it says hello and sends heartbeats. */
+const meshWithOnePeer = (peerAnswers: boolean) => {
   const world = new World();
   const clock = new HostClock(world, 1, 0);
-  const dialled: { at: number; wire: FrameConnection; sent: MeshFrame[] }[] = [];
+  const connections: { at: number; connection: FrameConnection; closed: () => boolean; sent: MeshFrame[] }[] = [];
   const called: string[] = [];
+  const logged: string[] = [];
   let outcome: HttpOutcome = { kind: "unsent" };
   const mesh = createMeshFactory({
     clock,
-    log: { error: () => undefined, info: () => undefined, debug: () => undefined },
+    log: { error: (event) => logged.push(event), info: (event) => logged.push(event), debug: () => undefined },
     random: () => 0.5,
     incarnation: "i",
     http: {
@@ -224,20 +227,23 @@
     transport: {
       listen: () => undefined,
       connect: () => {
-        const reader = new FrameDecoder();
+        const decoder = new FrameDecoder();
         const sent: MeshFrame[] = [];
-        const wire: FrameConnection = {
+        let closed = false;
+        const connection: FrameConnection = {
           write: (data) => {
-            sent.push(...reader.decode(data));
+            sent.push(...decoder.decode(data));
             return true;
           },
-          close: () => undefined,
+          close: () => {
+            closed = true;
+          },
           onData: () => undefined,
           onDrain: () => undefined,
           onClosed: () => undefined,
         };
-        dialled.push({ at: world.now, wire, sent });
-        return wire;
+        connections.push({ at: world.now, connection, closed: () => closed, sent });
+        return connection;
       },
     },
     settings: {
@@ -249,72 +255,117 @@
     },
   })({ loadLevel: () => 0, leadership: () => null, handleHeartbeat: async () => ({ status: 503, body: "" }) });
   mesh.start();
-  const say = (frame: MeshFrame): void => dialled.at(-1)?.wire.onData(encodeFrame(frame));
+  const receive = (frame: MeshFrame): void => connections.at(-1)?.connection.onData(encodeFrame(frame));
   let sequence = 0;
-  const beat = (): void => {
+  const sendHeartbeat = (): void => {
     sequence += 1;
-    say({
+    receive({
       type: "heartbeat",
       heartbeat: { sequence, loadLevel: 0, storeAgeMs: 50, cloudAgeMs: 50, cutOffFromWorkers: false },
     });
-    world.after(400_000, beat);
+    world.after(400_000, sendHeartbeat);
   };
-  if (answers) {
-    say({ type: "hello", label: "b", incarnation: "j" });
-    beat();
+  if (peerAnswers) {
+    receive({ type: "hello", label: "b", incarnation: "j" });
+    sendHeartbeat();
   }
-  const asks = (): Extract<MeshFrame, { type: "relay-request" }>[] =>
-    (dialled.at(-1)?.sent ?? []).flatMap((frame) => (frame.type === "relay-request" ? [frame] : []));
-  const pass = (s: number): Promise<void> => world.run(world.now + s * 1_000_000, () => undefined);
-  return { mesh, dialled, called, say, asks, pass, set: (next: HttpOutcome) => (outcome = next) };
+  const relayRequests = (): Extract<MeshFrame, { type: "relay-request" }>[] =>
+    (connections.at(-1)?.sent ?? []).flatMap((frame) => (frame.type === "relay-request" ? [frame] : []));
+  const advance = (seconds: number): Promise<void> => world.run(world.now + seconds * 1_000_000, () => undefined);
+  return {
+    mesh,
+    connections,
+    called,
+    logged,
+    receive,
+    relayRequests,
+    advance,
+    setOutcome: (next: HttpOutcome) => (outcome = next),
+  };
 };
 
 const GET = { method: "GET", target: "/kv/x", body: "" };
 
-test("a connection over which nothing is said is given up and dialled again, later each time", async () => {
-  const { dialled, pass } = alone(false);
-  await pass(30);
-  assert.ok(dialled.length >= 4 && dialled.length <= 8, `${dialled.length} in 30 s`);
+test("a connection without a hello is closed and opened again, with growing delays", async () => {
+  const { connections, advance } = meshWithOnePeer(false);
+  await advance(30);
+  assert.ok(connections.length >= 4 && connections.length <= 8, `${connections.length} in 30 s`);
 });
 
-test("what fails by the own way goes through the sibling as it is, and comes back to the own way once that answers", async () => {
-  const { mesh, called, say, asks, pass, set } = alone(true);
-  await pass(2);
+test("a call whose direct link fails is relayed unchanged, and goes directly again once the link answers", async () => {
+  const { mesh, called, receive, relayRequests, advance, setOutcome } = meshWithOnePeer(true);
+  await advance(2);
   const call = (): Promise<HttpOutcome> => mesh.client.call("state:1", GET, 2_000_000 as Micros);
   assert.deepEqual(await call(), { kind: "unsent" });
   const second = call();
-  await pass(0.1);
-  const [ask] = asks();
-  assert.deepEqual([ask?.address, ask?.request], ["state:1", GET]);
-  say({
+  await advance(0.1);
+  const [relayed] = relayRequests();
+  assert.deepEqual([relayed?.address, relayed?.request], ["state:1", GET]);
+  receive({
     type: "relay-response",
-    id: ask?.id ?? 0,
+    id: relayed?.id ?? 0,
     outcome: { kind: "answer", status: 404, body: "{}", retryAfterS: null },
   });
   assert.deepEqual(await second, { kind: "answer", status: 404, body: "{}", retryAfterS: null });
-  // Told twice, or under an id that nobody asked under: nothing comes of it.
-  say({ type: "relay-response", id: ask?.id ?? 0, outcome: { kind: "lost" } });
-  say({ type: "relay-response", id: 999, outcome: { kind: "lost" } });
-  // The sibling says nothing: it may have been executed.
+  // A repeated response, and one to an unknown request, have no effect.
+  receive({ type: "relay-response", id: relayed?.id ?? 0, outcome: { kind: "lost" } });
+  receive({ type: "relay-response", id: 999, outcome: { kind: "lost" } });
+  // Without a response the call may have been executed.
   const third = call();
-  await pass(3);
+  await advance(3);
   assert.deepEqual(await third, { kind: "lost" });
-  set({ kind: "answer", status: 200, body: "{}", retryAfterS: null });
-  await pass(2);
-  const before = asks().length;
+  setOutcome({ kind: "answer", status: 200, body: "{}", retryAfterS: null });
+  await advance(2);
+  const before = relayRequests().length;
   const calls = called.length;
   assert.equal((await call()).kind, "answer");
-  assert.equal(asks().length, before, "by the own way again");
+  assert.equal(relayRequests().length, before, "over the direct link again");
   assert.equal(called.length, calls + 1);
 });
 
-test("a call under way when the connection ends counts as lost, one that never left as not sent", async () => {
-  const { mesh, dialled, pass } = alone(true);
-  await pass(2);
+test("a relayed call under way when the connection closes counts as lost", async () => {
+  const { mesh, connections, advance } = meshWithOnePeer(true);
+  await advance(2);
+  const call = (): Promise<HttpOutcome> => mesh.client.call("state:1", GET, 2_000_000 as Micros);
+  await call();
+  const pending = call();
+  await advance(0.1);
+  connections.at(-1)?.connection.onClosed();
+  assert.deepEqual(await pending, { kind: "lost" });
+});
+
+test("a connection is given up after a hello of another controller, or bytes that are no frame", async () => {
+  const otherHello = encodeFrame({ type: "hello", label: "c", incarnation: "k" });
+  for (const bytes of [otherHello, Buffer.from("GET / HTTP/1.1\r\n\r\n")]) {
+    const { connections, logged, advance } = meshWithOnePeer(false);
+    connections[0]?.connection.onData(bytes);
+    assert.deepEqual(logged, [LogEvent.FrameMalformed]);
+    assert.equal(connections[0]?.closed(), true);
+    await advance(0.3);
+    assert.equal(connections.length, 2, "opened again");
+  }
+});
+
+test("a stopped mesh closes its connection, opens none, sends nothing and fails pending calls", async () => {
+  const { mesh, connections, logged, relayRequests, advance } = meshWithOnePeer(true);
+  await advance(2);
   const call = (): Promise<HttpOutcome> => mesh.client.call("state:1", GET, 2_000_000 as Micros);
   await call();
-  const under = call();
-  await pass(0.1);
-  dialled.at(-1)?.wire.onClosed();
-  assert.deepEqual(await under, { kind: "lost" });
+  const pending = call();
+  await advance(0.1);
+  assert.equal(relayRequests().length, 1);
+  mesh.stop();
+  assert.deepEqual(await pending, { kind: "lost" });
+  const sent = connections[0]?.sent.length;
+  assert.equal(connections[0]?.closed(), true);
+  await advance(30);
+  assert.equal(connections.length, 1);
+  assert.equal(connections[0]?.sent.length, sent);
+  assert.deepEqual(logged, [LogEvent.PeerConnected, LogEvent.LinksChanged, LogEvent.PeerDisconnected]);
+});
+
+test("errors of the mesh carry a code", () => {
+  const error = new MalformedFrameError("length 1");
+  assert.ok(error instanceof RainridgeError);
+  assert.equal(error.code, "MALFORMED_FRAME");
 });
