--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -49,24 +49,35 @@
   readonly mesh?: MeshFactory | null;
 }
 
-/** What the controller makes use of where it has a mesh. */
+/** The mesh as the controller uses it. */
 export interface MeshPort {
+  /** Calls over the direct link, or through a peer where that link fails. */
   readonly client: HttpClient;
+  /** When the workers were last found to be cut off from here, or reachable again; null: never. */
+  readonly workerPathChangedAt: Micros | null;
   start(): void;
+  /** The heartbeat of a worker that is led here has come over a direct link. */
   recordDirectHeartbeat(address: string): void;
+  /** The heartbeat of a worker that is led here has come through a peer. */
   recordRelayedHeartbeat(address: string, peer: string): void;
+  /** The leader's response to a worker's heartbeat that came here; null: redirect the worker to the leader. */
   relayHeartbeat(leader: string, request: HttpRequest): Promise<HttpResponse | null>;
+  /** Status of all links, for operators. */
   linkTable(): LinkTable;
-  readonly workerPathChangedAt: Micros | null;
 }
 
-export interface MeshHost {
+/** What the mesh asks of the controller. */
+export interface MeshCallbacks {
+  /** 0 (normal) to 3 (saturated). */
   readonly loadLevel: () => number;
+  /** Machines led here that are up, and when the latest shard was acquired; null: no shard is led here. */
   readonly leadership: () => { readonly machines: number; readonly since: Micros } | null;
-  readonly handleHeartbeat: (request: HttpRequest, through: string) => Promise<HttpResponse>;
+  /** Handles a worker's heartbeat that came through the peer `relayPeer`. */
+  readonly handleHeartbeat: (request: HttpRequest, relayPeer: string) => Promise<HttpResponse>;
 }
 
-export type MeshFactory = (dependencies: MeshHost) => MeshPort;
+/** Makes the mesh of one controller. */
+export type MeshFactory = (callbacks: MeshCallbacks) => MeshPort;
 
 /** One controller: what `main` and the simulated clusters of the tests both start. */
 export class Controller {
