--- /dev/null
+++ b/src/coordination/jobs/outcome-writer.ts
@@ -0,0 +1,145 @@
+/**
+ * Writes the outcome records of ended jobs and deletes what was recorded of their tasks.
+ * @module
+ */
+import type { Job } from "../../cluster/job.js";
+import type { TaskRange } from "../../cluster/task.js";
+import type { Uint64 } from "../../protocol/json.js";
+import type { WriteOperation } from "../../protocol/key-value-store.js";
+import { jobKey, outcomeKey } from "../../storage/keys.js";
+import { encodeOutcomeRecord, type OutcomeRecord } from "../../storage/outcome-records.js";
+import type { ShardContext } from "../context.js";
+import { LogEvent } from "../log-events.js";
+import { writePriorityOf } from "../scheduling/start-deadline.js";
+import { resolveTaskRangeConflict } from "./task-range-conflicts.js";
+import { keyOfTaskRange } from "./task-range-write.js";
+import { writeConditionsOf, writeRetryDelay } from "./write-conditions.js";
+
+/** Ranges of ended jobs that may wait to be deleted. */
+const MAX_PENDING_DELETIONS = 200;
+/** Writes of an outcome transaction beside its ranges: the outcome record and the deletion of the job's. */
+const OUTCOME_WRITES = 2;
+
+/** The transaction that ends a job. */
+interface OutcomeTransaction {
+  readonly record: OutcomeRecord;
+  readonly conditions: Map<string, Uint64>;
+  readonly writes: readonly WriteOperation[];
+  /** Ranges whose versions are conditions of it. */
+  readonly checkedRanges: readonly TaskRange[];
+  /** Ranges to be deleted once it is carried out. */
+  readonly remainingRanges: readonly TaskRange[];
+}
+
+/** How the job ended; the reason only where it was cancelled and not by its user. */
+const outcomeOf = (job: Job, isDone: boolean): OutcomeRecord => {
+  const { completedTasks, cancellationReason } = job;
+  const phase = isDone ? "done" : "cancelled";
+  if (isDone || cancellationReason === null) return { phase, completedTasks };
+  return { phase, completedTasks, cancellationReason };
+};
+
+/** Ends jobs whose tasks are all done or, after a cancellation, all gone. */
+export class OutcomeWriter {
+  constructor(
+    private readonly context: ShardContext,
+    /** Writes a range that is dirty. */
+    private readonly writeRange: (range: TaskRange) => void,
+  ) {}
+
+  /** Writes the job's outcome once no task of it is left. */
+  finishIfComplete(job: Job): void {
+    const allDone = job.completedTasks >= job.spec.tasks;
+    const allGone = job.cancelled && job.placedTasks.size === 0;
+    if (job.outcomePending || !(allDone || allGone)) return;
+    const rangesInWriting = job.ranges.filter((range) => range.writing);
+    if (rangesInWriting.length > 0) {
+      // The outcome, for which the job's user waits, comes after what is being written of the job, and says all that a
+      // deferred write of a range could.
+      for (const range of rangesInWriting) this.context.transactions.cancelPending(keyOfTaskRange(range));
+      return;
+    }
+    job.outcomePending = true;
+    void this.writeOutcome(job, allDone && !job.cancelled);
+  }
+
+  private async writeOutcome(job: Job, isDone: boolean): Promise<void> {
+    const { context } = this;
+    if (!context.lease.isValid()) {
+      this.retry(job);
+      return;
+    }
+    const transaction = this.buildTransaction(job, isDone);
+    const { conditions, writes, record } = transaction;
+    const result = await context.transactions.submit(conditions, writes, writePriorityOf(job, context.settings));
+    if (result.kind === "ok") {
+      this.outcomeWritten(job, transaction);
+      return;
+    }
+    if (result.kind === "conflict") {
+      if (result.keys.includes(context.lease.key)) {
+        context.onFenced();
+        return;
+      }
+      await context.cache.sync();
+      if (result.keys.includes(outcomeKey(job.spec.id))) {
+        // An earlier attempt, to which there was no response, has been carried out.
+        context.shard.jobs.delete(job.spec.id);
+        context.onJobEnded(job, record);
+        return;
+      }
+      for (const range of transaction.checkedRanges) {
+        const key = keyOfTaskRange(range);
+        if (result.keys.includes(key)) await resolveTaskRangeConflict(context, range, [key]);
+      }
+    }
+    this.retry(job);
+  }
+
+  private buildTransaction(job: Job, isDone: boolean): OutcomeTransaction {
+    const { transactions } = this.context;
+    const recordedRanges = job.ranges.filter((range) => range.version !== 0);
+    const maxRanges = Math.max(0, transactions.maxWritesPerTransaction - OUTCOME_WRITES);
+    const checkedRanges = recordedRanges.slice(0, maxRanges);
+    const key = outcomeKey(job.spec.id);
+    const record = outcomeOf(job, isDone);
+    const conditions = writeConditionsOf(this.context, job).set(key, 0);
+    const writes: WriteOperation[] = [
+      { kind: "put", key, value: encodeOutcomeRecord(record) },
+      { kind: "delete", key: jobKey(job.spec.id) },
+    ];
+    // Ranges without a job mean nothing: they may be deleted later, as long as they do not pile up.
+    const deleteLater = transactions.waiting("maintenance") < MAX_PENDING_DELETIONS;
+    for (const range of checkedRanges) {
+      const rangeKey = keyOfTaskRange(range);
+      conditions.set(rangeKey, range.version);
+      if (!deleteLater) writes.push({ kind: "delete", key: rangeKey });
+    }
+    const remainingRanges = deleteLater ? recordedRanges : recordedRanges.slice(checkedRanges.length);
+    return { record, conditions, writes, checkedRanges, remainingRanges };
+  }
+
+  private outcomeWritten(job: Job, { record, remainingRanges }: OutcomeTransaction): void {
+    const { context } = this;
+    context.shard.jobs.delete(job.spec.id);
+    context.log.info(LogEvent.JobEnded, { job: job.spec.id, phase: record.phase });
+    context.onJobEnded(job, record);
+    this.deleteKeys(remainingRanges.map(keyOfTaskRange));
+  }
+
+  private retry(job: Job): void {
+    this.context.clock.after(writeRetryDelay(this.context), () => {
+      job.outcomePending = false;
+      for (const range of job.ranges) if (range.dirty) this.writeRange(range);
+      this.finishIfComplete(job);
+    });
+  }
+
+  /** Deletes records that no longer mean anything, such as ranges of ended jobs, each in a transaction of its own. */
+  deleteKeys(keys: readonly string[]): void {
+    const { transactions, lease } = this.context;
+    for (const key of keys) {
+      void transactions.submit(new Map([[lease.key, lease.version]]), [{ kind: "delete", key }], "maintenance");
+    }
+  }
+}
--- /dev/null
+++ b/src/coordination/jobs/placement-delays.ts
@@ -0,0 +1,43 @@
+/**
+ * Statistics of how long placements wait to be on record.
+ * @module
+ */
+import type { Micros } from "../../transport/clock.js";
+
+const MICROS_PER_MS = 1_000;
+
+/** Delays of one reporting period, as they are logged. */
+export interface PlacementDelaySummary {
+  /** Writes that recorded at least one placement. */
+  readonly placements: number;
+  /** In milliseconds; 0 where there were none. */
+  readonly meanMs: number;
+  readonly mostMs: number;
+}
+
+/** Collects the delays between the decision on a placement and its confirmation by the key-value store. */
+export class PlacementDelays {
+  private count = 0;
+  private sum = 0;
+  private most = 0;
+
+  /** Adds one delay. */
+  record(delay: Micros): void {
+    this.count += 1;
+    this.sum += delay;
+    this.most = Math.max(this.most, delay);
+  }
+
+  /** The delays since this was last called; they are counted from zero again after it. */
+  take(): PlacementDelaySummary {
+    const summary = {
+      placements: this.count,
+      meanMs: this.count === 0 ? 0 : Math.round(this.sum / this.count / MICROS_PER_MS),
+      mostMs: Math.round(this.most / MICROS_PER_MS),
+    };
+    this.count = 0;
+    this.sum = 0;
+    this.most = 0;
+    return summary;
+  }
+}
