--- a/src/coordination/jobs/dependency-resolver.ts
+++ b/src/coordination/jobs/dependency-resolver.ts
@@ -1,51 +1,56 @@
-import { createHash } from "node:crypto";
+/**
+ * Resolves the dependencies of jobs: reads how those that are no longer current ended.
+ * @module
+ */
 import type { JobSpec } from "../../protocol/job-spec.js";
-import { formatJson, type Uint64 } from "../../protocol/json.js";
 import type { KeyChange } from "../../protocol/key-value-store.js";
-import { decodeJobRecord, encodeJobRecord, type JobRecord, recordedDependencies } from "../../storage/job-records.js";
-import { dependencyListKey, jobKey, jobOfKey } from "../../storage/keys.js";
+import { decodeJobRecord, type JobRecord, recordedDependencies } from "../../storage/job-records.js";
+import { jobKey, jobOfKey } from "../../storage/keys.js";
 import type { OutcomeRecord } from "../../storage/outcome-records.js";
 import { ms, sleep } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import type { Services } from "../context.js";
 import { LogEvent } from "../log-events.js";
+import { DependencyListWriter, type PreparedRecord } from "./dependency-list.js";
 
-/** Last words looked up at once: more are kept waiting here than in the queue that all questions share. */
+/** Outcomes looked up at once: the others wait here rather than in the queue that all requests share. */
 const MAX_CONCURRENT_READS = 48;
+/** Between two passes over the dependencies that are not resolved. */
 const RESOLVE_INTERVAL = ms(200);
-/** What it rests on may end while it is read. */
+/** Dependencies of a job may end while they are read, so that others have to be read. */
 const MAX_RESOLVE_ATTEMPTS = 4;
-/** What a part's value holds beside its ids. */
-const PART_OVERHEAD_BYTES = 16;
 
-/** A job's last word on record; `never`: neither current nor ended. */
+/** How a job ended. `not-found`: it is neither current nor ended. `unknown`: it could not be read. */
 export type TerminalState =
   | { readonly kind: "ended"; readonly end: OutcomeRecord }
   | { readonly kind: "not-found" | "unknown" };
 
-/** What is to be said of a list of awaited jobs. `withdrawn`: one of them is, for good. */
+/**
+ * Whether a job with these dependencies may be accepted. `cancelled`: one of them is, and will remain so. `not-found`: no
+ * such job was ever accepted. `unknown`: this can't be told now.
+ */
 export type DependencyCheck =
   | { readonly kind: "resolved"; readonly cancelled: boolean }
   | { readonly kind: "not-found"; readonly id: string }
   | { readonly kind: "unknown" };
 
-/** A record that fits, and what has to be as it was when its transaction is carried out. */
-export interface PreparedRecord {
-  readonly record: JobRecord;
-  readonly conditions: ReadonlyMap<string, Uint64>;
-}
-
-/** Reads what the chains of current jobs rest on, at every controller, and puts long lists of awaited jobs on record. */
+/**
+ * Reads the outcomes on which the dependency graph of current jobs rests, at every controller, and answers whether a job's
+ * dependencies permit its acceptance.
+ */
 export class DependencyResolver {
-  /** Named by a current job, and neither current nor ended. */
+  /** Dependencies of current jobs that are neither current nor ended. */
   private readonly neverSubmitted = new Set<string>();
+  private readonly lists: DependencyListWriter;
 
   constructor(
     private readonly services: Services,
     private readonly readTerminalState: (id: string) => Promise<TerminalState>,
-  ) {}
+  ) {
+    this.lists = new DependencyListWriter(services);
+  }
 
-  /** What is current has changed. */
+  /** Applies a change of the current jobs' records to the dependency graph. Throws where a record is malformed. */
   onChange(change: KeyChange): void {
     const { dependencies, cache, log } = this.services;
     const id = jobOfKey(change.key);
@@ -55,20 +60,21 @@
       return;
     }
     const record = decodeJobRecord(change.value);
-    const awaits = recordedDependencies(record, cache.entries);
-    // Its parts are written before it and removed after it.
-    if (awaits === null) log.error(LogEvent.DependencyListIncomplete, { job: id });
-    dependencies.upsert(id, awaits ?? [id], record.cancelled);
+    const dependencyIds = recordedDependencies(record, cache.entries);
+    // The parts of a list are written before the job's record and deleted after it.
+    if (dependencyIds === null) log.error(LogEvent.DependencyListIncomplete, { job: id });
+    // A job that depends on itself never starts.
+    dependencies.upsert(id, dependencyIds ?? [id], record.cancelled);
   }
 
-  /** Reads the last words on which the present state rests, for as long as the process lives. */
+  /** Reads the outcomes on which the present state rests, for as long as the process lives. */
   async run(): Promise<never> {
     const { dependencies, clock, log } = this.services;
     for (;;) {
       try {
-        const questions = dependencies.unresolved();
-        for (const id of this.neverSubmitted) if (!questions.includes(id)) this.neverSubmitted.delete(id);
-        await this.readTerminalStates(questions.filter((id) => !this.neverSubmitted.has(id)));
+        const unresolvedIds = dependencies.unresolved();
+        for (const id of this.neverSubmitted) if (!unresolvedIds.includes(id)) this.neverSubmitted.delete(id);
+        await this.readTerminalStates(unresolvedIds.filter((id) => !this.neverSubmitted.has(id)));
       } catch (error) {
         log.error(LogEvent.OutcomeReadFailed, { error: describeError(error) });
       }
@@ -76,105 +82,73 @@
     }
   }
 
-  /** Once resolved to true, all on which the job's state rests has been read; false: it can't be told now. */
+  /** Reads all outcomes on which the job's state rests. False: some could not be read now. */
   async resolve(id: string): Promise<boolean> {
     const { dependencies } = this.services;
-    for (let tries = 0; tries < MAX_RESOLVE_ATTEMPTS; tries += 1) {
-      const questions = dependencies.unresolvedFor(id).filter((other) => !this.neverSubmitted.has(other));
-      if (questions.length === 0) return true;
-      if (!(await this.readTerminalStates(questions))) return false;
+    for (let attempt = 0; attempt < MAX_RESOLVE_ATTEMPTS; attempt += 1) {
+      const unresolvedIds = dependencies.unresolvedFor(id).filter((other) => !this.neverSubmitted.has(other));
+      if (unresolvedIds.length === 0) return true;
+      if (!(await this.readTerminalStates(unresolvedIds))) return false;
     }
     return false;
   }
 
+  /** False: some could not be read. */
   private async readTerminalStates(ids: readonly string[]): Promise<boolean> {
-    const { dependencies, cache } = this.services;
-    let all = true;
+    let allRead = true;
     for (let from = 0; from < ids.length; from += MAX_CONCURRENT_READS) {
       await Promise.all(
         ids.slice(from, from + MAX_CONCURRENT_READS).map(async (id) => {
           const terminalState = await this.readTerminalState(id);
-          if (terminalState.kind === "ended") dependencies.recordTerminalPhase(id, terminalState.end.phase);
-          else if (cache.entries.has(jobKey(id))) return;
-          else if (terminalState.kind === "unknown") all = false;
-          // Accepted jobs never vanish: an older version, which ignores the field, has taken a list that names what nobody
-          // submitted. Whatever awaits it waits for ever, and its questions are answered all the same.
-          else this.neverSubmitted.add(id);
+          if (!this.applyTerminalState(id, terminalState)) allRead = false;
         }),
       );
     }
-    return all;
+    return allRead;
+  }
+
+  /** False: the job's state is not known. */
+  private applyTerminalState(id: string, terminalState: TerminalState): boolean {
+    const { dependencies, cache } = this.services;
+    if (terminalState.kind === "ended") {
+      dependencies.recordTerminalPhase(id, terminalState.end.phase);
+      return true;
+    }
+    if (cache.entries.has(jobKey(id))) return true;
+    if (terminalState.kind === "unknown") return false;
+    // Accepted jobs never vanish: an older version, which ignores the field, has accepted a list that names a job which
+    // nobody submitted. Jobs that depend on it wait for ever, and status requests for them are answered all the same.
+    this.neverSubmitted.add(id);
+    return true;
   }
 
-  /** May a job that awaits these be accepted? Rests on reads that left after the question came. */
-  async check(awaits: readonly string[]): Promise<DependencyCheck> {
+  /** Whether a job with these dependencies may be accepted; rests on reads that were sent after this call. */
+  async check(dependencyIds: readonly string[]): Promise<DependencyCheck> {
     const { cache } = this.services;
-    if (awaits.length === 0) return { kind: "resolved", cancelled: false };
+    if (dependencyIds.length === 0) return { kind: "resolved", cancelled: false };
     if (!(await cache.sync())) return { kind: "unknown" };
-    const others = awaits.filter((id) => !cache.entries.has(jobKey(id)));
-    let withdrawn = false;
-    for (let from = 0; from < others.length; from += MAX_CONCURRENT_READS) {
-      const batch = others.slice(from, from + MAX_CONCURRENT_READS);
-      const words = await Promise.all(batch.map((id) => this.readTerminalState(id)));
-      for (const [at, terminalState] of words.entries()) {
-        const id = batch[at] ?? "";
-        if (terminalState.kind === "ended") withdrawn ||= terminalState.end.phase === "cancelled";
+    const idsToRead = dependencyIds.filter((id) => !cache.entries.has(jobKey(id)));
+    let cancelled = false;
+    for (let from = 0; from < idsToRead.length; from += MAX_CONCURRENT_READS) {
+      const batch = idsToRead.slice(from, from + MAX_CONCURRENT_READS);
+      const terminalStates = await Promise.all(batch.map((id) => this.readTerminalState(id)));
+      for (const [index, terminalState] of terminalStates.entries()) {
+        const id = batch[index] ?? "";
+        if (terminalState.kind === "ended") cancelled ||= terminalState.end.phase === "cancelled";
         else if (cache.entries.has(jobKey(id))) continue;
         else return terminalState.kind === "not-found" ? { kind: "not-found", id } : { kind: "unknown" };
       }
     }
-    return { kind: "resolved", cancelled: withdrawn };
+    return { kind: "resolved", cancelled };
   }
 
-  /** The record as it fits: a list that is too long for it is written first, in parts. Null: not to be had now. */
-  async prepareRecord(record: JobRecord, most: number): Promise<PreparedRecord | null> {
-    const { dependencies, ...rest } = record.spec;
-    if (dependencies === undefined || formatJson(encodeJobRecord(record)).length <= most)
-      return { record, conditions: new Map() };
-    const parts = splitIntoParts(dependencies, most);
-    const digest = createHash("sha256").update(dependencies.join(" ")).digest("hex").slice(0, 24);
-    const conditions = new Map<string, Uint64>();
-    for (const [part, ids] of parts.entries()) {
-      const key = dependencyListKey(rest.id, digest, part);
-      const version = await this.writePart(key, ids);
-      if (version === null) return null;
-      conditions.set(key, version);
-    }
-    // As many as a transaction may have beside the job's own two.
-    const kept = [...conditions].slice(0, Math.max(0, this.services.transactions.maxWritesPerTransaction * 4 - 2));
-    return {
-      record: { ...record, spec: rest, dependencyList: { digest, parts: parts.length } },
-      conditions: new Map(kept),
-    };
-  }
-
-  /** The key holds the list's digest: whatever is there already is the same. */
-  private async writePart(key: string, ids: readonly string[]): Promise<Uint64 | null> {
-    const { transactions, store } = this.services;
-    const result = await transactions.submit(new Map([[key, 0]]), [{ kind: "put", key, value: ids }], "user");
-    if (result.kind === "ok") return result.version;
-    if (result.kind !== "conflict") return null;
-    const there = await store.get(key);
-    return there.kind === "ok" ? there.value.version : null;
+  /** As `DependencyListWriter.prepareRecord`. */
+  prepareRecord(record: JobRecord, maxBytes: number): Promise<PreparedRecord | null> {
+    return this.lists.prepareRecord(record, maxBytes);
   }
 }
 
-const splitIntoParts = (awaits: readonly string[], most: number): readonly (readonly string[])[] => {
-  const parts: string[][] = [];
-  let bytes = Number.POSITIVE_INFINITY;
-  for (const id of awaits) {
-    const more = id.length + 3;
-    if (bytes + more > most) {
-      parts.push([]);
-      bytes = PART_OVERHEAD_BYTES;
-    }
-    parts.at(-1)?.push(id);
-    bytes += more;
-  }
-  return parts;
-};
-
-/** For the size of the record by itself. */
+/** The specification without its dependencies, for the size of the record by itself. */
 export const withoutDependencies = (spec: JobSpec): Omit<JobSpec, "dependencies"> => {
   const { dependencies: _, ...rest } = spec;
   return rest;
