--- a/src/coordination/jobs/dependency-tracker.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -1,3 +1,7 @@
+/**
+ * Keeps which jobs of a shard may start, as their dependencies permit.
+ * @module
+ */
 import type { Job } from "../../cluster/job.js";
 import { priorityRank } from "../../protocol/job-spec.js";
 import { dependencyListKey } from "../../storage/keys.js";
@@ -6,9 +10,11 @@
 import type { ShardContext } from "../context.js";
 import { LogEvent } from "../log-events.js";
 
+const MICROS_PER_MS = 1_000;
+
 /**
- * Jobs of a block that await others: which of them may begin, and with which rank and by when they count, which both follow from
- * the jobs that need them. Works along the chains by change; nothing of it is on record.
+ * Jobs of a shard with dependencies: which of them may start, and their effective ranks and deadlines, which follow from
+ * the jobs that depend on them. Works along the dependency graph by change; nothing of it is on record.
  */
 export class DependencyTracker {
   constructor(
@@ -16,24 +22,25 @@
       ShardContext,
       "shard" | "dependencies" | "clock" | "log" | "wallClock" | "scheduleRound"
     >,
-    /** The job has come to be among those that wait for room. */
+    /** Called with each job that may be placed from now on. */
     private readonly onReady: (job: Job) => void,
   ) {}
 
+  /** A job has come to the shard. `acceptedMs`: time of day of its acceptance; null: not recorded. */
   jobAdded(job: Job, acceptedMs: number | null): void {
     const { dependencies, clock, wallClock } = this.context;
     const { id, deadlineS } = job.spec;
     job.awaitingDependencies = !dependencies.isReady(id);
     if (deadlineS !== null && acceptedMs !== null && wallClock !== null) {
-      const ago = Math.max(0, Math.round((wallClock() - acceptedMs) * 1_000));
-      job.ownDeadline = (clock.now() - ago + seconds(deadlineS)) as Micros;
+      const age = Math.max(0, Math.round((wallClock() - acceptedMs) * MICROS_PER_MS));
+      job.ownDeadline = (clock.now() - age + seconds(deadlineS)) as Micros;
       job.effectiveDeadline = job.ownDeadline;
     }
     if (!job.awaitingDependencies) this.onReady(job);
     this.updateEffectivePriorities([id, ...dependencies.dependenciesOf(id)]);
   }
 
-  /** All that it awaits is on record as done; waits count from now. */
+  /** All dependencies of the job are on record as done; it waits for placement from now on. */
   jobReady(id: string): void {
     const job = this.context.shard.jobs.get(id);
     if (job === undefined || !job.awaitingDependencies || job.cancelled) return;
@@ -44,20 +51,20 @@
     this.context.scheduleRound();
   }
 
-  /** The job's last word is on record; those that it needs may count for less without it. */
-  jobEnded(job: Job, end: OutcomeRecord): void {
+  /** The job's outcome is on record; its dependencies may have a lower effective rank without it. */
+  jobEnded(job: Job, outcome: OutcomeRecord): void {
     const { dependencies } = this.context;
-    const parents = dependencies.dependenciesOf(job.spec.id);
-    dependencies.recordTerminalPhase(job.spec.id, end.phase);
-    this.updateEffectivePriorities(parents);
+    const dependencyIds = dependencies.dependenciesOf(job.spec.id);
+    dependencies.recordTerminalPhase(job.spec.id, outcome.phase);
+    this.updateEffectivePriorities(dependencyIds);
   }
 
-  /** Withdrawn: what it needs does not count with its rank any more. */
+  /** The job is cancelled with a dependency: the others no longer have its rank. */
   jobCancelledByDependency(id: string): void {
     this.updateEffectivePriorities(this.context.dependencies.dependenciesOf(id));
   }
 
-  /** Where its list of awaited jobs lies, if not in its own record. */
+  /** The keys of the job's dependency list; none where it stands in the job's own record. */
   dependencyListKeys(job: Job): readonly string[] {
     const { dependencyList, spec } = job;
     if (dependencyList === null) return [];
@@ -66,27 +73,34 @@
     );
   }
 
-  /** Ranks and times of these, and of what they need as far as something changes. */
+  /** Updates effective ranks and deadlines of these jobs and, where they change, of their dependencies. */
   private updateEffectivePriorities(ids: readonly string[]): void {
     const { shard, dependencies } = this.context;
     const stack = [...ids];
     for (let id = stack.pop(); id !== undefined; id = stack.pop()) {
       const job = shard.jobs.get(id);
       if (job === undefined) continue;
-      let rank = priorityRank(job.spec.priority);
-      let due = job.ownDeadline;
-      for (const child of dependencies.dependentsOf(id)) {
-        const other = shard.jobs.get(child);
-        if (other === undefined || other.cancelled) continue;
-        rank = Math.min(rank, other.effectiveRank);
-        if (other.effectiveDeadline === null) continue;
-        const latest = (other.effectiveDeadline - seconds(other.spec.estimatedRunS)) as Micros;
-        due = due === null || latest < due ? latest : due;
-      }
-      if (rank === job.effectiveRank && due === job.effectiveDeadline) continue;
+      const { rank, deadline } = this.effectivePriorityOf(job);
+      if (rank === job.effectiveRank && deadline === job.effectiveDeadline) continue;
       job.effectiveRank = rank;
-      job.effectiveDeadline = due;
+      job.effectiveDeadline = deadline;
       stack.push(...dependencies.dependenciesOf(id));
     }
   }
+
+  /** The highest rank and the earliest deadline of the job's own and those that its dependents leave it. */
+  private effectivePriorityOf(job: Job): { readonly rank: number; readonly deadline: Micros | null } {
+    const { shard, dependencies } = this.context;
+    let rank = priorityRank(job.spec.priority);
+    let deadline = job.ownDeadline;
+    for (const dependentId of dependencies.dependentsOf(job.spec.id)) {
+      const dependent = shard.jobs.get(dependentId);
+      if (dependent === undefined || dependent.cancelled) continue;
+      rank = Math.min(rank, dependent.effectiveRank);
+      if (dependent.effectiveDeadline === null) continue;
+      const latestEnd = (dependent.effectiveDeadline - seconds(dependent.spec.estimatedRunS)) as Micros;
+      if (deadline === null || latestEnd < deadline) deadline = latestEnd;
+    }
+    return { rank, deadline };
+  }
 }
--- a/src/coordination/jobs/job-watcher.ts
+++ b/src/coordination/jobs/job-watcher.ts
@@ -1,6 +1,11 @@
+/**
+ * Takes the jobs of a shard from their records into memory.
+ * @module
+ */
 import type { Job } from "../../cluster/job.js";
+import type { Uint64 } from "../../protocol/json.js";
 import type { KeyChange, KeyValueEntry } from "../../protocol/key-value-store.js";
-import { decodeJobRecord } from "../../storage/job-records.js";
+import { decodeJobRecord, type JobRecord } from "../../storage/job-records.js";
 import { CURRENT_PREFIX, jobKey, jobOfDependencyListKey, jobOfKey, taskRangeOfKey } from "../../storage/keys.js";
 import { seconds } from "../../transport/clock.js";
 import type { ShardContext } from "../context.js";
@@ -11,147 +16,184 @@
 import type { DependencyTracker } from "./dependency-tracker.js";
 import type { TaskStateWriter } from "./task-state-writer.js";
 
-/** Nobody who submits waits for longer than a minute, and no transaction is as late as this. */
+/**
+ * A part of a dependency list is deleted this long after it was found without a job: no user waits for the acceptance of a
+ * job for longer than a minute, and no transaction is as late as this.
+ */
 const ORPHANED_LIST_AGE = seconds(600);
 
+/** What a `JobWatcher` works with. */
 export interface JobWatcherDependencies {
   readonly context: ShardContext;
   readonly taskStates: Pick<TaskStateWriter, "finishIfComplete" | "deleteKeys">;
   readonly heartbeats: Pick<HeartbeatProcessor, "taskGone">;
   readonly dependencyTracker: Pick<DependencyTracker, "jobAdded">;
   readonly extension: Extension | null;
-  /** A round is due at once. */
+  /** Starts a placement round at once. */
   readonly scheduleRound: () => void;
 }
 
-/** Brings the block's jobs from the records into the picture: all of them at the beginning, then each change. */
+interface TaskRangeEntry {
+  readonly id: string;
+  readonly range: number;
+  readonly key: string;
+}
+
+/** Keeps the shard's jobs as their records are: all of them at the beginning, then each change. */
 export class JobWatcher {
+  private readonly context: ShardContext;
+  private readonly taskStates: JobWatcherDependencies["taskStates"];
+  private readonly heartbeats: JobWatcherDependencies["heartbeats"];
+  private readonly dependencyTracker: JobWatcherDependencies["dependencyTracker"];
+  private readonly extension: Extension | null;
+  private readonly scheduleRound: () => void;
   private restored = false;
 
-  constructor(private readonly dependencies: JobWatcherDependencies) {}
+  constructor(dependencies: JobWatcherDependencies) {
+    this.context = dependencies.context;
+    this.taskStates = dependencies.taskStates;
+    this.heartbeats = dependencies.heartbeats;
+    this.dependencyTracker = dependencies.dependencyTracker;
+    this.extension = dependencies.extension;
+    this.scheduleRound = dependencies.scheduleRound;
+  }
 
+  /** Takes all of the shard's jobs and task ranges from the cache. Throws where a record is malformed. */
   restore(): void {
-    const { cache, log } = this.dependencies.context;
-    const { shard } = this.dependencies.context;
-    const ranges: { id: string; range: number; key: string }[] = [];
+    const { shard, lease, log } = this.context;
+    const { jobs, ranges } = this.listRecords();
+    for (const entry of jobs) this.applyJobChange({ kind: "put", ...entry });
+    const orphanedKeys = this.restoreTaskRanges(ranges);
+    this.taskStates.deleteKeys(orphanedKeys.filter((key) => key.startsWith(CURRENT_PREFIX)));
+    for (const job of shard.jobs.values()) this.taskStates.finishIfComplete(job);
+    this.deleteOrphanedDependencyLists();
+    this.restored = true;
+    log.info(LogEvent.ShardAcquired, { block: lease.shard, number: lease.epoch, jobs: shard.jobs.size });
+  }
+
+  /** Job records in the order of acceptance, and the keys of range records in the order of their indexes. */
+  private listRecords(): { readonly jobs: readonly KeyValueEntry[]; readonly ranges: readonly TaskRangeEntry[] } {
+    const ranges: TaskRangeEntry[] = [];
     const jobs: KeyValueEntry[] = [];
-    for (const [key, entry] of cache.entries) {
+    for (const [key, entry] of this.context.cache.entries) {
       if (jobOfKey(key) !== null) jobs.push(entry);
       const range = taskRangeOfKey(key);
       if (range !== null) ranges.push({ ...range, key });
     }
-    // A list comes in the order of the keys, while guarantees go to whoever was accepted first.
+    // The cache is in the order of the keys, while guarantees go to the jobs that were accepted first.
     jobs.sort((a, b) => (a.version < b.version ? -1 : 1));
-    for (const entry of jobs) this.applyJobChange({ kind: "put", ...entry });
     ranges.sort((a, b) => a.range - b.range);
-    const orphans: string[] = [];
+    return { jobs, ranges };
+  }
+
+  /** Returns the keys of ranges without a job: it has ended, and they have not been deleted yet. */
+  private restoreTaskRanges(ranges: readonly TaskRangeEntry[]): readonly string[] {
+    const { cache, shard, lease } = this.context;
+    const orphanedKeys: string[] = [];
     for (const { id, range, key } of ranges) {
       const job = shard.jobs.get(id);
       const entry = cache.entries.get(key);
       if (entry === undefined) continue;
-      // Without a job it is a leftover of one that ended.
-      if (job === undefined) orphans.push(key);
-      else {
-        shard.restoreTaskRange(
-          job,
-          range,
-          entry.version,
-          entry.value,
-          firstFencingToken(this.dependencies.context.lease) - 1,
-        );
-        // Whatever it awaited was on record as done before anything of it was placed.
-        job.awaitingDependencies = false;
+      if (job === undefined) {
+        orphanedKeys.push(key);
+        continue;
       }
+      shard.restoreTaskRange(job, range, entry.version, entry.value, firstFencingToken(lease) - 1);
+      // All its dependencies were on record as done before any task of it was placed.
+      job.awaitingDependencies = false;
     }
-    this.dependencies.taskStates.deleteKeys(orphans.filter((key) => key.startsWith(CURRENT_PREFIX)));
-    for (const job of shard.jobs.values()) this.dependencies.taskStates.finishIfComplete(job);
-    this.deleteOrphanedDependencyLists();
-    this.restored = true;
-    log.info(LogEvent.ShardAcquired, {
-      block: this.dependencies.context.lease.shard,
-      number: this.dependencies.context.lease.epoch,
-      jobs: shard.jobs.size,
-    });
+    return orphanedKeys;
   }
 
   /**
-   * Parts of a list whose job was never accepted, or has ended. An acceptance is conditional on the parts' versions, so that one
-   * that comes late can't stand without them; only what has lain there for long is taken, since one may be under way.
+   * Deletes parts of lists whose job was never accepted, or has ended. An acceptance is conditional on the parts' versions,
+   * so that one that comes late can't stand without them; only parts that have been there for long are deleted, since an
+   * acceptance may be under way.
    */
   private deleteOrphanedDependencyLists(): void {
-    const { cache, clock, transactions, lease } = this.dependencies.context;
-    const left = [...cache.entries.values()].filter(({ key }) => {
+    const { cache, clock } = this.context;
+    const orphans = [...cache.entries.values()].filter(({ key }) => {
       const id = jobOfDependencyListKey(key);
       return id !== null && !cache.entries.has(jobKey(id));
     });
-    if (left.length === 0) return;
+    if (orphans.length === 0) return;
     clock.after(ORPHANED_LIST_AGE, () => {
-      for (const { key, version } of left) {
-        const id = jobOfDependencyListKey(key) ?? "";
-        if (!lease.isValid() || cache.entries.get(key)?.version !== version || cache.entries.has(jobKey(id))) continue;
-        const conditions = new Map([
-          [lease.key, lease.version],
-          [key, version],
-          [jobKey(id), 0],
-        ]);
-        void transactions.submit(conditions, [{ kind: "delete", key }], "maintenance");
-      }
+      for (const entry of orphans) this.deleteIfStillOrphaned(entry);
     });
   }
 
+  private deleteIfStillOrphaned({ key, version }: KeyValueEntry): void {
+    const { cache, transactions, lease } = this.context;
+    const id = jobOfDependencyListKey(key) ?? "";
+    if (!lease.isValid() || cache.entries.get(key)?.version !== version || cache.entries.has(jobKey(id))) return;
+    const conditions = new Map([
+      [lease.key, lease.version],
+      [key, version],
+      [jobKey(id), 0],
+    ]);
+    void transactions.submit(conditions, [{ kind: "delete", key }], "maintenance");
+  }
+
+  /** Applies a change of a job's record; other keys are ignored. Throws where the record is malformed. */
   onChange(change: KeyChange): void {
     if (jobOfKey(change.key) !== null) this.applyJobChange(change);
   }
 
+  /** Cancels the job if the extension has withdrawn it. */
   cancelWithdrawn(id: string): void {
-    const job = this.dependencies.context.shard.jobs.get(id);
-    if (job === undefined || job.cancelled || this.dependencies.extension?.isWithdrawn(job.spec) !== true) return;
+    const job = this.context.shard.jobs.get(id);
+    if (job === undefined || job.cancelled || this.extension?.isWithdrawn(job.spec) !== true) return;
     job.cancellationReason = "graph";
     this.cancel(job);
   }
 
-  /** Needs a job that is cancelled. */
+  /** Cancels the job because a dependency of it is cancelled. */
   cancelByDependency(id: string): void {
-    const job = this.dependencies.context.shard.jobs.get(id);
+    const job = this.context.shard.jobs.get(id);
     if (job !== undefined && !job.cancelled) this.cancel(job);
   }
 
   private applyJobChange(change: KeyChange): void {
-    const { shard } = this.dependencies.context;
-    const id = jobOfKey(change.key) ?? "";
     if (change.kind === "delete") return;
+    const id = jobOfKey(change.key) ?? "";
     const record = decodeJobRecord(change.value);
-    if (record.shard !== this.dependencies.context.lease.shard) return;
-    const known = shard.jobs.get(id);
-    if (known === undefined) {
-      const withdrawn = !record.cancelled && this.dependencies.extension?.isWithdrawn(record.spec) === true;
-      const called = record.cancelled || withdrawn || this.dependencies.context.dependencies.isCancelled(id);
-      const job = shard.addJob(record.spec, change.version, called);
-      job.dependencyList = record.dependencyList ?? null;
-      this.dependencies.dependencyTracker.jobAdded(job, record.acceptedMs ?? null);
-      job.cancellationReason = withdrawn ? "graph" : (record.cancellationReason ?? null);
-      // While this controller was restoring, whoever restores calls `finish` for all; else nobody would.
-      if (job.cancelled && this.restored) this.dependencies.taskStates.finishIfComplete(job);
-      this.dependencies.context.eventListener?.({ kind: "job seen", spec: record.spec });
-      this.dependencies.scheduleRound();
+    if (record.shard !== this.context.lease.shard) return;
+    const job = this.context.shard.jobs.get(id);
+    if (job === undefined) {
+      this.addJob(id, record, change.version);
       return;
     }
-    known.version = change.version;
-    if (!record.cancelled || known.cancelled) return;
-    known.cancellationReason = record.cancellationReason ?? null;
-    this.cancel(known);
+    job.version = change.version;
+    if (!record.cancelled || job.cancelled) return;
+    job.cancellationReason = record.cancellationReason ?? null;
+    this.cancel(job);
+  }
+
+  private addJob(id: string, record: JobRecord, version: Uint64): void {
+    const { shard, dependencies, eventListener } = this.context;
+    const isWithdrawn = !record.cancelled && this.extension?.isWithdrawn(record.spec) === true;
+    const isCancelled = record.cancelled || isWithdrawn || dependencies.isCancelled(id);
+    const job = shard.addJob(record.spec, version, isCancelled);
+    job.dependencyList = record.dependencyList ?? null;
+    this.dependencyTracker.jobAdded(job, record.acceptedMs ?? null);
+    job.cancellationReason = isWithdrawn ? "graph" : (record.cancellationReason ?? null);
+    // `restore` calls `finishIfComplete` for all jobs when their ranges are there.
+    if (job.cancelled && this.restored) this.taskStates.finishIfComplete(job);
+    eventListener?.({ kind: "job seen", spec: record.spec });
+    this.scheduleRound();
   }
 
-  private cancel(known: Job): void {
-    const { id } = known.spec;
-    known.cancelled = true;
-    this.dependencies.context.log.info(LogEvent.JobCancelled, { job: id });
-    this.dependencies.context.eventListener?.({ kind: "job cancelled", job: id });
-    for (const task of [...known.placedTasks]) {
-      const machine = task.machine;
-      if (task.startCommand.kind === "none") this.dependencies.heartbeats.taskGone(task);
-      if (machine !== null) this.dependencies.context.scheduleCommands(machine);
+  private cancel(job: Job): void {
+    const { log, eventListener } = this.context;
+    const { id } = job.spec;
+    job.cancelled = true;
+    log.info(LogEvent.JobCancelled, { job: id });
+    eventListener?.({ kind: "job cancelled", job: id });
+    for (const task of [...job.placedTasks]) {
+      const { machine } = task;
+      if (task.startCommand.kind === "none") this.heartbeats.taskGone(task);
+      if (machine !== null) this.context.scheduleCommands(machine);
     }
-    this.dependencies.taskStates.finishIfComplete(known);
+    this.taskStates.finishIfComplete(job);
   }
 }
--- a/src/coordination/jobs/outcome-reader.ts
+++ b/src/coordination/jobs/outcome-reader.ts
@@ -1,3 +1,7 @@
+/**
+ * Looks up the outcome records of ended jobs.
+ * @module
+ */
 import type { KeyValueEntry } from "../../protocol/key-value-store.js";
 import type { KeyValueStore } from "../../storage/key-value-store.js";
 import { outcomeKey } from "../../storage/keys.js";
@@ -5,12 +9,14 @@
 import type { Log } from "../../transport/log.js";
 import { LogEvent } from "../log-events.js";
 
-/** Waiting for longer than this, a question had better be asked again: users give up after two seconds anyhow. */
+/** A lookup that would wait for longer than this is refused, to be asked again: users give up after two seconds anyhow. */
 const MAX_QUEUE_DELAY_S = 30;
-/** From so many on, a page of the records is read instead of one at a time. */
+/** Where at least this many lookups wait, a page of records is read instead of one at a time. */
 const MIN_LOOKUPS_FOR_PAGE = 8;
 const PAGE_SIZE = 200;
+const MICROS_PER_SECOND = 1_000_000;
 
+/** The record of an outcome. `missing`: there is none. `unknown`: it could not be read. */
 export type OutcomeLookup =
   | { readonly kind: "ok"; readonly value: KeyValueEntry }
   | { readonly kind: "missing" | "unknown" };
@@ -19,18 +25,24 @@
   readonly resolvers: ((found: OutcomeLookup) => void)[];
 }
 
-/** The key just before this one: a page begins after what it is given. */
+interface RequestedOutcome {
+  readonly id: string;
+  readonly key: string;
+  readonly lookup: PendingLookup;
+}
+
+/** The key just before this one: a page begins after the key that it is given. */
 const keyBefore = (key: string): string =>
   `${key.slice(0, -1)}${String.fromCharCode(key.charCodeAt(key.length - 1) - 1)}~`;
 
 /**
- * Looks up the last words of jobs that are not current, in the order in which they were first asked for, within a share of the
- * state service's requests. What waits is looked up even if nobody waits for it any more, so that the next question finds it:
- * no job is the one that is never answered. One request a question took the whole budget from the view, and with it the
- * holder's right to act.
+ * Looks up the outcomes of jobs that are not current, in the order in which they were first requested, within a share of
+ * the state service's requests. What waits is looked up even if nobody waits for it any more, so that the next request
+ * finds it and no job goes without an answer for ever. One read for each request took the whole request budget from the
+ * watch cache, and with it the shard lease of the leader.
  */
 export class OutcomeReader {
-  /** In the order of asking; none of them has been sent yet, so that whoever asks now may share the answer. */
+  /** In the order of request; none has been sent yet, so that a further request for the same job may share its answer. */
   private readonly waiting = new Map<string, PendingLookup>();
   private draining = false;
 
@@ -39,19 +51,19 @@
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly interval: Micros,
-    /** What was found, for those who ask later. */
+    /** Called with each record found. */
     private readonly onFound: (id: string, entry: KeyValueEntry) => void,
   ) {}
 
-  /** `unknown`: neither found nor surely missing; to be asked again. */
+  /** `unknown`: neither found nor surely missing; to be requested again. Never rejects. */
   find(id: string): Promise<OutcomeLookup> {
-    return new Promise((settle) => {
-      const known = this.waiting.get(id);
-      if (known !== undefined) known.resolvers.push(settle);
-      else if (this.waiting.size >= (MAX_QUEUE_DELAY_S * 1_000_000) / this.interval) {
-        settle({ kind: "unknown" });
+    return new Promise((resolve) => {
+      const pending = this.waiting.get(id);
+      if (pending !== undefined) pending.resolvers.push(resolve);
+      else if (this.waiting.size >= (MAX_QUEUE_DELAY_S * MICROS_PER_SECOND) / this.interval) {
+        resolve({ kind: "unknown" });
         return;
-      } else this.waiting.set(id, { resolvers: [settle] });
+      } else this.waiting.set(id, { resolvers: [resolve] });
       void this.drain();
     });
   }
@@ -60,74 +72,79 @@
     if (this.draining) return;
     this.draining = true;
     try {
-      for (let oldestPending = this.first(); oldestPending !== null; oldestPending = this.first()) {
-        const sent = this.clock.now();
-        if (this.waiting.size >= MIN_LOOKUPS_FOR_PAGE) await this.readPage(oldestPending);
-        else await this.readOne(oldestPending);
-        const rest = sent + this.interval - this.clock.now();
-        if (rest > 0) await sleep(this.clock, rest as Micros);
+      for (let oldestId = this.oldest(); oldestId !== null; oldestId = this.oldest()) {
+        const sentAt = this.clock.now();
+        if (this.waiting.size >= MIN_LOOKUPS_FOR_PAGE) await this.readPage(oldestId);
+        else await this.readOne(oldestId);
+        const pause = sentAt + this.interval - this.clock.now();
+        if (pause > 0) await sleep(this.clock, pause as Micros);
       }
     } catch (error) {
       this.log.error(LogEvent.OutcomeLookupFailed, { error: String(error) });
-      for (const id of [...this.waiting.keys()]) this.settle(this.take(id), { kind: "unknown" });
+      for (const id of [...this.waiting.keys()]) this.resolve(this.take(id), { kind: "unknown" });
     } finally {
       this.draining = false;
     }
   }
 
-  private first(): string | null {
+  private oldest(): string | null {
     const [id] = this.waiting.keys();
     return id ?? null;
   }
 
-  /** No longer to be shared: the request leaves now. */
+  /** The lookup is no longer to be shared: its request is sent now. */
   private take(id: string): PendingLookup {
-    const waiting = this.waiting.get(id) ?? { resolvers: [] };
+    const lookup = this.waiting.get(id) ?? { resolvers: [] };
     this.waiting.delete(id);
-    return waiting;
+    return lookup;
   }
 
-  private settle({ resolvers }: PendingLookup, found: OutcomeLookup): void {
-    for (const done of resolvers) done(found);
+  private resolve({ resolvers }: PendingLookup, result: OutcomeLookup): void {
+    for (const resolve of resolvers) resolve(result);
   }
 
   private async readOne(id: string): Promise<void> {
-    const waiting = this.take(id);
+    const lookup = this.take(id);
     const reply = await this.store.get(outcomeKey(id));
     if (reply.kind === "ok") this.onFound(id, reply.value);
-    if (reply.kind === "ok") this.settle(waiting, { kind: "ok", value: reply.value });
-    else this.settle(waiting, { kind: reply.kind === "missing" ? "missing" : "unknown" });
+    if (reply.kind === "ok") this.resolve(lookup, { kind: "ok", value: reply.value });
+    else this.resolve(lookup, { kind: reply.kind === "missing" ? "missing" : "unknown" });
   }
 
-  /** All that wait and lie within the page are answered by it, also those that it proves missing. */
-  private async readPage(first: string): Promise<void> {
-    const asked = [...this.waiting.keys()].map((id) => ({ id, key: outcomeKey(id), waiting: this.take(id) }));
-    const from = outcomeKey(first);
-    const reply = await this.store.page(outcomeKey(""), keyBefore(from), PAGE_SIZE);
+  /** Answers all lookups that lie within the page, also those whose records it proves missing. */
+  private async readPage(firstId: string): Promise<void> {
+    const requested = [...this.waiting.keys()].map((id) => ({ id, key: outcomeKey(id), lookup: this.take(id) }));
+    const firstKey = outcomeKey(firstId);
+    const reply = await this.store.page(outcomeKey(""), keyBefore(firstKey), PAGE_SIZE);
     if (reply.kind !== "ok") {
-      for (const { waiting } of asked) this.settle(waiting, { kind: "unknown" });
+      for (const { lookup } of requested) this.resolve(lookup, { kind: "unknown" });
       return;
     }
     const { entries, more } = reply.value;
-    const found = new Map(entries.map((entry) => [entry.key, entry]));
-    const last = entries.at(-1)?.key ?? "";
-    const left: { readonly id: string; readonly waiting: PendingLookup }[] = [];
-    for (const { id, key, waiting } of asked) {
-      const entry = found.get(key);
+    const entriesByKey = new Map(entries.map((entry) => [entry.key, entry]));
+    const lastKey = entries.at(-1)?.key ?? "";
+    const beyondPage: RequestedOutcome[] = [];
+    for (const outcome of requested) {
+      const { id, key, lookup } = outcome;
+      const entry = entriesByKey.get(key);
       if (entry !== undefined) {
         this.onFound(id, entry);
-        this.settle(waiting, { kind: "ok", value: entry });
-      } else if (key >= from && (!more || key <= last)) this.settle(waiting, { kind: "missing" });
-      else left.push({ id, waiting });
+        this.resolve(lookup, { kind: "ok", value: entry });
+      } else if (key >= firstKey && (!more || key <= lastKey)) this.resolve(lookup, { kind: "missing" });
+      else beyondPage.push(outcome);
     }
-    // Beyond this page: still before those who have come meanwhile.
+    this.requeue(beyondPage);
+  }
+
+  /** Puts lookups beyond the page that was read back, before those that have come meanwhile. */
+  private requeue(outcomes: readonly RequestedOutcome[]): void {
     const newcomers = [...this.waiting];
     this.waiting.clear();
-    for (const { id, waiting } of left) this.waiting.set(id, waiting);
-    for (const [id, waiting] of newcomers) {
-      const known = this.waiting.get(id);
-      if (known === undefined) this.waiting.set(id, waiting);
-      else known.resolvers.push(...waiting.resolvers);
+    for (const { id, lookup } of outcomes) this.waiting.set(id, lookup);
+    for (const [id, lookup] of newcomers) {
+      const pending = this.waiting.get(id);
+      if (pending === undefined) this.waiting.set(id, lookup);
+      else pending.resolvers.push(...lookup.resolvers);
     }
   }
 }
