--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -274,16 +274,18 @@
 
   private acquireShard(lease: ShardLease): void {
     const { membership } = this;
-    const leader = new ShardLeader(
-      this.services,
+    const leader = new ShardLeader({
+      services: this.services,
       lease,
-      this.cloud,
-      this.machineTypes,
-      () => membership.release(lease.shard),
-      () => membership.resign(),
-      () => membership.transferLeadership(),
-      this.extension,
-    );
+      cloud: this.cloud,
+      machineTypes: this.machineTypes,
+      extension: this.extension,
+      events: {
+        onFenced: () => membership.release(lease.shard),
+        onInconsistent: () => membership.resign(),
+        onUnreachable: () => membership.transferLeadership(),
+      },
+    });
     this.shardLeaders.set(lease.shard, leader);
   }
 
--- /dev/null
+++ b/src/coordination/leadership/heartbeat-responder.ts
@@ -0,0 +1,132 @@
+/** Responses of a shard leader to heartbeats: whether the worker's lease is renewed, and with which commands. */
+import { createMachine, type Machine } from "../../cluster/machine.js";
+import type { MachineType } from "../../protocol/cloud.js";
+import type { Command, Heartbeat } from "../../protocol/worker.js";
+import { type Micros, seconds } from "../../transport/clock.js";
+import type { ShardContext } from "../context.js";
+import { firstFencingToken, responseTokenOf } from "../fencing-token.js";
+import { LogEvent } from "../log-events.js";
+import type { CommandDispatcher } from "../workers/command-dispatcher.js";
+import { type HeartbeatFreshness, type HeartbeatSource, mayBeOvertaken } from "../workers/heartbeat-freshness.js";
+import type { HeartbeatProcessor } from "../workers/heartbeat-processor.js";
+import { isOneWay } from "../workers/reachability.js";
+import type { UnreachableZones } from "../workers/unreachable-zones.js";
+import type { LeaderState } from "./leader-state.js";
+import { type PermittedReplies, pendingStops, permittedReplies } from "./lease-authority.js";
+
+const FROM_HEARTBEAT: HeartbeatSource = { kind: "heartbeat" };
+/** Whether a response has arrived at its worker is asked so long after it. */
+const PROBE_VERIFICATION_DELAY = seconds(1);
+
+/** A response to a heartbeat: it renews the worker's lease. */
+export interface HeartbeatReply {
+  /** The fencing token that the response carries. */
+  readonly token: number;
+  readonly commands: readonly Command[];
+}
+
+/** What a `HeartbeatResponder` needs. */
+export interface HeartbeatResponderDependencies {
+  readonly context: ShardContext;
+  readonly state: Readonly<LeaderState>;
+  readonly heartbeats: HeartbeatProcessor;
+  readonly commands: CommandDispatcher;
+  readonly unreachableZones: UnreachableZones;
+  readonly machineTypes: ReadonlyMap<string, MachineType>;
+}
+
+/** Takes in the heartbeats of a shard's workers and responds to them. */
+export class HeartbeatResponder {
+  constructor(private readonly dependencies: HeartbeatResponderDependencies) {}
+
+  /** The response to the heartbeat; null: nothing may be said in the shard's name. */
+  respond(heartbeat: Heartbeat): HeartbeatReply | null {
+    const { context, state, heartbeats } = this.dependencies;
+    const { shard, lease, clock } = context;
+    if (state.stopped || !lease.isValid() || shard.deletedMachines.has(heartbeat.machine)) return null;
+    const machine = this.machineOf(heartbeat);
+    if (this.isInUnreachableZone(machine)) return null;
+    const overtaken = mayBeOvertaken(machine.counters, machine.lease.expired, heartbeat);
+    const freshness = heartbeats.process(machine, heartbeat, FROM_HEARTBEAT);
+    if (freshness === "suspect" && !overtaken) return null;
+    const permitted = this.permittedFor(machine, freshness);
+    this.scheduleSending(machine, permitted);
+    if (!permitted.renew) return null;
+    machine.lease.renewedAt = clock.now();
+    machine.lease.expired = false;
+    if (machine.reachability.probeToken !== null) this.verifyProbe(machine);
+    // The commands first: giving them may raise the fencing sequence that the token shows.
+    const responseCommands = this.commandsFor(machine, heartbeat, permitted);
+    return { token: responseTokenOf(lease, machine), commands: responseCommands };
+  }
+
+  /** While its zone is on record as unreachable a worker gets no response; its heartbeat is noted. */
+  private isInUnreachableZone(machine: Machine): boolean {
+    const { context, unreachableZones } = this.dependencies;
+    if (unreachableZones.mayAnswer(machine.zone)) return false;
+    machine.reachability.lastHeartbeatAt = context.clock.now();
+    unreachableZones.markReachable(machine.zone);
+    return true;
+  }
+
+  private permittedFor(machine: Machine, freshness: HeartbeatFreshness): PermittedReplies {
+    const { clock, settings, lease } = this.dependencies.context;
+    const { counters } = machine;
+    if (freshness !== "unverified") counters.unverifiedSince = null;
+    else counters.unverifiedSince ??= clock.now();
+    return permittedReplies({
+      freshness,
+      tokenSeen: counters.highestToken >= firstFencingToken(lease),
+      oneWay: isOneWay(machine.reachability),
+      unverifiedFor: (clock.now() - (counters.unverifiedSince ?? clock.now())) as Micros,
+      workerLease: settings.workers.lease,
+    });
+  }
+
+  private scheduleSending(machine: Machine, permitted: PermittedReplies): void {
+    const { context, commands } = this.dependencies;
+    if (!permitted.command) context.announceFencingToken(machine);
+    else if (commands.hasUrgentCommands(machine)) context.scheduleCommands(machine);
+  }
+
+  /** Asks a moment later whether the response has arrived: a heartbeat may come a quarter of a lease later. */
+  private verifyProbe(machine: Machine): void {
+    const { context, state } = this.dependencies;
+    machine.reachability.probeSentAt = context.clock.now();
+    context.clock.after(PROBE_VERIFICATION_DELAY, () => {
+      if (!state.stopped && machine.reachability.probeToken !== null) context.queryStatus(machine);
+    });
+  }
+
+  private commandsFor(machine: Machine, heartbeat: Heartbeat, permitted: PermittedReplies): readonly Command[] {
+    const { context, commands } = this.dependencies;
+    const stops = pendingStops(heartbeat.tasks, context.shard.jobs);
+    return permitted.command
+      ? [...commands.repeatableCommands(machine, stops), ...commands.forgetCommands(machine)]
+      : stops;
+  }
+
+  private machineOf(heartbeat: Heartbeat): Machine {
+    const machine = this.dependencies.context.shard.machines.get(heartbeat.machine) ?? this.addMachine(heartbeat);
+    machine.type ??= this.dependencies.machineTypes.get(heartbeat.type) ?? null;
+    if (machine.typeName === "") {
+      machine.typeName = heartbeat.type;
+      machine.zone = heartbeat.zone;
+      machine.spot = heartbeat.spot;
+    }
+    return machine;
+  }
+
+  private addMachine(heartbeat: Heartbeat): Machine {
+    const { shard, clock, log } = this.dependencies.context;
+    const machine = createMachine(
+      { name: heartbeat.machine, typeName: heartbeat.type, type: null, zone: heartbeat.zone, spot: heartbeat.spot },
+      clock.now(),
+    );
+    // The machine may have been gone for long: it has no capacity until it is known from elsewhere.
+    machine.state = "unconfirmed";
+    shard.machines.set(heartbeat.machine, machine);
+    log.info(LogEvent.MachineReported, { machine: heartbeat.machine });
+    return machine;
+  }
+}
--- /dev/null
+++ b/src/coordination/leadership/shard-collaborators.ts
@@ -0,0 +1,181 @@
+/** Builds the parts of a shard leader and connects them. Nothing here decides, reads or writes. */
+import type { Machine } from "../../cluster/machine.js";
+import { ShardState } from "../../cluster/shard-state.js";
+import type { MachineType } from "../../protocol/cloud.js";
+import type { Micros } from "../../transport/clock.js";
+import { Autoscaler } from "../autoscaling/autoscaler.js";
+import type { CloudClient } from "../autoscaling/cloud-client.js";
+import type { Services, ShardContext, ShardLease } from "../context.js";
+import type { Extension } from "../extension.js";
+import { DependencyTracker } from "../jobs/dependency-tracker.js";
+import { JobWatcher } from "../jobs/job-watcher.js";
+import { TaskStateWriter } from "../jobs/task-state-writer.js";
+import { BackpressureSignal } from "../overload/backpressure-signal.js";
+import { Scheduler } from "../scheduling/scheduler.js";
+import { CommandDispatcher } from "../workers/command-dispatcher.js";
+import { ConcurrencyPools } from "../workers/concurrency-pools.js";
+import { FailureDetector } from "../workers/failure-detector.js";
+import { HeartbeatProcessor } from "../workers/heartbeat-processor.js";
+import { StatusQueryQueue } from "../workers/status-query-queue.js";
+import { UnreachableZones } from "../workers/unreachable-zones.js";
+import { createFailureGuard, type FailureGuard } from "./failure-guard.js";
+import { HeartbeatResponder } from "./heartbeat-responder.js";
+import { LeaderChecks } from "./leader-checks.js";
+import type { LeaderState } from "./leader-state.js";
+import { MachineTypeRefresher } from "./machine-type-refresher.js";
+import { MIN_ROUND_INTERVAL, RoundTimer } from "./round-timer.js";
+
+/** Machines that are sent commands at once: those with recent heartbeats, and others. */
+const RESPONSIVE_POOL_SIZE = 96;
+const SILENT_POOL_SIZE = 16;
+/** So many bytes of a range's value a task may take: attempt, machine name and punctuation. */
+const BYTES_PER_TASK = 48;
+const MAX_TASKS_PER_RANGE = 128;
+const AT_ONCE = 0 as Micros;
+
+/** How a shard leader gives up what it leads. */
+export interface LeaderEvents {
+  /** Another controller leads the shard, or may lead it. */
+  onFenced(): void;
+  /** The state in memory is wrong: the shard has to be acquired under a fresh epoch. */
+  onInconsistent(): void;
+  /** This controller reaches no workers: another one should lead. */
+  onUnreachable(): Promise<void>;
+}
+
+/** What a shard leader is made for, and with. */
+export interface ShardLeaderOptions {
+  readonly services: Services;
+  readonly lease: ShardLease;
+  readonly cloud: CloudClient;
+  /** Shared by all of the controller; filled anew by refreshes. */
+  readonly machineTypes: Map<string, MachineType>;
+  readonly events: LeaderEvents;
+  /** Null: none is switched on. */
+  readonly extension: Extension | null;
+}
+
+/** The parts of a shard leader. */
+export interface ShardCollaborators {
+  readonly context: ShardContext;
+  readonly scheduler: Scheduler;
+  readonly autoscaler: Autoscaler;
+  readonly failureDetector: FailureDetector;
+  readonly jobWatcher: JobWatcher;
+  readonly dependencyTracker: DependencyTracker;
+  readonly roundTimer: RoundTimer;
+  readonly heartbeatResponder: HeartbeatResponder;
+  readonly checks: LeaderChecks;
+}
+
+/** The parts that other parts call through the context; read only after all are built. */
+interface ContextTargets {
+  readonly taskStates: TaskStateWriter;
+  readonly commandPools: ConcurrencyPools<Machine>;
+  readonly statusQueries: StatusQueryQueue;
+  readonly unreachableZones: UnreachableZones;
+  readonly dependencyTracker: DependencyTracker;
+  readonly roundTimer: RoundTimer;
+}
+
+/** Builds the parts of a leader, none of them started. */
+export const buildShardCollaborators = (options: ShardLeaderOptions, state: LeaderState): ShardCollaborators => {
+  const { services, lease, cloud, machineTypes, extension } = options;
+  const guard = createFailureGuard(services.log);
+  const roundTimer = new RoundTimer(services, () => scheduler.runRound());
+  const context = createContext(options, state, () => targets);
+  const taskStates = new TaskStateWriter(context);
+  const heartbeats = new HeartbeatProcessor(context, taskStates);
+  const commands = new CommandDispatcher(context, heartbeats);
+  const scheduler = new Scheduler(context, taskStates);
+  const autoscaler = new Autoscaler(context, cloud, scheduler, heartbeats);
+  const commandPools = createCommandPools(context, commands, state, guard);
+  const unreachableZones = new UnreachableZones(services, lease, () => context.shard.machines.values());
+  autoscaler.unreachableZones = unreachableZones.inheritedZones;
+  const failureDetector = new FailureDetector({
+    context,
+    commands,
+    heartbeats,
+    autoscaler,
+    unreachableZones,
+    guard,
+    onUnreachable: () => options.events.onUnreachable(),
+  });
+  const statusQueries = new StatusQueryQueue({
+    loadShedder: services.loadShedder,
+    lease,
+    commands,
+    guard,
+    stopped: () => state.stopped,
+    onMoreQueued: () => failureDetector.extendSettling(),
+  });
+  const backpressure = new BackpressureSignal(services, lease, guard);
+  const dependencyTracker = new DependencyTracker(context, (job) => autoscaler.recordDemand(job.spec));
+  const jobWatcher = new JobWatcher({
+    context,
+    dependencyTracker,
+    taskStates,
+    heartbeats,
+    extension,
+    scheduleRound: () => roundTimer.schedule(AT_ONCE),
+  });
+  const targets = { taskStates, commandPools, statusQueries, unreachableZones, dependencyTracker, roundTimer };
+  const machineTypeRefresher = new MachineTypeRefresher({ context, cloud, machineTypes, guard });
+  const checked = { failureDetector, commands, machineTypeRefresher, backpressure, scheduler, heartbeats, taskStates };
+  const checks = new LeaderChecks({ context, ...checked });
+  const responding = { heartbeats, commands, unreachableZones, machineTypes };
+  const heartbeatResponder = new HeartbeatResponder({ context, state, ...responding });
+  const entryPoints = { jobWatcher, dependencyTracker, roundTimer, heartbeatResponder, checks };
+  return { context, scheduler, autoscaler, failureDetector, ...entryPoints };
+};
+
+const createShardState = ({ services, machineTypes }: ShardLeaderOptions): ShardState => {
+  const { clock, settings } = services;
+  const fittingTasks = Math.floor(settings.store.layoutBytes / BYTES_PER_TASK);
+  const tasksPerRange = Math.max(1, Math.min(MAX_TASKS_PER_RANGE, fittingTasks));
+  return new ShardState(clock, tasksPerRange, settings.teams, () => machineTypes);
+};
+
+const createContext = (
+  options: ShardLeaderOptions,
+  state: LeaderState,
+  targets: () => ContextTargets,
+): ShardContext => ({
+  ...options.services,
+  shard: createShardState(options),
+  lease: options.lease,
+  onFenced: () => {
+    if (!state.stopped) options.events.onFenced();
+  },
+  onInconsistent: () => {
+    if (!state.stopped) options.events.onInconsistent();
+  },
+  scheduleRound: () => targets().roundTimer.schedule(MIN_ROUND_INTERVAL),
+  scheduleCommands: (machine) => targets().commandPools.add(machine),
+  queryStatus: (machine) => targets().statusQueries.enqueue(machine),
+  announceFencingToken: (machine) => targets().statusQueries.announceFencingToken(machine),
+  mayStartTasks: (machine) => targets().unreachableZones.mayAnswer(machine.zone),
+  onJobEnded: (job, end) => {
+    const { taskStates, dependencyTracker } = targets();
+    taskStates.deleteKeys(dependencyTracker.dependencyListKeys(job));
+    dependencyTracker.jobEnded(job, end);
+    state.extension?.onJobEnded(job.spec, end);
+  },
+  onTaskFailed: (task, reason) => state.extension?.onTaskFailed(task.job.spec, task.index, reason),
+});
+
+/** Machines that do not respond keep a slot for seconds: a zone of them must not delay commands elsewhere. */
+const createCommandPools = (
+  { clock, settings, options }: ShardContext,
+  commands: CommandDispatcher,
+  state: Readonly<LeaderState>,
+  guard: FailureGuard,
+): ConcurrencyPools<Machine> => {
+  const silentAfter = settings.workers.heartbeatInterval * options.silentReports;
+  return new ConcurrencyPools(
+    clock,
+    (machine) => guard(state.stopped ? Promise.resolve() : commands.send(machine)),
+    (machine) => (clock.now() - machine.reachability.lastHeartbeatAt > silentAfter ? "silent" : "responsive"),
+    { responsive: RESPONSIVE_POOL_SIZE, silent: SILENT_POOL_SIZE },
+  );
+};
