--- a/src/coordination/workers/command-dispatcher.ts
+++ b/src/coordination/workers/command-dispatcher.ts
@@ -1,6 +1,8 @@
+/** Commands to workers: which are due, and what becomes of those that were sent. */
+
 import type { Machine } from "../../cluster/machine.js";
 import { attemptOf, isActive, isPlacementRecorded, type StartCommandState, type Task } from "../../cluster/task.js";
-import { formatJson, parseJson, type Uint64 } from "../../protocol/json.js";
+import { formatJson, MalformedMessageError, parseJson, type Uint64 } from "../../protocol/json.js";
 import { type Command, decodeHeartbeat, encodeCommandRequest } from "../../protocol/worker.js";
 import { type Micros, ms, seconds } from "../../transport/clock.js";
 import type { HttpOutcome } from "../../transport/http.js";
@@ -15,11 +17,36 @@
 const RETRY_DELAY = ms(500);
 /** Between two times that ended attempts are forgotten on one machine. */
 const FORGET_INTERVAL = seconds(20);
-/** No answer within this is a message that got lost, not a connection that was refused. */
+/** No answer within this time is a message that got lost, not a connection that was refused. */
 const IMMEDIATE_FAILURE = ms(200);
 /** Keeps a request well below the limit of a body. */
 const MAX_COMMANDS = 200;
 
+/** A start that is being sent. An earlier one without an answer may still arrive, whatever becomes of this one. */
+interface SentStart {
+  readonly task: Task;
+  /** What was known of the task's start command before. */
+  readonly previous: StartCommandState;
+}
+
+interface CommandRequest {
+  readonly address: string;
+  readonly incarnation: Uint64;
+  /** The fencing token under which the commands are sent. */
+  readonly token: number;
+  readonly commands: readonly Command[];
+  /** The starts among the commands. */
+  readonly starts: readonly SentStart[];
+}
+
+interface CommandAnswer {
+  readonly body: string;
+  /** False: the worker dropped the commands. */
+  readonly accepted: boolean;
+  /** When the request left. */
+  readonly askedAt: Micros;
+}
+
 /** Sends workers the difference between what is wanted on a machine and what it has reported. */
 export class CommandDispatcher {
   constructor(
@@ -28,14 +55,14 @@
   ) {}
 
   /**
-   * Commands that may be repeated at any time, for the response to a report. Starts are never among them: they
-   * go to /orders only, where a lost one is known to be lost. `owed`: stops that go first, whatever else there is.
+   * Commands that may be repeated at any time, for the response to a heartbeat. Starts are never among them: they
+   * go to /orders only, where a lost one is known to be lost. `pendingStops`: stops that go first, whatever else there is.
    */
-  repeatableCommands(machine: Machine, owed: readonly Command[] = []): Command[] {
-    const commands = [...owed];
-    const said = new Set(owed.map(({ task, attempt }) => `${task}#${attempt}`));
+  repeatableCommands(machine: Machine, pendingStops: readonly Command[] = []): Command[] {
+    const commands = [...pendingStops];
+    const included = new Set(pendingStops.map(({ task, attempt }) => `${task}#${attempt}`));
     const stop = (task: string, attempt: Uint64, graceS: number): void => {
-      if (!said.has(`${task}#${attempt}`)) commands.push({ op: "stop", task, attempt, graceS });
+      if (!included.has(`${task}#${attempt}`)) commands.push({ op: "stop", task, attempt, graceS });
     };
     for (const task of machine.tasks) {
       if (!isActive(task)) continue;
@@ -44,14 +71,14 @@
       else if (task.stopRequest !== null && task.state !== "saving") stop(task.name, attempt, task.stopRequest.graceS);
     }
     for (const [task, attempt] of machine.reported.unexpectedTasks) stop(task, attempt, 0);
-    return commands.slice(0, Math.max(MAX_COMMANDS, owed.length));
+    return commands.slice(0, Math.max(MAX_COMMANDS, pendingStops.length));
   }
 
   /**
-   * Attempts that have ended and are on record, for the response to a report; called before its token is made up. Once
-   * forgotten, an attempt would be started anew by its own start command, come late or a second time (a repeat of one that
-   * had been carried out started tasks twice on 15 of 60 days). So the same answer that has them forgotten shows a token above all
-   * those under which anything was started; at most once in a while, since commands under way are dropped by it.
+   * Attempts that have ended and are on record, for the response to a heartbeat; called before its token is determined. Once
+   * forgotten, an attempt would be started again by its own start command, come late or a second time (a repeat of one that
+   * had been carried out started tasks twice on 15 of 60 days). So the same response that has them forgotten shows a token
+   * above all those under which anything was started; at most once in a while, since commands under way are dropped by it.
    */
   forgetCommands(machine: Machine): Command[] {
     const { clock, lease } = this.context;
@@ -73,7 +100,7 @@
     return commands.slice(0, MAX_COMMANDS);
   }
 
-  /** Is there anything that cannot wait for the answer to the next report? */
+  /** Is there anything that cannot wait for the response to the next heartbeat? */
   hasUrgentCommands(machine: Machine): boolean {
     if (machine.reported.unexpectedTasks.size > 0) return true;
     for (const task of machine.tasks) {
@@ -101,71 +128,119 @@
     const starts: Task[] = [];
     if (!this.context.mayStartTasks(machine)) return starts;
     for (const task of machine.tasks) {
-      const open = task.startCommand.kind === "none" || (task.startCommand.kind === "uncertain" && task.state === null);
-      if (open && isPlacementRecorded(task) && !task.job.cancelled && task.stopRequest === null) starts.push(task);
+      const startable =
+        task.startCommand.kind === "none" || (task.startCommand.kind === "uncertain" && task.state === null);
+      if (startable && isPlacementRecorded(task) && !task.job.cancelled && task.stopRequest === null) starts.push(task);
     }
     return starts.slice(0, MAX_COMMANDS);
   }
 
-  /** `probe`: send even without commands, to learn the worker's state under our token. */
+  /**
+   * Sends the machine its commands, unless a request to it is under way. `probe`: send even without commands, to learn
+   * the worker's state under this leader's token.
+   */
   async send(machine: Machine, probe = false): Promise<void> {
-    const { clock, lease, http, log } = this.context;
-    const {
-      address,
-      counters: { incarnation },
-    } = machine;
-    if (address === null || incarnation === null || machine.commands.inFlight || !lease.isValid()) return;
-    if (!probe && (machine.state !== "up" || machine.lease.expired)) return;
-    if (clock.now() < machine.commands.nextAt && !probe) return;
-    // What was inherited is not started again before the worker has been heard under our token: until then the
-    // attempt may have ended and be waiting for its place in the records.
-    const trusted =
-      machine.state === "up" &&
-      machine.counters.highestToken >= firstFencingToken(lease) &&
-      machine.counters.resetToken === 0;
-    const starts = trusted ? this.tasksToStart(machine) : [];
-    const others = this.repeatableCommands(machine);
-    if (starts.length === 0 && !probe && others.length === 0) return;
-    const token = fencingTokenOf(lease, machine);
-    if (starts.length > 0) machine.fencing.startSequence = machine.fencing.sequence;
-    const commands: Command[] = [
-      ...others,
-      ...starts.map((task): Command => ({ op: "start", task: task.name, attempt: attemptOf(task.desired) })),
-    ];
-    // An earlier start of it that got no answer may still arrive, whatever becomes of this one.
-    const before = new Map(starts.map((task) => [task, task.startCommand]));
-    for (const task of starts) task.startCommand = { kind: "sending" };
-    const launchBefore = (task: Task): StartCommandState => before.get(task) ?? { kind: "none" };
+    const request = this.buildRequest(machine, probe);
+    if (request === null) return;
+    const { clock, http } = this.context;
     machine.commands.inFlight = true;
-    const body = formatJson(encodeCommandRequest(token, incarnation, commands));
+    const body = formatJson(encodeCommandRequest(request.token, request.incarnation, request.commands));
     const askedAt = clock.now();
-    const outcome = await http.call(address, { method: "POST", target: "/orders", body }, WORKER_REQUEST_TIMEOUT);
+    const outcome = await http.call(
+      request.address,
+      { method: "POST", target: "/orders", body },
+      WORKER_REQUEST_TIMEOUT,
+    );
     machine.commands.inFlight = false;
     this.updateReachability(machine, outcome, askedAt);
-    const still = starts.filter((task) => task.machine === machine && task.startCommand.kind === "sending");
+    const pendingStarts = request.starts.filter(
+      ({ task }) => task.machine === machine && task.startCommand.kind === "sending",
+    );
     if (outcome.kind === "answer" && (outcome.status === 200 || outcome.status === 409)) {
-      for (const task of still) task.startCommand = outcome.status === 200 ? { kind: "observed" } : launchBefore(task);
-      try {
-        const heartbeat = decodeHeartbeat(parseJson(outcome.body));
-        if (heartbeat.machine !== machine.name) throw new Error("another machine's report");
-        this.heartbeats.process(machine, heartbeat, { kind: "status-reply", askedAt });
-      } catch (error) {
-        log.error(LogEvent.WorkerResponseMalformed, { machine: machine.name, error: String(error) });
-        this.startsLost(machine, token, still);
-      }
-      machine.commands.nextAt = (outcome.status === 200 ? clock.now() : clock.now() + RETRY_DELAY) as Micros;
-      if (this.tasksToStart(machine).length > 0 || this.repeatableCommands(machine).length > 0) {
-        this.context.scheduleCommands(machine);
-      }
-      return;
+      this.handleAnswer(machine, request, pendingStarts, {
+        body: outcome.body,
+        accepted: outcome.status === 200,
+        askedAt,
+      });
+    } else {
+      this.handleFailure(machine, request, pendingStarts, outcome.kind === "unsent");
     }
+  }
+
+  /** Null where nothing may or need be sent; else the tasks to start are marked as being sent. */
+  private buildRequest(machine: Machine, probe: boolean): CommandRequest | null {
+    const { address, counters } = machine;
+    const { incarnation } = counters;
+    if (address === null || incarnation === null || !this.maySend(machine, probe)) return null;
+    const tasks = this.isTrusted(machine) ? this.tasksToStart(machine) : [];
+    const repeatable = this.repeatableCommands(machine);
+    if (tasks.length === 0 && !probe && repeatable.length === 0) return null;
+    const token = fencingTokenOf(this.context.lease, machine);
+    if (tasks.length > 0) machine.fencing.startSequence = machine.fencing.sequence;
+    const commands: Command[] = [
+      ...repeatable,
+      ...tasks.map((task): Command => ({ op: "start", task: task.name, attempt: attemptOf(task.desired) })),
+    ];
+    const starts = tasks.map((task): SentStart => ({ task, previous: task.startCommand }));
+    for (const task of tasks) task.startCommand = { kind: "sending" };
+    return { address, incarnation, token, commands, starts };
+  }
+
+  private maySend(machine: Machine, probe: boolean): boolean {
+    const { clock, lease } = this.context;
+    if (machine.commands.inFlight || !lease.isValid()) return false;
+    if (probe) return true;
+    return machine.state === "up" && !machine.lease.expired && clock.now() >= machine.commands.nextAt;
+  }
+
+  /**
+   * What was inherited is not started again before the worker has been heard under this leader's token: until then the
+   * attempt may have ended and be waiting for its place in the records.
+   */
+  private isTrusted({ state, counters }: Machine): boolean {
+    return (
+      state === "up" && counters.highestToken >= firstFencingToken(this.context.lease) && counters.resetToken === 0
+    );
+  }
+
+  /** The worker has accepted the commands, or refused them for their token or incarnation; its state is in the body. */
+  private handleAnswer(
+    machine: Machine,
+    request: CommandRequest,
+    pendingStarts: readonly SentStart[],
+    { body, accepted, askedAt }: CommandAnswer,
+  ): void {
+    const { clock, log } = this.context;
+    for (const { task, previous } of pendingStarts) task.startCommand = accepted ? { kind: "observed" } : previous;
+    try {
+      const heartbeat = decodeHeartbeat(parseJson(body));
+      if (heartbeat.machine !== machine.name) throw new MalformedMessageError("status of another machine");
+      this.heartbeats.process(machine, heartbeat, { kind: "status-reply", askedAt });
+    } catch (error) {
+      log.error(LogEvent.WorkerResponseMalformed, { machine: machine.name, error: String(error) });
+      this.markStartsUncertain(machine, request.token, pendingStarts);
+    }
+    machine.commands.nextAt = (accepted ? clock.now() : clock.now() + RETRY_DELAY) as Micros;
+    if (this.tasksToStart(machine).length > 0 || this.repeatableCommands(machine).length > 0) {
+      this.context.scheduleCommands(machine);
+    }
+  }
+
+  /** `unsent`: the request surely did not leave; otherwise it may have been carried out or still arrive. */
+  private handleFailure(
+    machine: Machine,
+    request: CommandRequest,
+    pendingStarts: readonly SentStart[],
+    unsent: boolean,
+  ): void {
+    const { clock } = this.context;
     machine.commands.nextAt = (clock.now() + RETRY_DELAY) as Micros;
-    if (outcome.kind === "unsent") for (const task of still) task.startCommand = launchBefore(task);
-    else this.startsLost(machine, token, still);
+    if (unsent) for (const { task, previous } of pendingStarts) task.startCommand = previous;
+    else this.markStartsUncertain(machine, request.token, pendingStarts);
     clock.after(RETRY_DELAY, () => this.context.scheduleCommands(machine));
   }
 
-  /** Asks a worker that has not reported here for its state; its answer renews nothing. */
+  /** Asks a worker that has sent no heartbeat here for its state; its answer renews no lease. */
   async queryStatus(machine: Machine): Promise<void> {
     const { http, lease, log, clock } = this.context;
     const { address } = machine;
@@ -184,7 +259,7 @@
     }
   }
 
-  /** Whether what is sent there gets there. What fails at once says nothing: it has not left, or nobody listens yet. */
+  /** Records whether requests to the machine arrive. What fails at once says nothing: it has not left, or nobody listens yet. */
   private updateReachability(machine: Machine, outcome: HttpOutcome, askedAt: Micros): void {
     const { clock, loadShedder } = this.context;
     if (outcome.kind === "answer") {
@@ -196,13 +271,13 @@
   }
 
   /**
-   * A command got lost on the way and may land minutes later, under this token. From now on the machine is
-   * spoken to under a higher one; a report that shows it proves the lost command dead.
+   * A command got lost on the way and may arrive minutes later, under this token. From now on the machine is
+   * sent a higher one; a heartbeat that shows it proves that the lost command is dropped.
    */
-  private startsLost(machine: Machine, token: number, starts: readonly Task[]): void {
+  private markStartsUncertain(machine: Machine, token: number, starts: readonly SentStart[]): void {
     // Stops name an attempt that has been seen: late or twice, they do no harm.
     if (starts.length === 0) return;
-    for (const task of starts) task.startCommand = { kind: "uncertain", token };
+    for (const { task } of starts) task.startCommand = { kind: "uncertain", token };
     machine.fencing.sequence += 1;
   }
 
