--- a/src/coordination/scheduling/candidate-index.ts
+++ b/src/coordination/scheduling/candidate-index.ts
@@ -1,3 +1,7 @@
+/**
+ * Index of the machines that can take tasks in one round, by pool. It is changed as tasks are placed, and remembers for
+ * which demands no capacity was found, so that no job searches a second time for what another did not find.
+ */
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
 import type { MachineType } from "../../protocol/cloud.js";
@@ -6,16 +10,16 @@
 import { mayBackfill, type Reservation } from "./capacity-reservation.js";
 import { allows, readyMachines, unready, zoneAllowed, zoneCounts } from "./eligibility.js";
 import type { GuaranteeUsage } from "./guarantee-usage.js";
-import { waitingJobs } from "./job-order.js";
 import { countThatFit, fits, type Images, subtractResources } from "./placement/bfgp.js";
 import type { RankedServer } from "./placement/ranking.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
+/** A machine that can take tasks, with what is left of it in this round. */
 export interface Candidate extends RankedServer {
   readonly machine: Machine;
 }
 
-/** The paper's optimism: an image on its way counts as being there. */
+/** Images of a machine; as in the paper, an image that is being fetched counts as being there. */
 class MachineImages implements Images {
   private assigned: string | null = null;
 
@@ -43,6 +47,7 @@
   machine,
 });
 
+/** A copy on which placement may be tried without effect on the original. */
 export const copyCandidate = (candidate: Candidate): Candidate => ({
   ...candidate,
   images: new MachineImages(candidate.machine),
@@ -53,28 +58,30 @@
   readonly typeName: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** All that can take tasks, and of those the ones with replicas, with or without room. */
+  /** All that can take tasks, and of those the ones with replicas, with or without free capacity. */
   total: number;
   withReplicas: number;
-  /** Those with room for the smallest of what is waiting. */
+  /** Those with capacity for the smallest of what is waiting. */
   readonly candidates: Candidate[];
 }
 
-/** What a round has to work with. */
+/** The machines, limits and findings that the stages of one round share. */
 export interface CandidateIndex {
   readonly pools: readonly MachinePool[];
   readonly machines: readonly Machine[];
   readonly broadZones: ReadonlySet<string>;
   /** Demands for which nothing was left in this round, by what the jobs may use. */
   readonly exhaustedDemands: Map<string, Resources[]>;
-  /** Zones with room for a job's task now. */
+  /** Zones with capacity for a job's task, as found in this round. */
   readonly zonesWithCapacity: Map<Job, ReadonlySet<string>>;
-  /** Machines of the tasks that a job had placed when it was first looked at for something to stop. */
+  /** Machines of the tasks that a job had placed when it was first searched for victims. */
   readonly machinesByJob: Map<Job, readonly Machine[]>;
   readonly guarantees: GuaranteeUsage;
-  /** Room that is kept for one job. */
+  /** Capacity that is reserved for one job. */
   reservation: Reservation | null;
+  /** Searches for victims made in this round. */
   preemptionSearches: number;
+  /** Ranges whose placements may yet come to wait for their write, for urgent jobs and for the others. */
   readonly recordBudget: Record<"urgent" | "normal", number>;
 }
 
@@ -86,30 +93,40 @@
 };
 
 /**
- * Zones where the cloud offers most types. What can go anywhere goes there first: a zone with little room is
+ * Zones where the cloud offers most types. What can go anywhere goes there first: a zone with little capacity is
  * the only one left for the second half of a job that has to be spread.
  */
-const broadZones = ({ shard }: SchedulerSnapshot): ReadonlySet<string> => {
-  const count = new Map<string, number>();
+const findBroadZones = ({ shard }: SchedulerSnapshot): ReadonlySet<string> => {
+  const typesByZone = new Map<string, number>();
   for (const type of shard.machineTypes().values()) {
-    for (const zone of type.zones) count.set(zone, (count.get(zone) ?? 0) + 1);
+    for (const zone of type.zones) typesByZone.set(zone, (typesByZone.get(zone) ?? 0) + 1);
+  }
+  const maxTypes = Math.max(0, ...typesByZone.values());
+  return new Set([...typesByZone].filter(([, types]) => types === maxTypes).map(([zone]) => zone));
+};
+
+/** The least of each resource that a task of the jobs demands. */
+const smallestDemand = (jobs: readonly Job[]): Resources => {
+  let smallest: Resources = jobs[0]?.spec.demand ?? { cpu: 0, gpu: 0, ram: 0 };
+  for (const { spec } of jobs) {
+    const { cpu, gpu, ram } = spec.demand;
+    smallest = {
+      cpu: Math.min(smallest.cpu, cpu),
+      gpu: Math.min(smallest.gpu, gpu),
+      ram: Math.min(smallest.ram, ram),
+    };
   }
-  const most = Math.max(0, ...count.values());
-  return new Set([...count].filter(([, types]) => types === most).map(([zone]) => zone));
+  return smallest;
 };
 
-/** The machines as a round finds them, in pools, for the jobs that wait. */
+/** Indexes the ready machines for the jobs that wait, as a round finds them. */
 export const buildCandidateIndex = (
   snapshot: SchedulerSnapshot,
   jobs: readonly Job[],
   guarantees: GuaranteeUsage,
   reservation: Reservation | null,
 ): CandidateIndex => {
-  let least: Resources = jobs[0]?.spec.demand ?? { cpu: 0, gpu: 0, ram: 0 };
-  for (const { spec } of jobs) {
-    const { cpu, gpu, ram } = spec.demand;
-    least = { cpu: Math.min(least.cpu, cpu), gpu: Math.min(least.gpu, gpu), ram: Math.min(least.ram, ram) };
-  }
+  const smallest = smallestDemand(jobs);
   const pools: MachinePool[] = [];
   const machines: Machine[] = [];
   // Written out, since it is walked for every machine in every round: no generator, no key made up for each.
@@ -124,22 +141,20 @@
     }
     pool.total += 1;
     if (machine.load.replicas > 0) pool.withReplicas += 1;
-    const {
-      load: { used: usedResources },
-    } = machine;
+    const { used } = machine.load;
     const { capacity } = type;
-    const room =
-      least.cpu <= capacity.cpu - usedResources.cpu &&
-      least.gpu <= capacity.gpu - usedResources.gpu &&
-      least.ram <= capacity.ram - usedResources.ram;
-    if (room) pool.candidates.push(asCandidate(machine, type, machines.length));
+    const hasCapacity =
+      smallest.cpu <= capacity.cpu - used.cpu &&
+      smallest.gpu <= capacity.gpu - used.gpu &&
+      smallest.ram <= capacity.ram - used.ram;
+    if (hasCapacity) pool.candidates.push(asCandidate(machine, type, machines.length));
     machines.push(machine);
   }
   snapshot.inspection.count += machines.length;
   return {
     pools,
     machines,
-    broadZones: broadZones(snapshot),
+    broadZones: findBroadZones(snapshot),
     exhaustedDemands: new Map(),
     zonesWithCapacity: new Map(),
     machinesByJob: new Map(),
@@ -150,22 +165,22 @@
   };
 };
 
-/** The zone that holds most of the job's tasks now, for jobs that stay in one. */
+/** The zone with capacity for most of the job's tasks now, for jobs that stay in one; null where none has any. */
 export const zoneWithMostCapacity = (job: Job, candidateIndex: CandidateIndex): string | null => {
   const { spec } = job;
-  const room = new Map<string, number>();
+  const tasksByZone = new Map<string, number>();
   for (const pool of candidateIndex.pools) {
     if (!allows(spec, pool.typeName, pool.zone, pool.spot)) continue;
     for (const candidate of pool.candidates) {
       const count = Math.min(spec.tasks, countThatFit(spec.demand, candidate.free));
-      room.set(pool.zone, (room.get(pool.zone) ?? 0) + count);
+      tasksByZone.set(pool.zone, (tasksByZone.get(pool.zone) ?? 0) + count);
     }
   }
-  const best = [...room].sort((a, b) => b[1] - a[1])[0];
+  const best = [...tasksByZone].sort((a, b) => b[1] - a[1])[0];
   return best === undefined || best[1] === 0 ? null : best[0];
 };
 
-/** Zones with room for one more of the job's tasks now. */
+/** Zones with capacity for one more of the job's tasks now. */
 export const zonesWithCapacity = (job: Job, candidateIndex: CandidateIndex): ReadonlySet<string> => {
   const { spec } = job;
   const counts = zoneCounts(job);
@@ -178,25 +193,29 @@
 };
 
 /**
- * What a job may use, for those to which all zones of it are open. Of machines whose room is kept for another job it is how
- * many the job may fill: whoever may fill more of them may find room where others found none. Without that the very job
- * for which room was kept took it for full, since another had looked before it, and the room stood empty.
+ * What a job may use, for those to which all zones of it are open. Of machines reserved for another job it is how
+ * many the job may backfill: whoever may backfill more of them may find capacity where others found none. Without that
+ * the very job that had the reservation took its machines for full, since another had searched before it, and they stood
+ * idle.
  */
 const constraintKey = (job: Job, { reservation }: CandidateIndex, now: Micros): string | null => {
   const { spec } = job;
   if (spec.spread || spec.singleZone) return null;
-  let kept = 0;
-  for (const machine of reservation?.machines.keys() ?? []) if (mayBackfill(reservation, job, machine, now)) kept += 1;
-  return `${spec.types?.join(",") ?? "*"}/${spec.zone ?? "*"}/${spec.spot}/${kept}`;
+  let backfillable = 0;
+  for (const machine of reservation?.machines.keys() ?? []) {
+    if (mayBackfill(reservation, job, machine, now)) backfillable += 1;
+  }
+  return `${spec.types?.join(",") ?? "*"}/${spec.zone ?? "*"}/${spec.spot}/${backfillable}`;
 };
 
-/** Room only shrinks within a round: what found none stands for all that want as much or more. */
+/** Capacity only shrinks within a round: a demand without any stands for all that are as large or larger. */
 export const isKnownExhausted = (job: Job, candidateIndex: CandidateIndex, now: Micros): boolean => {
   const key = constraintKey(job, candidateIndex, now);
   if (key === null) return false;
   return candidateIndex.exhaustedDemands.get(key)?.some((demand) => fits(demand, job.spec.demand)) ?? false;
 };
 
+/** Notes that there is no capacity left for the job's demand in this round. */
 export const markExhausted = (job: Job, candidateIndex: CandidateIndex, now: Micros): void => {
   const { spec } = job;
   const key = constraintKey(job, candidateIndex, now);
@@ -205,28 +224,3 @@
   demands.push(spec.demand);
   candidateIndex.exhaustedDemands.set(key, demands);
 };
-
-/** For the log: what each pool holds, and what waits. */
-export const summarizePools = (
-  snapshot: SchedulerSnapshot,
-): { readonly pools: Record<string, string>; readonly waiting: Record<string, number> } => {
-  const pools = new Map<string, { machines: number; free: number; replicas: number; others: number }>();
-  for (const [machine, type] of readyMachines(snapshot)) {
-    const key = `${machine.typeName}/${machine.zone}/${machine.spot ? "spot" : "ordinary"}`;
-    const pool = pools.get(key) ?? { machines: 0, free: 0, replicas: 0, others: 0 };
-    pools.set(key, pool);
-    pool.machines += 1;
-    pool.free += (type.capacity.cpu - machine.load.used.cpu) / 1_000;
-    pool.replicas += machine.load.replicas;
-    pool.others += machine.tasks.size - machine.load.replicas;
-  }
-  const waiting: Record<string, number> = {};
-  for (const job of waitingJobs(snapshot)) {
-    waiting[job.spec.jobClass] = (waiting[job.spec.jobClass] ?? 0) + job.waitingTasks.size;
-  }
-  const text = [...pools].map(([key, { machines, free, replicas, others }]) => [
-    key,
-    `${machines} machines, ${Math.round(free)} CPUs free, ${replicas} replicas, ${others} other tasks`,
-  ]);
-  return { pools: Object.fromEntries(text), waiting };
-};
--- a/src/coordination/scheduling/eligibility.ts
+++ b/src/coordination/scheduling/eligibility.ts
@@ -1,3 +1,4 @@
+/** Which machines may take tasks now, which of them a job may use, and which jobs can never run. */
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
 import type { MachineType } from "../../protocol/cloud.js";
@@ -31,31 +32,38 @@
 };
 
 /** Why a machine takes no new tasks now. */
-export type Unready =
+export type UnreadyReason =
   | "type unknown"
   | "booting"
   | "draining"
-  | "notice"
-  | "lease over"
-  | "strays"
-  | "avoided"
-  | "silent"
-  | "not reached"
-  | "not heard under our token";
+  | "reclaim notice"
+  | "lease expired"
+  | "unexpected tasks"
+  | "quarantined"
+  | "heartbeat overdue"
+  | "unreachable"
+  | "fencing token unverified";
 
-export const unready = (machine: Machine, snapshot: SchedulerSnapshot): Unready | null => {
-  const { now, heartbeatTimeout, firstFencingToken } = snapshot;
+/** Why the machine takes no new tasks now; null if it does. */
+export const unready = (machine: Machine, snapshot: SchedulerSnapshot): UnreadyReason | null =>
+  unreadyByLifecycle(machine, snapshot) ?? unreadyByContact(machine, snapshot);
+
+const unreadyByLifecycle = (machine: Machine, { now }: SchedulerSnapshot): UnreadyReason | null => {
   if (machine.type === null) return "type unknown";
   if (machine.state !== "up") return "booting";
   if (machine.lifecycle.drainReason !== null || machine.lifecycle.deleting) return "draining";
-  if (machine.lifecycle.reclaimAt !== null) return "notice";
-  if (machine.lease.expired) return "lease over";
-  if (machine.reported.unexpectedTasks.size > 0) return "strays";
-  if (machine.lifecycle.quarantinedUntil > now) return "avoided";
-  if (now - machine.reachability.lastHeartbeatAt > heartbeatTimeout) return "silent";
-  if (!isReachable(machine.reachability)) return "not reached";
+  if (machine.lifecycle.reclaimAt !== null) return "reclaim notice";
+  if (machine.lease.expired) return "lease expired";
+  if (machine.reported.unexpectedTasks.size > 0) return "unexpected tasks";
+  return machine.lifecycle.quarantinedUntil > now ? "quarantined" : null;
+};
+
+const unreadyByContact = (machine: Machine, snapshot: SchedulerSnapshot): UnreadyReason | null => {
+  const { now, heartbeatTimeout, firstFencingToken } = snapshot;
+  if (now - machine.reachability.lastHeartbeatAt > heartbeatTimeout) return "heartbeat overdue";
+  if (!isReachable(machine.reachability)) return "unreachable";
   return machine.counters.highestToken < firstFencingToken || machine.counters.resetToken !== 0
-    ? "not heard under our token"
+    ? "fencing token unverified"
     : null;
 };
 
--- a/src/coordination/scheduling/guarantee-usage.ts
+++ b/src/coordination/scheduling/guarantee-usage.ts
@@ -1,9 +1,10 @@
+/** What teams are guaranteed and use in one round, and which tasks they can lose without falling below it. */
 import { attemptOf, type Task } from "../../cluster/task.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 /**
- * A task that was started so often is not stopped for others any more. Attempts are on record, so the bound holds
- * across handovers; starts that failed count, too, which errs on the side of leaving work alone.
+ * A task that was started so often is not preempted any more. Attempts are on record, so the bound holds
+ * across failovers; starts that failed count, too, which errs on the side of leaving work alone.
  */
 export const MAX_ATTEMPTS = 3;
 
@@ -21,8 +22,8 @@
 
 /**
  * What teams are entitled to, in one round. A job is entitled while it fits into its team's guarantee together with
- * the team's earlier unfinished jobs; that is decided for whole jobs, once: a job that is entitled stays so. Stops for
- * guarantees therefore go from entitled jobs to others only, and no two teams can take turns in stopping each other.
+ * the team's earlier unfinished jobs; that is decided for whole jobs, once: a job that is entitled stays so. Preemptions for
+ * guarantees therefore go from entitled jobs to others only, and no two teams can take turns in preempting each other.
  * By each team's present use alone, as before, one team's stopped tasks were at once within its guarantee again and
  * stopped the other's (test/preemption.test.ts).
  */
@@ -34,11 +35,11 @@
   /** What entitled jobs have not completed yet. */
   readonly claimed: number;
 
-  constructor(private readonly picture: SchedulerSnapshot) {
-    this.claimed = markEntitledJobs(picture);
+  constructor(private readonly snapshot: SchedulerSnapshot) {
+    this.claimed = markEntitledJobs(snapshot);
   }
 
-  /** May this task be stopped for somebody's guarantee, so that its own team keeps what it is guaranteed? */
+  /** May this task be preempted for another team's guarantee, so that its own team keeps what it is guaranteed? */
   isSparable(task: Task): boolean {
     return this.keepsGuaranteeWithout(task, { cpu: 0, gpu: 0 });
   }
@@ -57,8 +58,8 @@
     };
   }
 
-  private keepsGuaranteeWithout(task: Task, also: Amounts): boolean {
-    const { shard, settings } = this.picture;
+  private keepsGuaranteeWithout(task: Task, others: Amounts): boolean {
+    const { shard, settings } = this.snapshot;
     const { team, demand } = task.job.spec;
     if (task.job.withinGuarantee) return false;
     const guaranteed = settings.teams.get(team)?.guaranteed;
@@ -66,8 +67,8 @@
     const used = shard.teamUsage(team);
     const stopping = this.stoppingOf(team);
     return fitsIn(guaranteed, {
-      cpu: used.cpu - stopping.cpu - also.cpu - demand.cpu,
-      gpu: used.gpu - stopping.gpu - also.gpu - demand.gpu,
+      cpu: used.cpu - stopping.cpu - others.cpu - demand.cpu,
+      gpu: used.gpu - stopping.gpu - others.gpu - demand.gpu,
     });
   }
 
@@ -86,8 +87,8 @@
   private stoppingOf(team: string): { cpu: number; gpu: number } {
     if (!this.counted) {
       this.counted = true;
-      // Walks all that is placed, so only in a round that looks for something to stop.
-      for (const { placedTasks, spec } of this.picture.shard.jobs.values()) {
+      // Walks all that is placed, so only in a round that searches for victims.
+      for (const { placedTasks, spec } of this.snapshot.shard.jobs.values()) {
         for (const { stopRequest } of placedTasks) {
           if (stopRequest === null) continue;
           const known = this.stoppingByTeam.get(spec.team) ?? { cpu: 0, gpu: 0 };
@@ -105,26 +106,26 @@
  */
 const markEntitledJobs = ({ shard, settings }: SchedulerSnapshot): number => {
   let claimed = 0;
-  const left = new Map<string, { cpu: number; gpu: number }>();
+  const guarantees = new Map<string, { cpu: number; gpu: number }>();
   // Jobs are kept in the order in which they were accepted.
   for (const job of shard.jobs.values()) {
     if (job.cancelled || job.outcomePending || job.awaitingDependencies) continue;
     const { team, tasks, demand } = job.spec;
-    let share = left.get(team);
-    if (share === undefined) {
+    let remaining = guarantees.get(team);
+    if (remaining === undefined) {
       const guaranteed = settings.teams.get(team)?.guaranteed;
-      share = { cpu: guaranteed?.cpu ?? 0, gpu: guaranteed?.gpu ?? 0 };
-      left.set(team, share);
+      remaining = { cpu: guaranteed?.cpu ?? 0, gpu: guaranteed?.gpu ?? 0 };
+      guarantees.set(team, remaining);
     }
-    job.withinGuarantee ||= fitsIn({ cpu: demand.cpu * tasks, gpu: demand.gpu * tasks }, share);
-    // What earlier jobs still want is spoken for even where it exceeds the guarantee: then nothing later fits either.
-    // A job that fails wherever it is started wants no more than its next trial: the rest is left to the team's others.
+    job.withinGuarantee ||= fitsIn({ cpu: demand.cpu * tasks, gpu: demand.gpu * tasks }, remaining);
+    // What earlier jobs still demand is taken even where it exceeds the guarantee: then nothing later fits either.
+    // A job on probation demands no more than its next start: the rest is left to the team's others.
     const unfinished = job.onProbation
       ? Math.min(1, tasks - job.completedTasks)
       : Math.max(0, tasks - job.completedTasks);
     if (job.withinGuarantee) claimed += demand.cpu * unfinished;
-    share.cpu -= demand.cpu * unfinished;
-    share.gpu -= demand.gpu * unfinished;
+    remaining.cpu -= demand.cpu * unfinished;
+    remaining.gpu -= demand.gpu * unfinished;
   }
   return claimed;
 };
--- a/src/coordination/scheduling/job-order.ts
+++ b/src/coordination/scheduling/job-order.ts
@@ -1,85 +1,127 @@
+/** The order in which a round considers the waiting jobs. */
 import type { Job } from "../../cluster/job.js";
+import type { Resources } from "../../protocol/resources.js";
 import type { Team } from "../../settings/settings.js";
 import { allowedStarts } from "../workers/failure-attribution.js";
 import { relativeSize } from "./placement/bfgp.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
-/** Of its guarantee, what the team uses now, by the resource of which it uses most. */
+/** Whose capacity a job's next task takes, lowest first in order. */
+const Entitlement = {
+  /** The job is entitled to its team's guarantee. */
+  Guaranteed: 0,
+  /** The job is not entitled, but its team's present use is below its guarantee. */
+  TeamBelowGuarantee: 1,
+  /** The job takes what its team is not guaranteed. */
+  Beyond: 2,
+} as const;
+
+/** A job with the keys by which it is ordered. */
+interface OrderedJob {
+  readonly job: Job;
+  readonly rank: number;
+  readonly entitlement: number;
+  /** The team's use as a share of its guarantee; 0 while all guarantees can be met. */
+  readonly guaranteeUsed: number;
+  /** A task's demand as a share of the largest machine type. */
+  readonly size: number;
+  /** The share of a service's replicas that are not placed; 0 for other jobs. */
+  readonly missingReplicas: number;
+  readonly deadline: number;
+}
+
+/** The share of its guarantee that the team uses now, by the resource of which it uses most. */
 const guaranteeUsed = (used: { readonly cpu: number; readonly gpu: number }, team: Team | undefined): number => {
   if (team === undefined) return 1;
   const { cpu, gpu } = team.guaranteed;
   return Math.max(cpu > 0 ? used.cpu / cpu : 0, gpu > 0 ? used.gpu / gpu : 0);
 };
 
-/** Jobs with something to place now, most important and largest first. */
-export const waitingJobs = ({ shard, now, settings, guaranteesOvercommitted }: SchedulerSnapshot): Job[] => {
+const entitlementOf = ({ shard }: SchedulerSnapshot, job: Job): number => {
+  if (job.withinGuarantee) return Entitlement.Guaranteed;
+  return shard.withinGuarantee(job.spec) ? Entitlement.TeamBelowGuarantee : Entitlement.Beyond;
+};
+
+const withKeys = (snapshot: SchedulerSnapshot, job: Job, largestMachine: Resources): OrderedJob => {
+  const { shard, settings, guaranteesOvercommitted } = snapshot;
+  const { spec } = job;
+  // Where not all guarantees can be met, each team gets the same share of its own.
+  const sharesGuarantees = guaranteesOvercommitted && job.withinGuarantee;
+  return {
+    job,
+    rank: job.effectiveRank,
+    entitlement: entitlementOf(snapshot, job),
+    guaranteeUsed: sharesGuarantees ? guaranteeUsed(shard.teamUsage(spec.team), settings.teams.get(spec.team)) : 0,
+    size: relativeSize(spec.demand, largestMachine),
+    missingReplicas: spec.shape === "service" ? 1 - job.placedTasks.size / spec.tasks : 0,
+    deadline: job.effectiveDeadline ?? Number.MAX_SAFE_INTEGER,
+  };
+};
+
+const compareJobs = (a: OrderedJob, b: OrderedJob): number =>
+  a.rank - b.rank ||
+  a.entitlement - b.entitlement ||
+  a.guaranteeUsed - b.guaranteeUsed ||
+  b.size - a.size ||
+  // Where capacity is short for good, a replica is worth most to a service that has few of its own.
+  b.missingReplicas - a.missingReplicas ||
+  (a.missingReplicas > 0 ? a.job.spec.tasks - b.job.spec.tasks : 0) ||
+  a.deadline - b.deadline ||
+  a.job.waitingSince - b.job.waitingSince ||
+  (a.job.spec.id < b.job.spec.id ? -1 : 1);
+
+/** Jobs with a task that may be placed now, in the order in which they were accepted. */
+const placeableJobs = ({ shard, now }: SchedulerSnapshot): Job[] => {
   const jobs: Job[] = [];
   for (const job of shard.jobs.values()) {
     if (job.cancelled || job.outcomePending || job.awaitingDependencies || job.retryAfter > now) continue;
-    // Tasks of a large job come into being range by range; that adds to the picture without changing it.
+    // Tasks of a large job come into being range by range; that adds to the snapshot without changing it.
     if (job.waitingTasks.size === 0) shard.createNextTaskRange(job);
     if (job.waitingTasks.size > 0 && allowedStarts(job, now) > 0) jobs.push(job);
   }
-  let reference = { cpu: 1, gpu: 0, ram: 1 };
-  for (const type of shard.machineTypes().values()) if (type.capacity.cpu > reference.cpu) reference = type.capacity;
-  const keyed = jobs.map((job) => ({
-    job,
-    rank: job.effectiveRank,
-    borrowed: job.withinGuarantee ? 0 : shard.withinGuarantee(job.spec) ? 1 : 2,
-    // Where not all guarantees can be met, each team gets the same share of its own.
-    fill:
-      guaranteesOvercommitted && job.withinGuarantee
-        ? guaranteeUsed(shard.teamUsage(job.spec.team), settings.teams.get(job.spec.team))
-        : 0,
-    size: relativeSize(job.spec.demand, reference),
-    short: job.spec.shape === "service" ? 1 - job.placedTasks.size / job.spec.tasks : 0,
-    due: job.effectiveDeadline ?? Number.MAX_SAFE_INTEGER,
-  }));
-  keyed.sort(
-    (a, b) =>
-      a.rank - b.rank ||
-      a.borrowed - b.borrowed ||
-      a.fill - b.fill ||
-      b.size - a.size ||
-      // Where room is short for good, a replica is worth most to a service that has few of its own.
-      b.short - a.short ||
-      (a.short > 0 ? a.job.spec.tasks - b.job.spec.tasks : 0) ||
-      a.due - b.due ||
-      a.job.waitingSince - b.job.waitingSince ||
-      (a.job.spec.id < b.job.spec.id ? -1 : 1),
-  );
-  const sorted = keyed.map((entry) => entry.job);
-  if (sorted.some(({ spec }) => spec.origin !== undefined)) {
-    reorderWithinGraphs(keyed, ({ rank, borrowed, fill, size, short, due, job }) =>
-      job.spec.origin === undefined ? null : [job.spec.origin.graph, rank, borrowed, fill, size, short, due].join(),
-    ).forEach(({ job }, at) => {
-      sorted[at] = job;
-    });
-  }
-  return sorted;
+  return jobs;
+};
+
+const largestMachineOf = ({ shard }: SchedulerSnapshot): Resources => {
+  let largest: Resources = { cpu: 1, gpu: 0, ram: 1 };
+  for (const type of shard.machineTypes().values()) if (type.capacity.cpu > largest.cpu) largest = type.capacity;
+  return largest;
+};
+
+/** Jobs with something to place now, most important and largest first. */
+export const waitingJobs = (snapshot: SchedulerSnapshot): Job[] => {
+  const jobs = placeableJobs(snapshot);
+  const largestMachine = largestMachineOf(snapshot);
+  const ordered = jobs.map((job) => withKeys(snapshot, job, largestMachine)).sort(compareJobs);
+  const hasGraphSteps = ordered.some(({ job }) => job.spec.origin !== undefined);
+  return (hasGraphSteps ? reorderWithinGraphs(ordered) : ordered).map(({ job }) => job);
+};
+
+/** Equal for steps of one graph that differ in their age only; null for jobs of no graph. */
+const graphOrderKey = (entry: OrderedJob): string | null => {
+  const { job, rank, entitlement, guaranteeUsed: used, size, missingReplicas, deadline } = entry;
+  if (job.spec.origin === undefined) return null;
+  return [job.spec.origin.graph, rank, entitlement, used, size, missingReplicas, deadline].join();
 };
 
 /**
  * Steps of one graph that are equal but for their age change places among themselves, by their graph's own order. The
- * places themselves, and with them everybody else's turn, stay as they were.
+ * places themselves, and with them the turn of all other jobs, stay as they were.
  */
-const reorderWithinGraphs = <T extends { readonly job: Job }>(
-  sorted: readonly T[],
-  equal: (entry: T) => string | null,
-): T[] => {
-  const places = new Map<string, number[]>();
-  for (const [at, entry] of sorted.entries()) {
-    const key = equal(entry);
+const reorderWithinGraphs = (ordered: readonly OrderedJob[]): OrderedJob[] => {
+  const indexesByKey = new Map<string, number[]>();
+  for (const [index, entry] of ordered.entries()) {
+    const key = graphOrderKey(entry);
     if (key === null) continue;
-    const known = places.get(key);
-    if (known === undefined) places.set(key, [at]);
-    else known.push(at);
+    const indexes = indexesByKey.get(key);
+    if (indexes === undefined) indexesByKey.set(key, [index]);
+    else indexes.push(index);
   }
-  const result = [...sorted];
-  const placeOf = ({ job }: T): number => job.spec.origin?.position ?? 0;
-  for (const own of places.values()) {
-    const steps = own.flatMap((at) => sorted[at] ?? []).sort((a, b) => placeOf(a) - placeOf(b));
-    for (const [at, step] of steps.entries()) result[own[at] ?? 0] = step;
+  const result = [...ordered];
+  const positionOf = ({ job }: OrderedJob): number => job.spec.origin?.position ?? 0;
+  for (const indexes of indexesByKey.values()) {
+    const steps = indexes.flatMap((index) => ordered[index] ?? []).sort((a, b) => positionOf(a) - positionOf(b));
+    for (const [turn, step] of steps.entries()) result[indexes[turn] ?? 0] = step;
   }
   return result;
 };
--- a/src/coordination/scheduling/job-placement.ts
+++ b/src/coordination/scheduling/job-placement.ts
@@ -49,6 +49,14 @@
   return true;
 };
 
+/** A job for which another has found no capacity in this round already. */
+function* skipExhausted({ shard }: SchedulerSnapshot, task: Task): Generator<RoundAction, Task | null> {
+  const { job } = task;
+  if (shard.withinLimit(job.spec)) return task;
+  yield { kind: "wait", job, reason: "team limit" };
+  return null;
+}
+
 /** Places the tasks that exist by now, in the order of their index. */
 function* placeTasks(
   snapshot: SchedulerSnapshot,
@@ -62,9 +70,7 @@
   const tasks = [...job.waitingTasks].filter((task) => task.earliestStart <= now).sort((a, b) => a.index - b.index);
   const [firstTask] = tasks;
   if (firstTask !== undefined && isKnownExhausted(job, candidateIndex, now)) {
-    if (shard.withinLimit(spec)) return firstTask;
-    yield { kind: "wait", job, reason: "team limit" };
-    return null;
+    return yield* skipExhausted(snapshot, firstTask);
   }
   const placer = new TaskPlacer(snapshot, job, candidateIndex, zoneTaskCounts);
   const priority = writePriorityOf(job, snapshot.settings);
--- a/src/coordination/scheduling/placement/bfgp.ts
+++ b/src/coordination/scheduling/placement/bfgp.ts
@@ -4,11 +4,13 @@
  */
 import type { Resources } from "../../../protocol/resources.js";
 
+/** The images that a server holds, or is about to. */
 export interface Images {
   has(image: string): boolean;
   add(image: string): unknown;
 }
 
+/** Server j of the paper. */
 export interface Server {
   readonly name: string;
   readonly capacity: Resources;
@@ -21,6 +23,7 @@
   readonly fetchGbPerS: number;
 }
 
+/** Component i of the paper: a task with its image; `imageGb` in gigabytes. */
 export interface Component {
   readonly demand: Resources;
   readonly image: string;
@@ -29,23 +32,27 @@
 
 const DIMENSIONS = ["cpu", "gpu", "ram"] as const;
 
+/** Is the demand within what is free, in every dimension? */
 export const fits = (demand: Resources, free: Resources): boolean =>
   demand.cpu <= free.cpu && demand.gpu <= free.gpu && demand.ram <= free.ram;
 
-/** So many of them fit one after the other. */
+/** How many of the demand fit one after the other. */
 export const countThatFit = (demand: Resources, free: Resources): number => {
-  let most = Number.POSITIVE_INFINITY;
+  let count = Number.POSITIVE_INFINITY;
   for (const dimension of DIMENSIONS) {
-    if (demand[dimension] > 0) most = Math.min(most, Math.floor(free[dimension] / demand[dimension]));
+    if (demand[dimension] > 0) count = Math.min(count, Math.floor(free[dimension] / demand[dimension]));
   }
-  return Math.max(0, most);
+  return Math.max(0, count);
 };
 
+/** The sum, by dimension. */
 export const addResources = (a: Resources, b: Resources): Resources => ({
   cpu: a.cpu + b.cpu,
   gpu: a.gpu + b.gpu,
   ram: a.ram + b.ram,
 });
+
+/** The difference, by dimension. */
 export const subtractResources = (a: Resources, b: Resources): Resources => ({
   cpu: a.cpu - b.cpu,
   gpu: a.gpu - b.gpu,
@@ -54,12 +61,12 @@
 
 /** c_j / c̄_j, taken in the dimension that runs out first. */
 export const remainingShare = (server: Server): number => {
-  let least = 1;
+  let smallest = 1;
   for (const dimension of DIMENSIONS) {
-    const whole = server.capacity[dimension];
-    if (whole > 0) least = Math.min(least, server.free[dimension] / whole);
+    const capacity = server.capacity[dimension];
+    if (capacity > 0) smallest = Math.min(smallest, server.free[dimension] / capacity);
   }
-  return least;
+  return smallest;
 };
 
 /** max(0, d_i - c_j), summed over the dimensions as shares of the machine. */
@@ -72,6 +79,7 @@
   return sum;
 };
 
+/** w: the seconds that the server takes to fetch the component's image; 0 where it is there. */
 export const fetchSeconds = (component: Component, server: Server): number =>
   server.images.has(component.image) ? 0 : component.imageGb / server.fetchGbPerS;
 
@@ -109,9 +117,9 @@
 
 /** d_i as one number: the largest share of the reference machine that it takes. */
 export const relativeSize = (demand: Resources, reference: Resources): number => {
-  let most = 0;
+  let largest = 0;
   for (const dimension of DIMENSIONS) {
-    if (reference[dimension] > 0) most = Math.max(most, demand[dimension] / reference[dimension]);
+    if (reference[dimension] > 0) largest = Math.max(largest, demand[dimension] / reference[dimension]);
   }
-  return most;
+  return largest;
 };
--- a/src/coordination/scheduling/placement/ranking.ts
+++ b/src/coordination/scheduling/placement/ranking.ts
@@ -13,23 +13,24 @@
 interface RankingEntry<S> {
   readonly server: S;
   busy: boolean;
-  left: number;
+  remainingShare: number;
 }
 
 const compareEntries = <S extends RankedServer>(a: RankingEntry<S>, b: RankingEntry<S>): number =>
-  Number(b.busy) - Number(a.busy) || a.left - b.left || a.server.order - b.server.order;
+  Number(b.busy) - Number(a.busy) || a.remainingShare - b.remainingShare || a.server.order - b.server.order;
 
-/** Counts what is looked at, so that a test can bound it. */
+/** Counts the servers inspected, so that a test can bound it. */
 export interface InspectionCounter {
   count: number;
 }
 
+/** The servers that fit a component, in the order of Algorithm 2, kept sorted while equal components are assigned. */
 export class Ranking<S extends RankedServer> {
   private readonly fitting: RankingEntry<S>[] = [];
   private readonly shortlistSize: number;
   private chosenIndex = -1;
 
-  /** `total` is the number of servers that the component may use, with or without room: the paper's |S_i|. */
+  /** `total` is the number of servers that the component may use, with or without free capacity: the paper's |S_i|. */
   constructor(
     private readonly component: Component,
     servers: readonly S[],
@@ -40,25 +41,25 @@
     inspection.count += servers.length;
     for (const server of servers) {
       if (!fits(component.demand, server.free)) continue;
-      this.fitting.push({ server, busy: server.busy, left: remainingShare(server) });
+      this.fitting.push({ server, busy: server.busy, remainingShare: remainingShare(server) });
     }
     this.fitting.sort(compareEntries);
     this.shortlistSize = Math.max(1, Math.floor(kappa * total));
   }
 
-  /** The server with the smallest tuple on the shortlist; null if none has room. */
+  /** The server with the smallest tuple on the shortlist; null if none has capacity. */
   choose(): S | null {
     const end = Math.min(this.shortlistSize, this.fitting.length);
-    let least = Number.POSITIVE_INFINITY;
+    let leastCost = Number.POSITIVE_INFINITY;
     this.chosenIndex = -1;
-    for (let at = 0; at < end && least > 0; at += 1) {
-      const entry = this.fitting[at];
+    for (let index = 0; index < end && leastCost > 0; index += 1) {
+      const entry = this.fitting[index];
       if (entry === undefined) break;
       this.inspection.count += 1;
       const cost = fetchSeconds(this.component, entry.server);
-      if (cost >= least) continue;
-      least = cost;
-      this.chosenIndex = at;
+      if (cost >= leastCost) continue;
+      leastCost = cost;
+      this.chosenIndex = index;
     }
     return this.fitting[this.chosenIndex]?.server ?? null;
   }
@@ -68,7 +69,7 @@
     const [entry] = this.fitting.splice(this.chosenIndex, 1);
     if (entry === undefined || !fits(this.component.demand, entry.server.free)) return;
     entry.busy = entry.server.busy;
-    entry.left = remainingShare(entry.server);
+    entry.remainingShare = remainingShare(entry.server);
     let low = 0;
     for (let high = this.chosenIndex; low < high; ) {
       const middle = (low + high) >> 1;
--- a/src/coordination/scheduling/scheduler-snapshot.ts
+++ b/src/coordination/scheduling/scheduler-snapshot.ts
@@ -1,3 +1,4 @@
+/** The input of scheduling decisions. */
 import type { ShardState } from "../../cluster/shard-state.js";
 import type { OperatorOptions } from "../../settings/options.js";
 import type { Settings } from "../../settings/settings.js";
@@ -14,16 +15,16 @@
   readonly shard: ShardState;
   readonly settings: Pick<Settings, "teams" | "objectives">;
   readonly options: OperatorOptions;
-  /** A machine not heard for so long gets nothing new. */
+  /** A machine without a heartbeat for so long gets no new tasks, in microseconds. */
   readonly heartbeatTimeout: number;
-  /** A worker that has not seen this token is not known well enough. */
+  /** A worker that has not seen this fencing token is not known well enough. */
   readonly firstFencingToken: number;
-  /** Teams' guarantees are together more than the room there is: they are served by turns, not fought for. */
+  /** Claims within guarantees exceed all capacity: each team is served the same share of its own. */
   readonly guaranteesOvercommitted: boolean;
-  /** So many looks for something to stop a round may take. */
+  /** Searches for victims that a round may make. */
   readonly maxPreemptionSearches: number;
-  /** So many more ranges may come to wait for their placements to be on record: of urgent work, and of other work. */
+  /** Ranges that may yet come to wait for their placements to be on record: of urgent work, and of other work. */
   readonly recordBudget: Readonly<Record<"urgent" | "normal", number>>;
-  /** Counts what is looked at. */
+  /** Counts the machines and tasks inspected. */
   readonly inspection: InspectionCounter;
 }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,24 +1,30 @@
+/** The leader's scheduler: takes the snapshot of each placement round and carries out its actions. */
 import type { Micros } from "../../transport/clock.js";
 import type { ShardContext } from "../context.js";
 import { firstFencingToken } from "../fencing-token.js";
 import type { TaskStateWriter } from "../jobs/task-state-writer.js";
 import { LogEvent } from "../log-events.js";
-import { summarizePools } from "./candidate-index.js";
+import type { Reservation } from "./capacity-reservation.js";
 import type { InspectionCounter } from "./placement/ranking.js";
 import { decideRound, newRoundState } from "./placement-round.js";
+import { type PoolSummary, summarizePools } from "./pool-summary.js";
+import type { PreemptAction } from "./preemption.js";
 import { applyAction, type RoundAction } from "./round-action.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 import { writePriorityOf } from "./start-deadline.js";
 
-/** Looks for something to stop, a round; fewer where the processor is short. */
+/** Searches for victims that a round may make; fewer under load. */
 export const MAX_PREEMPTION_SEARCHES = 24;
 const MAX_PREEMPTION_SEARCHES_UNDER_LOAD = 4;
-/** Placements may wait so long for the state service's writes. */
+/** Placements may wait so long for the key-value store's writes, in seconds. */
 const MIN_RECORDS_AHEAD_S = 2;
 const MAX_RECORDS_AHEAD_S = 8;
-/** Of what may be placed ahead of its records, what is not urgent keeps at least this. */
+/** The share of the placements ahead of their records that is kept for jobs that are not urgent. */
 const NON_URGENT_SHARE = 0.2;
 
+/** Machines of a reservation that the log names. */
+const MAX_LOGGED_MACHINES = 5;
+
 /** Carries out what placement rounds decide, through records and commands. */
 export class Scheduler {
   readonly inspection: InspectionCounter = { count: 0 };
@@ -34,9 +40,10 @@
   }
 
   /**
-   * What is known now, for decisions. `records`: only a round uses it, and it takes a walk over all jobs, so plans do without.
+   * What is known now, for decisions. `recordBudget`: only a round uses it, and it takes a walk over all jobs, so plans do
+   * without.
    */
-  snapshot(records: SchedulerSnapshot["recordBudget"] = { urgent: 0, normal: 0 }): SchedulerSnapshot {
+  snapshot(recordBudget: SchedulerSnapshot["recordBudget"] = { urgent: 0, normal: 0 }): SchedulerSnapshot {
     const { shard, clock, settings, options, lease, loadShedder } = this.context;
     return {
       now: clock.now(),
@@ -48,7 +55,7 @@
       maxPreemptionSearches: loadShedder.atLeast("reduced")
         ? MAX_PREEMPTION_SEARCHES_UNDER_LOAD
         : MAX_PREEMPTION_SEARCHES,
-      recordBudget: records,
+      recordBudget,
       guaranteesOvercommitted: this.roundState.guaranteesOvercommitted,
       inspection: this.inspection,
     };
@@ -69,27 +76,28 @@
     const waiting = { urgent: 0, normal: 0 };
     for (const job of this.context.shard.jobs.values()) {
       if (job.cancelled || job.outcomePending) continue;
-      const lane = writePriorityOf(job, this.context.settings);
-      for (const { placementPendingSince } of job.ranges) if (placementPendingSince !== null) waiting[lane] += 1;
+      const priority = writePriorityOf(job, this.context.settings);
+      for (const { placementPendingSince } of job.ranges) if (placementPendingSince !== null) waiting[priority] += 1;
     }
     const ahead = this.context.transactions.writesPerSecond * this.recordsAheadS();
-    const left = { urgent: ahead - waiting.urgent, normal: ahead - waiting.urgent - waiting.normal };
+    const remaining = { urgent: ahead - waiting.urgent, normal: ahead - waiting.urgent - waiting.normal };
     return {
-      urgent: Math.floor(left.urgent),
-      normal: Math.floor(Math.max(left.normal, ahead * NON_URGENT_SHARE - waiting.normal)),
+      urgent: Math.floor(remaining.urgent),
+      normal: Math.floor(Math.max(remaining.normal, ahead * NON_URGENT_SHARE - waiting.normal)),
     };
   }
 
   /** For the log: what each pool holds, and what waits. */
-  summarize(): ReturnType<typeof summarizePools> {
+  summarize(): PoolSummary {
     return summarizePools(this.snapshot());
   }
 
-  /** The job for which room that comes free is kept, if there is one. */
+  /** The job for which capacity is reserved, if there is one. */
   get reservedForJob(): string | null {
     return this.roundState.reservation?.job.spec.id ?? null;
   }
 
+  /** Runs one placement round, unless the lease has expired. */
   runRound(): void {
     if (!this.context.lease.isValid()) return;
     this.context.shard.maxRecordBytes = this.context.transactions.maxValueBytes;
@@ -99,7 +107,7 @@
     this.reportInspections();
   }
 
-  /** Tells of what has been looked at since it was last told. */
+  /** Reports how many machines and tasks have been inspected since the last report. */
   reportInspections(): void {
     this.context.onInspected?.(this.inspection.count - this.reportedInspections);
     this.reportedInspections = this.inspection.count;
@@ -113,36 +121,22 @@
       case "place":
         this.taskStates.recordPlacement(action.task.range);
         return;
-      case "preempt": {
-        const { by, machine, victims } = action;
-        log.info(LogEvent.TaskPreempted, {
-          task: by.name,
-          machine: machine.name,
-          victims: victims.map(({ task }) => task.name),
-          reasons: victims.map(({ reason }) => reason),
-        });
-        this.context.scheduleCommands(machine);
+      case "preempt":
+        this.logPreemption(action);
+        context.scheduleCommands(action.machine);
         return;
-      }
       case "dissolve":
-        for (const { machine: on } of action.job.placedTasks) if (on !== null) this.context.scheduleCommands(on);
+        for (const { machine } of action.job.placedTasks) if (machine !== null) context.scheduleCommands(machine);
         return;
       case "guarantees":
         log.info(action.overcommitted ? LogEvent.GuaranteesOvercommitted : LogEvent.GuaranteesSatisfiable, {
           claimedCpus: action.claimed / 1_000,
-          roomCpus: action.capacity / 1_000,
+          capacityCpus: action.capacity / 1_000,
         });
         return;
-      case "reserve": {
-        const { job, machines, until } = action.reservation;
-        log.info(LogEvent.CapacityReserved, {
-          job: job.spec.id,
-          waitedS: Math.round((context.clock.now() - job.waitingSince) / 1_000_000),
-          machines: machines.size === 0 ? "its team's limit" : [...machines.keys()].slice(0, 5).map(({ name }) => name),
-          atMostS: Math.round((until - context.clock.now()) / 1_000_000),
-        });
+      case "reserve":
+        this.logReservation(action.reservation);
         return;
-      }
       case "unreserve":
         log.info(LogEvent.ReservationReleased, { job: action.job.spec.id, reason: action.reason });
         return;
@@ -153,4 +147,24 @@
       case "wait":
     }
   }
+
+  private logPreemption({ by, machine, victims }: PreemptAction & { readonly kind: "preempt" }): void {
+    this.context.log.info(LogEvent.TaskPreempted, {
+      task: by.name,
+      machine: machine.name,
+      victims: victims.map(({ task }) => task.name),
+      reasons: victims.map(({ reason }) => reason),
+    });
+  }
+
+  private logReservation({ job, machines, until }: Reservation): void {
+    const now = this.context.clock.now();
+    const machineNames = [...machines.keys()].slice(0, MAX_LOGGED_MACHINES).map(({ name }) => name);
+    this.context.log.info(LogEvent.CapacityReserved, {
+      job: job.spec.id,
+      waitedS: Math.round((now - job.waitingSince) / 1_000_000),
+      machines: machines.size === 0 ? "its team's limit" : machineNames,
+      atMostS: Math.round((until - now) / 1_000_000),
+    });
+  }
 }
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -10,7 +10,7 @@
   DemandHistory,
   planScaling,
 } from "../src/coordination/autoscaling/scale-plan.js";
-import { neverRuns, type Unready, unready } from "../src/coordination/scheduling/eligibility.js";
+import { neverRuns, type UnreadyReason, unready } from "../src/coordination/scheduling/eligibility.js";
 import { decideRound, newRoundState } from "../src/coordination/scheduling/placement-round.js";
 import type { RoundAction } from "../src/coordination/scheduling/round-action.js";
 import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
@@ -150,18 +150,18 @@
 });
 
 test("a machine that takes nothing says why", () => {
-  const cases: [(machine: Machine) => void, Unready | null][] = [
+  const cases: [(machine: Machine) => void, UnreadyReason | null][] = [
     [() => undefined, null],
     [(machine) => Object.assign(machine, { type: null }), "type unknown"],
     [(machine) => Object.assign(machine, { state: "booting" }), "booting"],
     [({ lifecycle }) => Object.assign(lifecycle, { drainReason: "faulty" }), "draining"],
     [({ lifecycle }) => Object.assign(lifecycle, { deleting: true }), "draining"],
-    [({ lifecycle }) => Object.assign(lifecycle, { reclaimAt: 1 as Micros }), "notice"],
-    [({ lease }) => Object.assign(lease, { expired: true }), "lease over"],
-    [({ reported }) => Object.assign(reported, { unexpectedTasks: new Map([["wk-1/0", 1]]) }), "strays"],
-    [({ lifecycle }) => Object.assign(lifecycle, { quarantinedUntil: 2e9 as Micros }), "avoided"],
-    [({ reachability }) => Object.assign(reachability, { lastHeartbeatAt: 1 as Micros }), "silent"],
-    [({ counters }) => Object.assign(counters, { highestToken: 1 }), "not heard under our token"],
+    [({ lifecycle }) => Object.assign(lifecycle, { reclaimAt: 1 as Micros }), "reclaim notice"],
+    [({ lease }) => Object.assign(lease, { expired: true }), "lease expired"],
+    [({ reported }) => Object.assign(reported, { unexpectedTasks: new Map([["wk-1/0", 1]]) }), "unexpected tasks"],
+    [({ lifecycle }) => Object.assign(lifecycle, { quarantinedUntil: 2e9 as Micros }), "quarantined"],
+    [({ reachability }) => Object.assign(reachability, { lastHeartbeatAt: 1 as Micros }), "heartbeat overdue"],
+    [({ counters }) => Object.assign(counters, { highestToken: 1 }), "fencing token unverified"],
   ];
   for (const [change, reason] of cases) {
     const { machine, picture, add, round } = setUp(1);
