--- a/test/wire-words.test.ts
+++ b/test/wire-words.test.ts
@@ -54,19 +54,17 @@
   { below: "src/mesh", texts: ["/hosts?page=1"], reason: "a path of the cloud" },
   {
     below: "src/coordination",
-    texts: ["tick", "lastTick", "TICK_INTERVAL", "LeaderTickFailed", "leader tick failed"],
+    texts: ["LeaderTickFailed", "leader tick failed"],
     reason: "a periodic step of a loop; no field of a message",
   },
   { below: "src/coordination/autoscaling", texts: ["SWEEP_INTERVAL_JOBS"], reason: "a pass over a list" },
-  { below: "src/mesh", texts: ["ask", "awaitsDrain"], reason: "the verbs" },
-  { below: "src/coordination/workers", texts: ["ask"], reason: "the verb" },
-  { below: "src/coordination/workers", texts: ["launchBefore"], reason: "to be renamed" },
+  { below: "src/mesh", texts: ["awaitsDrain"], reason: "the verb" },
   { below: "src/coordination/autoscaling", texts: ["ask"], reason: "to be renamed" },
-  { below: "src/coordination", texts: ["awaits"], reason: "to be renamed" },
+  { below: "src/coordination/api", texts: ["awaits"], reason: "to be renamed" },
   { below: "src/cluster", texts: ["awaits"], reason: "to be renamed" },
   {
     below: "src/coordination",
-    texts: ["withdrawn", "isWithdrawn", "cancelWithdrawn", "cancelWithdrawnJobs"],
+    texts: ["isWithdrawn", "cancelWithdrawn", "cancelWithdrawnJobs"],
     reason: "to be renamed",
   },
 ];
