--- a/src/coordination/workers/concurrency-pools.ts
+++ b/src/coordination/workers/concurrency-pools.ts
@@ -1,11 +1,14 @@
+/** Limits on how many pieces of work run at once, by class of target. */
+
 import type { Clock, Micros } from "../../transport/clock.js";
 
+/** Targets that answer, and targets known to be slow. */
 export type PoolName = "responsive" | "silent";
 
 /**
  * Runs one piece of work for each of many items, so many at once. An item that is added again while it waits is run
- * once. After a handover or in a wave there is something to be said to a thousand machines in the same moment, which
- * took all connections that the process may have; and items that are known to be slow get lanes of their own.
+ * once. After a failover or in a wave of starts a thousand machines are to be sent something in the same moment, which
+ * took all connections that the process may have; and items that are known to be slow get a pool of their own.
  */
 export class ConcurrencyPools<Item> {
   private readonly waiting: Readonly<Record<PoolName, Set<Item>>> = { responsive: new Set(), silent: new Set() };
@@ -19,12 +22,13 @@
     private readonly limits: Readonly<Record<PoolName, number>>,
   ) {}
 
+  /** Runs the work for the item once there is room in its pool. */
   add(item: Item): void {
-    const lane = this.poolOf(item);
-    this.waiting[lane === "responsive" ? "silent" : "responsive"].delete(item);
-    this.waiting[lane].add(item);
+    const pool = this.poolOf(item);
+    this.waiting[pool === "responsive" ? "silent" : "responsive"].delete(item);
+    this.waiting[pool].add(item);
     if (this.startScheduled) return;
-    // A moment later, so that what one event causes is said together.
+    // A moment later, so that what one event causes is sent together.
     this.startScheduled = true;
     this.clock.after(0 as Micros, () => {
       this.startScheduled = false;
@@ -33,14 +37,14 @@
     });
   }
 
-  private startWaiting(lane: PoolName): void {
-    for (const item of this.waiting[lane]) {
-      if (this.running[lane] >= this.limits[lane]) return;
-      this.waiting[lane].delete(item);
-      this.running[lane] += 1;
+  private startWaiting(pool: PoolName): void {
+    for (const item of this.waiting[pool]) {
+      if (this.running[pool] >= this.limits[pool]) return;
+      this.waiting[pool].delete(item);
+      this.running[pool] += 1;
       void this.run(item).then(() => {
-        this.running[lane] -= 1;
-        this.startWaiting(lane);
+        this.running[pool] -= 1;
+        this.startWaiting(pool);
       });
     }
   }
--- a/src/coordination/workers/failure-attribution.ts
+++ b/src/coordination/workers/failure-attribution.ts
@@ -1,3 +1,5 @@
+/** Decides whether a failed task speaks against its job or its machine, and keeps failing jobs on probation. */
+
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
 import type { Task } from "../../cluster/task.js";
@@ -21,20 +23,20 @@
 const runTime = (task: Task, now: Micros): number => (task.runningSince === null ? 0 : now - task.runningSince);
 
 /** Does the job do well elsewhere, so that its failures speak against the machines they happen on? */
-const isStableElsewhere = (job: Job, than: number, elsewhere: Machine | null, now: Micros): boolean => {
+const isStableElsewhere = (job: Job, failedRunTime: number, elsewhere: Machine | null, now: Micros): boolean => {
   if (job.completedTasks > 0) return true;
-  const least = Math.max(STABLE_RUN_TIME, STABLE_RUN_FACTOR * than);
+  const minRunTime = Math.max(STABLE_RUN_TIME, STABLE_RUN_FACTOR * failedRunTime);
   for (const task of job.placedTasks) {
-    if (task.machine !== elsewhere && task.state === "running" && runTime(task, now) >= least) return true;
+    if (task.machine !== elsewhere && task.state === "running" && runTime(task, now) >= minRunTime) return true;
   }
   return false;
 };
 
 /**
  * Takes in that the task has failed on the machine. A job submitted with a mistake fails wherever it is started, and all
- * its tasks of a machine fail in one report: several of them are one piece of evidence, and one failing job is none
+ * its tasks of a machine fail in one heartbeat: several of them are one piece of evidence, and one failing job is none
  * against a machine as long as it has not done well anywhere. Counted by task, each array with a mistake had the first
- * two machines that it came to returned as faulty, with room for others' work on them (test/trial.test.ts).
+ * two machines that it came to returned as faulty, with room for others' work on them (test/failure-attribution.test.ts).
  */
 export const attributeFailure = (
   task: Task,
@@ -48,8 +50,8 @@
   const ran = runTime(task, now);
   job.longestFailedRun = Math.max(job.longestFailedRun, ran) as Micros;
   job.failedMachines.add(machine.name);
-  const sound = isStableElsewhere(job, ran, machine, now);
-  if (!sound && (job.onProbation || job.failedMachines.size >= MAX_FAILED_MACHINES)) {
+  const stableElsewhere = isStableElsewhere(job, ran, machine, now);
+  if (!stableElsewhere && (job.onProbation || job.failedMachines.size >= MAX_FAILED_MACHINES)) {
     putOnProbation(job, machines, now);
     return "job";
   }
@@ -59,14 +61,14 @@
   const count = known === undefined ? 1 : known.at === now ? known.count : known.count + 1;
   machine.lifecycle.recentFailures.set(id, { at: now, count });
   machine.lifecycle.quarantinedUntil = Math.max(machine.lifecycle.quarantinedUntil, now + QUARANTINE_TIME) as Micros;
-  const soundThere = [...machine.lifecycle.recentFailures.keys()].some((other) => {
+  const failsStableJob = [...machine.lifecycle.recentFailures.keys()].some((other) => {
     const failed = jobs.get(other);
     return (
       failed !== undefined && !failed.onProbation && isStableElsewhere(failed, failed.longestFailedRun, machine, now)
     );
   });
   // A machine full of long-lived replicas may only ever get to see a single new job.
-  const faulty = (machine.lifecycle.recentFailures.size >= 2 && soundThere) || count >= (sound ? 2 : 3);
+  const faulty = (machine.lifecycle.recentFailures.size >= 2 && failsStableJob) || count >= (stableElsewhere ? 2 : 3);
   return faulty ? "machine" : "undecided";
 };
 
--- a/src/coordination/workers/graceful-eviction.ts
+++ b/src/coordination/workers/graceful-eviction.ts
@@ -1,3 +1,5 @@
+/** Decides which tasks leave a machine that is to be empty. */
+
 import type { Machine } from "../../cluster/machine.js";
 import { isActive, type Task } from "../../cluster/task.js";
 import { type Micros, seconds } from "../../transport/clock.js";
@@ -5,6 +7,7 @@
 /** Of the time left, so much may be counted on: estimates are often wrong by half. */
 const ESTIMATE_TRUST = 0.7;
 
+/** What is to be done with one task. `graceS`: seconds that it gets to save its checkpoint. */
 export type EvictionAction =
   /** No start of it has left or can arrive: it need not be stopped. */
   | { readonly kind: "release"; readonly task: Task }
@@ -12,13 +15,13 @@
 
 /** What is to leave a machine that is to be empty: tasks that will not end by themselves in time. */
 export function* decideEvictions(machine: Machine, now: Micros): Generator<EvictionAction> {
-  const notice = machine.lifecycle.reclaimAt;
+  const reclaimAt = machine.lifecycle.reclaimAt;
   for (const task of [...machine.tasks]) {
     // Told to stop before it was ever started.
     if (task.stopRequest !== null && task.startCommand.kind === "none") yield { kind: "release", task };
   }
   // A faulty machine fails what it starts; what runs there already is left alone.
-  if (notice === null && machine.lifecycle.drainReason !== "scale-in") return;
+  if (reclaimAt === null && machine.lifecycle.drainReason !== "scale-in") return;
   for (const task of [...machine.tasks]) {
     if (task.stopRequest !== null) continue;
     if (task.startCommand.kind === "none") {
@@ -27,11 +30,11 @@
     }
     if (!isActive(task)) continue;
     const { spec } = task.job;
-    const left = notice === null ? Number.POSITIVE_INFINITY : notice - now;
-    const ran = task.runningSince === null ? 0 : now - task.runningSince;
-    const endsInTime = spec.shape !== "service" && seconds(spec.estimatedRunS) - ran < left * ESTIMATE_TRUST;
+    const timeLeft = reclaimAt === null ? Number.POSITIVE_INFINITY : reclaimAt - now;
+    const runTime = task.runningSince === null ? 0 : now - task.runningSince;
+    const endsInTime = spec.shape !== "service" && seconds(spec.estimatedRunS) - runTime < timeLeft * ESTIMATE_TRUST;
     if (endsInTime) continue;
-    const saves = spec.checkpointIntervalS > 0 && seconds(spec.checkpointDurationS) <= left;
-    yield { kind: "stop", task, graceS: saves ? Math.ceil(spec.checkpointDurationS) : 0 };
+    const savesCheckpoint = spec.checkpointIntervalS > 0 && seconds(spec.checkpointDurationS) <= timeLeft;
+    yield { kind: "stop", task, graceS: savesCheckpoint ? Math.ceil(spec.checkpointDurationS) : 0 };
   }
 }
--- a/src/coordination/workers/heartbeat-freshness.ts
+++ b/src/coordination/workers/heartbeat-freshness.ts
@@ -1,3 +1,5 @@
+/** How fresh a worker's message is, by its incarnation, sequence and fencing token: what may be concluded from it. */
+
 import type { WorkerCounters } from "../../cluster/machine.js";
 import type { Uint64 } from "../../protocol/json.js";
 import type { Micros } from "../../transport/clock.js";
@@ -7,24 +9,25 @@
   Pick<WorkerCounters, "incarnation" | "sequence" | "highestToken" | "expiredIncarnation" | "learnedAt" | "verified">
 >;
 
+/** The counters that a message shows. */
 export interface HeartbeatCounters {
   readonly incarnation: Uint64;
   readonly sequence: Uint64;
   readonly token: Uint64;
 }
 
-/** A report may be a late copy; an answer to a question of our own was written after the question left. */
+/** A heartbeat may be a late copy; a reply to a status query was written after the query left, at `askedAt`. */
 export type HeartbeatSource =
   | { readonly kind: "heartbeat" }
   | { readonly kind: "status-reply"; readonly askedAt: Micros };
 
 /**
  * What may follow from a worker's message (docs/heartbeat-evidence.md):
- * `stale`: nothing. `suspect`: nothing, but a worker whose counters have begun anew looks the same, so it is worth a
- * question. `unverified`: nothing but whom to ask, since it may be from before our time. `counters-reset`: the counters have begun
- * anew; commands of before may still arrive. `verified`: written in our time, so alive and in this session; commands under
- * older tokens may still arrive, so that what is missing in its list is not gone. `new-incarnation`: verified, and its earlier session
- * is over with all tasks and commands of it. `fenced`: verified, and only commands under our own tokens can still arrive.
+ * `stale`: nothing. `suspect`: nothing, but a worker whose counters were reset looks the same, so it is worth a
+ * query. `unverified`: nothing but whom to ask, since it may be from before this leader's time. `counters-reset`: the counters were
+ * reset; commands of before may still arrive. `verified`: written in this leader's time, so alive and in this incarnation; commands under
+ * older tokens may still arrive, so that what is missing in its list is not gone. `new-incarnation`: verified, and its earlier incarnation
+ * is over with all tasks and commands of it. `fenced`: verified, and only commands under this leader's own tokens can still arrive.
  */
 export type HeartbeatFreshness =
   | "stale"
@@ -35,7 +38,7 @@
   | "new-incarnation"
   | "fenced";
 
-/** Sessions first, then ticks: negative where `said` was written before what is known. */
+/** Incarnations first, then sequences: negative where `heartbeat` was written before what is known. */
 const compareCounters = (known: KnownCounters, heartbeat: HeartbeatCounters): number => {
   if (known.incarnation === null) return 1;
   if (heartbeat.incarnation !== known.incarnation) return heartbeat.incarnation < known.incarnation ? -1 : 1;
@@ -43,32 +46,32 @@
   return heartbeat.sequence < known.sequence ? -1 : 1;
 };
 
-/** `needed`: the least token that only this holder can have given, since the worker's counters last began. */
+/** `neededToken`: the least token that only this leader can have given, since the worker's counters were last reset. */
 export const classifyHeartbeat = (
   known: KnownCounters,
   heartbeat: HeartbeatCounters,
   source: HeartbeatSource,
-  needed: Uint64,
+  neededToken: Uint64,
 ): HeartbeatFreshness => {
-  const over = known.expiredIncarnation !== null && heartbeat.incarnation <= known.expiredIncarnation;
-  const place = compareCounters(known, heartbeat);
-  // Neither ticks nor tokens ever go down in one life of a worker.
-  if (over || place <= 0 || heartbeat.token < known.highestToken) {
-    if (source.kind === "heartbeat") return place === 0 && heartbeat.token === known.highestToken ? "stale" : "suspect";
+  const incarnationExpired = known.expiredIncarnation !== null && heartbeat.incarnation <= known.expiredIncarnation;
+  const order = compareCounters(known, heartbeat);
+  // Neither sequences nor tokens ever go down in one life of a worker.
+  if (incarnationExpired || order <= 0 || heartbeat.token < known.highestToken) {
+    if (source.kind === "heartbeat") return order === 0 && heartbeat.token === known.highestToken ? "stale" : "suspect";
     return source.askedAt >= known.learnedAt ? "counters-reset" : "stale";
   }
-  const ours = heartbeat.token >= needed;
-  if (!known.verified && source.kind === "heartbeat" && !ours) return "unverified";
-  // Whoever is known to have been in an earlier session in our time has had no command of anybody else's since.
+  const showsNeededToken = heartbeat.token >= neededToken;
+  if (!known.verified && source.kind === "heartbeat" && !showsNeededToken) return "unverified";
+  // A worker known to have been in an earlier incarnation in this leader's time has had no other leader's command since.
   if (known.verified && known.incarnation !== null && heartbeat.incarnation > known.incarnation)
     return "new-incarnation";
-  return ours ? "fenced" : "verified";
+  return showsNeededToken ? "fenced" : "verified";
 };
 
 /**
- * A report that looks old may just have been overtaken by an answer, and its worker waits for ours. Not where it shows a
- * lower token: shown ours, a worker that has begun anew would look like the one before, with the commands to that still
- * about.
+ * A heartbeat that looks old may just have been overtaken by a status reply, and its worker waits for a response. Not where
+ * it shows a lower token: shown this leader's, a worker whose counters were reset would look like the one before, with the
+ * commands to that still under way.
  */
 export const mayBeOvertaken = (known: KnownCounters, leaseExpired: boolean, heartbeat: HeartbeatCounters): boolean =>
   !leaseExpired && heartbeat.incarnation === known.incarnation && heartbeat.token >= known.highestToken;
--- a/src/coordination/workers/unreachable-zones.ts
+++ b/src/coordination/workers/unreachable-zones.ts
@@ -1,7 +1,10 @@
+/** The record of zones whose workers are not answered, kept for the next leader of a shard. */
+
 import type { Machine } from "../../cluster/machine.js";
 import type { Uint64 } from "../../protocol/json.js";
 import type { WriteOperation } from "../../protocol/key-value-store.js";
 import { unreachableZonesKey } from "../../storage/keys.js";
+import type { SubmissionResult } from "../../storage/pending-transaction.js";
 import {
   decodeUnreachableZones,
   encodeUnreachableZones,
@@ -11,21 +14,21 @@
 import type { Services, ShardLease } from "../context.js";
 import { LogEvent } from "../log-events.js";
 
-/** Beyond the bound on both clocks' errors: for rounding, and for what the steady clocks drift meanwhile. */
+/** Microseconds beyond the bound on both clocks' errors: for rounding, and for the drift of the steady clocks meanwhile. */
 const CLOCK_MARGIN = 50_000;
-/** A zone in which somebody was heard is not put on record for so long. */
+/** A zone in which a worker was heard is not put on record for so long. */
 const RECENTLY_HEARD = seconds(10);
 
 /**
- * Keeps on record since when nobody in a zone has been answered, so that the next holder need not wait a whole lease
- * of the workers from its own beginning: with a zone cut off and the holder lost shortly before the leases were over,
+ * Keeps on record since when no worker in a zone has been answered, so that the next leader need not wait a whole lease
+ * of the workers from its own beginning: with a zone cut off and the leader lost shortly before the leases expired,
  * replicas were gone for half a minute that nobody started elsewhere.
  *
- * The argument. `since` is no earlier than the last answer, by whichever holder, that can have renewed a lease in the
- * zone. While a zone may be on record (from before the write leaves until a write without it is confirmed), nobody there
- * is answered and nothing is started there: `open` says no. A holder that is lost without a confirmed write
- * leaves the record, or its lack, behind as it is; a late one fails on the version of the block's lease. The next
- * holder takes the zone as on record from its first moment. `since` is time of day, which every controller knows
+ * The argument. `since` is no earlier than the last response, by whichever leader, that can have renewed a lease in the
+ * zone. While a zone may be on record (from before the write leaves until a write without it is confirmed), no worker there
+ * is answered and nothing is started there: `mayAnswer` returns false. A leader that is lost without a confirmed write
+ * leaves the record, or its lack, behind as it is; a late write fails on the version of the shard's lease. The next
+ * leader takes the zone as on record from its first moment. `since` is time of day, which every controller knows
  * within the bound of the settings; both errors are added to it.
  */
 export class UnreachableZones {
@@ -44,15 +47,18 @@
     private readonly lease: ShardLease,
     private readonly machines: () => Iterable<Machine>,
   ) {
-    const { cache, wallClock, clock, settings } = services;
-    this.startedAt = clock.now();
-    const entry = cache.entries.get(this.key);
+    this.startedAt = services.clock.now();
+    const entry = services.cache.entries.get(this.key);
     this.version = entry?.version ?? 0;
-    if (entry === undefined) return;
-    const { epoch, unansweredSinceMs } = decodeUnreachableZones(entry.value);
-    // Believed only from the holder just before: one in between may have answered and, of an older version, not known
+    if (entry !== undefined) this.inherit(decodeUnreachableZones(entry.value));
+  }
+
+  /** Takes over the record of the leader before. */
+  private inherit({ epoch, unansweredSinceMs }: UnreachableZonesRecord): void {
+    const { wallClock, clock, settings } = this.services;
+    // Believed only from the leader just before: one in between may have answered and, of an older version, not known
     // the record, as in a rolling update.
-    if (epoch !== lease.epoch - 1) return;
+    if (epoch !== this.lease.epoch - 1) return;
     for (const [zone, sinceMs] of Object.entries(unansweredSinceMs)) {
       if (zone === "") continue;
       this.recordedZones.add(zone);
@@ -61,7 +67,7 @@
       this.inheritedSince.set(zone, (clock.now() - Math.max(0, ago)) as Micros);
     }
     this.desiredZones = new Set(this.recordedZones);
-    // To be believed in turn, it has to stand under our own number.
+    // To be believed in turn, it has to stand under this leader's own epoch.
     this.mustRewrite = this.recordedZones.size > 0;
     this.writeChanges();
   }
@@ -70,7 +76,7 @@
     return unreachableZonesKey(this.lease.shard);
   }
 
-  /** What the holder before left on record. */
+  /** Zones that the leader before left on record. */
   get inheritedZones(): ReadonlySet<string> {
     return new Set(this.inheritedSince.keys());
   }
@@ -80,7 +86,7 @@
     return !this.recordedZones.has(zone);
   }
 
-  /** No worker there was answered after this moment; null where that is not on record. */
+  /** No worker there was answered after this time; null where that is not on record. */
   lastAnsweredBefore(zone: string): Micros | null {
     return this.inheritedSince.get(zone) ?? null;
   }
@@ -92,16 +98,16 @@
     const now = this.services.clock.now();
     // A machine that has just come up may be all that is heard of a zone of dead ones: put on record again and again,
     // the zone was never answered (seed 4 of the random days).
-    // Machines known from the records only have no zone yet: all of them, at the next holder's beginning.
+    // Machines known from the records only have no zone yet: all of them, at the next leader's beginning.
     const quiet = [...zones].filter(
       (zone) => zone !== "" && now - (this.lastHeardAt.get(zone) ?? Number.NEGATIVE_INFINITY) > RECENTLY_HEARD,
     );
-    // Those that are on record stay there until somebody in them is heard.
+    // Those that are on record stay there until a worker in them is heard.
     this.desiredZones = new Set([...this.desiredZones, ...quiet]);
     this.writeChanges();
   }
 
-  /** Somebody in the zone has been heard: it is to be answered as soon as the record no longer names it. */
+  /** A worker in the zone has been heard: it is to be answered as soon as the record no longer names it. */
   markReachable(zone: string): void {
     this.lastHeardAt.set(zone, this.services.clock.now());
     if (!this.recordedZones.has(zone)) return;
@@ -109,56 +115,61 @@
     this.writeChanges();
   }
 
-  /** Works off the difference between the zones wanted on record and those that may be there. */
+  /** Writes the record where the zones wanted on it differ from those that may be there; one write at a time. */
   private writeChanges(): void {
-    const { lease } = this;
-    const { transactions, cache, log } = this.services;
-    const same =
-      this.desiredZones.size === this.recordedZones.size &&
-      [...this.desiredZones].every((zone) => this.recordedZones.has(zone));
-    if ((same && !this.mustRewrite) || this.writing || !lease.isValid()) return;
+    if ((this.isRecordCurrent() && !this.mustRewrite) || this.writing || !this.lease.isValid()) return;
+    const { transactions, log } = this.services;
     const { desiredZones } = this;
     this.writing = true;
-    // From here on it may be on record: answers stop first.
+    // From here on they may be on record: responses stop first.
     for (const zone of desiredZones) this.recordedZones.add(zone);
-    const conditions = new Map([
-      [lease.key, lease.version],
-      [this.key, this.version],
-    ]);
-    // Never deleted: what is not there has version 0 again, and an earlier write without an answer, applied late under
-    // that condition, put a zone on record that was being answered. A write of no zones moves the version on.
-    const write: WriteOperation = {
-      kind: "put",
-      key: this.key,
-      value: encodeUnreachableZones(this.buildRecord(desiredZones)),
-    };
     transactions
-      .submit(conditions, [write], "cancellation")
-      .then(async (result) => {
-        if (result.kind === "ok") {
-          this.version = result.version;
-          this.mustRewrite = false;
-          for (const zone of [...this.recordedZones]) if (!desiredZones.has(zone)) this.recordedZones.delete(zone);
-          for (const zone of [...this.inheritedSince.keys()])
-            if (!desiredZones.has(zone)) this.inheritedSince.delete(zone);
-          return;
-        }
-        // One of our own writes without an answer may have been applied; a later try finds its version.
-        if (result.kind === "conflict" && (await cache.sync())) {
-          this.version = cache.entries.get(this.key)?.version ?? 0;
-        }
-      })
+      .submit(this.writeConditions(), [this.writeOperation(desiredZones)], "cancellation")
+      .then((result) => this.handleWriteResult(result, desiredZones))
       .catch((error: unknown) => log.error(LogEvent.UnreachableZonesRecordFailed, { error: String(error) }))
       .finally(() => {
         this.writing = false;
       });
   }
 
+  private isRecordCurrent(): boolean {
+    const { desiredZones, recordedZones } = this;
+    return desiredZones.size === recordedZones.size && [...desiredZones].every((zone) => recordedZones.has(zone));
+  }
+
+  private writeConditions(): ReadonlyMap<string, Uint64> {
+    return new Map([
+      [this.lease.key, this.lease.version],
+      [this.key, this.version],
+    ]);
+  }
+
+  /**
+   * Never a deletion: what is not there has version 0 again, and an earlier write without an answer, applied late under
+   * that condition, put a zone on record that was being answered. A write of no zones moves the version on.
+   */
+  private writeOperation(zones: ReadonlySet<string>): WriteOperation {
+    return { kind: "put", key: this.key, value: encodeUnreachableZones(this.buildRecord(zones)) };
+  }
+
+  private async handleWriteResult(result: SubmissionResult, writtenZones: ReadonlySet<string>): Promise<void> {
+    if (result.kind === "ok") {
+      this.version = result.version;
+      this.mustRewrite = false;
+      for (const zone of [...this.recordedZones]) if (!writtenZones.has(zone)) this.recordedZones.delete(zone);
+      for (const zone of [...this.inheritedSince.keys()]) if (!writtenZones.has(zone)) this.inheritedSince.delete(zone);
+      return;
+    }
+    // One of this controller's own writes without an answer may have been applied; a later try finds its version.
+    const { cache } = this.services;
+    if (result.kind === "conflict" && (await cache.sync())) this.version = cache.entries.get(this.key)?.version ?? 0;
+  }
+
   private buildRecord(zones: ReadonlySet<string>): UnreachableZonesRecord {
     const { wallClock, clock } = this.services;
     const since: Record<string, number> = {};
     for (const zone of zones) {
-      // Whoever held the block before may have answered there to its end: without its word, that is our beginning.
+      // The leader before may have answered there to its end: without its record, that is this leader's beginning.
       // Counted from the machines heard of alone, a zone that had not been heard yet went on record as silent for ever,
       // and its tasks were started a second time (docs/incidents/silence-record.md).
       let latest: number = this.inheritedSince.get(zone) ?? this.startedAt;
