--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -8,17 +8,12 @@
 import type { Scheduler } from "../scheduling/scheduler.js";
 import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
 import type { HeartbeatProcessor } from "../workers/heartbeat-processor.js";
+import { CapacityBackoff } from "./capacity-backoff.js";
 import type { CloudClient } from "./cloud-client.js";
+import { type CloudOffers, type MachineOffer, offerKey } from "./cloud-offers.js";
 import { chooseMachineToConsolidate } from "./consolidation.js";
-import {
-  CapacityBackoff,
-  type CloudOffers,
-  DemandHistory,
-  type MachineOffer,
-  offerKey,
-  planScaling,
-  type ScaleOutRequest,
-} from "./scale-plan.js";
+import { DemandHistory } from "./demand-history.js";
+import { planScaling, type ScaleOutRequest } from "./scale-plan.js";
 
 const SCALE_INTERVAL = ms(400);
 /** Under load, plans and lists are made so much less often. */
--- /dev/null
+++ b/src/coordination/autoscaling/bin-packing.ts
@@ -0,0 +1,87 @@
+/**
+ * Packs tasks into capacity bins, and adds bins from the cloud's offers where they do not suffice.
+ * @module
+ */
+import type { JobSpec } from "../../protocol/job-spec.js";
+import { allows, zoneAllowed } from "../scheduling/eligibility.js";
+import { countThatFit, fits, subtractResources } from "../scheduling/placement/bfgp.js";
+import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
+import { type CapacityBin, newBin, type ScaleOutReason } from "./capacity-bins.js";
+import { type CloudOffers, cheapestOffer, type MachineOffer } from "./cloud-offers.js";
+
+/** Tasks of one job that are packed in one plan. */
+const MAX_PACKED_TASKS = 10_000;
+
+/** Tasks that are to be packed. */
+export interface PackingDemand {
+  readonly reason: ScaleOutReason;
+  readonly spec: JobSpec;
+  readonly count: number;
+  /** The job's tasks by zone; those that are packed are added. */
+  readonly zoneCounts: Map<string, number>;
+  /** Those of the bins that may have free capacity; all of them if left out. */
+  readonly openBins?: CapacityBin[];
+}
+
+const zoneAndKindOf = ({ zone, spot }: { readonly zone: string; readonly spot: boolean }): string => `${zone}/${spot}`;
+
+const countByZoneAndKind = (bins: readonly CapacityBin[]): Map<string, number> => {
+  const counts = new Map<string, number>();
+  for (const bin of bins) counts.set(zoneAndKindOf(bin), (counts.get(zoneAndKindOf(bin)) ?? 0) + 1);
+  return counts;
+};
+
+/** The bins of one plan. Packing is first fit, a whole bin at a time: walking all bins for each task took most of a controller's time. */
+export class BinPacker {
+  constructor(
+    private readonly snapshot: SchedulerSnapshot,
+    private readonly offers: CloudOffers,
+    readonly bins: CapacityBin[],
+  ) {}
+
+  /** Packs the tasks into the bins and, as far as these do not suffice and the cloud has offers, into new ones. */
+  pack(demand: PackingDemand): void {
+    const { spec, openBins = this.bins } = demand;
+    let remaining = Math.min(demand.count, MAX_PACKED_TASKS);
+    for (const bin of openBins) {
+      if (remaining <= 0) return;
+      if (bin.free.cpu < spec.demand.cpu || !fits(spec.demand, bin.free)) continue;
+      if (allows(spec, bin.type.name, bin.zone, bin.spot)) remaining -= fillBin(demand, bin, remaining);
+    }
+    if (remaining > 0) this.packIntoNewBins(demand, remaining);
+  }
+
+  private packIntoNewBins(demand: PackingDemand, count: number): void {
+    const { snapshot, offers, bins } = this;
+    const { spec, zoneCounts, openBins = bins } = demand;
+    const binCounts = countByZoneAndKind(bins);
+    const shareOf = (offer: MachineOffer): number => (binCounts.get(zoneAndKindOf(offer)) ?? 0) / (bins.length + 1);
+    for (let remaining = count; remaining > 0; ) {
+      const offer = cheapestOffer({ snapshot, offers, spec, count: remaining, zoneCounts, shareOf });
+      if (offer === null) return;
+      const bin = newBin(offer);
+      bins.push(bin);
+      if (openBins !== bins) openBins.push(bin);
+      binCounts.set(zoneAndKindOf(bin), (binCounts.get(zoneAndKindOf(bin)) ?? 0) + 1);
+      remaining -= fillBin(demand, bin, remaining);
+      if (!bin.used) return;
+    }
+  }
+}
+
+/** Packs as many of the `remaining` tasks as fit into the bin and may be in its zone; returns their number. */
+const fillBin = ({ spec, zoneCounts, reason }: PackingDemand, bin: CapacityBin, remaining: number): number => {
+  if (!zoneAllowed(spec, zoneCounts, bin.zone)) return 0;
+  let count = Math.min(remaining, countThatFit(spec.demand, bin.free));
+  if (spec.spread) {
+    const maxPerZone = Math.ceil(spec.tasks / 2);
+    count = Math.min(count, maxPerZone - (zoneCounts.get(bin.zone) ?? 0) - (zoneCounts.get("") ?? 0));
+  }
+  if (count <= 0) return 0;
+  const { cpu, gpu, ram } = spec.demand;
+  bin.free = subtractResources(bin.free, { cpu: cpu * count, gpu: gpu * count, ram: ram * count });
+  bin.used = true;
+  bin.reason ??= reason;
+  zoneCounts.set(bin.zone, (zoneCounts.get(bin.zone) ?? 0) + count);
+  return count;
+};
--- a/src/coordination/autoscaling/consolidation.ts
+++ b/src/coordination/autoscaling/consolidation.ts
@@ -4,7 +4,8 @@
 import { allows, zoneAllowed, zoneCounts } from "../scheduling/eligibility.js";
 import { fits, subtractResources } from "../scheduling/placement/bfgp.js";
 import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
-import { type DemandHistory, headroomDemand, MIN_CHARGED_TIME } from "./scale-plan.js";
+import { type DemandHistory, headroomDemand } from "./demand-history.js";
+import { MIN_CHARGED_TIME } from "./scale-in.js";
 
 /** Machines looked at in one go for whether their replicas could go elsewhere. */
 const MAX_MACHINES_TRIED = 4;
--- /dev/null
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -0,0 +1,65 @@
+/**
+ * Chooses machines that are to be returned to the cloud.
+ * @module
+ */
+import type { Machine } from "../../cluster/machine.js";
+import { seconds } from "../../transport/clock.js";
+import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
+import type { CapacityBin } from "./capacity-bins.js";
+
+/** The cloud charges at least about this time for a machine. */
+export const MIN_CHARGED_TIME = seconds(58);
+/** A boot has failed beyond this multiple of the type's boot time and the grace, in seconds. */
+const FAILED_BOOT_FACTOR = 5;
+const FAILED_BOOT_GRACE_S = 15;
+/** For types that the cloud's list does not name, in seconds. */
+const DEFAULT_BOOT_S = 60;
+
+/** Why a machine is returned. */
+export type ScaleInReason = "boot failed" | "drained" | "unknown type" | "idle";
+
+/** A machine that is to be returned. */
+export interface ScaleInChoice {
+  readonly machine: Machine;
+  readonly reason: ScaleInReason;
+}
+
+/** Machines without tasks that a plan has packed something into; those with tasks stay in any case. */
+const emptyMachinesInUse = (bins: readonly CapacityBin[]): Set<Machine> => {
+  const machines = new Set<Machine>();
+  for (const { used, machine } of bins) if (used && machine !== null && machine.tasks.size === 0) machines.add(machine);
+  return machines;
+};
+
+/** Why an empty machine may be returned; `idle`: unless the plan uses it. Null: it stays. */
+const reasonToReturn = ({ now, options }: SchedulerSnapshot, machine: Machine): ScaleInReason | null => {
+  const { lifecycle, state, type, load } = machine;
+  const age = now - lifecycle.provisionedAt;
+  switch (state) {
+    case "booting": {
+      const maxBootTime = seconds((type?.bootS ?? DEFAULT_BOOT_S) * FAILED_BOOT_FACTOR + FAILED_BOOT_GRACE_S);
+      return age > maxBootTime ? "boot failed" : null;
+    }
+    case "unconfirmed":
+      return age > MIN_CHARGED_TIME ? "boot failed" : null;
+    default: {
+      if (type === null) return "unknown type";
+      if (lifecycle.drainReason !== null) return "drained";
+      const isIdle = now - load.idleSince > seconds(options.idleReturnS) && age > MIN_CHARGED_TIME;
+      return isIdle && lifecycle.reclaimAt === null ? "idle" : null;
+    }
+  }
+};
+
+/** Machines without tasks that failed to boot, are drained, or are idle and not used by the plan's bins. */
+export const chooseScaleIn = (snapshot: SchedulerSnapshot, bins: readonly CapacityBin[]): readonly ScaleInChoice[] => {
+  const inUse = emptyMachinesInUse(bins);
+  const choices: ScaleInChoice[] = [];
+  for (const machine of snapshot.shard.machines.values()) {
+    if (machine.lifecycle.deleting || machine.tasks.size > 0) continue;
+    const reason = reasonToReturn(snapshot, machine);
+    if (reason === null || (reason === "idle" && inUse.has(machine))) continue;
+    choices.push({ machine, reason });
+  }
+  return choices;
+};
--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -3,14 +3,11 @@
 import { createMachine, type Machine } from "../cluster/machine.js";
 import { ShardState } from "../cluster/shard-state.js";
 import { attemptOf, isActive, isPlacementRecorded, type TaskRange } from "../cluster/task.js";
+import { CapacityBackoff } from "../coordination/autoscaling/capacity-backoff.js";
+import type { CloudOffers, MachineOffer } from "../coordination/autoscaling/cloud-offers.js";
 import { chooseMachineToConsolidate } from "../coordination/autoscaling/consolidation.js";
-import {
-  CapacityBackoff,
-  type CloudOffers,
-  DemandHistory,
-  type MachineOffer,
-  planScaling,
-} from "../coordination/autoscaling/scale-plan.js";
+import { DemandHistory } from "../coordination/autoscaling/demand-history.js";
+import { planScaling } from "../coordination/autoscaling/scale-plan.js";
 import type { ShardLease } from "../coordination/context.js";
 import { DependencyTracker } from "../coordination/jobs/dependency-tracker.js";
 import { LoadShedder } from "../coordination/overload/load-shedder.js";
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -4,12 +4,10 @@
 import { createMachine, type Machine } from "../src/cluster/machine.js";
 import { ShardState } from "../src/cluster/shard-state.js";
 import type { Task } from "../src/cluster/task.js";
-import {
-  CapacityBackoff,
-  type CloudOffers,
-  DemandHistory,
-  planScaling,
-} from "../src/coordination/autoscaling/scale-plan.js";
+import { CapacityBackoff } from "../src/coordination/autoscaling/capacity-backoff.js";
+import type { CloudOffers } from "../src/coordination/autoscaling/cloud-offers.js";
+import { DemandHistory } from "../src/coordination/autoscaling/demand-history.js";
+import { planScaling } from "../src/coordination/autoscaling/scale-plan.js";
 import { neverRuns, type UnreadyReason, unready } from "../src/coordination/scheduling/eligibility.js";
 import { decideRound, newRoundState } from "../src/coordination/scheduling/placement-round.js";
 import type { RoundAction } from "../src/coordination/scheduling/round-action.js";
