--- /dev/null
+++ b/src/coordination/api/job-status.ts
@@ -0,0 +1,90 @@
+/** Status responses: phase and task counts of a job. */
+import { encodeStatus, type JobPhase } from "../../protocol/job-messages.js";
+import type { JobSpec } from "../../protocol/job-spec.js";
+import type { KeyValueEntry } from "../../protocol/key-value-store.js";
+import { decodeJobRecord } from "../../storage/job-records.js";
+import { jobKey, taskRangeKey } from "../../storage/keys.js";
+import { decodeTaskRange } from "../../storage/task-range-records.js";
+import type { HttpResponse } from "../../transport/http.js";
+import type { Services } from "../context.js";
+import type { DependencyResolver } from "../jobs/dependency-resolver.js";
+import type { JobFinder, JobLookup } from "./job-lookup.js";
+import type { LocalShards } from "./local-shards.js";
+import { jsonResponse, retryLater } from "./responses.js";
+
+/** Responds to status requests. */
+export class JobStatusResponder {
+  /** Of ranges as they stand in the cache; collected together with the entry itself. */
+  private readonly countsByEntry = new WeakMap<KeyValueEntry, { readonly done: number; readonly running: number }>();
+
+  constructor(
+    private readonly services: Pick<Services, "cache" | "dependencies">,
+    private readonly finder: JobFinder,
+    private readonly dependencyResolver: DependencyResolver,
+    private readonly localShards: LocalShards,
+  ) {}
+
+  /** The response to a status request; `known`: what has been looked up for it already. */
+  async respond(id: string, known?: JobLookup): Promise<HttpResponse> {
+    const found = known ?? (await this.finder.find(id));
+    // Whether it was cancelled with a dependency is told by the outcome of that one, which has to be read first.
+    const resolved = found.kind !== "current" || this.hasStarted(id) || (await this.dependencyResolver.resolve(id));
+    if (!resolved) return retryLater("state service unavailable");
+    if (found.kind !== "current") return this.describe(id, found);
+    const entry = this.services.cache.entries.get(jobKey(id));
+    return this.describe(id, entry === undefined ? await this.finder.find(id) : { kind: "current", entry });
+  }
+
+  /** Some of its tasks were placed: all its dependencies were on record as done. */
+  private hasStarted(id: string): boolean {
+    return this.services.cache.entries.has(taskRangeKey(id, 0));
+  }
+
+  private describe(id: string, found: JobLookup): HttpResponse {
+    switch (found.kind) {
+      case "unknown":
+        return retryLater("state service unavailable");
+      case "not-found":
+        return jsonResponse(404, { error: "no such job" });
+      case "ended":
+        return jsonResponse(200, encodeStatus(id, found.end.phase, found.end.completedTasks, 0));
+      case "current": {
+        const { spec, ...record } = decodeJobRecord(found.entry.value);
+        const cancelled = record.cancelled || this.localShards.isWithdrawn(spec);
+        const counts = this.localShards.taskCounts(id) ?? this.recordedCounts(spec);
+        const phase: JobPhase = cancelled ? "cancelled" : counts.running > 0 ? "running" : "queued";
+        const unmetDependencies =
+          phase === "queued" && !this.hasStarted(id) ? this.services.dependencies.unmetDependencies(id) : [];
+        return jsonResponse(200, encodeStatus(id, phase, counts.done, counts.running, unmetDependencies));
+      }
+    }
+  }
+
+  /** Where another controller leads the job's shard, placed tasks count as running. */
+  private recordedCounts(spec: JobSpec): { done: number; running: number } {
+    let done = 0;
+    let running = 0;
+    for (let range = 0; ; range += 1) {
+      const entry = this.services.cache.entries.get(taskRangeKey(spec.id, range));
+      if (entry === undefined) return { done, running };
+      const counts = this.countsOf(entry);
+      done += counts.done;
+      running += counts.running;
+    }
+  }
+
+  /** A task range is decoded once for each of its versions, however often its status is polled. */
+  private countsOf(entry: KeyValueEntry): { readonly done: number; readonly running: number } {
+    const cachedCounts = this.countsByEntry.get(entry);
+    if (cachedCounts !== undefined) return cachedCounts;
+    let done = 0;
+    let running = 0;
+    for (const task of decodeTaskRange(entry.value)) {
+      if (task.kind === "done") done += 1;
+      if (task.kind === "placed") running += 1;
+    }
+    const counts = { done, running };
+    this.countsByEntry.set(entry, counts);
+    return counts;
+  }
+}
--- /dev/null
+++ b/src/coordination/api/job-submission.ts
@@ -0,0 +1,129 @@
+/** Submission of jobs by users. A submission may be repeated: it is accepted once. */
+import type { MachineType } from "../../protocol/cloud.js";
+import { decodeSubmission, encodePhase } from "../../protocol/job-messages.js";
+import { type JobSpec, jobSpecCodec } from "../../protocol/job-spec.js";
+import { formatJson, MalformedMessageError, parseJson } from "../../protocol/json.js";
+import { encodeJobRecord, type JobRecord } from "../../storage/job-records.js";
+import { jobKey, outcomeKey, shardOf } from "../../storage/keys.js";
+import type { SubmissionResult } from "../../storage/pending-transaction.js";
+import type { HttpResponse } from "../../transport/http.js";
+import type { Services } from "../context.js";
+import { type DependencyResolver, withoutDependencies } from "../jobs/dependency-resolver.js";
+import { neverRuns } from "../scheduling/eligibility.js";
+import { Admission } from "./admission.js";
+import type { JobFinder } from "./job-lookup.js";
+import type { JobStatusResponder } from "./job-status.js";
+import { jsonResponse, retryLater } from "./responses.js";
+
+/** What a job's record holds beside its specification. */
+const RECORD_OVERHEAD_BYTES = 160;
+
+type DecodedSubmission =
+  | { readonly kind: "ok"; readonly spec: JobSpec }
+  | { readonly kind: "malformed"; readonly response: HttpResponse };
+
+const decodeBody = (body: string): DecodedSubmission => {
+  try {
+    return { kind: "ok", spec: decodeSubmission(parseJson(body)) };
+  } catch (error) {
+    if (error instanceof MalformedMessageError || error instanceof SyntaxError)
+      return { kind: "malformed", response: jsonResponse(400, { error: error.message }) };
+    throw error;
+  }
+};
+
+/** What a `JobSubmission` needs. */
+export interface JobSubmissionDependencies {
+  readonly services: Services;
+  readonly machineTypes: ReadonlyMap<string, MachineType>;
+  readonly finder: JobFinder;
+  readonly dependencyResolver: DependencyResolver;
+  readonly status: JobStatusResponder;
+}
+
+/** Accepts submissions, or says why not. */
+export class JobSubmission {
+  private readonly admission: Admission;
+
+  constructor(private readonly dependencies: JobSubmissionDependencies) {
+    this.admission = new Admission(dependencies.services);
+  }
+
+  /** The response to a submission with this body. */
+  async submit(body: string): Promise<HttpResponse> {
+    const { services, dependencyResolver } = this.dependencies;
+    const { transactions } = services;
+    const decoded = decodeBody(body);
+    if (decoded.kind === "malformed") return decoded.response;
+    const { spec } = decoded;
+    const earlyResponse = this.respondUnlessAdmitted(spec, body);
+    if (earlyResponse !== null) return earlyResponse;
+    const checked = await dependencyResolver.check(spec.dependencies ?? []);
+    if (checked.kind === "not-found") {
+      const refusal = jsonResponse(422, { error: `awaits: ${checked.id} was never accepted` });
+      return this.refuseUnlessAccepted(spec.id, refusal);
+    }
+    if (checked.kind === "unknown") return retryLater("state service unavailable");
+    const record = this.recordOf(spec, checked.cancelled);
+    const prepared = await dependencyResolver.prepareRecord(record, transactions.maxValueBytes);
+    if (prepared === null) return retryLater("state service unavailable");
+    const key = jobKey(spec.id);
+    const result = await transactions.submit(
+      new Map([...prepared.conditions, [key, 0], [outcomeKey(spec.id), 0]]),
+      [{ kind: "put", key, value: encodeJobRecord(prepared.record) }],
+      "user",
+    );
+    return this.respondToResult(spec.id, result);
+  }
+
+  /** Null: the job may be put on record now, if its dependencies allow it. */
+  private respondUnlessAdmitted(spec: JobSpec, body: string): HttpResponse | Promise<HttpResponse> | null {
+    const { services, machineTypes, finder, status } = this.dependencies;
+    if (!services.cache.loaded || machineTypes.size === 0) return retryLater("machine types unknown");
+    if (finder.isKnown(spec.id)) return status.respond(spec.id);
+    const permanentRefusal = this.refusal(spec, body);
+    if (permanentRefusal !== null) return this.refuseUnlessAccepted(spec.id, permanentRefusal);
+    return this.admission.deferral(spec);
+  }
+
+  /** A job with a cancelled dependency is accepted all the same, and cancelled with it. */
+  private recordOf(spec: JobSpec, cancelled: boolean): JobRecord {
+    const { wallClock } = this.dependencies.services;
+    const acceptance: Partial<JobRecord> = wallClock === null ? {} : { acceptedMs: Math.round(wallClock()) };
+    return { spec, shard: shardOf(spec.team), cancelled, ...acceptance };
+  }
+
+  private respondToResult(id: string, result: SubmissionResult): HttpResponse | Promise<HttpResponse> {
+    switch (result.kind) {
+      case "ok":
+        return jsonResponse(201, encodePhase(id, "queued"));
+      case "conflict":
+        return this.dependencies.status.respond(id);
+      case "too large":
+        return jsonResponse(400, { error: "job: too large" });
+      case "refused":
+      case "lost":
+        return retryLater("state service unavailable");
+    }
+  }
+
+  /** A job accepted once, perhaps under other machine types, is never refused, and may have ended long ago. */
+  private async refuseUnlessAccepted(id: string, refusal: HttpResponse): Promise<HttpResponse> {
+    const { finder, status } = this.dependencies;
+    const found = await finder.find(id);
+    return found.kind === "not-found" ? refusal : status.respond(id, found);
+  }
+
+  /** Why no such job is ever accepted; null: there is no reason. */
+  private refusal(spec: JobSpec, body: string): HttpResponse | null {
+    const { services, machineTypes } = this.dependencies;
+    const reason = neverRuns(spec, services.settings, machineTypes);
+    if (reason !== null) return jsonResponse(422, { error: reason });
+    // The key-value store would refuse the record however often it is sent.
+    const { maxValueBytes } = services.transactions;
+    const tooLarge =
+      body.length > maxValueBytes / 2 &&
+      formatJson(jobSpecCodec.encode(withoutDependencies(spec))).length + RECORD_OVERHEAD_BYTES > maxValueBytes;
+    return tooLarge ? jsonResponse(400, { error: "job: too large" }) : null;
+  }
+}
