--- a/src/coordination/autoscaling/cloud-client.ts
+++ b/src/coordination/autoscaling/cloud-client.ts
@@ -1,3 +1,7 @@
+/**
+ * Client of the cloud's HTTP interface.
+ * @module
+ */
 import {
   decodeMachineList,
   decodeMachineTypes,
@@ -14,11 +18,12 @@
 import { RateLimiter } from "../../transport/rate-limiter.js";
 import { LogEvent } from "../log-events.js";
 
-/** `refused`: no capacity. `failed`: anything else; a rental may have happened, or may yet. */
+/** `refused`: no capacity. `failed`: anything else; the request may have been carried out, or may yet be. */
 export type CloudResult<T> = { readonly kind: "ok"; readonly value: T } | { readonly kind: "refused" | "failed" };
 
 const REQUEST_TIMEOUT = ms(5_000);
 
+/** Requests to the cloud, within its limit on requests a second. Failures are results; nothing is thrown. */
 export class CloudClient {
   private readonly requestLimit: RateLimiter;
 
--- a/src/coordination/autoscaling/consolidation.ts
+++ b/src/coordination/autoscaling/consolidation.ts
@@ -1,3 +1,7 @@
+/**
+ * Chooses machines whose replicas can be moved together onto others.
+ * @module
+ */
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
 import { type Candidate, listCandidates } from "../scheduling/candidate-index.js";
@@ -37,19 +41,19 @@
     target.free = subtractResources(target.free, spec.demand);
     counts.set(target.machine.zone, (counts.get(target.machine.zone) ?? 0) + 1);
   }
-  // The room kept for the next service must be there afterwards, or a machine would be rented right away.
+  // The headroom for the next service must be there afterwards, or a machine would be provisioned right away.
   return headroomDemand(snapshot, demandHistory)
     .filter(({ spec }) => !spec.spot)
     .every(({ spec, count }) => {
-      let room = 0;
-      for (const { free } of others) room += Math.floor(free.cpu / Math.max(1, spec.demand.cpu));
-      return room >= 2 * count;
+      let placeable = 0;
+      for (const { free } of others) placeable += Math.floor(free.cpu / Math.max(1, spec.demand.cpu));
+      return placeable >= 2 * count;
     });
 };
 
 /**
  * Replicas stay long after the work that made their machines fill up. An ordinary machine with few of them is
- * emptied, one machine at a time, when all have a place elsewhere that holds their image already.
+ * drained, one machine at a time, when all have a place elsewhere that holds their image already.
  */
 export const chooseMachineToConsolidate = (
   snapshot: SchedulerSnapshot,
--- /dev/null
+++ b/src/coordination/autoscaling/machine-deletion-queue.ts
@@ -0,0 +1,73 @@
+/**
+ * Deletes machines at the cloud.
+ * @module
+ */
+import { eventFieldsOf } from "../../cluster/events.js";
+import type { Machine } from "../../cluster/machine.js";
+import { ms, seconds, sleep } from "../../transport/clock.js";
+import { exponentialBackoff, type ShardContext } from "../context.js";
+import { LogEvent } from "../log-events.js";
+import type { HeartbeatProcessor } from "../workers/heartbeat-processor.js";
+import type { CloudClient } from "./cloud-client.js";
+
+/** The cloud takes this many names at once; a longer list was refused for ever, and a zone's machines stayed. */
+export const MAX_DELETIONS_PER_REQUEST = 100;
+const MIN_RETRY_DELAY = ms(500);
+const MAX_RETRY_DELAY = seconds(5);
+
+/** Deletes machines one request at a time: a request for each few machines left none for provisioning in a wave. */
+export class MachineDeletionQueue {
+  private readonly pending: Machine[] = [];
+  private deleting = false;
+  private stopped = false;
+
+  constructor(
+    private readonly context: ShardContext,
+    private readonly cloud: CloudClient,
+    private readonly heartbeats: HeartbeatProcessor,
+  ) {}
+
+  /** Ends the deletions after the request that is under way. */
+  stop(): void {
+    this.stopped = true;
+  }
+
+  /** Marks the machines as being deleted and deletes them. Resolved once the queue is empty or stopped. */
+  async delete(machines: readonly Machine[]): Promise<void> {
+    for (const machine of machines) machine.lifecycle.deleting = true;
+    this.pending.push(...machines);
+    if (this.deleting) return;
+    this.deleting = true;
+    try {
+      while (this.pending.length > 0 && !this.stopped)
+        await this.deleteBatch(this.pending.splice(0, MAX_DELETIONS_PER_REQUEST));
+    } finally {
+      this.deleting = false;
+    }
+  }
+
+  /** Repeats the request until it is answered: the answer proves that the machines and all their tasks are gone. */
+  private async deleteBatch(machines: readonly Machine[]): Promise<void> {
+    const { clock, lease } = this.context;
+    for (let attempt = 0; !this.stopped; attempt += 1) {
+      if (lease.isValid()) {
+        const reply = await this.cloud.deleteMachines(machines.map((machine) => machine.name));
+        if (reply.kind === "ok") break;
+      }
+      await sleep(clock, exponentialBackoff(attempt, MIN_RETRY_DELAY, MAX_RETRY_DELAY));
+    }
+    if (!this.stopped) this.machinesDeleted(machines);
+  }
+
+  private machinesDeleted(machines: readonly Machine[]): void {
+    const { shard, eventListener, log } = this.context;
+    for (const machine of machines) {
+      machine.state = "deleted";
+      shard.deletedMachines.add(machine.name);
+      eventListener?.({ kind: "machine deleted", ...eventFieldsOf(machine) });
+      this.heartbeats.machineLost(machine, "deleted");
+      shard.machines.delete(machine.name);
+    }
+    log.info(LogEvent.MachinesDeleted, { machines: machines.map((machine) => machine.name) });
+  }
+}
