--- a/src/coordination/extension.ts
+++ b/src/coordination/extension.ts
@@ -1,3 +1,5 @@
+/** The interface of an extension: a part beside the scheduler that makes jobs of its own. */
+
 import type { MachineType } from "../protocol/cloud.js";
 import type { JobSpec } from "../protocol/job-spec.js";
 import type { KeyChange } from "../protocol/key-value-store.js";
@@ -6,11 +8,11 @@
 import type { HttpRequest, HttpResponse } from "../transport/http.js";
 import type { Services, ShardContext } from "./context.js";
 
-/** What an extension does while this controller holds a block. Must not throw; nothing of it is waited for. */
+/** An extension's part while this controller leads a shard. Must not throw; nothing of it is waited for. */
 export interface ShardExtension {
   /** Anything current has changed; called after the kernel has taken it in. */
   onChange(change: KeyChange): void;
-  /** The job's last word is on record. */
+  /** The job's outcome is on record. */
   onJobEnded(spec: JobSpec, end: OutcomeRecord): void;
   /** One of the job's tasks ended badly; it will be tried again unless somebody withdraws the job. */
   onTaskFailed(spec: JobSpec, index: number, reason: ExitReason): void;
@@ -35,4 +37,5 @@
   isWithdrawn(spec: JobSpec): boolean;
 }
 
+/** Makes the extension of one controller. */
 export type ExtensionFactory = (services: Services, types: ReadonlyMap<string, MachineType>) => Extension;
--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -1,3 +1,5 @@
+/** One controller: wires its services, hands requests to their handlers and leads the shards that it holds. */
+
 import { DependencyGraph } from "../../cluster/dependency-graph.js";
 import type { ClusterEventListener } from "../../cluster/events.js";
 import type { Job } from "../../cluster/job.js";
@@ -30,6 +32,7 @@
 const REQUEST_SHARE = 0.7;
 const WRITE_SHARE = 0.85;
 
+/** What a controller runs on: clock, network, randomness, and what is optional. */
 export interface ControllerEnvironment {
   readonly clock: Clock;
   readonly log: Log;
--- a/src/coordination/leadership/lease-authority.ts
+++ b/src/coordination/leadership/lease-authority.ts
@@ -1,13 +1,15 @@
+/** What a lease permits now: whether a shard may be acted for, and what a worker may be sent. Pure functions. */
+
 import type { Job } from "../../cluster/job.js";
 import type { Command, Heartbeat } from "../../protocol/worker.js";
 import type { Micros } from "../../transport/clock.js";
 import type { HeartbeatFreshness } from "../workers/heartbeat-freshness.js";
 
-/** What a controller's right to act for a block rests on, by its own steady clock (docs/fault-combinations.md). */
+/** What a controller's authority over a shard rests on, by its own steady clock (docs/fault-combinations.md). */
 export interface LeaseState {
-  /** It is the holder on record, under the grant that it renews, as far as it knows. */
+  /** It is the leader on record, under the lease that it renews, as far as it knows. */
   readonly isHolder: boolean;
-  /** From before the request left that last renewed the grant. */
+  /** From before the request was sent that last renewed the lease. */
   readonly renewedAt: Micros;
   /** All that was decided before this moment is known here; null: nothing has been read yet. */
   readonly cacheFreshAsOf: Micros | null;
@@ -15,14 +17,14 @@
   readonly duration: Micros;
 }
 
-/** A view that has stopped moving hides cancellations, so it ends the right like the grant does. */
+/** A cache that is no longer fresh hides cancellations, so it ends the authority as lease expiry does. */
 export const isLeaseValid = ({ isHolder, renewedAt, cacheFreshAsOf, duration }: LeaseState, now: Micros): boolean =>
   isHolder && cacheFreshAsOf !== null && now < Math.min(renewedAt, cacheFreshAsOf) + duration;
 
-/** What is known of a worker once its report has been weighed. */
+/** What is known of a worker once its heartbeat has been classified. */
 export interface WorkerStanding {
   readonly freshness: HeartbeatFreshness;
-  /** It has shown a token of this holder. */
+  /** It has shown a fencing token of this leader. */
   readonly tokenSeen: boolean;
   /** Neither commands nor answers get there. */
   readonly oneWay: boolean;
@@ -31,8 +33,9 @@
   readonly workerLease: Micros;
 }
 
+/** What a leader may send to a worker now. */
 export interface PermittedReplies {
-  /** To answer, which renews the worker's lease. Every such answer carries the stops owed (`stopsOwed`). */
+  /** To answer, which renews the worker's lease. Every such response carries the pending stops (`pendingStops`). */
   readonly renew: boolean;
   /** To give commands that follow from what is believed of the machine. */
   readonly command: boolean;
--- a/src/coordination/leadership/membership.ts
+++ b/src/coordination/leadership/membership.ts
@@ -1,3 +1,5 @@
+/** Membership of a controller: its lease, the election of the cluster leader and the assignment of shards. */
+
 import type { Uint64 } from "../../protocol/json.js";
 import type { KeyValueEntry, WriteOperation } from "../../protocol/key-value-store.js";
 import { shardLeaseDuration } from "../../settings/shard-lease.js";
@@ -40,14 +42,15 @@
   renewedAt: Micros;
 }
 
+/** Told when this controller begins or ends leading a shard. */
 export interface MembershipEvents {
   shardAcquired(lease: ShardLease): void;
   shardReleased(shard: number): void;
 }
 
 /**
- * This controller's grant, the election of a leader and the leasing of blocks. The leader leases each block to
- * a member, attached to that member's own grant: losing the leader takes nobody's block away.
+ * This controller's member lease, the election of the cluster leader and the assignment of shards. The cluster leader
+ * assigns each shard to a member, attached to that member's own lease: losing the cluster leader takes no shard away.
  */
 export class Membership {
   private memberLease: MemberLease | null = null;
--- a/src/coordination/overload/backpressure-signal.ts
+++ b/src/coordination/overload/backpressure-signal.ts
@@ -1,7 +1,9 @@
+/** The key by which a leader tells other controllers to accept no more jobs for its shard. */
+
 import { backpressureKey } from "../../storage/keys.js";
 import type { Services, ShardLease } from "../context.js";
 
-/** Tells the other controllers, by a key, to accept nothing more for a block, or that they may again. */
+/** Tells the other controllers, by a key, to accept no more jobs for a shard, or that they may again. */
 export class BackpressureSignal {
   private publishing = false;
 
@@ -24,9 +26,9 @@
       [key, entry?.version ?? 0],
     ]);
     const write = full ? ({ kind: "put", key, value: {} } as const) : ({ kind: "delete", key } as const);
-    // Whatever becomes of it, the next tick looks again.
-    const said = transactions.submit(conditions, [write], "cancellation").then(() => cache.sync());
-    void this.guard(said).then(() => {
+    // Whatever becomes of it, the next check looks again.
+    const published = transactions.submit(conditions, [write], "cancellation").then(() => cache.sync());
+    void this.guard(published).then(() => {
       this.publishing = false;
     });
   }
--- a/src/coordination/overload/load-shedder.ts
+++ b/src/coordination/overload/load-shedder.ts
@@ -1,3 +1,5 @@
+/** Load levels of this process, and what is left out at each. */
+
 import { type Clock, type Micros, ms, seconds } from "../../transport/clock.js";
 import type { Log } from "../../transport/log.js";
 import { LogEvent } from "../log-events.js";
@@ -10,6 +12,7 @@
  * to a report is the cheapest thing that keeps a machine's tasks alive.
  */
 export const LOAD_LEVELS = ["normal", "reduced", "degraded", "saturated"] as const;
+/** One of the load levels, in rising order. */
 export type LoadLevel = (typeof LOAD_LEVELS)[number];
 
 /** How near a process is to its limits; all but `late` as shares of the limit. */
