--- a/src/cluster/shard-state.ts
+++ b/src/cluster/shard-state.ts
@@ -1,3 +1,7 @@
+/**
+ * The state of a shard in its leader's memory.
+ * @module
+ */
 import type { MachineType } from "../protocol/cloud.js";
 import { type JobSpec, priorityRank } from "../protocol/job-spec.js";
 import type { Uint64 } from "../protocol/json.js";
@@ -6,32 +10,35 @@
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
 import type { Job } from "./job.js";
 import { addTaskUsage, createMachine, type Machine, rememberImage } from "./machine.js";
+import { QuotaUsage, type TeamUsage } from "./quota-usage.js";
 import type { Task, TaskRange } from "./task.js";
 
 /**
- * Nothing speaks against it. Not the present time: ranges come into being in the midst of a round, and by the time that
- * the round began with, a task of this very moment was not to start yet. It waited for the next round, a second later
- * where little happens.
+ * At once. Not the present time: ranges are created in the midst of a round, and by the time with which the round began, a
+ * task created later was not to start yet. It waited for the next round, a second later where little happens.
  */
 const NO_EARLIEST_START = 0 as Micros;
 
-/** All that the holder of a block knows: its jobs, machines and team ledgers. Forgotten with the lease. */
+/** All that the leader of a shard knows: its jobs, its machines and the usage of quotas. Discarded with the lease. */
 export class ShardState {
   readonly jobs = new Map<string, Job>();
   readonly machines = new Map<string, Machine>();
-  /** Machines deleted by this holder: the cloud's lists go on naming them for a while. */
+  /** Names of machines deleted by this leader: the cloud's lists go on naming them for a while. */
   readonly deletedMachines = new Set<string>();
-  /** A range's value may not be larger; follows what the state service takes. */
+  /** Size of the largest task range record in bytes; follows what the state service takes. */
   maxRecordBytes = Number.POSITIVE_INFINITY;
-  private readonly usageByTeam = new Map<string, { cpu: number; gpu: number }>();
+  private readonly quota: QuotaUsage;
 
   constructor(
     private readonly clock: Clock,
     private readonly tasksPerRange: number,
-    private readonly teams: ReadonlyMap<string, Team>,
+    teams: ReadonlyMap<string, Team>,
     readonly machineTypes: () => ReadonlyMap<string, MachineType>,
-  ) {}
+  ) {
+    this.quota = new QuotaUsage(teams);
+  }
 
+  /** Adds a job without tasks. `version`: of its record. */
   addJob(spec: JobSpec, version: Uint64, cancelled: boolean): Job {
     const due = spec.deadlineS === null ? null : ((this.clock.now() + seconds(spec.deadlineS)) as Micros);
     const job: Job = {
@@ -64,7 +71,7 @@
     return job;
   }
 
-  /** Ranges come into being one after the other, when the earlier ones have no waiting task left. */
+  /** Creates the next range, once the earlier ones have no waiting task left. False: the job has no more tasks. */
   createNextTaskRange(job: Job): boolean {
     const first = job.ranges.length * this.tasksPerRange;
     if (first >= job.spec.tasks) return false;
@@ -72,7 +79,10 @@
     return true;
   }
 
-  /** `lostBelow`: start commands under lower tokens may still be under way for what is on record. */
+  /**
+   * Creates the range from its record. `lostBelow`: start commands under tokens up to this one may still arrive for the
+   * placements on record. Throws `MalformedMessageError` where the record can't be read.
+   */
   restoreTaskRange(job: Job, index: number, version: Uint64, value: unknown, lostBelow: number): void {
     while (job.ranges.length < index) this.createTaskRange(job, 0, null);
     const records = decodeTaskRange(value);
@@ -127,7 +137,7 @@
     return range;
   }
 
-  /** A machine known by name only, from a record, is filled in by its report or the cloud's list. */
+  /** The machine; one that is known from a record only is added, and completed by its heartbeat or the cloud's list. */
   machineByName(name: string): Machine {
     const known = this.machines.get(name);
     if (known !== undefined) return known;
@@ -136,16 +146,17 @@
     return machine;
   }
 
+  /** Counts the task as being on the machine. */
   assignTask(task: Task, machine: Machine): void {
     task.machine = machine;
     machine.tasks.add(task);
     addTaskUsage(machine, task.job.spec, 1);
     task.job.placedTasks.add(task);
     task.job.waitingTasks.delete(task);
-    this.addTeamUsage(task, 1);
+    this.quota.add(task.job.spec, 1);
   }
 
-  /** Only on proof that the task is not on the machine and that no command can bring it there. */
+  /** Counts the task as not placed: only on proof that it is not on the machine and that no command can bring it there. */
   releaseTask(task: Task): void {
     const machine = task.machine;
     if (machine === null) return;
@@ -162,10 +173,10 @@
       task.job.waitingTasks.add(task);
       task.waitingSince = this.clock.now();
     }
-    this.addTeamUsage(task, -1);
+    this.quota.add(task.job.spec, -1);
   }
 
-  /** The state in which its worker has last shown the task; null: none. */
+  /** Sets the state that the worker last reported; null: none. */
   setReportedState(task: Task, state: Task["state"]): void {
     const { job } = task;
     if (task.state === "running") job.runningTasks -= 1;
@@ -173,7 +184,7 @@
     task.state = state;
   }
 
-  /** Would its range's value still be small enough with the task on that machine? */
+  /** Whether the record of the task's range stays small enough with the task placed on that machine. */
   fitsInRecord({ range, desired }: Task, machine: string): boolean {
     const attempt = (desired.kind === "done" ? 0 : desired.attempt) + 1;
     const placed = range.tasks.length * (machine.length + String(attempt).length + 8) + 8;
@@ -182,34 +193,23 @@
     return taskRangeBytes(range.tasks.map((task) => task.desired)) + one <= this.maxRecordBytes;
   }
 
+  /** Notes that the machine's image cache holds the image of the task. */
   rememberImageOf(machine: Machine, task: Task): void {
     rememberImage(machine, task.job.spec.image, task.job.spec.imageGb);
   }
 
-  teamUsage(team: string): { readonly cpu: number; readonly gpu: number } {
-    return this.usageByTeam.get(team) ?? { cpu: 0, gpu: 0 };
+  /** What the team's placed tasks take up. */
+  teamUsage(team: string): TeamUsage {
+    return this.quota.usageOf(team);
   }
 
+  /** Whether so many more tasks of the job are within its team's limit. */
   withinLimit(spec: JobSpec, tasks = 1): boolean {
-    const limit = this.teams.get(spec.team)?.limit;
-    if (limit === undefined) return true;
-    const used = this.teamUsage(spec.team);
-    return (
-      (limit.cpu === null || used.cpu + spec.demand.cpu * tasks <= limit.cpu) &&
-      (limit.gpu === null || used.gpu + spec.demand.gpu * tasks <= limit.gpu)
-    );
+    return this.quota.withinLimit(spec, tasks);
   }
 
+  /** Whether one more task of the job is within its team's guarantee. */
   withinGuarantee(spec: JobSpec): boolean {
-    const guaranteed = this.teams.get(spec.team)?.guaranteed;
-    if (guaranteed === undefined) return false;
-    const used = this.teamUsage(spec.team);
-    return used.cpu + spec.demand.cpu <= guaranteed.cpu && used.gpu + spec.demand.gpu <= guaranteed.gpu;
-  }
-
-  private addTeamUsage(task: Task, sign: 1 | -1): void {
-    const { team, demand } = task.job.spec;
-    const used = this.usageByTeam.get(team) ?? { cpu: 0, gpu: 0 };
-    this.usageByTeam.set(team, { cpu: used.cpu + sign * demand.cpu, gpu: used.gpu + sign * demand.gpu });
+    return this.quota.withinGuarantee(spec);
   }
 }
