--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -19,6 +19,8 @@
 /** Placements may wait so long for the key-value store's writes, in seconds. */
 const MIN_RECORDS_AHEAD_S = 2;
 const MAX_RECORDS_AHEAD_S = 8;
+/** Placements ahead of their records are to last for so many times the interval between rounds. */
+const ROUND_INTERVAL_FACTOR = 1.5;
 /** The share of the placements ahead of their records that is kept for jobs that are not urgent. */
 const NON_URGENT_SHARE = 0.2;
 
@@ -63,13 +65,13 @@
 
   /** Until well into the next round, whenever that will be: else writes would be left unused between slow rounds. */
   private recordsAheadS(): number {
-    const since = (this.context.clock.now() - this.lastRoundAt) / 1_000_000;
-    return Math.min(MAX_RECORDS_AHEAD_S, Math.max(MIN_RECORDS_AHEAD_S, 1.5 * since));
+    const sinceLastRoundS = (this.context.clock.now() - this.lastRoundAt) / 1_000_000;
+    return Math.min(MAX_RECORDS_AHEAD_S, Math.max(MIN_RECORDS_AHEAD_S, ROUND_INTERVAL_FACTOR * sinceLastRoundS));
   }
 
   /**
-   * Ranges that may yet come to wait for their placements to be on record. What is urgent looks at its own kind only,
-   * since its writes go first; all else keeps a share of its own, so that it goes on however much is urgent. Ends of
+   * Ranges that may yet come to wait for their placements to be on record. Urgent jobs are limited by urgent ones only,
+   * since their writes go first; all others keep a share of their own, so that they go on however much is urgent. Ends of
    * jobs wait in the same queues, and must not keep all starts out.
    */
   private recordBudget(): SchedulerSnapshot["recordBudget"] {
@@ -113,6 +115,7 @@
     this.reportedInspections = this.inspection.count;
   }
 
+  /** Carries out one action: one short case for each kind. */
   private execute(action: RoundAction): void {
     const { context } = this;
     const { shard, log } = context;
