--- a/test/commands.test.ts
+++ b/test/command-dispatcher.test.ts
@@ -9,23 +9,23 @@
   const { shard, context, taskStates } = makeShard(1);
   const machine = [...shard.machines.values()][0] as Machine;
   const task = placedTask(shard, machine);
-  return { machine, task, commander: new CommandDispatcher(context, new HeartbeatProcessor(context, taskStates)) };
+  return { machine, task, dispatcher: new CommandDispatcher(context, new HeartbeatProcessor(context, taskStates)) };
 };
 
 test("an attempt that has ended is forgotten only once its end is on record", () => {
-  // Forgotten before, its end would be known to nobody once the holder ends: the next one would start it again.
-  const { machine, task, commander } = scene();
+  // Forgotten before, its end would be known to nobody once the leader ends: the next one would start it again.
+  const { machine, task, dispatcher } = scene();
   machine.reported.exitedTasks = new Map([[task.name, 1]]);
   machine.fencing.startSequence = -1;
   task.desired = { kind: "done" };
-  assert.deepEqual(commander.forgetCommands(machine), []);
+  assert.deepEqual(dispatcher.forgetCommands(machine), []);
   task.recorded = { kind: "done" };
-  assert.deepEqual(commander.forgetCommands(machine), [{ op: "forget", task: task.name, attempt: 1 }]);
+  assert.deepEqual(dispatcher.forgetCommands(machine), [{ op: "forget", task: task.name, attempt: 1 }]);
 });
 
-test("stops owed go first, are never cut off, and are not said twice", () => {
-  const { machine, task, commander } = scene();
-  const owed = Array.from(
+test("pending stops go first, are never cut off, and are not sent twice", () => {
+  const { machine, task, dispatcher } = scene();
+  const pendingStops = Array.from(
     { length: 300 },
     (_, at) => ({ op: "stop", task: `wk-9/${at}`, attempt: 1, graceS: 0 }) as const,
   );
@@ -33,15 +33,18 @@
   task.job.cancelled = true;
   machine.reported.unexpectedTasks = new Map([["wk-9/7", 1]]);
   const own = { op: "stop", task: task.name, attempt: 1, graceS: 0 } as const;
-  assert.deepEqual(commander.repeatableCommands(machine, owed), owed);
-  assert.deepEqual(commander.repeatableCommands(machine, [own]), [
+  assert.deepEqual(dispatcher.repeatableCommands(machine, pendingStops), pendingStops);
+  assert.deepEqual(dispatcher.repeatableCommands(machine, [own]), [
     own,
     { op: "stop", task: "wk-9/7", attempt: 1, graceS: 0 },
   ]);
-  assert.deepEqual(commander.repeatableCommands(machine, owed.slice(5, 10)), [...owed.slice(5, 10), own]);
+  assert.deepEqual(dispatcher.repeatableCommands(machine, pendingStops.slice(5, 10)), [
+    ...pendingStops.slice(5, 10),
+    own,
+  ]);
 });
 
-test("what a new holder takes over beyond a team's limit is not started again where it was", () => {
+test("what a new leader takes over beyond a team's limit is not started again where it was", () => {
   // The ends of one job's tasks were not on record yet, those that took their place were: after an outage and a takeover
   // all of them were started, and the team used more than its limit (random day 2297).
   const { shard, context, taskStates } = makeShard(1);
@@ -56,7 +59,7 @@
   assert.deepEqual([job.placedTasks.size, job.waitingTasks.size], [4, 2]);
 });
 
-test("what a new holder takes over is not started again where its job's other tasks keep it out of the zone", () => {
+test("what a new leader takes over is not started again where its job's other tasks keep it out of the zone", () => {
   // Ranges of a large job are written one by one, so that a takeover may find two moments of it: by one all tasks had been in
   // the east, by the other, newer one they are in the west.
   for (const rule of [{ singleZone: true }, { spread: true, shape: "service" as const }]) {
--- a/test/trial.test.ts
+++ b/test/failure-attribution.test.ts
@@ -74,7 +74,7 @@
   assert.equal(fail(start(b, all[0])), "machine");
 });
 
-test("a job on trial is tried one task at a time, after ever longer pauses, and goes on once one does well", () => {
+test("a job on probation is tried one task at a time, after ever longer pauses, and goes on once one does well", () => {
   const { shard, all, add, start, fail, pass, now } = scene(4);
   const job = add("wk-1", 40);
   assert.equal(allowedStarts(job, now()), Number.POSITIVE_INFINITY);
@@ -111,7 +111,7 @@
   assert.equal(allowedStarts(job, now()), Number.POSITIVE_INFINITY);
 });
 
-test("what a job on trial has not been given is left to the team's other jobs", () => {
+test("what a job on probation has not been given is left to the team's other jobs", () => {
   const { shard, all, add, start, fail, now } = scene(3);
   const job = add("wk-1", 40);
   const healthy = add("wk-2", 4);
--- a/test/watch.test.ts
+++ b/test/failure-detector.test.ts
@@ -26,7 +26,7 @@
   assert.ok(east?.length === 4 && west?.length === 3);
   /** All are heard; in the west nobody answers. */
   const pass = (seconds: number): void => {
-    for (let tick = 0; tick < seconds * 4; tick += 1) {
+    for (let step = 0; step < seconds * 4; step += 1) {
       world.now += S / 4;
       const now = context.clock.now();
       for (const machine of shard.machines.values()) machine.reachability.lastHeartbeatAt = now;
--- a/test/evidence.test.ts
+++ b/test/heartbeat-freshness.test.ts
@@ -38,7 +38,7 @@
     queryStatus: (m: Machine) => asked.push(m),
     announceFencingToken: (m: Machine) => shown.push(m),
   });
-  return { shard, context, machine, asked, shown, world, observer: new HeartbeatProcessor(context, taskStates) };
+  return { shard, context, machine, asked, shown, world, heartbeats: new HeartbeatProcessor(context, taskStates) };
 };
 
 /** As a new holder knows a machine: by name only. */
@@ -48,12 +48,12 @@
 };
 
 test("what may be a late copy is no sign of life, no room and no notice to a new holder", () => {
-  const { machine, observer, world, context } = scene();
+  const { machine, heartbeats, world, context } = scene();
   unknown(machine);
   const before = machine.reachability.lastHeartbeatAt;
   world.now += 20_000_000;
   // From before the takeover: it was `up`, it was heard, and its notice drained a machine that had none any more.
-  assert.equal(observer.process(machine, report({ token: 7, reclaimNoticeS: 10 }), REPORT), "unverified");
+  assert.equal(heartbeats.process(machine, report({ token: 7, reclaimNoticeS: 10 }), REPORT), "unverified");
   assert.equal(machine.state, "booting");
   assert.equal(machine.reachability.lastHeartbeatAt, before);
   assert.equal(machine.lifecycle.reclaimAt, null);
@@ -68,12 +68,12 @@
 test("a worker first reached in a session that reports had named before has a whole lease from then on", () => {
   // Heard and not reached for most of a lease, its session had turned; the session was known from what proved nothing, and
   // what had been started in it was called lost a second later and started elsewhere.
-  const { machine, observer, world, context } = scene();
+  const { machine, heartbeats, world, context } = scene();
   unknown(machine);
-  observer.process(machine, report({ incarnation: 2, sequence: 5, token: 7 }), REPORT);
+  heartbeats.process(machine, report({ incarnation: 2, sequence: 5, token: 7 }), REPORT);
   world.now += 19_000_000;
   const answer = { kind: "status-reply", askedAt: context.clock.now() } as const;
-  assert.equal(observer.process(machine, report({ incarnation: 2, sequence: 9, token: 7 }), answer), "verified");
+  assert.equal(heartbeats.process(machine, report({ incarnation: 2, sequence: 9, token: 7 }), answer), "verified");
   assert.equal(machine.lease.renewedAt, context.clock.now());
 });
 
@@ -101,60 +101,63 @@
 });
 
 test("a late copy that finds newer evidence changes nothing", () => {
-  const { machine, observer } = scene();
-  observer.process(machine, report({ incarnation: 2, sequence: 40 }), REPORT);
+  const { machine, heartbeats } = scene();
+  heartbeats.process(machine, report({ incarnation: 2, sequence: 40 }), REPORT);
   const before = structuredClone(machine);
   for (const old of [
     { incarnation: 2, sequence: 39, reclaimNoticeS: 5 },
     { incarnation: 1, sequence: 90 },
     { incarnation: 2, sequence: 40 },
   ]) {
-    const freshness = observer.process(machine, report(old), REPORT);
+    const freshness = heartbeats.process(machine, report(old), REPORT);
     assert.ok(freshness === "stale" || freshness === "suspect", freshness);
   }
   assert.deepEqual(withoutSuspicion(machine), withoutSuspicion(before));
 });
 
 test("a job is not bound for ever to a machine whose session turned while a start for it was lost", () => {
-  const { shard, machine, observer } = scene();
-  observer.process(machine, report({ sequence: 1 }), REPORT);
+  const { shard, machine, heartbeats } = scene();
+  heartbeats.process(machine, report({ sequence: 1 }), REPORT);
   const task = placedTask(shard, machine);
   task.startCommand = { kind: "uncertain", token: TOKEN };
   // No answer gets there, so its token never rises; it was waited for for ever.
-  for (let sequence = 2; sequence < 5; sequence += 1) observer.process(machine, report({ sequence }), REPORT);
+  for (let sequence = 2; sequence < 5; sequence += 1) heartbeats.process(machine, report({ sequence }), REPORT);
   assert.equal(task.machine, machine);
-  observer.process(machine, report({ incarnation: 2, sequence: 5 }), REPORT);
+  heartbeats.process(machine, report({ incarnation: 2, sequence: 5 }), REPORT);
   assert.equal(task.machine, null);
 });
 
 test("a start that commands cannot bring is given to another machine once it cannot arrive any more", () => {
-  const { shard, machine, observer } = scene();
-  observer.process(machine, report({ sequence: 1 }), REPORT);
+  const { shard, machine, heartbeats } = scene();
+  heartbeats.process(machine, report({ sequence: 1 }), REPORT);
   const task = placedTask(shard, machine);
   task.startCommand = { kind: "uncertain", token: TOKEN };
   machine.reachability.consecutiveTimeouts = 2;
   // Answers to reports get there: the token rises. It was tried again on the same machine, for as long as that lasted.
-  observer.process(machine, report({ sequence: 2, token: TOKEN + 1 }), REPORT);
+  heartbeats.process(machine, report({ sequence: 2, token: TOKEN + 1 }), REPORT);
   assert.equal(task.machine, null);
 });
 
 test("a worker whose counters begin anew is asked, fenced, and only then believed", () => {
-  const { shard, context, machine, asked, shown, observer, world } = scene();
-  observer.process(machine, report({ incarnation: 3, sequence: 80 }), REPORT);
+  const { shard, context, machine, asked, shown, heartbeats, world } = scene();
+  heartbeats.process(machine, report({ incarnation: 3, sequence: 80 }), REPORT);
   const task = placedTask(shard, machine);
   task.startCommand = { kind: "observed" };
   // Two reports that look old; they were dropped for ever.
-  for (const sequence of [1, 2]) observer.process(machine, report({ incarnation: 1, sequence, token: 0 }), REPORT);
+  for (const sequence of [1, 2]) heartbeats.process(machine, report({ incarnation: 1, sequence, token: 0 }), REPORT);
   assert.deepEqual(asked, [machine]);
   world.now += 10;
   const answer = { kind: "status-reply", askedAt: context.clock.now() } as const;
-  assert.equal(observer.process(machine, report({ incarnation: 1, sequence: 3, token: 0 }), answer), "counters-reset");
+  assert.equal(
+    heartbeats.process(machine, report({ incarnation: 1, sequence: 3, token: 0 }), answer),
+    "counters-reset",
+  );
   assert.deepEqual(shown, [machine]);
   // A start of before may land once more: the session's number is the same, and any token will do.
   assert.equal(task.machine, machine);
-  observer.process(machine, report({ incarnation: 1, sequence: 4, token: TOKEN }), REPORT);
+  heartbeats.process(machine, report({ incarnation: 1, sequence: 4, token: TOKEN }), REPORT);
   assert.equal(task.machine, machine);
-  observer.process(
+  heartbeats.process(
     machine,
     report({ incarnation: 1, sequence: 5, token: fencingTokenOf(context.lease, machine) }),
     REPORT,
@@ -163,11 +166,11 @@
 });
 
 test("an answer overtaken by a newer report is not taken for counters that began anew", () => {
-  const { machine, observer, world, context } = scene();
+  const { machine, heartbeats, world, context } = scene();
   const askedAt = context.clock.now();
   world.now += 1_000;
-  observer.process(machine, report({ sequence: 9 }), REPORT);
-  assert.equal(observer.process(machine, report({ sequence: 8 }), { kind: "status-reply", askedAt }), "stale");
+  heartbeats.process(machine, report({ sequence: 9 }), REPORT);
+  assert.equal(heartbeats.process(machine, report({ sequence: 8 }), { kind: "status-reply", askedAt }), "stale");
   assert.equal(machine.counters.sequence, 9);
 });
 
@@ -309,8 +312,8 @@
   private context!: ShardContext;
   private machine!: Machine;
   private task!: Task;
-  private observer!: HeartbeatProcessor;
-  private commander!: CommandDispatcher;
+  private heartbeats!: HeartbeatProcessor;
+  private commands!: CommandDispatcher;
   private freed = false;
 
   constructor(
@@ -338,8 +341,8 @@
     this.task.startCommand = startCommand ?? { kind: "none" };
     // By the records it has been placed elsewhere since.
     if (this.freed) shard.releaseTask(this.task);
-    this.observer = this.believe(new HeartbeatProcessor(context, taskStates), this.machine);
-    this.commander = new CommandDispatcher(context, this.observer);
+    this.heartbeats = this.believe(new HeartbeatProcessor(context, taskStates), this.machine);
+    this.commands = new CommandDispatcher(context, this.heartbeats);
   }
 
   private call(target: string, body: string): HttpOutcome {
@@ -365,13 +368,13 @@
 
   private deliver(said: Heartbeat, answered: boolean): void {
     const overtaken = mayBeOvertaken(this.machine.counters, this.machine.lease.expired, said);
-    const freshness = this.observer.process(this.machine, said, REPORT);
+    const freshness = this.heartbeats.process(this.machine, said, REPORT);
     if (!answered || (freshness === "suspect" && !overtaken)) return;
     // As the steward answers: commands that may be repeated, and what may be forgotten, under one token.
     const trusted =
       this.machine.counters.highestToken >= firstFencingToken(this.context.lease) && freshness !== "unverified";
     const own = trusted
-      ? [...this.commander.repeatableCommands(this.machine), ...this.commander.forgetCommands(this.machine)]
+      ? [...this.commands.repeatableCommands(this.machine), ...this.commands.forgetCommands(this.machine)]
       : [];
     const commands = own.map(({ op, task }) => ({ verb: op === "stop" ? "halt" : "forget", shard: task }));
     this.worker.execute({
@@ -400,13 +403,13 @@
       }
       case "ask":
         this.fate = "ok";
-        await this.commander.queryStatus(this.machine);
+        await this.commands.queryStatus(this.machine);
         break;
       case "command":
       case "command, no answer":
       case "command late":
         this.fate = action === "command" ? "ok" : action === "command late" ? "late" : "no answer";
-        await this.commander.send(this.machine, true);
+        await this.commands.send(this.machine, true);
         break;
       case "late command lands": {
         const order = this.late.shift();
--- a/test/silence.test.ts
+++ b/test/unreachable-zones.test.ts
@@ -13,12 +13,12 @@
 const CLOCK_ERROR = 50_000;
 const WALL = 1_700_000_000_000;
 
-/** The record as the state service has it, and holders one after the other. */
+/** The record as the state service has it, and leaders one after the other. */
 class Stage {
   readonly world = new World();
   value: unknown = null;
   version = 0;
-  private holders = 0;
+  private leaders = 0;
   private revision = 0;
   /** What becomes of the next writes. */
   fate: () => "ok" | "lost" | "late" | "refused" = () => "ok";
@@ -27,13 +27,13 @@
     this.world.now = 1_000 * S;
   }
 
-  /** A holder that takes the block now, and its machines. */
+  /** A leader that takes the block now, and its machines. */
   hold(machines: readonly Machine[]): UnreachableZones {
-    this.holders += 1;
-    const leader = this.holders;
+    this.leaders += 1;
+    const leader = this.leaders;
     const off = this.random === null ? 0 : (this.random.next() * 2 - 1) * CLOCK_ERROR;
     const clock = new HostClock(this.world, 1, leader * 1_000_000);
-    const view = {
+    const cache = {
       entries: { get: () => (this.value === null ? undefined : { value: this.value, version: this.version }) },
       sync: async () => true,
     };
@@ -42,12 +42,12 @@
       [write]: readonly WriteOperation[],
     ): Promise<unknown> => {
       await new Promise<void>((resolve) => this.world.after(5_000, resolve));
-      // Conditional on the block's lease: a holder that was followed by another writes nothing.
-      if (leader !== this.holders) return { kind: "conflict", keys: ["c/block/0"] };
+      // Conditional on the block's lease: a leader that was followed by another writes nothing.
+      if (leader !== this.leaders) return { kind: "conflict", keys: ["c/block/0"] };
       const fate = this.fate();
       if (fate === "refused" || write === undefined) return { kind: "refused" };
       const apply = (): boolean => {
-        if (leader !== this.holders || conditions.get("c/silence/0") !== this.version) return false;
+        if (leader !== this.leaders || conditions.get("c/silence/0") !== this.version) return false;
         this.revision += 1;
         this.value = write.kind === "put" ? JSON.parse(JSON.stringify(write.value)) : null;
         // As the state service has it: what is not there has version 0, however often it was there before.
@@ -63,7 +63,7 @@
     };
     const services = {
       clock,
-      cache: view,
+      cache,
       transactions: { submit },
       log: { error: nothing, info: nothing, debug: nothing },
       settings: { maxClockError: CLOCK_ERROR },
@@ -73,9 +73,9 @@
     return new UnreachableZones(services, lease, () => machines);
   }
 
-  /** A holder comes and goes that neither reads nor writes the record. */
+  /** A leader comes and goes that neither reads nor writes the record. */
   skip(): void {
-    this.holders += 1;
+    this.leaders += 1;
   }
 
   steady(leader: number): number {
@@ -90,7 +90,7 @@
   return machine;
 };
 
-test("a holder puts no earlier answer on record than it can know of", async () => {
+test("a leader puts no earlier answer on record than it can know of", async () => {
   const stage = new Stage();
   const taken = stage.world.now;
   // Known from the records only: whoever held the block before may have answered it a moment ago.
@@ -101,7 +101,7 @@
   unreachableZones.markUnreachable(new Set(["west"]));
   await stage.world.run(taken + 7 * S, nothing);
   const since = decodeUnreachableZones(stage.value).unansweredSinceMs.west ?? 0;
-  assert.ok(since >= WALL + taken / 1_000, `${since} is before the holder's beginning`);
+  assert.ok(since >= WALL + taken / 1_000, `${since} is before the leader's beginning`);
 });
 
 test("answers stop before the record may stand, and come back once it surely does not", async () => {
@@ -119,7 +119,7 @@
   await stage.world.run(stage.world.now + S, nothing);
   assert.equal(unreachableZones.mayAnswer("west"), false);
   stage.fate = () => "ok";
-  for (let tick = 0; tick < 4; tick += 1) {
+  for (let step = 0; step < 4; step += 1) {
     unreachableZones.markUnreachable(new Set());
     await stage.world.run(stage.world.now + S, nothing);
   }
@@ -129,7 +129,7 @@
 
 test("machines whose zone is not known yet are no zone", async () => {
   // After a handover some machines known from the records only were not heard of; "" went on record as a cut zone,
-  // and the next holder took the leases of all machines for over, since at first it knows no machine's zone.
+  // and the next leader took the leases of all machines for over, since at first it knows no machine's zone.
   const stage = new Stage();
   const first = stage.hold([machineIn("", stage.steady(1)), machineIn("west", stage.steady(1))]);
   first.markUnreachable(new Set(["", "west"]));
@@ -140,7 +140,7 @@
   assert.equal(second.mayAnswer(""), true);
 });
 
-test("a record is believed from the holder just before only", async () => {
+test("a record is believed from the leader just before only", async () => {
   const stage = new Stage();
   const machine = machineIn("west", stage.steady(1));
   const first = stage.hold([machine]);
@@ -165,10 +165,10 @@
   const stage = new Stage();
   const unreachableZones = stage.hold([machineIn("west", stage.steady(1))]);
   let answered = 0;
-  for (let tick = 0; tick < 200; tick += 1) {
+  for (let step = 0; step < 200; step += 1) {
     // Of the machines known to be up nothing is heard; a new one reports every three seconds.
     unreachableZones.markUnreachable(new Set(["west"]));
-    if (tick % 12 === 11) {
+    if (step % 12 === 11) {
       if (unreachableZones.mayAnswer("west")) answered += 1;
       unreachableZones.markReachable("west");
     }
@@ -177,13 +177,13 @@
   assert.ok(answered >= 14, `${answered} of 16 reports answered`);
 });
 
-test("whatever is lost and whoever follows, nobody was answered after the time that the next holder believes", async () => {
+test("whatever is lost and whoever follows, nobody was answered after the time that the next leader believes", async () => {
   const runs: Promise<void>[] = [];
   forSeeds(300, (random) => {
     const play = async (): Promise<void> => {
       const stage = new Stage(random);
       stage.fate = () => random.pick(["ok", "ok", "lost", "late", "refused"]);
-      /** True time of the last answer in the zone, by any holder. */
+      /** True time of the last answer in the zone, by any leader. */
       let answered = stage.world.now;
       let recorded = 0;
       for (let leader = 1; leader <= 5; leader += 1) {
@@ -194,7 +194,7 @@
         if (believed !== null) {
           recorded += 1;
           const trueTime = believed - leader * 1_000_000;
-          assert.ok(trueTime >= answered, `holder ${leader} believes ${trueTime}, answered ${answered}`);
+          assert.ok(trueTime >= answered, `leader ${leader} believes ${trueTime}, answered ${answered}`);
         }
         let cut = false;
         for (let step = random.int(1, 25); step > 0; step -= 1) {
