--- a/test/chain-orders.test.ts
+++ b/test/dependency-event-orders.test.ts
@@ -155,13 +155,13 @@
   return { found: walk(BEGIN, []), orders };
 };
 
-test("in no order does a job begin too early, or is anything told that was told otherwise before", () => {
+test("in no order of events does a job start too early, or is a state reported that contradicts an earlier report", () => {
   const { found, orders } = explore(REAL);
   assert.equal(found, null);
   assert.ok(orders > 1_000, `${orders} orders`);
 });
 
-test("a holder that takes what is gone for done is caught, and so is an answer without the last words", () => {
+test("a leader that takes a missing job for done is caught, and so is an answer without the outcomes", () => {
   const gone: Functions = {
     ...REAL,
     mayBegin: (dependencies, id) => dependencies.dependenciesOf(id).every((other) => !known(dependencies, other)),
--- a/test/chains.test.ts
+++ b/test/job-dependencies.test.ts
@@ -8,7 +8,7 @@
 import { jobKey, outcomeKey } from "../src/storage/keys.js";
 import { Cluster, plainJob, type Submission, trueJob } from "./sim/cluster.js";
 
-const link = (number: number, awaits: readonly number[], fields: Partial<Submission> = {}): Submission =>
+const dependentJob = (number: number, awaits: readonly number[], fields: Partial<Submission> = {}): Submission =>
   plainJob(idOf(number), {
     shards: 2,
     cpus: 1,
@@ -35,9 +35,15 @@
   next();
 };
 
-test("a job begins once all that it awaits is done, in a diamond as in a chain", async () => {
+test("a job starts once all its dependencies are done, in a diamond as in a line", async () => {
   const cluster = new Cluster(31);
-  submitInTurn(cluster, [link(0, []), link(1, [0]), link(2, [0]), link(3, [1, 2]), link(4, [3])]);
+  submitInTurn(cluster, [
+    dependentJob(0, []),
+    dependentJob(1, [0]),
+    dependentJob(2, [0]),
+    dependentJob(3, [1, 2]),
+    dependentJob(4, [3]),
+  ]);
   await cluster.run(120 * S);
   assert.deepEqual(cluster.unfinished(), []);
   const first = (number: number): number =>
@@ -47,16 +53,16 @@
   assert.deepEqual(cluster.errors, []);
 });
 
-test("the checker sees a task that starts too early, and a job that outlives what it needs", async () => {
+test("the checker detects a task that starts too early, and a job that outlives its dependency", async () => {
   const early = new Cluster(32);
   early.users.alter = (request) => {
     if (request.method !== "POST" || request.target !== "/v2/runs") return request;
     return { ...request, body: JSON.stringify({ ...(JSON.parse(request.body) as object), awaits: undefined }) };
   };
-  submitInTurn(early, [link(0, []), link(1, [0])]);
+  submitInTurn(early, [dependentJob(0, []), dependentJob(1, [0])]);
   await assert.rejects(early.run(60 * S), /too_early/);
   const orphan = new Cluster(33);
-  submitInTurn(orphan, [link(0, []), link(1, [0])], 300 * S);
+  submitInTurn(orphan, [dependentJob(0, []), dependentJob(1, [0])], 300 * S);
   orphan.network.tamper = (from, _, { method, target }, response) =>
     from === "user" && method === "GET" && target.endsWith(idOf(1))
       ? { status: 200, body: JSON.stringify({ ref: idOf(1), phase: "pending" }) }
@@ -65,13 +71,13 @@
   await assert.rejects(orphan.run(120 * S), /orphaned/);
 });
 
-test("cancelling the middle of a chain takes what needs it along, however deep, and leaves what comes before it", async () => {
+test("cancelling a job cancels all that depend on it, however deep, and leaves its dependencies", async () => {
   const cluster = new Cluster(34);
   const jobs = [
-    link(0, []),
-    link(1, [0]),
-    link(2, [1]),
-    ...Array.from({ length: 40 }, (_, at) => link(3 + at, [2 + at])),
+    dependentJob(0, []),
+    dependentJob(1, [0]),
+    dependentJob(2, [1]),
+    ...Array.from({ length: 40 }, (_, at) => dependentJob(3 + at, [2 + at])),
   ];
   submitInTurn(cluster, jobs, 20 * S);
   await cluster.run(15 * S);
@@ -86,14 +92,14 @@
   for (let at = 1; at < 43; at += 1) assert.notEqual(cluster.state.value(outcomeKey(idOf(at))), undefined, idOf(at));
 });
 
-test("a job that names a cancelled one is accepted and withdrawn, one that names a done one begins", async () => {
+test("a job that depends on a cancelled one is accepted and cancelled, one that depends on a done one starts", async () => {
   const cluster = new Cluster(35);
-  cluster.submit(link(0, []), { runUs: 60 * S });
-  cluster.submit(link(1, []), RUN);
+  cluster.submit(dependentJob(0, []), { runUs: 60 * S });
+  cluster.submit(dependentJob(1, []), RUN);
   await cluster.run(30 * S);
   cluster.users.cancel(idOf(0));
   await cluster.run(10 * S);
-  submitInTurn(cluster, [link(2, [0]), link(3, [1]), link(4, [2, 3])]);
+  submitInTurn(cluster, [dependentJob(2, [0]), dependentJob(3, [1]), dependentJob(4, [2, 3])]);
   await cluster.run(50 * S);
   assert.deepEqual(
     [2, 3, 4].map((number) => cluster.checker.finalOf(idOf(number))),
@@ -101,17 +107,17 @@
   );
 });
 
-test("a cancellation that is answered with done stops nothing after it", async () => {
+test("a cancellation that is answered with done cancels no dependent", async () => {
   const cluster = new Cluster(36);
-  cluster.submit(link(0, []), RUN);
+  cluster.submit(dependentJob(0, []), RUN);
   await cluster.run(30 * S);
-  cluster.submit(link(1, [0]), { runUs: 30 * S });
+  cluster.submit(dependentJob(1, [0]), { runUs: 30 * S });
   cluster.users.cancel(idOf(0));
   await cluster.run(60 * S);
   assert.deepEqual([cluster.checker.finalOf(idOf(0)), cluster.checker.finalOf(idOf(1))], ["done", "done"]);
 });
 
-const ask = async (cluster: Cluster, body: object, node = 0): Promise<readonly [number, string]> => {
+const submitDirectly = async (cluster: Cluster, body: object, node = 0): Promise<readonly [number, string]> => {
   let answer: readonly [number, string] = [0, ""];
   const request = { method: "POST", target: "/v2/runs", body: JSON.stringify(body) };
   const controller = cluster.site.controllerAt(node);
@@ -122,11 +128,11 @@
   return answer;
 };
 
-test("a list of awaited jobs that is wrong is answered in one line that names the field", async () => {
+test("an invalid dependency list is answered in one line that names the field", async () => {
   const cluster = new Cluster(37);
-  cluster.submit(link(0, []), { runUs: 100 * S });
+  cluster.submit(dependentJob(0, []), { runUs: 100 * S });
   await cluster.run(10 * S);
-  const job = link(1, []);
+  const job = dependentJob(1, []);
   const wrong: [unknown, number, RegExp][] = [
     ["wk-700000", 400, /^awaits: not a list$/],
     [["x"], 400, /^awaits: not a list of job ids$/],
@@ -136,34 +142,34 @@
     [[idOf(0), idOf(9)], 422, /^awaits: wk-700009 was never accepted$/],
   ];
   for (const [awaits, status, says] of wrong) {
-    const [got, text] = await ask(cluster, { ...job, awaits });
+    const [got, text] = await submitDirectly(cluster, { ...job, awaits });
     assert.equal(got, status, text);
     assert.match((JSON.parse(text) as { error: string }).error, says);
   }
   // Accepted through another node a moment before.
-  const [first] = await ask(cluster, link(2, []), 1);
+  const [first] = await submitDirectly(cluster, dependentJob(2, []), 1);
   assert.equal(first, 201);
-  assert.equal((await ask(cluster, link(3, [2]), 2))[0], 201);
+  assert.equal((await submitDirectly(cluster, dependentJob(3, [2]), 2))[0], 201);
   // A repeat is answered with the state, whatever it names by then.
-  assert.equal((await ask(cluster, { ...link(3, []), awaits: [idOf(99)] }, 0))[0], 200);
+  assert.equal((await submitDirectly(cluster, { ...dependentJob(3, []), awaits: [idOf(99)] }, 0))[0], 200);
   cluster.state.outage(20 * S);
-  assert.equal((await ask(cluster, { ...job, awaits: [idOf(9)] }))[0], 503);
+  assert.equal((await submitDirectly(cluster, { ...job, awaits: [idOf(9)] }))[0], 503);
 });
 
-test("a list too long for one value is kept in parts, survives a takeover, and goes with its job", async () => {
+test("a dependency list too long for one value is kept in parts, survives a failover, and is deleted with its job", async () => {
   const cluster = new Cluster(38);
   const count = 900;
   for (let number = 0; number < count; number += 1) {
     // All but one have ended long ago.
     cluster.state.put(outcomeKey(idOf(number)), { phase: "done", done: 2 });
-    cluster.checker.jobs.set(idOf(number), { ...never0, id: idOf(number) });
-    cluster.users.heardOf(link(number, []));
+    cluster.checker.jobs.set(idOf(number), { ...endedJob, id: idOf(number) });
+    cluster.users.heardOf(dependentJob(number, []));
     for (const at of [0, 1]) cluster.checker.taskDone(`${idOf(number)}/${at}`);
   }
-  cluster.submit(link(count, []), { runUs: 60 * S });
+  cluster.submit(dependentJob(count, []), { runUs: 60 * S });
   await cluster.run(15 * S);
   const all = Array.from({ length: count + 1 }, (_, number) => number);
-  cluster.submit(link(2_000, all), RUN);
+  cluster.submit(dependentJob(2_000, all), RUN);
   await cluster.run(25 * S);
   const parts = (): number => cluster.state.keys("c/awaits/").length;
   assert.ok(parts() > 1, `${parts()} parts`);
@@ -178,7 +184,7 @@
   assert.equal(cluster.state.value(jobKey(idOf(2_000))), undefined);
 });
 
-const never0 = {
+const endedJob = {
   id: "",
   team: "open",
   service: false,
@@ -192,13 +198,13 @@
   jobClass: "batch",
 };
 
-test("what is told of a chain follows from records alone, in any order in which they are learnt", () => {
+test("the state of a dependency graph follows from records alone, in any order in which they are read", () => {
   // Accept, end and cancel in all orders that records allow, read in any order by two nodes.
   const dependencies = new DependencyGraph();
-  const withdrawn: string[] = [];
-  const begin: string[] = [];
-  dependencies.onCancelledByDependency = (id) => withdrawn.push(id);
-  dependencies.onReady = (id) => begin.push(id);
+  const cancelledIds: string[] = [];
+  const readyIds: string[] = [];
+  dependencies.onCancelledByDependency = (id) => cancelledIds.push(id);
+  dependencies.onReady = (id) => readyIds.push(id);
   dependencies.upsert("b", ["a"], false);
   assert.deepEqual(dependencies.unresolved(), ["a"]);
   dependencies.upsert("a", [], false);
@@ -208,9 +214,9 @@
   dependencies.remove("a");
   assert.deepEqual(dependencies.unresolvedFor("c"), ["a"]);
   dependencies.recordTerminalPhase("a", "done");
-  assert.deepEqual([begin, dependencies.isReady("b"), dependencies.isReady("c")], [["b"], true, false]);
+  assert.deepEqual([readyIds, dependencies.isReady("b"), dependencies.isReady("c")], [["b"], true, false]);
   dependencies.upsert("b", ["a"], true);
-  assert.deepEqual([withdrawn, dependencies.isCancelled("c"), dependencies.isCancelled("b")], [["c"], true, true]);
+  assert.deepEqual([cancelledIds, dependencies.isCancelled("c"), dependencies.isCancelled("b")], [["c"], true, true]);
   dependencies.remove("b");
   dependencies.upsert("d", ["c"], false);
   assert.equal(dependencies.isCancelled("d"), true);
@@ -221,10 +227,14 @@
   assert.equal(deep.isCancelled("j99999"), true);
 });
 
-test("a job counts with the rank of those that need it, for as long as they do, and with the time that they leave it", async () => {
+test("a job has the rank of its dependents while they are current, and the deadline that they leave it", async () => {
   const cluster = new Cluster(39);
   const due = { rank: "high", dueS: 300, guessS: 10 } as const;
-  submitInTurn(cluster, [link(0, [], { guessS: 20 }), link(1, [0], { guessS: 30 }), link(2, [1], due)], 60 * S);
+  submitInTurn(
+    cluster,
+    [dependentJob(0, [], { guessS: 20 }), dependentJob(1, [0], { guessS: 30 }), dependentJob(2, [1], due)],
+    60 * S,
+  );
   await cluster.run(20 * S);
   const job = (number: number) => cluster.site.controllerAt(cluster.holder())?.findJob(idOf(number));
   assert.deepEqual([job(0)?.effectiveRank, job(1)?.effectiveRank, job(2)?.effectiveRank], [1, 1, 1]);
@@ -235,7 +245,7 @@
   assert.deepEqual([job(0)?.effectiveRank, job(0)?.effectiveDeadline], [3, null]);
 });
 
-test("the fast model keeps chains, too, and what is called off takes what needs it along", () => {
+test("the fast model keeps dependencies, too, and cancels dependents with a cancelled job", () => {
   const ended = new Map<string, string>();
   const began = new Map<string, number>();
   const site = new FastSite({
@@ -261,7 +271,7 @@
     }),
   });
   const job = (number: number, awaits: readonly number[]): Submission => ({
-    ...link(number, awaits),
+    ...dependentJob(number, awaits),
     owner: "signatures",
     jobclass: "verify",
     shards: 1,
@@ -283,15 +293,15 @@
   assert.ok(at(1) > at(0) + 4 * S && at(2) > at(1) + 4 * S);
 });
 
-test("a job that an older version took although it names what nobody submitted waits, and is answered", async () => {
+test("a job that an older version accepted with a dependency that nobody submitted waits, and is answered", async () => {
   const cluster = new Cluster(40);
   await cluster.run(5 * S);
-  const job = link(1, [9]);
+  const job = dependentJob(1, [9]);
   cluster.state.put(jobKey(job.ref), encodeJobRecord({ spec: decodeSubmission(job), shard: 0, cancelled: false }));
   cluster.checker.jobs.set(job.ref, trueJob(job));
   await cluster.run(3 * S);
   for (const node of [0, 1, 2]) {
-    const [status, text] = await ask(cluster, job, node);
+    const [status, text] = await submitDirectly(cluster, job, node);
     assert.deepEqual([status, (JSON.parse(text) as { phase: string }).phase], [200, "pending"]);
   }
   cluster.users.heardOf(job);
@@ -301,23 +311,23 @@
   assert.equal(cluster.checker.starts, 0);
 });
 
-test("a takeover with hundreds of chains half done: starts that need no lookup come first, lookups go by pages", async () => {
+test("a failover with hundreds of half-done dependencies: starts without lookups come first, lookups go by pages", async () => {
   const cluster = new Cluster(41);
   cluster.rooms.ordinary = 40;
-  const chains = 300;
+  const pairs = 300;
   const on = (job: Submission): void => {
     cluster.state.put(jobKey(job.ref), encodeJobRecord({ spec: decodeSubmission(job), shard: 0, cancelled: false }));
     cluster.checker.jobs.set(job.ref, trueJob(job));
     cluster.site.truth.behaviours.set(job.ref, { ...jobBehaviour(job), ...RUN });
   };
-  for (let at = 0; at < chains; at += 1) {
+  for (let at = 0; at < pairs; at += 1) {
     const first = idOf(2 * at);
     cluster.state.put(outcomeKey(first), { phase: "done", done: 2 });
-    cluster.checker.jobs.set(first, { ...never0, id: first });
+    cluster.checker.jobs.set(first, { ...endedJob, id: first });
     for (const task of [0, 1]) cluster.checker.taskDone(`${first}/${task}`);
-    on(link(2 * at + 1, [2 * at], { shards: 1 }));
+    on(dependentJob(2 * at + 1, [2 * at], { shards: 1 }));
   }
-  on(link(9_000, [], { rank: "high" }));
+  on(dependentJob(9_000, [], { rank: "high" }));
   let lookups = 0;
   cluster.network.onRequest = (_, __, { target }) => {
     if (target.startsWith("/kv/e/") || target.startsWith("/kv?under=e/")) lookups += 1;
@@ -327,6 +337,6 @@
   assert.ok(cluster.begun.length > 0 && lookups <= 60, `${lookups} lookups before the first start`);
   await cluster.run(120 * S);
   const begun = new Set(cluster.begun.map(({ task }) => task.split("/")[0]));
-  assert.equal(begun.size, chains + 1);
+  assert.equal(begun.size, pairs + 1);
   assert.deepEqual(cluster.errors, []);
 });
--- a/test/loops.test.ts
+++ b/test/scheduling-rounds.test.ts
@@ -3,40 +3,11 @@
 import type { ShardContext } from "../src/coordination/context.js";
 import type { TaskStateWriter } from "../src/coordination/jobs/task-state-writer.js";
 import { Scheduler } from "../src/coordination/scheduling/scheduler.js";
-import { CommandDispatcher } from "../src/coordination/workers/command-dispatcher.js";
-import { HeartbeatProcessor } from "../src/coordination/workers/heartbeat-processor.js";
 import type { JobSpec } from "../src/protocol/job-spec.js";
 import type { Micros } from "../src/transport/clock.js";
-import { makeShard, nothing, placedTask, report, SPEC } from "./shard-fixtures.js";
+import { makeShard, SPEC } from "./shard-fixtures.js";
 
-test("a start that got no answer still counts as under way when the next try never leaves", async () => {
-  const { shard, context, taskStates } = makeShard(1, [{ kind: "lost" }, { kind: "unsent" }]);
-  const machine = [...shard.machines.values()][0];
-  assert.ok(machine !== undefined);
-  const task = placedTask(shard, machine);
-  const heartbeats = new HeartbeatProcessor(context, taskStates);
-  const commands = new CommandDispatcher(context, heartbeats);
-  await commands.send(machine);
-  assert.equal(task.startCommand.kind, "uncertain");
-  machine.commands.nextAt = 0 as Micros;
-  await commands.send(machine);
-  // Taken for gone, it was placed elsewhere while the first command could still land here.
-  assert.equal(task.startCommand.kind, "uncertain");
-});
-
-test("a worker that answers before its first report was answered has a whole lease", async () => {
-  const { world, shard, context, taskStates } = makeShard(1);
-  const machine = [...shard.machines.values()][0];
-  assert.ok(machine !== undefined);
-  machine.state = "booting";
-  machine.counters.incarnation = null;
-  await world.run(20_000_000, nothing);
-  new HeartbeatProcessor(context, taskStates).process(machine, report(), { kind: "heartbeat" });
-  // From when it was rented, its lease would be taken for over long before the worker ends anything.
-  assert.equal(machine.lease.renewedAt, context.clock.now());
-});
-
-test("rounds place no further ahead than records can be written, whatever else waits for the same writes", () => {
+test("rounds place no further ahead than records can be written, whatever else waits for the write budget", () => {
   const { shard, context, taskStates } = makeShard(200);
   const marked: string[] = [];
   const scheduler = new Scheduler(
@@ -66,7 +37,7 @@
   assert.equal(marked.length, 25);
 });
 
-test("what a round looks at grows with machines and tasks, not with their product", () => {
+test("the inspections of a round grow with machines and tasks, not with their product", () => {
   const { shard, context, taskStates } = makeShard(1_500);
   for (let at = 0; at < 100; at += 1) {
     const service = at % 4 === 0;
--- /dev/null
+++ b/test/worker-start-lease.test.ts
@@ -0,0 +1,33 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { CommandDispatcher } from "../src/coordination/workers/command-dispatcher.js";
+import { HeartbeatProcessor } from "../src/coordination/workers/heartbeat-processor.js";
+import type { Micros } from "../src/transport/clock.js";
+import { makeShard, nothing, placedTask, report } from "./shard-fixtures.js";
+
+test("a start command without a response still counts as under way when the next attempt is never sent", async () => {
+  const { shard, context, taskStates } = makeShard(1, [{ kind: "lost" }, { kind: "unsent" }]);
+  const machine = [...shard.machines.values()][0];
+  assert.ok(machine !== undefined);
+  const task = placedTask(shard, machine);
+  const heartbeats = new HeartbeatProcessor(context, taskStates);
+  const commands = new CommandDispatcher(context, heartbeats);
+  await commands.send(machine);
+  assert.equal(task.startCommand.kind, "uncertain");
+  machine.commands.nextAt = 0 as Micros;
+  await commands.send(machine);
+  // Counted as not sent, the task was placed elsewhere while the first command could still arrive here.
+  assert.equal(task.startCommand.kind, "uncertain");
+});
+
+test("a worker that is heard before its first heartbeat was answered has a whole lease", async () => {
+  const { world, shard, context, taskStates } = makeShard(1);
+  const machine = [...shard.machines.values()][0];
+  assert.ok(machine !== undefined);
+  machine.state = "booting";
+  machine.counters.incarnation = null;
+  await world.run(20_000_000, nothing);
+  new HeartbeatProcessor(context, taskStates).process(machine, report(), { kind: "heartbeat" });
+  // Counted from its provisioning, its lease would count as expired long before the worker ends anything.
+  assert.equal(machine.lease.renewedAt, context.clock.now());
+});
