--- a/src/coordination/leadership/membership.ts
+++ b/src/coordination/leadership/membership.ts
@@ -202,13 +202,13 @@
       return;
     }
     if (this.memberLease === null || !cache.loaded) return;
-    const me = cache.entries.get(memberKey(settings.label));
-    if (me === undefined || decodeMemberRecord(me.value).incarnation !== this.incarnation) return;
+    const ownMember = cache.entries.get(memberKey(settings.label));
+    if (ownMember === undefined || decodeMemberRecord(ownMember.value).incarnation !== this.incarnation) return;
     this.leading = true;
     this.leadAgain = false;
     try {
       const leader = cache.entries.get(CLUSTER_LEADER_KEY);
-      if (leader === undefined) await this.electClusterLeader(me, this.memberLease);
+      if (leader === undefined) await this.electClusterLeader(ownMember, this.memberLease);
       else if (isClusterLeader(leader.value, this.incarnation)) await this.assignShards(leader);
     } catch (error) {
       log.error(LogEvent.ClusterLeadershipFailed, { error: describeError(error) });
@@ -218,13 +218,13 @@
     if (this.leadAgain) await this.lead();
   }
 
-  private async electClusterLeader(me: KeyValueEntry, memberLease: MemberLease): Promise<void> {
+  private async electClusterLeader(ownMember: KeyValueEntry, memberLease: MemberLease): Promise<void> {
     const { store, cache, settings, log } = this.services;
     const value = encodeClusterLeaderRecord({ label: settings.label, incarnation: this.incarnation });
     const result = await store.transact(
       new Map([
         [CLUSTER_LEADER_KEY, 0],
-        [me.key, me.version],
+        [ownMember.key, ownMember.version],
       ]),
       [{ kind: "put", key: CLUSTER_LEADER_KEY, value, lease: memberLease.id }],
     );
--- a/src/coordination/log-events.ts
+++ b/src/coordination/log-events.ts
@@ -1,3 +1,5 @@
+/** Log events of the coordination package. */
+
 /**
  * Log events of the control loops: subject and verb. Operators' pages list each with its meaning (docs/operations).
  */
