--- a/test/heartbeat-freshness.test.ts
+++ b/test/heartbeat-freshness.test.ts
@@ -41,13 +41,13 @@
   return { shard, context, machine, asked, shown, world, heartbeats: new HeartbeatProcessor(context, taskStates) };
 };
 
-/** As a new holder knows a machine: by name only. */
+/** As a new leader knows a machine: by name only. */
 const unknown = (machine: Machine): void => {
   machine.state = "booting";
   Object.assign(machine.counters, { incarnation: null, highestToken: 0, verified: false });
 };
 
-test("what may be a late copy is no sign of life, no room and no notice to a new holder", () => {
+test("what may be a late copy is no sign of life, no room and no notice to a new leader", () => {
   const { machine, heartbeats, world, context } = scene();
   unknown(machine);
   const before = machine.reachability.lastHeartbeatAt;
@@ -65,8 +65,8 @@
   assert.notEqual(unready(machine, snapshot), null);
 });
 
-test("a worker first reached in a session that reports had named before has a whole lease from then on", () => {
-  // Heard and not reached for most of a lease, its session had turned; the session was known from what proved nothing, and
+test("a worker first reached in an incarnation that heartbeats had named before has a whole lease from then on", () => {
+  // Heard and not reached for most of a lease, its incarnation had changed; the incarnation was known from what proved nothing, and
   // what had been started in it was called lost a second later and started elsewhere.
   const { machine, heartbeats, world, context } = scene();
   unknown(machine);
@@ -84,7 +84,7 @@
   for (let lost = 0; lost < 3; lost += 1) recordHeartbeat(reachability, TOKEN, true);
   assert.equal(isOneWay(reachability), true);
   recordResponse(reachability, 10 as Micros);
-  // Its answers have yet to be seen, but it is neither deaf nor to be given up: it was, ten seconds after a cut.
+  // Its answers have yet to be seen, but it is neither unreachable nor to be given up: it was, ten seconds after a cut.
   assert.equal(isOneWay(reachability), false);
   assert.equal(responsesArrive(reachability), true);
   // Where questions are answered all the time, reports without the token go on counting.
@@ -115,7 +115,7 @@
   assert.deepEqual(withoutSuspicion(machine), withoutSuspicion(before));
 });
 
-test("a job is not bound for ever to a machine whose session turned while a start for it was lost", () => {
+test("a job is not bound for ever to a machine whose incarnation changed while a start for it was lost", () => {
   const { shard, machine, heartbeats } = scene();
   heartbeats.process(machine, report({ sequence: 1 }), REPORT);
   const task = placedTask(shard, machine);
@@ -138,7 +138,7 @@
   assert.equal(task.machine, null);
 });
 
-test("a worker whose counters begin anew is asked, fenced, and only then believed", () => {
+test("a worker whose counters are reset is queried, fenced, and only then believed", () => {
   const { shard, context, machine, asked, shown, heartbeats, world } = scene();
   heartbeats.process(machine, report({ incarnation: 3, sequence: 80 }), REPORT);
   const task = placedTask(shard, machine);
@@ -153,7 +153,7 @@
     "counters-reset",
   );
   assert.deepEqual(shown, [machine]);
-  // A start of before may land once more: the session's number is the same, and any token will do.
+  // A start of before may land once more: the number of the incarnation is the same, and any token will do.
   assert.equal(task.machine, machine);
   heartbeats.process(machine, report({ incarnation: 1, sequence: 4, token: TOKEN }), REPORT);
   assert.equal(task.machine, machine);
@@ -165,7 +165,7 @@
   assert.equal(task.startCommand.kind, "none");
 });
 
-test("an answer overtaken by a newer report is not taken for counters that began anew", () => {
+test("a status reply overtaken by a newer heartbeat is not taken for reset counters", () => {
   const { machine, heartbeats, world, context } = scene();
   const askedAt = context.clock.now();
   world.now += 1_000;
@@ -174,7 +174,7 @@
   assert.equal(machine.counters.sequence, 9);
 });
 
-test("no message is believed more when it is older, shows less of our tokens, or is not an answer", () => {
+test("no message is believed more when it is older, shows a lower token, or is not a status reply", () => {
   const rank = {
     stale: 0,
     suspect: 0,
@@ -224,7 +224,7 @@
   assert.ok(weighed > 1_500);
 });
 
-// All orders of what may happen to one worker, one task and its holders -----------------------------------------
+// All orders of what may happen to one worker, one task and its leaders -----------------------------------------
 
 const ACTIONS = [
   "report",
@@ -238,9 +238,9 @@
   "late command lands",
   "command repeated",
   "to be stopped",
-  "session turns",
-  "back anew",
-  "takeover",
+  "incarnation changes",
+  "counters reset",
+  "failover",
 ] as const;
 type Action = (typeof ACTIONS)[number];
 
@@ -370,7 +370,7 @@
     const overtaken = mayBeOvertaken(this.machine.counters, this.machine.lease.expired, said);
     const freshness = this.heartbeats.process(this.machine, said, REPORT);
     if (!answered || (freshness === "suspect" && !overtaken)) return;
-    // As the steward answers: commands that may be repeated, and what may be forgotten, under one token.
+    // As the leader answers: commands that may be repeated, and what may be forgotten, under one token.
     const trusted =
       this.machine.counters.highestToken >= firstFencingToken(this.context.lease) && freshness !== "unverified";
     const own = trusted
@@ -419,14 +419,14 @@
       case "command repeated":
         if (this.carriedOut !== null) worker.execute(this.carriedOut);
         break;
-      case "session turns":
+      case "incarnation changes":
         worker.session += 1;
         worker.known.clear();
         break;
       case "to be stopped":
         if (this.task.machine !== null) this.task.stopRequest = { graceS: 0 };
         break;
-      case "back anew":
+      case "counters reset":
         Object.assign(worker, { session: 1, tick: 0, token: 0 });
         worker.known.clear();
         // What was freed before can't be fenced against a life of which nobody knew yet (docs/heartbeat-evidence.md): assumed not to
@@ -436,7 +436,7 @@
           this.carriedOut = null;
         }
         break;
-      case "takeover":
+      case "failover":
         this.hold({ kind: "uncertain", token: firstFencingToken(this.context.lease) + 65_535 });
     }
     if (this.task.machine === null) {
@@ -454,9 +454,9 @@
   ["report", "report", "command"],
   ["report", "report", "command, no answer"],
   ["report", "report", "command late"],
-  ["report", "report", "session turns", "report", "command"],
+  ["report", "report", "incarnation changes", "report", "command"],
   ["report", "report", "command", "report", "to be stopped", "report", "report"],
-  ["report", "report", "command", "back anew", "report", "report"],
+  ["report", "report", "command", "counters reset", "report", "report"],
 ];
 
 /** All orders of so many events after each of the beginnings. */
@@ -516,7 +516,7 @@
       if (task.startCommand.kind === "uncertain") task.startCommand = { kind: "uncertain", token: -1 };
     return null;
   }),
-  "counters that began anew are believed without a fence": variant((machine) => {
+  "reset counters are believed without a fence": variant((machine) => {
     machine.counters.resetToken = 0;
     for (const task of machine.tasks)
       if (task.startCommand.kind === "uncertain") task.startCommand = { kind: "uncertain", token: -1 };
