--- a/src/cluster/dependency-graph.ts
+++ b/src/cluster/dependency-graph.ts
@@ -1,37 +1,42 @@
-/** What became of a job that others await. */
+/**
+ * The dependencies between current jobs.
+ * @module
+ */
+/** How a job on which others depend has ended. */
 export type TerminalPhase = "done" | "cancelled";
 
 interface Node {
   readonly dependencies: readonly string[];
-  /** Called off by its own record. */
+  /** Cancelled by its own record. */
   cancelledItself: boolean;
-  /** Called off by its own record or by that of a job that it needs, directly or through others. */
+  /** Cancelled by its own record or by that of a job on which it depends, directly or through others. */
   cancelled: boolean;
 }
 
 /**
- * Which current jobs await which. Everything here follows from records: jobs below `c/` as a view has them, and last words below
- * `e/` as they are looked up. Nothing of it is stored, and nothing that is told from it is ever taken back: a cancellation stays on
- * record, first with the job and then as its last word, and so does a last word. Iterative throughout, since chains are deep.
+ * Which current jobs depend on which. Everything here follows from records: jobs below `c/` as the watch cache has them, and
+ * outcomes below `e/` as they are looked up. Nothing of it is stored, and no state that is reported from it is ever revoked:
+ * a cancellation stays on record, first with the job and then as its outcome, and so does an outcome. Iterative throughout,
+ * since dependencies can be a hundred thousand deep.
  */
 export class DependencyGraph {
   private readonly jobs = new Map<string, Node>();
-  /** By awaited job, whether or not it is current: the current jobs that await it. */
+  /** By job, whether or not it is current: the current jobs that depend on it. */
   private readonly dependents = new Map<string, Set<string>>();
-  /** Last words of awaited jobs, as long as somebody current awaits them. */
+  /** Terminal phases of dependencies, as long as a current job depends on them. */
   private readonly terminalPhases = new Map<string, TerminalPhase>();
-  /** Awaited jobs that are not current, and of which the last word has not been read. */
+  /** Dependencies that are not current, and whose outcome has not been read. */
   private readonly unresolvedIds = new Set<string>();
-  /** Told of each job that turns out to be withdrawn with one that it needs. */
+  /** Called with each job that turns out to be cancelled with a dependency. */
   onCancelledByDependency: (id: string) => void = () => undefined;
-  /** Told of each job of which the last awaited one has turned out to be done. */
+  /** Called with each job whose last dependency has turned out to be done. */
   onReady: (id: string) => void = () => undefined;
 
-  /** Every current job: one that awaits nothing may come to be awaited, and its cancellation passed on. */
-  upsert(id: string, awaits: readonly string[], cancelled: boolean): void {
+  /** Adds or updates a current job, also one without dependencies: others may come to depend on it. */
+  upsert(id: string, dependencyIds: readonly string[], cancelled: boolean): void {
     const known = this.jobs.get(id);
     if (known === undefined) {
-      const unique = [...new Set(awaits)];
+      const unique = [...new Set(dependencyIds)];
       this.jobs.set(id, { dependencies: unique, cancelledItself: cancelled, cancelled: false });
       this.unresolvedIds.delete(id);
       for (const parent of unique) {
@@ -43,11 +48,11 @@
     } else known.cancelledItself ||= cancelled;
     const node = this.jobs.get(id);
     if (node === undefined || node.cancelled) return;
-    const called = node.cancelledItself || node.dependencies.some((parent) => this.isDependencyCancelled(parent));
-    if (called) this.cancelWithDependents(id);
+    const isCancelled = node.cancelledItself || node.dependencies.some((parent) => this.isDependencyCancelled(parent));
+    if (isCancelled) this.cancelWithDependents(id);
   }
 
-  /** No longer current: its last word is below `e/`. */
+  /** The job is no longer current: its outcome is below `e/`. */
   remove(id: string): void {
     const node = this.jobs.get(id);
     if (node === undefined) return;
@@ -63,14 +68,14 @@
     if (this.dependents.has(id) && !this.terminalPhases.has(id)) this.unresolvedIds.add(id);
   }
 
-  /** The job's last word has been read, or has been confirmed by whoever wrote it. */
-  recordTerminalPhase(id: string, end: TerminalPhase): void {
+  /** The job's outcome has been read, or its write has been confirmed. */
+  recordTerminalPhase(id: string, phase: TerminalPhase): void {
     const children = this.dependents.get(id);
     if (children === undefined || this.terminalPhases.has(id)) return;
-    this.terminalPhases.set(id, end);
+    this.terminalPhases.set(id, phase);
     this.unresolvedIds.delete(id);
     for (const child of [...children]) {
-      if (end === "cancelled") this.cancelWithDependents(child);
+      if (phase === "cancelled") this.cancelWithDependents(child);
       else if (this.isReady(child)) this.onReady(child);
     }
   }
@@ -90,37 +95,38 @@
     }
   }
 
-  /** Needs, directly or through others, a job that is cancelled; or is cancelled itself. */
+  /** Whether the job, or one on which it depends directly or through others, is cancelled. */
   isCancelled(id: string): boolean {
     return this.jobs.get(id)?.cancelled === true;
   }
 
-  /** All that it awaits is on record as done. */
+  /** Whether all dependencies of the job are on record as done. */
   isReady(id: string): boolean {
     const node = this.jobs.get(id);
     return node?.dependencies.every((parent) => this.terminalPhases.get(parent) === "done") ?? false;
   }
 
-  /** Jobs that it awaits, and the current ones that await it. */
+  /** The jobs on which it depends itself. */
   dependenciesOf(id: string): readonly string[] {
     return this.jobs.get(id)?.dependencies ?? [];
   }
 
+  /** The current jobs that depend on it themselves. */
   dependentsOf(id: string): ReadonlySet<string> {
     return this.dependents.get(id) ?? NO_DEPENDENTS;
   }
 
-  /** Of what it awaits, that which is not known to be done yet. */
+  /** Those of its dependencies that are not known to be done yet. */
   unmetDependencies(id: string): readonly string[] {
     return this.dependenciesOf(id).filter((parent) => this.terminalPhases.get(parent) !== "done");
   }
 
-  /** Awaited jobs whose last word has to be read, so that all else here follows. */
+  /** Dependencies whose outcomes have to be read, so that all else here follows. */
   unresolved(): readonly string[] {
     return [...this.unresolvedIds];
   }
 
-  /** Of those, the ones on which the job's own state rests, directly or through current ones. */
+  /** Those of `unresolved` on which the job's own state rests, directly or through current jobs. */
   unresolvedFor(id: string): readonly string[] {
     if (this.unresolvedIds.size === 0) return [];
     const found = new Set<string>();
--- a/src/cluster/events.ts
+++ b/src/cluster/events.ts
@@ -1,3 +1,7 @@
+/**
+ * Events of a shard for traces and logs.
+ * @module
+ */
 import type { JobSpec } from "../protocol/job-spec.js";
 import type { Micros } from "../transport/clock.js";
 
@@ -8,7 +12,7 @@
   readonly spot: boolean;
 }
 
-/** What the holder of a block sees happen, for whoever keeps it: a trace, or the log. Times by its steady clock. */
+/** What the leader of a shard observes, for a trace or the log. Times are those of its steady clock. */
 export type ClusterEvent =
   | { readonly kind: "job seen"; readonly spec: JobSpec }
   | { readonly kind: "job cancelled"; readonly job: string }
@@ -27,9 +31,10 @@
   /** Over now, and as long as that. */
   | { readonly kind: "state away" | "cloud away"; readonly span: Micros };
 
-/** Must not throw and must return at once; null where nobody listens, so that nothing is made up for nobody. */
+/** Must not throw and must return at once; null where there is no listener, so that no event is created. */
 export type ClusterEventListener = ((event: ClusterEvent) => void) | null;
 
+/** The fields that events carry of a machine. */
 export const eventFieldsOf = (machine: {
   readonly name: string;
   readonly typeName: string;
--- a/src/cluster/job.ts
+++ b/src/cluster/job.ts
@@ -27,17 +27,19 @@
   started: boolean;
   /** Goes first, since too few of its class or team have begun (coordination/scheduling/starvation.ts). */
   boosted: boolean;
-  /** Since when it waits: when it was first seen here, or when the last job that it awaits was on record as done. */
+  /** Since when it waits: when it was first seen here, or when its last dependency was on record as done. */
   waitingSince: Micros;
-  /** Awaits jobs that are not on record as done: it takes part in nothing but its own cancellation. */
+  /** It has dependencies that are not on record as done: nothing but a cancellation applies to it. */
   awaitingDependencies: boolean;
-  /** With which it counts: its own, or that of a job that needs it; 0 is the highest. */
+  /** Its own rank, or that of a job that depends on it; 0 is the highest. */
   effectiveRank: number;
-  /** By when it is to be done, by its own deadline and by those of the jobs that need it. */
+  /** By when it is to be done by its own deadline; null: it has none. */
   ownDeadline: Micros | null;
+  /** By when it is to be done by its own deadline and those of the jobs that depend on it. */
   effectiveDeadline: Micros | null;
-  /** Where its list of awaited jobs lies, if not in its own record. */
+  /** Identifies its dependency list where that is stored apart from its own record. */
   dependencyList: { readonly digest: string; readonly parts: number } | null;
+  /** Its outcome record is being written. */
   outcomePending: boolean;
   /** Machines on which a task of it failed since one last succeeded. */
   readonly failedMachines: Set<string>;
@@ -45,7 +47,8 @@
   onProbation: boolean;
   /** The longest that a task of it ran before it failed, since one last succeeded. */
   longestFailedRun: Micros;
+  /** On probation, no task is started before. */
   retryAfter: Micros;
-  /** Trials that failed, one after the other. */
+  /** Consecutive probes that failed. */
   failedProbes: number;
 }
--- a/src/cluster/task.ts
+++ b/src/cluster/task.ts
@@ -17,6 +17,7 @@
   | { readonly kind: "none" | "sending" | "observed" }
   | { readonly kind: "uncertain"; readonly token: number };
 
+/** One task of a job. Times are those of the leader's steady clock, in microseconds. */
 export interface Task {
   readonly job: Job;
   readonly range: TaskRange;
@@ -24,17 +25,21 @@
   readonly name: string;
   /** What the state service holds, as far as known. */
   recorded: TaskRecord;
-  /** What it is to hold; the range's writer works off the difference. */
+  /** What it is to hold; `TaskStateWriter` writes the difference. */
   desired: TaskRecord;
-  /** The machine it may be on. Counts against room, quota and zones. */
+  /** The machine it may be on. Counts against its capacity, the quota and spreading over zones. */
   machine: Machine | null;
   startCommand: StartCommandState;
+  /** The state that the worker last reported; null: none. */
   state: TaskState | null;
   runningSince: Micros | null;
+  /** The task is to be stopped, with this grace period; null: it is not. */
   stopRequest: { readonly graceS: number } | null;
+  /** It is not placed before, after failures. */
   earliestStart: Micros;
   failureCount: number;
   waitingSince: Micros;
+  /** No preemption in its favour is looked for before. */
   nextPreemptionSearch: Micros;
 }
 
@@ -52,8 +57,10 @@
   writeDueAt: Micros | null;
 }
 
+/** The last attempt used; 0 where the task is done. */
 export const attemptOf = (record: TaskRecord): number => (record.kind === "done" ? 0 : record.attempt);
 
+/** Whether two records say the same of a task. */
 export const isSameRecord = (a: TaskRecord, b: TaskRecord): boolean =>
   a.kind === b.kind &&
   (a.kind === "done" || b.kind === "done" || a.attempt === b.attempt) &&
