--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -1,87 +1,28 @@
 /** One controller: wires its services, hands requests to their handlers and leads the shards that it holds. */
 
-import { DependencyGraph } from "../../cluster/dependency-graph.js";
-import type { ClusterEventListener } from "../../cluster/events.js";
 import type { Job } from "../../cluster/job.js";
 import { decodeMachineTypes, type MachineType } from "../../protocol/cloud.js";
 import { formatJson, MalformedMessageError } from "../../protocol/json.js";
-import { encodeLinks, type LinkTable } from "../../protocol/links.js";
+import { encodeLinks } from "../../protocol/links.js";
 import { decodeHeartbeatText, encodeHeartbeatResponse, encodeRedirect, type Heartbeat } from "../../protocol/worker.js";
 import type { OperatorOptions } from "../../settings/options.js";
 import type { Settings } from "../../settings/settings.js";
-import { KeyValueStore } from "../../storage/key-value-store.js";
-import { CURRENT_PREFIX, MACHINE_TYPES_KEY, shardOf } from "../../storage/keys.js";
-import { TransactionBatcher } from "../../storage/transaction-batcher.js";
-import { requestInterval, SYNC_REQUEST_SHARE, WATCH_REQUEST_SHARE, WatchCache } from "../../storage/watch-cache.js";
-import { type Clock, type Micros, seconds, sleep } from "../../transport/clock.js";
-import type { HttpClient, HttpRequest, HttpResponse } from "../../transport/http.js";
-import { describeError, type Log } from "../../transport/log.js";
+import { MACHINE_TYPES_KEY, shardOf } from "../../storage/keys.js";
+import { type Micros, seconds, sleep } from "../../transport/clock.js";
+import type { HttpRequest, HttpResponse } from "../../transport/http.js";
+import { describeError } from "../../transport/log.js";
 import { JobApi } from "../api/job-api.js";
 import { CloudClient } from "../autoscaling/cloud-client.js";
 import type { Services, ShardLease } from "../context.js";
-import type { Extension, ExtensionFactory } from "../extension.js";
+import type { Extension } from "../extension.js";
 import { LogEvent } from "../log-events.js";
-import { LOAD_LEVELS, LoadShedder, type LoadSource } from "../overload/load-shedder.js";
+import { LOAD_LEVELS } from "../overload/load-shedder.js";
+import type { ControllerEnvironment } from "./controller-environment.js";
+import { createServices } from "./controller-services.js";
 import { Membership } from "./membership.js";
+import type { MeshPort } from "./mesh-port.js";
 import { ShardLeader } from "./shard-leader.js";
 
-/**
- * Both limits of the state service are shared by all controllers, whose shares of the work differ: nearly all writes
- * are the holder's, which with less than this had its starts wait while a third of the budget was left.
- */
-const REQUEST_SHARE = 0.7;
-const WRITE_SHARE = 0.85;
-
-/** What a controller runs on: clock, network, randomness, and what is optional. */
-export interface ControllerEnvironment {
-  readonly clock: Clock;
-  readonly log: Log;
-  readonly http: HttpClient;
-  readonly random: () => number;
-  /** Told what happens on the site, where this controller holds it. */
-  readonly eventListener?: ClusterEventListener;
-  /** Time of day in milliseconds, true within the bound of the settings. */
-  readonly wallClock?: () => number;
-  /** How near this process is to its limits, where that can be read. */
-  readonly load?: LoadSource;
-  /** Told how many machines and tasks each round and plan looked at. */
-  readonly onInspected?: (looks: number) => void;
-  /** What makes jobs of its own, where that is switched on. */
-  readonly extension?: ExtensionFactory | null;
-  /** Connections to the other controllers, where these are switched on. */
-  readonly mesh?: MeshFactory | null;
-}
-
-/** The mesh as the controller uses it. */
-export interface MeshPort {
-  /** Calls over the direct link, or through a peer where that link fails. */
-  readonly client: HttpClient;
-  /** When the workers were last found to be cut off from here, or reachable again; null: never. */
-  readonly workerPathChangedAt: Micros | null;
-  start(): void;
-  /** The heartbeat of a worker that is led here has come over a direct link. */
-  recordDirectHeartbeat(address: string): void;
-  /** The heartbeat of a worker that is led here has come through a peer. */
-  recordRelayedHeartbeat(address: string, peer: string): void;
-  /** The leader's response to a worker's heartbeat that came here; null: redirect the worker to the leader. */
-  relayHeartbeat(leader: string, request: HttpRequest): Promise<HttpResponse | null>;
-  /** Status of all links, for operators. */
-  linkTable(): LinkTable;
-}
-
-/** What the mesh asks of the controller. */
-export interface MeshCallbacks {
-  /** 0 (normal) to 3 (saturated). */
-  readonly loadLevel: () => number;
-  /** Machines led here that are up, and when the latest shard was acquired; null: no shard is led here. */
-  readonly leadership: () => { readonly machines: number; readonly since: Micros } | null;
-  /** Handles a worker's heartbeat that came through the peer `relayPeer`. */
-  readonly handleHeartbeat: (request: HttpRequest, relayPeer: string) => Promise<HttpResponse>;
-}
-
-/** Makes the mesh of one controller. */
-export type MeshFactory = (callbacks: MeshCallbacks) => MeshPort;
-
 /** One controller: what `main` and the simulated clusters of the tests both start. */
 export class Controller {
   private readonly services: Services;
@@ -93,67 +34,25 @@
   private readonly extension: Extension | null;
   private readonly mesh: MeshPort | null;
 
-  constructor(outside: ControllerEnvironment, settings: Settings, options: OperatorOptions, incarnation: string) {
-    const { clock, log, random } = outside;
+  constructor(environment: ControllerEnvironment, settings: Settings, options: OperatorOptions, incarnation: string) {
+    const { clock, log } = environment;
     this.mesh =
-      outside.mesh?.({
+      environment.mesh?.({
         loadLevel: () => LOAD_LEVELS.indexOf(this.services.loadShedder.level),
         leadership: () => this.leadership(),
-        handleHeartbeat: async (request, through) => this.handleHeartbeat(request.body, through),
+        handleHeartbeat: async (request, relayPeer) => this.handleHeartbeat(request.body, relayPeer),
       }) ?? null;
-    const http = this.mesh?.client ?? outside.http;
-    const store = new KeyValueStore({
-      http,
-      address: settings.storeAddress,
-      clock,
-      log,
-      budget: {
-        requestsPerS: settings.store.requestsPerS * REQUEST_SHARE,
-        writesPerS: settings.store.writesPerS * WRITE_SHARE,
-        writesPerTransaction: settings.store.transactionWrites,
-        valueBytes: settings.store.valueBytes,
-      },
-      random,
-    });
-    const loadShedder = new LoadShedder(clock, log, outside.load ?? null);
-    const { requestsPerS } = settings.store;
-    const cache = new WatchCache({
-      store,
-      prefix: CURRENT_PREFIX,
-      clock,
-      log,
-      watchInterval: requestInterval(WATCH_REQUEST_SHARE, requestsPerS, settings.controllers),
-      syncInterval: requestInterval(SYNC_REQUEST_SHARE, requestsPerS, settings.controllers),
-      // Polls may lag by seconds: under load they share longer intervals.
-      syncSlowdown: () => (loadShedder.atLeast("degraded") ? 5 : loadShedder.atLeast("reduced") ? 2 : 1),
-    });
-    const transactions = new TransactionBatcher(store, clock, random);
-    const eventListener = outside.eventListener ?? null;
-    const onInspected = outside.onInspected ?? null;
-    const wallClock = outside.wallClock ?? null;
-    const own = {
-      clock,
-      log,
-      http,
-      random,
-      wallClock,
-      workerPathChangedAt: () => this.mesh?.workerPathChangedAt ?? null,
-    };
-    const dependencies = new DependencyGraph();
-    this.services = {
-      ...own,
+    const http = this.mesh?.client ?? environment.http;
+    this.services = createServices({
+      environment,
       settings,
       options,
-      store,
-      transactions,
-      cache,
-      dependencies,
-      eventListener,
-      loadShedder,
-      onInspected,
-    };
+      http,
+      workerPathChangedAt: () => this.mesh?.workerPathChangedAt ?? null,
+    });
+    const { cache, dependencies } = this.services;
     this.cloud = new CloudClient(http, settings.cloudAddress, clock, log, settings.cloud.requestsPerS * 0.8);
-    this.extension = outside.extension?.(this.services, this.machineTypes) ?? null;
+    this.extension = environment.extension?.(this.services, this.machineTypes) ?? null;
     this.membership = new Membership(this.services, incarnation, {
       shardAcquired: (lease) => this.acquireShard(lease),
       shardReleased: (shard) => this.releaseShard(shard),
@@ -182,7 +81,7 @@
     });
   }
 
-  /** Of the blocks held here, what is kept in memory. */
+  /** Machines and open tasks kept in memory for the shards led here. */
   get leadershipSize(): { readonly machines: number; readonly tasks: number } {
     const sum = { machines: 0, tasks: 0 };
     for (const leader of this.shardLeaders.values()) {
@@ -193,7 +92,7 @@
     return sum;
   }
 
-  /** A job of a block held here, as far as its place in the order goes. */
+  /** A job of a shard led here, as far as its place in the job order goes; null: unknown here. */
   findJob(id: string): Pick<Job, "effectiveRank" | "effectiveDeadline" | "awaitingDependencies"> | null {
     for (const leader of this.shardLeaders.values()) {
       const job = leader.findJob(id);
@@ -208,10 +107,10 @@
       work.catch((error: unknown) => log.error(LogEvent.LoopFailed, { name, error: describeError(error) }));
     };
     this.mesh?.start();
-    keep("view", cache.run());
+    keep("watch cache", cache.run());
     keep("membership", this.membership.run());
-    keep("types", this.fetchMachineTypes());
-    keep("last words", this.jobApi.dependencyResolver.run());
+    keep("machine types", this.fetchMachineTypes());
+    keep("dependency outcomes", this.jobApi.dependencyResolver.run());
   }
 
   async handle(request: HttpRequest): Promise<HttpResponse> {
@@ -226,10 +125,10 @@
     return this.extension?.handle(request) ?? this.jobApi.handle(request);
   }
 
-  /** The holder hears no worker itself, but can be reached from here: it answers through us. */
+  /** The response of a leader that no worker reaches, but that can be reached from here; null: none was relayed. */
   private async relayToLeader(request: HttpRequest): Promise<HttpResponse | null> {
     if (this.mesh === null || this.shardLeaders.size > 0) return null;
-    // There is one block; with several, the machine's name tells whose it is.
+    // There is one shard; with several, the machine's name tells which one is meant.
     const leader = this.membership.leaderOf(0);
     if (leader === null || leader === this.services.settings.label) return null;
     return this.mesh.relayHeartbeat(leader, request);
@@ -246,8 +145,8 @@
     return { machines, since };
   }
 
-  /** `through`: the sibling that it came to; null: it came here. */
-  private handleHeartbeat(body: string, through: string | null): HttpResponse {
+  /** `relayPeer`: the peer that the heartbeat came to; null: it came here. */
+  private handleHeartbeat(body: string, relayPeer: string | null): HttpResponse {
     let heartbeat: Heartbeat;
     try {
       heartbeat = decodeHeartbeatText(
@@ -264,15 +163,15 @@
     const shard = shardOf(heartbeat.machine);
     const leader = this.shardLeaders.get(shard);
     if (leader === undefined) {
-      const holder = this.membership.leaderOf(shard);
-      const elsewhere = holder === this.services.settings.label ? null : holder;
-      return { status: 421, body: formatJson(encodeRedirect(elsewhere)) };
+      const label = this.membership.leaderOf(shard);
+      const otherLeader = label === this.services.settings.label ? null : label;
+      return { status: 421, body: formatJson(encodeRedirect(otherLeader)) };
     }
-    if (through === null) this.mesh?.recordDirectHeartbeat(heartbeat.address);
-    else this.mesh?.recordRelayedHeartbeat(heartbeat.address, through);
-    const answer = leader.handleHeartbeat(heartbeat);
-    if (answer === null) return { status: 503, body: "{}" };
-    return { status: 200, body: formatJson(encodeHeartbeatResponse(answer.token, answer.commands)) };
+    if (relayPeer === null) this.mesh?.recordDirectHeartbeat(heartbeat.address);
+    else this.mesh?.recordRelayedHeartbeat(heartbeat.address, relayPeer);
+    const reply = leader.handleHeartbeat(heartbeat);
+    if (reply === null) return { status: 503, body: "{}" };
+    return { status: 200, body: formatJson(encodeHeartbeatResponse(reply.token, reply.commands)) };
   }
 
   private acquireShard(lease: ShardLease): void {
@@ -293,7 +192,7 @@
   }
 
   private releaseShard(shard: number): void {
-    this.services.log.info(LogEvent.ShardReleased, { block: shard });
+    this.services.log.info(LogEvent.ShardReleased, { shard });
     this.shardLeaders.get(shard)?.stop();
     this.shardLeaders.delete(shard);
   }
@@ -309,7 +208,7 @@
 
   private async fetchMachineTypes(): Promise<void> {
     const { clock, cache } = this.services;
-    // The record spares the cloud a question at every restart.
+    // The record spares the cloud a request at every restart.
     while (!cache.loaded) await sleep(clock, seconds(0.05));
     while (this.machineTypes.size === 0) {
       const reply = await this.cloud.listMachineTypes();
--- a/src/coordination/leadership/membership.ts
+++ b/src/coordination/leadership/membership.ts
@@ -1,36 +1,25 @@
-/** Membership of a controller: its lease, the election of the cluster leader and the assignment of shards. */
+/** Membership of a controller: its member lease, and the shards that are assigned to it. */
 
 import type { Uint64 } from "../../protocol/json.js";
-import type { KeyValueEntry, WriteOperation } from "../../protocol/key-value-store.js";
+import type { KeyValueEntry } from "../../protocol/key-value-store.js";
 import { shardLeaseDuration } from "../../settings/shard-lease.js";
-import {
-  CLUSTER_LEADER_KEY,
-  memberKey,
-  memberOfKey,
-  SHARD_COUNT,
-  SHARD_EPOCH_KEY,
-  shardKey,
-} from "../../storage/keys.js";
+import { memberKey, SHARD_COUNT, shardKey } from "../../storage/keys.js";
 import {
   decodeMemberRecord,
-  decodeShardEpochRecord,
   decodeShardRecord,
-  encodeClusterLeaderRecord,
   encodeMemberRecord,
-  encodeShardEpochRecord,
-  encodeShardRecord,
-  isClusterLeader,
   type ShardRecord,
 } from "../../storage/membership-records.js";
 import { type Clock, type Micros, ms, seconds, sleep } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import type { Services, ShardLease } from "../context.js";
 import { LogEvent } from "../log-events.js";
+import { ClusterLeadership } from "./cluster-leadership.js";
 import { isLeaseValid } from "./lease-authority.js";
 
 const RENEWALS_PER_LEASE = 12;
 const JOIN_RETRY_DELAY = ms(100);
-/** Time for the others to take over what was given up. */
+/** Time for the other members to take over the shards. */
 const REJOIN_DELAY = seconds(8);
 const CACHE_POLL_INTERVAL = ms(10);
 /** Steady clocks drift by half a thousandth at most; the rest is for slow timers. */
@@ -49,16 +38,15 @@
 }
 
 /**
- * This controller's member lease, the election of the cluster leader and the assignment of shards. The cluster leader
- * assigns each shard to a member, attached to that member's own lease: losing the cluster leader takes no shard away.
+ * Joins, renews this controller's member lease, and leads the shards that the records assign to it. Beside that it takes
+ * part in the cluster's leadership (`ClusterLeadership`).
  */
 export class Membership {
   private memberLease: MemberLease | null = null;
   private readonly heldShards = new Map<number, ShardLease>();
   private readonly leaseDuration: Micros;
   private earliestJoin: Micros = 0 as Micros;
-  private leading = false;
-  private leadAgain = false;
+  private readonly clusterLeadership: ClusterLeadership;
 
   constructor(
     private readonly services: Services,
@@ -66,6 +54,7 @@
     private readonly events: MembershipEvents,
   ) {
     this.leaseDuration = shardLeaseDuration(services.settings);
+    this.clusterLeadership = new ClusterLeadership(services, incarnation, () => this.memberLease?.id ?? null);
     services.cache.onChange(() => this.reconcileShards());
   }
 
@@ -73,10 +62,9 @@
     return this.services.clock;
   }
 
-  /** Whose block it is, as far as known; for sending workers there. */
+  /** Label of the member that leads the shard, as far as is known here; null: nobody does. */
   leaderOf(shard: number): string | null {
-    const entry = this.services.cache.entries.get(shardKey(shard));
-    return entry === undefined ? null : decodeShardRecord(entry.value).label;
+    return this.clusterLeadership.leaderOf(shard);
   }
 
   async run(): Promise<never> {
@@ -105,8 +93,8 @@
     const old = await store.get(key);
     if (old.kind !== "ok" && old.kind !== "missing") return;
     if (old.kind === "ok") {
-      // Ours, from before a restart: there is one process a label. Ended at once, its blocks come back in
-      // seconds; a request of it that is still under way fails on the block's version.
+      // This label's, from before a restart: there is one process a label. Revoked at once, its shards are assigned
+      // again within seconds; a request of the earlier process that is still under way fails on the shard's version.
       const ended = await store.revokeLease(decodeMemberRecord(old.value.value).leaseId);
       if (ended.kind !== "ok" && ended.kind !== "missing") return;
     }
@@ -130,7 +118,7 @@
     this.resign();
   }
 
-  /** For a holder that can do nothing with what it holds: lets the others have it before joining again. */
+  /** For a leader that can do nothing with its shards: lets the other members lead them before it joins again. */
   async transferLeadership(): Promise<void> {
     const { memberLease } = this;
     if (memberLease === null) return;
@@ -139,18 +127,18 @@
     await this.services.store.revokeLease(memberLease.id);
   }
 
-  /** Gives everything up; joining again ends the old grant, so what was held comes back under fresh numbers. */
+  /** Releases all shards; joining again revokes the old lease, so that shards come back under fresh epochs. */
   resign(): void {
     this.memberLease = null;
     for (const shard of [...this.heldShards.keys()]) this.release(shard);
   }
 
-  /** The difference between the blocks on record and the ones acted for. */
+  /** Works off the difference between the shards assigned on record and the ones led here. */
   private reconcileShards(): void {
     const { cache, settings } = this.services;
     const member = cache.entries.get(memberKey(settings.label));
-    // A join without an answer, carried out late, puts a member on record under a grant that nobody renews: what is
-    // leased to that one ends with that grant, while the right would be counted from another's renewals.
+    // A join without a response, carried out late, records a member under a lease that nobody renews: what is assigned
+    // to that member ends with that lease, while the shard's lease would be counted from another one's renewals.
     const renewed = member !== undefined && decodeMemberRecord(member.value).leaseId === this.memberLease?.id;
     for (let shard = 0; shard < SHARD_COUNT; shard += 1) {
       const entry = cache.entries.get(shardKey(shard));
@@ -161,7 +149,7 @@
       if (mine && entry !== undefined && !this.heldShards.has(shard))
         this.acquire(shard, record, entry, this.memberLease);
     }
-    void this.lead();
+    void this.clusterLeadership.lead();
   }
 
   private acquire(shard: number, record: ShardRecord, entry: KeyValueEntry, memberLease: MemberLease | null): void {
@@ -188,92 +176,8 @@
     this.events.shardAcquired(lease);
   }
 
-  /** Also called by the holder itself when a write shows that the block has passed on. */
+  /** Also called by the shard's leader itself when a write shows that another member leads the shard. */
   release(shard: number): void {
     if (this.heldShards.delete(shard)) this.events.shardReleased(shard);
   }
-
-  /** As a leader, lease out what nobody holds; without one, try to become it. */
-  private async lead(): Promise<void> {
-    const { cache, settings, log } = this.services;
-    if (this.leading) {
-      // What changes meanwhile must not wait for the next renewal.
-      this.leadAgain = true;
-      return;
-    }
-    if (this.memberLease === null || !cache.loaded) return;
-    const ownMember = cache.entries.get(memberKey(settings.label));
-    if (ownMember === undefined || decodeMemberRecord(ownMember.value).incarnation !== this.incarnation) return;
-    this.leading = true;
-    this.leadAgain = false;
-    try {
-      const leader = cache.entries.get(CLUSTER_LEADER_KEY);
-      if (leader === undefined) await this.electClusterLeader(ownMember, this.memberLease);
-      else if (isClusterLeader(leader.value, this.incarnation)) await this.assignShards(leader);
-    } catch (error) {
-      log.error(LogEvent.ClusterLeadershipFailed, { error: describeError(error) });
-    } finally {
-      this.leading = false;
-    }
-    if (this.leadAgain) await this.lead();
-  }
-
-  private async electClusterLeader(ownMember: KeyValueEntry, memberLease: MemberLease): Promise<void> {
-    const { store, cache, settings, log } = this.services;
-    const value = encodeClusterLeaderRecord({ label: settings.label, incarnation: this.incarnation });
-    const result = await store.transact(
-      new Map([
-        [CLUSTER_LEADER_KEY, 0],
-        [ownMember.key, ownMember.version],
-      ]),
-      [{ kind: "put", key: CLUSTER_LEADER_KEY, value, lease: memberLease.id }],
-    );
-    if (result.kind === "ok") log.info(LogEvent.ClusterLeaderElected);
-    if (result.kind !== "refused") await cache.sync();
-  }
-
-  private async assignShards(leader: KeyValueEntry): Promise<void> {
-    const { store, cache, log } = this.services;
-    for (let shard = 0; shard < SHARD_COUNT; shard += 1) {
-      const key = shardKey(shard);
-      if (cache.entries.has(key)) continue;
-      const member = this.chooseShardLeader();
-      if (member === null) return;
-      const counter = cache.entries.get(SHARD_EPOCH_KEY);
-      const epoch = decodeShardEpochRecord(counter?.value).epoch + 1;
-      const { leaseId, incarnation } = decodeMemberRecord(member.value);
-      const record: ShardRecord = { label: memberOfKey(member.key) ?? "", incarnation, epoch };
-      const writes: WriteOperation[] = [
-        { kind: "put", key: SHARD_EPOCH_KEY, value: encodeShardEpochRecord({ epoch }) },
-        { kind: "put", key, value: encodeShardRecord(record), lease: leaseId },
-      ];
-      const result = await store.transact(
-        new Map([
-          [leader.key, leader.version],
-          [member.key, member.version],
-          [SHARD_EPOCH_KEY, counter?.version ?? 0],
-          [key, 0],
-        ]),
-        writes,
-      );
-      if (result.kind === "ok") log.info(LogEvent.ShardAssigned, { block: shard, number: epoch, holder: record.label });
-      await cache.sync();
-    }
-  }
-
-  /** The member with the fewest blocks; the leader itself where it is among them. */
-  private chooseShardLeader(): KeyValueEntry | null {
-    const { cache, settings } = this.services;
-    const count = new Map<string, number>();
-    for (let shard = 0; shard < SHARD_COUNT; shard += 1) {
-      const label = this.leaderOf(shard);
-      if (label !== null) count.set(label, (count.get(label) ?? 0) + 1);
-    }
-    const members = [...cache.entries.values()].filter((entry) => memberOfKey(entry.key) !== null);
-    const load = (entry: KeyValueEntry): number => {
-      const label = memberOfKey(entry.key) ?? "";
-      return (count.get(label) ?? 0) - (label === settings.label ? 0.5 : 0);
-    };
-    return members.sort((a, b) => load(a) - load(b))[0] ?? null;
-  }
 }
--- a/src/model/site.ts
+++ b/src/model/site.ts
@@ -1,6 +1,7 @@
 import type { ClusterEvent } from "../cluster/events.js";
 import type { ExtensionFactory } from "../coordination/extension.js";
-import { Controller, type ControllerEnvironment } from "../coordination/leadership/controller.js";
+import { Controller } from "../coordination/leadership/controller.js";
+import type { ControllerEnvironment } from "../coordination/leadership/controller-environment.js";
 import { createMeshFactory } from "../mesh/index.js";
 import type { OperatorOptions } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
