--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import { S } from "../src/model/index.js";
 import type { Cluster } from "./sim/cluster.js";
-import { BOUND, longJobs } from "./sim/meetings.js";
-import { busy, nightOf, settled, type Trouble } from "./sim/night.js";
+import { CANCELLATION_BOUND, submitLongJobs } from "./sim/fault-combinations.js";
+import { assertRecovered, type Fault, machinesWithTasks, playFaultyDay } from "./sim/faulty-day.js";
 
 const REFUSED = 14 * S;
 /** Longer than `cancel_s`. */
@@ -19,17 +19,17 @@
   "holds back": (c, at) => c.site.cutFromState(at, REFUSED, "hold"),
 };
 
-const TAKEOVERS: Readonly<Record<string, Trouble>> = {
+const TAKEOVERS: Readonly<Record<string, Fault>> = {
   "no takeover": () => undefined,
   "a takeover before": (c) => c.crash(c.holder(), 20 * S),
   "a takeover during": (c) => c.world.after(30 * S, () => c.crash(c.holder(), 5 * S)),
   "a takeover after": (c) => c.world.after(16 * S + AWAY, () => c.crash(c.holder(), 0.2 * S)),
 };
 
-const LOSSES: Readonly<Record<string, Trouble>> = {
+const LOSSES: Readonly<Record<string, Fault>> = {
   "nothing else": () => undefined,
-  "stops lost": (c) => c.site.deafen(busy(c, 99), 120 * S, ["requests"]),
-  "deaf machines": (c) => c.site.deafen(busy(c, 4), 60 * S, ["requests", "answers"]),
+  "stops lost": (c) => c.site.deafen(machinesWithTasks(c, 99), 120 * S, ["requests"]),
+  "deaf machines": (c) => c.site.deafen(machinesWithTasks(c, 4), 60 * S, ["requests", "answers"]),
   "commands held up": (c) => c.site.holdUpCommands("requests", 0.5, 9 * S, 60 * S),
 };
 
@@ -43,19 +43,19 @@
 const gap = async (
   setup: { mesh: boolean; seed?: number },
   refusal: Refusal,
-  ...beside: readonly Trouble[]
+  ...beside: readonly Fault[]
 ): Promise<Cluster> => {
-  const more: Trouble = (c) => {
-    longJobs(c);
+  const more: Fault = (c) => {
+    submitLongJobs(c);
     // Given up by their users right between the refusal and the outage, so that only the others confirm them.
     for (const ref of CANCELLED) c.world.at(72.5 * S, () => c.users.cancel(ref));
   };
-  const meeting: Trouble = (c) =>
+  const meeting: Fault = (c) =>
     c.world.after(12 * S, () => {
       refusal(c, c.holder());
       c.world.after(2 * S, () => c.state.outage(AWAY));
     });
-  return nightOf({ ...setup, more }, ...beside, meeting);
+  return playFaultyDay({ ...setup, more }, ...beside, meeting);
 };
 
 /** By hand: RAINRIDGE_MEETINGS=all plays each of them with the mesh on and off; else they take turns. */
@@ -76,8 +76,11 @@
           cluster.checker.calmFrom = cluster.world.now + 120 * S;
           await cluster.run(200 * S);
           const { longestUs, tasks } = cluster.checker.afterCancelled;
-          assert.ok(tasks > 0 && longestUs <= BOUND, `${tasks} tasks, ${longestUs / S} of ${BOUND / S} s`);
-          settled(cluster);
+          assert.ok(
+            tasks > 0 && longestUs <= CANCELLATION_BOUND,
+            `${tasks} tasks, ${longestUs / S} of ${CANCELLATION_BOUND / S} s`,
+          );
+          assertRecovered(cluster);
         });
       }
     }
@@ -86,7 +89,7 @@
 
 /** Answers of controllers to reports, changed on their way. */
 const tampering =
-  (alter: (given: { baton: number; orders: { verb: string }[] } | null, machine: string) => unknown): Trouble =>
+  (alter: (given: { baton: number; orders: { verb: string }[] } | null, machine: string) => unknown): Fault =>
   (c) => {
     c.network.tamper = (from, _to, request, response) => {
       if (request.target !== "/hello") return response;
@@ -111,18 +114,18 @@
   const without = tampering(
     (given) => given && { ...given, orders: given.orders.filter(({ verb }) => verb !== "halt") },
   );
-  const lost: Trouble = (c) => {
-    c.site.deafen(busy(c, 99), 120 * S, ["requests"]);
+  const lost: Fault = (c) => {
+    c.site.deafen(machinesWithTasks(c, 99), 120 * S, ["requests"]);
     c.cloud.outageUntil = c.world.now + 120 * S;
   };
-  const cluster = await nightOf({ mesh: false, more: longJobs }, without, lost);
+  const cluster = await playFaultyDay({ mesh: false, more: submitLongJobs }, without, lost);
   await assert.rejects(cluster.run(100 * S), /ran_cancelled/);
 });
 
 test("no holder renews without the stop, not even once each before its token has been seen", async () => {
   // The cloud can delete nothing, commands do not get there, and of each new holder one answer only: the machine's lease
   // was renewed again and again by answers that held no stop, and the withdrawn job's tasks ran on past `cancel_s`.
-  const cluster = await nightOf({ mesh: false, more: longJobs });
+  const cluster = await playFaultyDay({ mesh: false, more: submitLongJobs });
   const [task] = cluster.begun.filter(({ task }) => task.startsWith("wk-800004/"));
   assert.ok(task !== undefined);
   const home = cluster.cloud.running().find(({ ref }) => cluster.checker.placesOf(task.task).includes(ref));
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -4,8 +4,8 @@
 import type { HttpRequest, HttpResponse } from "../src/transport/http.js";
 import { BrokenRule, Checker, type Rule } from "./sim/checker.js";
 import { Cluster, plainJob, type Submission, trueJob } from "./sim/cluster.js";
-import { hangCancelled } from "./sim/meetings.js";
-import { busy } from "./sim/night.js";
+import { hangCancelledMachines } from "./sim/fault-combinations.js";
+import { machinesWithTasks } from "./sim/faulty-day.js";
 
 type Tamper = (from: string, to: string, request: HttpRequest, response: HttpResponse) => HttpResponse;
 
@@ -209,13 +209,13 @@
   const rule = await brokenDay((cluster) => {
     cluster.submit(plainJob("wk-000001", { shards: 1 }), { runUs: 300 * S });
     cluster.world.at(40 * S, () => {
-      hangCancelled(cluster, 10 * S);
+      hangCancelledMachines(cluster, 10 * S);
       // A controller whose answers renew without the stops that it owes.
       cluster.network.tamper = (_, __, request, response) => {
         if (request.target !== "/hello" || response.status !== 200) return response;
         return { ...response, body: JSON.stringify({ ...(JSON.parse(response.body) as object), orders: [] }) };
       };
-      cluster.site.deafen(busy(cluster, 99), 200 * S, ["requests"]);
+      cluster.site.deafen(machinesWithTasks(cluster, 99), 200 * S, ["requests"]);
       // Else the machine is given up, and the task goes with it.
       cluster.cloud.outageUntil = cluster.world.now + 200 * S;
     });
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -3,7 +3,7 @@
 import { S } from "../src/model/index.js";
 import { Random } from "./random.js";
 import { Cluster, plainJob } from "./sim/cluster.js";
-import { BUSY, LONGEST_TROUBLE, randomDay } from "./sim/random-day.js";
+import { BUSY_PERIOD, LONGEST_FAULT, randomDay } from "./sim/random-day.js";
 
 /** Many more are run by hand: RAINRIDGE_SEEDS=1000 (docs/results.md). */
 const SEEDS = Number(process.env.RAINRIDGE_SEEDS ?? 24);
@@ -19,11 +19,11 @@
 const CHAINS = Number(process.env.RAINRIDGE_CHAINS ?? 5);
 
 const day = async (seed: number): Promise<void> => {
-  const cluster = randomDay(seed, { chains: CHAINS, badNights: NIGHTS, meetings: MEETINGS });
-  await cluster.run(BUSY);
-  await cluster.run(LONGEST_TROUBLE);
+  const cluster = randomDay(seed, { chains: CHAINS, harshFaults: NIGHTS, combinations: MEETINGS });
+  await cluster.run(BUSY_PERIOD);
+  await cluster.run(LONGEST_FAULT);
   cluster.checker.calmFrom = cluster.world.now;
-  await cluster.run(400 * S - LONGEST_TROUBLE);
+  await cluster.run(400 * S - LONGEST_FAULT);
   assert.deepEqual(cluster.errors, [], `seed ${seed}: errors logged`);
   const open = cluster.unfinished();
   assert.deepEqual(open, [], `seed ${seed}: never finished\n${cluster.story(open[0] ?? "-")}`);
--- a/test/second-page.test.ts
+++ b/test/fault-combinations.test.ts
@@ -3,11 +3,17 @@
 import { LogEvent } from "../src/coordination/log-events.js";
 import { S } from "../src/model/index.js";
 import { Cluster, plainJob } from "./sim/cluster.js";
-import { hangCancelled, keepReports, longJobs, smallJobs, upAtOnce } from "./sim/meetings.js";
-import { busy, nightOf, settled, type Trouble } from "./sim/night.js";
+import {
+  bootInstantly,
+  delayHeartbeatCopies,
+  hangCancelledMachines,
+  submitLongJobs,
+  submitSmallJobs,
+} from "./sim/fault-combinations.js";
+import { assertRecovered, type Fault, machinesWithTasks, playFaultyDay } from "./sim/faulty-day.js";
 
 /**
- * The meetings of the users' second page, each brought about by one test that also asserts that it did come about
+ * Combinations of faults in which rules broke, each brought about by one test that also asserts that it did come about
  * (docs/fault-combinations.md has the table). By hand: RAINRIDGE_MEETING_SEEDS=71,72,73,74 plays each with four seeds.
  */
 const SEEDS = (process.env.RAINRIDGE_MEETING_SEEDS ?? "71").split(",").map(Number);
@@ -16,11 +22,11 @@
   await cluster.run(calmAfter);
   cluster.checker.calmFrom = cluster.world.now;
   await cluster.run(then);
-  settled(cluster);
+  assertRecovered(cluster);
 };
 
 /** The limited team runs as much as it may, in jobs of one task that last for long. */
-const atLimit: Trouble = (c) => {
+const atLimit: Fault = (c) => {
   for (let number = 0; number < 24; number += 1) {
     const job = plainJob(`wk-8400${String(number).padStart(2, "0")}`, { owner: "capped", shards: 1, cpus: 1 });
     c.submit({ ...job, guessS: 100, sizeGb: 0.1 }, { runUs: 100 * S });
@@ -35,57 +41,69 @@
 const withdrawn = (c: Cluster, ids: readonly string[]): number =>
   ids.filter((id) => c.checker.finalOf(id) === "withdrawn").length;
 
-const meeting = (
+const testCombination = (
   name: string,
-  setup: Trouble | undefined,
+  setup: Fault | undefined,
   play: (cluster: Cluster) => Promise<void>,
   calmAfter?: number,
 ): void => {
   for (const seed of SEEDS) {
     test(seed === SEEDS[0] ? name : `${name} (seed ${seed})`, async () => {
-      const cluster = await nightOf({ mesh: seed % 2 === 1, seed, ...(setup === undefined ? {} : { more: setup }) });
+      const cluster = await playFaultyDay({
+        mesh: seed % 2 === 1,
+        seed,
+        ...(setup === undefined ? {} : { more: setup }),
+      });
       await play(cluster);
       await come(cluster, calmAfter);
     });
   }
 };
 
-meeting("the leader changes ten times in two minutes, three times of them inside an outage", longJobs, async (c) => {
-  const before = c.takeovers;
-  for (let at = 0; at < 12; at += 1) {
-    c.world.after(at * 11 * S, () => c.crash(c.holder(), 3 * S));
-    if (at === 5) c.world.after(at * 11 * S + S, () => c.state.outage(25 * S));
-    c.world.after(at * 11 * S + 4 * S, () => c.users.cancel(`wk-80000${at % 5}`));
-  }
-  await c.run(132 * S);
-  assert.ok(c.takeovers - before >= 9, `${c.takeovers - before} takeovers`);
-});
+testCombination(
+  "the leader changes ten times in two minutes, three times of them inside an outage",
+  submitLongJobs,
+  async (c) => {
+    const before = c.takeovers;
+    for (let at = 0; at < 12; at += 1) {
+      c.world.after(at * 11 * S, () => c.crash(c.holder(), 3 * S));
+      if (at === 5) c.world.after(at * 11 * S + S, () => c.state.outage(25 * S));
+      c.world.after(at * 11 * S + 4 * S, () => c.users.cancel(`wk-80000${at % 5}`));
+    }
+    await c.run(132 * S);
+    assert.ok(c.takeovers - before >= 9, `${c.takeovers - before} takeovers`);
+  },
+);
 
-meeting("a team at its limit, jobs cancelled whose machines are cut off, the leader changes", atLimit, async (c) => {
-  assert.equal(usedByCapped(c), 16);
-  const victims = Array.from({ length: 6 }, (_, number) => `wk-8400${String(number).padStart(2, "0")}`);
-  const places = new Set(victims.flatMap((id) => c.checker.placesOf(`${id}/0`)));
-  for (const { info, worker } of c.cloud.running()) {
-    if (places.has(info.name)) c.site.cutMachine(worker?.host.address ?? "", 50 * S, "hold");
-  }
-  for (const id of victims) c.users.cancel(id);
-  const before = c.takeovers;
-  c.world.after(2 * S, () => c.crash(c.holder(), 5 * S));
-  await c.run(20 * S);
-  assert.ok(c.takeovers > before && withdrawn(c, victims) === 6, "no takeover, or nothing confirmed");
-});
+testCombination(
+  "a team at its limit, jobs cancelled whose machines are cut off, the leader changes",
+  atLimit,
+  async (c) => {
+    assert.equal(usedByCapped(c), 16);
+    const victims = Array.from({ length: 6 }, (_, number) => `wk-8400${String(number).padStart(2, "0")}`);
+    const places = new Set(victims.flatMap((id) => c.checker.placesOf(`${id}/0`)));
+    for (const { info, worker } of c.cloud.running()) {
+      if (places.has(info.name)) c.site.cutMachine(worker?.host.address ?? "", 50 * S, "hold");
+    }
+    for (const id of victims) c.users.cancel(id);
+    const before = c.takeovers;
+    c.world.after(2 * S, () => c.crash(c.holder(), 5 * S));
+    await c.run(20 * S);
+    assert.ok(c.takeovers > before && withdrawn(c, victims) === 6, "no takeover, or nothing confirmed");
+  },
+);
 
-meeting("a team at its limit, jobs cancelled whose machines hang, the leader changes", atLimit, async (c) => {
+testCombination("a team at its limit, jobs cancelled whose machines hang, the leader changes", atLimit, async (c) => {
   assert.equal(usedByCapped(c), 16);
   const before = c.takeovers;
-  const ids = [...hangCancelled(c, 15 * S), ...hangCancelled(c, 60 * S)];
+  const ids = [...hangCancelledMachines(c, 15 * S), ...hangCancelledMachines(c, 60 * S)];
   c.world.after(S, () => c.crash(c.holder(), 5 * S));
   await c.run(20 * S);
   assert.ok(c.takeovers > before && ids.length > 0 && withdrawn(c, ids) > 0, "no takeover, or nothing confirmed");
 });
 
-meeting("one-task jobs, four a second for two minutes, a quarter cancelled", undefined, async (c) => {
-  const ids = smallJobs(c, 4, 120 * S);
+testCombination("one-task jobs, four a second for two minutes, a quarter cancelled", undefined, async (c) => {
+  const ids = submitSmallJobs(c, 4, 120 * S);
   const asked = c.state.asked;
   await c.run(120 * S);
   const perJob = (c.state.asked - asked) / ids.length;
@@ -98,15 +116,15 @@
   assert.ok(withdrawn(c, ids) > 60, "hardly any cancellation came in time");
 });
 
-meeting("an old report reaches every controller just as a new leader begins", longJobs, async (c) => {
-  const kept = keepReports(c, 0.5, 40 * S);
+testCombination("an old report reaches every controller just as a new leader begins", submitLongJobs, async (c) => {
+  const kept = delayHeartbeatCopies(c, 0.5, 40 * S);
   for (const at of [5, 14, 26]) c.world.after(at * S, () => c.crash(c.holder(), 4 * S));
   await c.run(45 * S);
   assert.ok(kept.given > 30, `${kept.given} copies`);
 });
 
-meeting("a report kept from before, and machines back with their counters anew", longJobs, async (c) => {
-  const kept = keepReports(c, 0.5, 30 * S);
+testCombination("a report kept from before, and machines back with their counters anew", submitLongJobs, async (c) => {
+  const kept = delayHeartbeatCopies(c, 0.5, 30 * S);
   c.world.after(6 * S, () => {
     for (const { worker } of c.cloud.running().slice(0, 4)) worker?.restart(c.random.chance(0.5));
   });
@@ -115,7 +133,7 @@
   assert.ok(kept.given > 30, `${kept.given} copies`);
 });
 
-meeting("jobs are cancelled in the seconds in which the work changes hands", longJobs, async (c) => {
+testCombination("jobs are cancelled in the seconds in which the work changes hands", submitLongJobs, async (c) => {
   let at = 0;
   const before = c.takeovers;
   for (const wait of [0, 14, 28]) c.world.after(wait * S, () => c.crash(c.holder(), 6 * S));
@@ -129,7 +147,7 @@
   assert.ok(c.takeovers - before >= 3, `${c.takeovers - before} takeovers`);
 });
 
-meeting("all controllers are away for longer than the lease", longJobs, async (c) => {
+testCombination("all controllers are away for longer than the lease", submitLongJobs, async (c) => {
   const over = c.checker.starts;
   for (const at of [0, 1, 2]) c.crash(at, 26 * S);
   await c.run(25 * S);
@@ -139,31 +157,31 @@
   assert.ok(c.checker.starts > over, "nothing has started again");
 });
 
-meeting("workers reach no controller, while direct commands reach them", longJobs, async (c) => {
-  const muted = busy(c, 4);
+testCombination("workers reach no controller, while direct commands reach them", submitLongJobs, async (c) => {
+  const muted = machinesWithTasks(c, 4);
   let orders = 0;
   c.network.onRequest = (_, to, { target }) => {
     if (muted.has(to) && target === "/orders") orders += 1;
   };
   c.site.mute(muted, 45 * S);
-  const ids = hangCancelled(c, 0);
+  const ids = hangCancelledMachines(c, 0);
   c.world.after(15 * S, () => c.crash(c.holder(), 5 * S));
   await c.run(46 * S);
   assert.ok(orders > 0 && ids.length > 0, `${orders} commands to mute machines`);
 });
 
-meeting("all workers reach no controller", longJobs, async (c) => {
-  c.site.mute(busy(c, 999), 45 * S);
+testCombination("all workers reach no controller", submitLongJobs, async (c) => {
+  c.site.mute(machinesWithTasks(c, 999), 45 * S);
   c.users.cancel("wk-800004");
   await c.run(46 * S);
   // Their leases run out, whatever else reaches them.
   assert.ok(c.logged(LogEvent.WorkerIncarnationChanged), "no lease has run out");
 });
 
-meeting("machines are up at once and get work while writes lag, and the leader ends", undefined, async (c) => {
+testCombination("machines are up at once and get work while writes lag, and the leader ends", undefined, async (c) => {
   let ups = 0;
   const first = c.cloud.running().length;
-  upAtOnce(c);
+  bootInstantly(c);
   c.state.lateWrites(0.3, 25 * S);
   for (const at of [3, 8, 16]) c.world.after(at * S, () => c.crash(c.holder(), 0.5 * S));
   for (let at = 1; at < 12; at += 1) {
@@ -175,29 +193,33 @@
   assert.ok(ups > 0 && c.state.unheard > 0, `${ups} machines, ${c.state.unheard} late transactions`);
 });
 
-meeting("a cancellation, a question and a repeat meet the end of a job's last task", undefined, async (c) => {
+testCombination("a cancellation, a question and a repeat meet the end of a job's last task", undefined, async (c) => {
   c.cancelAtEnd(0.6, 60 * S);
   c.curious.lookClosely(60 * S, 0);
-  smallJobs(c, 2, 50 * S);
+  submitSmallJobs(c, 2, 50 * S);
   await c.run(60 * S);
   assert.ok(c.cancelledAtEnd > 20 && c.curious.looks > 500, `${c.cancelledAtEnd}, ${c.curious.looks}`);
 });
 
-meeting("transactions are carried out and only their answers lost, while others read", longJobs, async (c) => {
-  c.state.loseAnswers(0.3, 40 * S);
-  c.curious.lookClosely(50 * S, 0.2);
-  c.cancelAtEnd(0.3, 40 * S);
-  c.world.after(20 * S, () => c.crash(c.holder(), 0.5 * S));
-  await c.run(50 * S);
-  assert.ok(c.state.unheard > 15 && c.curious.looks > 200, `${c.state.unheard}, ${c.curious.looks}`);
-});
+testCombination(
+  "transactions are carried out and only their answers lost, while others read",
+  submitLongJobs,
+  async (c) => {
+    c.state.loseAnswers(0.3, 40 * S);
+    c.curious.lookClosely(50 * S, 0.2);
+    c.cancelAtEnd(0.3, 40 * S);
+    c.world.after(20 * S, () => c.crash(c.holder(), 0.5 * S));
+    await c.run(50 * S);
+    assert.ok(c.state.unheard > 15 && c.curious.looks > 200, `${c.state.unheard}, ${c.curious.looks}`);
+  },
+);
 
-meeting(
+testCombination(
   "users ask at all nodes within milliseconds, repeat, and cancel, over a change of leader",
-  longJobs,
+  submitLongJobs,
   async (c) => {
     c.curious.lookClosely(60 * S, 0.3);
-    smallJobs(c, 2, 40 * S);
+    submitSmallJobs(c, 2, 40 * S);
     c.site.slowState(0.3, 2 * S, 40 * S);
     for (const at of [10, 30]) c.world.after(at * S, () => c.crash(c.holder(), 0.5 * S));
     await c.run(60 * S);
@@ -205,7 +227,7 @@
   },
 );
 
-meeting("odd requests while the state service is slow and the leader changes", longJobs, async (c) => {
+testCombination("odd requests while the state service is slow and the leader changes", submitLongJobs, async (c) => {
   c.curious.sendOdd(60 * S);
   c.site.slowState(0.4, 3 * S, 30 * S);
   c.world.after(10 * S, () => c.crash(c.holder(), 5 * S));
@@ -213,7 +235,7 @@
   assert.ok(c.checker.oddRefused > 20, `${c.checker.oddRefused} refused`);
 });
 
-meeting("jobs bound to one zone, arrays too, lose machines", undefined, async (c) => {
+testCombination("jobs bound to one zone, arrays too, lose machines", undefined, async (c) => {
   for (let number = 0; number < 8; number += 1) {
     const zone = number % 2 === 0 ? { area: "west" } : { together: true };
     const ref = `wk-86000${number}`;
@@ -230,19 +252,23 @@
   await c.run(20 * S);
 });
 
-meeting("a zone with workers and a controller is cut off for longer than the lease", longJobs, async (c) => {
-  const { controllers } = c.site.addresses;
-  const inside = new Set(
-    c.cloud.running().flatMap(({ info, worker }) => (info.zone === "east" && worker ? [worker.host.address] : [])),
-  );
-  // The holder is within; what is within reach each other and nobody else.
-  inside.add(controllers[c.holder()] ?? "");
-  const before = c.takeovers;
-  c.network.cut((a, b) => inside.has(a) !== inside.has(b) && a !== "user" && b !== "user", 45 * S, "hold");
-  c.world.after(S, () => c.users.cancel("wk-800004"));
-  await c.run(46 * S);
-  assert.ok(c.takeovers > before, "nobody took over");
-});
+testCombination(
+  "a zone with workers and a controller is cut off for longer than the lease",
+  submitLongJobs,
+  async (c) => {
+    const { controllers } = c.site.addresses;
+    const inside = new Set(
+      c.cloud.running().flatMap(({ info, worker }) => (info.zone === "east" && worker ? [worker.host.address] : [])),
+    );
+    // The holder is within; what is within reach each other and nobody else.
+    inside.add(controllers[c.holder()] ?? "");
+    const before = c.takeovers;
+    c.network.cut((a, b) => inside.has(a) !== inside.has(b) && a !== "user" && b !== "user", 45 * S, "hold");
+    c.world.after(S, () => c.users.cancel("wk-800004"));
+    await c.run(46 * S);
+    assert.ok(c.takeovers > before, "nobody took over");
+  },
+);
 
 test("more work than room, urgent and not, over slow links, and the leader changes", async () => {
   const c = new Cluster(91, { mesh: true });
--- a/test/fault-pairs.test.ts
+++ b/test/fault-pairs.test.ts
@@ -6,16 +6,20 @@
 import type { Micros } from "../src/transport/clock.js";
 import { Random } from "./random.js";
 import { Cluster, randomJob } from "./sim/cluster.js";
-import { busy, LASTS, night, settled, type Trouble } from "./sim/night.js";
+import { assertRecovered, FAULT_DURATION, type Fault, machinesWithTasks, playFaults } from "./sim/faulty-day.js";
 
-const TROUBLES: Readonly<Record<string, Trouble>> = {
-  "a machine heard but not reached": (cluster) => cluster.site.deafen(busy(cluster, 2), LASTS, ["requests", "answers"]),
-  "a machine that commands do not reach": (cluster) => cluster.site.deafen(busy(cluster, 2), LASTS, ["requests"]),
-  "a machine that answers do not reach": (cluster) => cluster.site.deafen(busy(cluster, 2), LASTS, ["answers"]),
-  "all machines heard and none reached": (cluster) => cluster.site.deafenAll(LASTS / 2, ["requests", "answers"]),
-  "copies of reports up to three leases late": (cluster) => cluster.site.copyReports(0.5, 60 * S, LASTS),
+const TROUBLES: Readonly<Record<string, Fault>> = {
+  "a machine heard but not reached": (cluster) =>
+    cluster.site.deafen(machinesWithTasks(cluster, 2), FAULT_DURATION, ["requests", "answers"]),
+  "a machine that commands do not reach": (cluster) =>
+    cluster.site.deafen(machinesWithTasks(cluster, 2), FAULT_DURATION, ["requests"]),
+  "a machine that answers do not reach": (cluster) =>
+    cluster.site.deafen(machinesWithTasks(cluster, 2), FAULT_DURATION, ["answers"]),
+  "all machines heard and none reached": (cluster) =>
+    cluster.site.deafenAll(FAULT_DURATION / 2, ["requests", "answers"]),
+  "copies of reports up to three leases late": (cluster) => cluster.site.copyReports(0.5, 60 * S, FAULT_DURATION),
   "requests carried out a second time, up to half a minute later": (cluster) =>
-    cluster.site.repeatRequests(0.3, 30 * S, LASTS),
+    cluster.site.repeatRequests(0.3, 30 * S, FAULT_DURATION),
   "a lone holder": (cluster) => cluster.site.cutAllButWorkers(cluster.holder(), 40 * S, "reset"),
   "a lone holder whose messages are held back": (cluster) =>
     cluster.site.cutAllButWorkers(cluster.holder(), 40 * S, "hold", true),
@@ -35,7 +39,7 @@
   },
 };
 
-const PAIRS: Readonly<Record<string, Trouble>> = {
+const PAIRS: Readonly<Record<string, Fault>> = {
   "by itself": () => undefined,
   "with a takeover": (cluster) => cluster.world.after(4 * S, () => cluster.crash(cluster.holder(), 15 * S)),
   "with a restart of all": (cluster) =>
@@ -49,23 +53,23 @@
 for (const [name, trouble] of Object.entries(TROUBLES)) {
   for (const [beside, other] of Object.entries(PAIRS)) {
     test(`${name}, ${beside}`, async () => {
-      const cluster = await night(true, trouble, other);
-      await cluster.run(LASTS);
+      const cluster = await playFaults(true, trouble, other);
+      await cluster.run(FAULT_DURATION);
       cluster.checker.calmFrom = cluster.world.now;
       await cluster.run(150 * S);
-      settled(cluster);
+      assertRecovered(cluster);
     });
   }
 }
 
 /** The longest that any replica was on no machine between the two times. */
-const nobodyIsBound = async (swallows: readonly ("requests" | "answers")[], restart: Trouble): Promise<Cluster> => {
-  const cluster = await night(false, (c) => c.site.deafen(busy(c, 2), 600 * S, swallows), restart);
+const nobodyIsBound = async (swallows: readonly ("requests" | "answers")[], restart: Fault): Promise<Cluster> => {
+  const cluster = await playFaults(false, (c) => c.site.deafen(machinesWithTasks(c, 2), 600 * S, swallows), restart);
   // Long before the machines are reached again, all that was on them has gone on elsewhere.
   await cluster.run(110 * S);
   cluster.checker.calmFrom = cluster.world.now;
   await cluster.run(90 * S);
-  settled(cluster);
+  assertRecovered(cluster);
   return cluster;
 };
 
@@ -109,16 +113,16 @@
 test("with all machines heard and none reached, they are not given up one after the other", async () => {
   // Each was found silent in its turn and did not answer; six of seven were deleted, with all that they ran.
   for (const mesh of [false, true]) {
-    const cluster = await night(mesh, (c) => c.site.deafenAll(14 * S, ["requests", "answers"]));
+    const cluster = await playFaults(mesh, (c) => c.site.deafenAll(14 * S, ["requests", "answers"]));
     const before = cluster.log.length;
     await cluster.run(14 * S);
     const given = cluster.log.slice(before).filter(isRemoval);
     assert.deepEqual(given, []);
     await cluster.run(150 * S);
-    settled(cluster);
+    assertRecovered(cluster);
   }
   // Longer than the leases: once it was over, two were given up for what had been missed.
-  const cluster = await night(true, (c) => c.site.deafenAll(30 * S, ["requests", "answers"]));
+  const cluster = await playFaults(true, (c) => c.site.deafenAll(30 * S, ["requests", "answers"]));
   const before = cluster.log.length;
   await cluster.run(100 * S);
   const given = cluster.log.slice(before).filter(isRemoval);
@@ -126,7 +130,7 @@
 });
 
 test("a machine that only answers do not reach is noticed with its second report here, and its work goes on elsewhere", async () => {
-  const cluster = await night(false, (c) => c.site.deafen(busy(c, 1), 200 * S, ["answers"]));
+  const cluster = await playFaults(false, (c) => c.site.deafen(machinesWithTasks(c, 1), 200 * S, ["answers"]));
   await cluster.run(60 * S);
   const noticed = cluster.log.find((line) => line.includes(LogEvent.WorkerUnreachable));
   assert.match(noticed ?? "", /"commands":true,"answers":false/);
@@ -144,15 +148,15 @@
     const outcome = await asked;
     return outcome.kind === "answer" ? troublesIn(JSON.parse(outcome.body)).join("; ") : outcome.kind;
   };
-  const cases: readonly (readonly [Trouble, number, RegExp])[] = [
-    [(c) => c.site.deafen(busy(c, 99), 40 * S, ["requests"]), 9, /machines heard, but not reached: n-\d+/],
+  const cases: readonly (readonly [Fault, number, RegExp])[] = [
+    [(c) => c.site.deafen(machinesWithTasks(c, 99), 40 * S, ["requests"]), 9, /machines heard, but not reached: n-\d+/],
     [(c) => c.site.cutZone("west", 30 * S, "hold"), 9, /zones cut off: west/],
     [(c) => c.site.cutFromState(c.holder(), 20 * S, "reset"), 5, /state service: away for me only/],
     [(c) => c.state.refuse(c.site.nodeAddress(c.holder()), 20 * S), 5, /state service: refused to me/],
     [(c) => c.state.outage(20 * S), 15, /without the right to act/],
   ];
   for (const [trouble, afterS, expected] of cases) {
-    const cluster = await night(true, trouble);
+    const cluster = await playFaults(true, trouble);
     await cluster.run(afterS * S);
     assert.match(await troubles(cluster), expected);
     await cluster.run(120 * S);
--- a/test/graph-days.test.ts
+++ b/test/graph-days.test.ts
@@ -6,7 +6,7 @@
 import { bruteForce } from "./graph-rules.js";
 import { plainJob } from "./sim/cluster.js";
 import { GRAPH_OPTIONS, GraphSite, JOB_FIELDS } from "./sim/graph-site.js";
-import { trouble } from "./sim/troubles.js";
+import { injectFault } from "./sim/random-faults.js";
 
 const { compile, GraphError, readDocument } = await describing();
 
@@ -245,7 +245,7 @@
     site.world.at(random.int(2 * S, busy), () => site.submit(job, { runUs: 6 * S }));
   }
   for (let number = random.int(2, 5); number > 0; number -= 1) {
-    site.world.at(random.int(5 * S, busy), () => trouble(site, random, KINDS_WITHOUT_SICK));
+    site.world.at(random.int(5 * S, busy), () => injectFault(site, random, KINDS_WITHOUT_SICK));
   }
   // Every other day somebody changes their mind.
   const [first, second] = today.graphs;
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -7,8 +7,8 @@
 import { S } from "../src/model/index.js";
 import { Random } from "./random.js";
 import { type Cluster, randomJob } from "./sim/cluster.js";
+import { playFaultyDay } from "./sim/faulty-day.js";
 import { GraphSite, JOB_FIELDS } from "./sim/graph-site.js";
-import { nightOf } from "./sim/night.js";
 
 /** A transaction as it reached the key-value store, whoever sent it. */
 interface SentTransaction {
@@ -68,7 +68,7 @@
 test("no transaction of a day with failovers and cancellations changes anything when it is carried out late or once more", async () => {
   for (const mesh of [false, true]) {
     let effects: LateEffects = new Map();
-    const cluster = await nightOf({
+    const cluster = await playFaultyDay({
       mesh,
       seed: mesh ? 72 : 73,
       more: (c) => {
@@ -100,7 +100,7 @@
 test("transactions without their conditions are found to change something when carried out late", async () => {
   let effects: LateEffects = new Map();
   const withoutConditions = (body: string): string => JSON.stringify({ ...(JSON.parse(body) as object), if: [] });
-  const cluster = await nightOf({ mesh: false, more: (c) => (effects = watchLateEffects(c, withoutConditions)) });
+  const cluster = await playFaultyDay({ mesh: false, more: (c) => (effects = watchLateEffects(c, withoutConditions)) });
   await cluster.run(30 * S);
   const kinds = [...effects.keys()];
   for (const kind of ["c/job", "c/range"])
--- a/test/meetings.test.ts
+++ b/test/overlapping-faults.test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import { S } from "../src/model/index.js";
 import type { Cluster } from "./sim/cluster.js";
-import { BOUND, KNOWN_MEETINGS, longJobs, MEETING } from "./sim/meetings.js";
-import { nightOf, settled } from "./sim/night.js";
+import { CANCELLATION_BOUND, FAULTS, KNOWN_COMBINATIONS, submitLongJobs } from "./sim/fault-combinations.js";
+import { assertRecovered, playFaultyDay } from "./sim/faulty-day.js";
 
 /**
  * By hand: RAINRIDGE_MEETINGS=all plays all pairs at all offsets with three seeds, RAINRIDGE_PART=2/8 the second eighth of
@@ -16,7 +16,7 @@
 /** In CI: each trouble with the next one but two in the list, so that each meets two others. */
 const STEP = 3;
 
-const names = Object.keys(MEETING);
+const names = Object.keys(FAULTS);
 const pairs = names.flatMap((first, at) =>
   names.flatMap((second, other) => (ALL || other === (at + STEP) % names.length ? [[first, second] as const] : [])),
 );
@@ -27,15 +27,15 @@
   cluster.checker.calmFrom = cluster.world.now;
   await cluster.run(170 * S);
   const { longestUs } = cluster.checker.afterCancelled;
-  assert.ok(longestUs <= BOUND, `${longestUs / S} of ${BOUND / S} s`);
-  settled(cluster);
+  assert.ok(longestUs <= CANCELLATION_BOUND, `${longestUs / S} of ${CANCELLATION_BOUND / S} s`);
+  assertRecovered(cluster);
 };
 
-for (const [name, troubles] of Object.entries(KNOWN_MEETINGS)) {
+for (const [name, troubles] of Object.entries(KNOWN_COMBINATIONS)) {
   for (const mesh of [false, true]) {
     test(`${name}, mesh ${mesh ? "on" : "off"}`, async () => {
       for (const seed of MEETING_SEEDS) {
-        const cluster = await nightOf({ mesh, seed, more: longJobs }, ...troubles);
+        const cluster = await playFaultyDay({ mesh, seed, more: submitLongJobs }, ...troubles);
         await cluster.run(45 * S);
         await comesRight(cluster);
       }
@@ -48,10 +48,10 @@
   for (const offset of OFFSETS) {
     for (const seed of MEETING_SEEDS) {
       test(`${first}; ${offset} s later: ${second} (seed ${seed})`, async () => {
-        const cluster = await nightOf({ mesh: seed % 2 === 1, seed, more: longJobs });
-        MEETING[first]?.(cluster);
+        const cluster = await playFaultyDay({ mesh: seed % 2 === 1, seed, more: submitLongJobs });
+        FAULTS[first]?.(cluster);
         await cluster.run(offset * S);
-        MEETING[second]?.(cluster);
+        FAULTS[second]?.(cluster);
         await comesRight(cluster);
       });
     }
--- a/test/sim/day-digest.ts
+++ b/test/sim/day-digest.ts
@@ -1,7 +1,7 @@
 /** Digests of random days: equal digests mean that two versions of the program sent and stored the same bytes. */
 import { createHash } from "node:crypto";
 import { readFileSync, writeFileSync } from "node:fs";
-import { BUSY, LONGEST_TROUBLE, randomDay } from "./random-day.js";
+import { BUSY_PERIOD, LONGEST_FAULT, randomDay } from "./random-day.js";
 import { type LineListener, TrafficRecorder } from "./traffic-recorder.js";
 
 /** What is kept of a day. */
@@ -26,7 +26,7 @@
     hash.update("\n");
     onLine(line);
   });
-  await cluster.run(BUSY + LONGEST_TROUBLE);
+  await cluster.run(BUSY_PERIOD + LONGEST_FAULT);
   return { records, sha256: hash.digest("hex") };
 };
 
--- a/test/sim/meetings.ts
+++ b/test/sim/fault-combinations.ts
@@ -4,11 +4,11 @@
 import { shardLeaseDuration } from "../../src/settings/shard-lease.js";
 import { settingsText } from "../fixtures.js";
 import { type Cluster, plainJob } from "./cluster.js";
-import { busy, type Trouble } from "./night.js";
+import { type Fault, machinesWithTasks } from "./faulty-day.js";
 
 const { workers } = parseSettings(settingsText(0));
 /** From a confirmed cancellation until the last of its tasks is gone, at most. */
-export const BOUND = cancellationTerms(workers, shardLeaseDuration({ workers })).total;
+export const CANCELLATION_BOUND = cancellationTerms(workers, shardLeaseDuration({ workers })).total;
 
 const swallowed = ["requests", "answers"] as const;
 
@@ -16,7 +16,7 @@
 const fresh = (c: Cluster): string => `wk-83${String(c.checker.jobs.size).padStart(4, "0")}`;
 
 /** Copies of reports are kept, and given to every controller in the moment in which one takes the block; says how many. */
-export const keepReports = (c: Cluster, share: number, forUs: number): { given: number } => {
+export const delayHeartbeatCopies = (c: Cluster, share: number, forUs: number): { given: number } => {
   const told = { given: 0 };
   const before = c.onTaken;
   c.site.keepReports(share, forUs);
@@ -28,7 +28,7 @@
 };
 
 /** Running jobs of some length are called off, and their machines hang at the same time; returns the jobs. */
-export const hangCancelled = (c: Cluster, forUs: number): readonly string[] => {
+export const hangCancelledMachines = (c: Cluster, forUs: number): readonly string[] => {
   const chosen = c.checker
     .accepted()
     .filter((id) => c.checker.jobs.get(id)?.service === false && c.checker.finalOf(id) === null)
@@ -43,7 +43,7 @@
 };
 
 /** Jobs of one task, so many a second, each fourth of them cancelled; returns their ids, filled as they are submitted. */
-export const smallJobs = (c: Cluster, perS: number, forUs: number): readonly string[] => {
+export const submitSmallJobs = (c: Cluster, perS: number, forUs: number): readonly string[] => {
   const ids: string[] = [];
   const until = c.world.now + forUs;
   const next = (): void => {
@@ -59,7 +59,7 @@
 };
 
 /** Work for which there is no machine yet, while nearly all boots take a second. */
-export const upAtOnce: Trouble = (c) => {
+export const bootInstantly: Fault = (c) => {
   c.cloud.boots = { never: 0, late: 0, early: 0.9 };
   for (let number = 0; number < 2; number += 1) {
     const job = plainJob(fresh(c), { shards: 6, cpus: 8, sizeGb: 0.2, guessS: 15 });
@@ -69,9 +69,9 @@
 
 /**
  * The troubles that may meet, each for about half a minute: all pairs of them, at offsets up to a little over a worker's
- * lease, are played by `meetings.test.ts`.
+ * lease, are played by `overlapping-faults.test.ts`.
  */
-export const MEETING: Readonly<Record<string, Trouble>> = {
+export const FAULTS: Readonly<Record<string, Fault>> = {
   "state service refuses the holder": (c) => c.state.refuse(c.site.nodeAddress(c.holder()), 14 * S),
   "state service away for longer than cancel_s": (c) => c.state.outage(50 * S),
   "state service slow": (c) => c.site.slowState(0.3, 4 * S, 30 * S),
@@ -87,8 +87,8 @@
   "handed over and back": (c) => {
     for (let at = 0; at < 4; at += 1) c.world.after(at * 0.9 * S, () => c.crash(c.holder(), 0.4 * S));
   },
-  "machines deaf": (c) => c.site.deafen(busy(c, 3), 40 * S, swallowed),
-  "machines that only answers do not reach": (c) => c.site.deafen(busy(c, 3), 40 * S, ["answers"]),
+  "machines deaf": (c) => c.site.deafen(machinesWithTasks(c, 3), 40 * S, swallowed),
+  "machines that only answers do not reach": (c) => c.site.deafen(machinesWithTasks(c, 3), 40 * S, ["answers"]),
   "commands held up": (c) => c.site.holdUpCommands("requests", 0.3, 9 * S, 30 * S),
   "answers to commands held up": (c) => c.site.holdUpCommands("answers", 0.3, 9 * S, 30 * S),
   "machines hang": (c) => {
@@ -107,24 +107,24 @@
     c.curious.lookClosely(30 * S, 0.1);
   },
   "reports kept for the next holder": (c) => {
-    keepReports(c, 0.4, 40 * S);
+    delayHeartbeatCopies(c, 0.4, 40 * S);
   },
-  "machines mute": (c) => c.site.mute(busy(c, 3), 40 * S),
+  "machines mute": (c) => c.site.mute(machinesWithTasks(c, 3), 40 * S),
   "cancelled at the end": (c) => c.cancelAtEnd(0.5, 40 * S),
   "close looks": (c) => c.curious.lookClosely(40 * S, 0.15),
   "odd requests": (c) => c.curious.sendOdd(30 * S),
   "machines up at once, writes late": (c) => {
-    upAtOnce(c);
+    bootInstantly(c);
     c.state.lateWrites(0.3, 20 * S);
   },
   "hang within the lease, cancelled": (c) => {
-    hangCancelled(c, 12 * S);
+    hangCancelledMachines(c, 12 * S);
   },
   "hang beyond the lease, cancelled": (c) => {
-    hangCancelled(c, 35 * S);
+    hangCancelledMachines(c, 35 * S);
   },
   "small jobs, four a second": (c) => {
-    smallJobs(c, 4, 30 * S);
+    submitSmallJobs(c, 4, 30 * S);
   },
   "a new holder every eleven seconds": (c) => {
     for (let at = 0; at < 5; at += 1) c.world.after(at * 11 * S, () => c.crash(c.holder(), 4 * S));
@@ -134,17 +134,17 @@
   },
 };
 
-const after = (seconds: number, trouble: Trouble): Trouble => {
+const after = (seconds: number, trouble: Fault): Fault => {
   return (c) => c.world.after(seconds * S, () => trouble(c));
 };
-const named = (name: string): Trouble => {
-  const trouble = MEETING[name];
+const named = (name: string): Fault => {
+  const trouble = FAULTS[name];
   if (trouble === undefined) throw new Error(`no trouble: ${name}`);
   return trouble;
 };
 
 /** Meetings that broke rules elsewhere, each with what comes when. */
-export const KNOWN_MEETINGS: Readonly<Record<string, readonly Trouble[]>> = {
+export const KNOWN_COMBINATIONS: Readonly<Record<string, readonly Fault[]>> = {
   "handed over and back, then all end, and one returns within a second": [
     named("handed over and back"),
     after(5, named("all end, one is back at once")),
@@ -191,7 +191,7 @@
 };
 
 /** Arrays that run for minutes and are cancelled while the troubles last, and jobs whose few tasks end far apart. */
-export const longJobs: Trouble = (cluster) => {
+export const submitLongJobs: Fault = (cluster) => {
   for (let at = 0; at < 5; at += 1) {
     const ref = `wk-80000${at}`;
     cluster.submit(plainJob(ref, { shards: 3, cpus: 1, loaner: true, guessS: 120 }), { runUs: 150 * S });
--- a/test/sim/night.ts
+++ b/test/sim/faulty-day.ts
@@ -3,13 +3,13 @@
 import { Cluster, plainJob } from "./cluster.js";
 
 /** When the trouble begins, and for how long it lasts where it does not pass by itself. */
-export const BEGIN = 60 * S;
-export const LASTS = 90 * S;
+export const FAULT_START = 60 * S;
+export const FAULT_DURATION = 90 * S;
 
-export type Trouble = (cluster: Cluster) => void;
+export type Fault = (cluster: Cluster) => void;
 
 /** Addresses of some machines that have work, in the order of their names. */
-export const busy = (cluster: Cluster, count: number): ReadonlySet<string> =>
+export const machinesWithTasks = (cluster: Cluster, count: number): ReadonlySet<string> =>
   new Set(
     cluster.cloud
       .running()
@@ -17,17 +17,17 @@
       .slice(0, count),
   );
 
-export interface NightSetup {
+export interface FaultyDaySetup {
   readonly mesh: boolean;
   readonly seed?: number;
   /** Further jobs, submitted with the first ones. */
-  readonly more?: Trouble;
+  readonly more?: Fault;
 }
 
 /** Replicas, arrays that run on through the trouble, and a stream of small jobs. */
-export const nightOf = async (
-  { mesh, seed = 71, more }: NightSetup,
-  ...troubles: readonly Trouble[]
+export const playFaultyDay = async (
+  { mesh, seed = 71, more }: FaultyDaySetup,
+  ...troubles: readonly Fault[]
 ): Promise<Cluster> => {
   const cluster = new Cluster(seed, { mesh });
   cluster.rooms.ordinary = 12;
@@ -43,18 +43,18 @@
     const ref = `wk-${String(number).padStart(6, "0")}`;
     cluster.submit(plainJob(ref, { shards: 1 + (number % 3), cpus: 1, loaner: number % 2 === 0 }), { runUs: 8 * S });
     if (number % 7 === 0) cluster.world.after(3 * S, () => cluster.users.cancel(ref));
-    if (cluster.world.now < BEGIN + LASTS) cluster.world.after(2 * S, next);
+    if (cluster.world.now < FAULT_START + FAULT_DURATION) cluster.world.after(2 * S, next);
   };
   cluster.world.after(20 * S, next);
-  await cluster.run(BEGIN);
+  await cluster.run(FAULT_START);
   for (const trouble of troubles) trouble(cluster);
   return cluster;
 };
 
-export const night = (mesh: boolean, ...troubles: readonly Trouble[]): Promise<Cluster> =>
-  nightOf({ mesh }, ...troubles);
+export const playFaults = (mesh: boolean, ...troubles: readonly Fault[]): Promise<Cluster> =>
+  playFaultyDay({ mesh }, ...troubles);
 
-export const settled = (cluster: Cluster): void => {
+export const assertRecovered = (cluster: Cluster): void => {
   const open = cluster.unfinished();
   assert.deepEqual(open, [], cluster.story(open[0] ?? "-"));
   const missing = cluster.missingReplicas();
--- a/test/sim/random-day.ts
+++ b/test/sim/random-day.ts
@@ -2,27 +2,27 @@
 import { S } from "../../src/model/index.js";
 import { Random } from "../random.js";
 import { Cluster, plainJob, randomJob, SMALL } from "./cluster.js";
-import { MEETING } from "./meetings.js";
-import { LOWER, next, rollout } from "./rollout.js";
-import { badNight, partialCuts, trouble } from "./troubles.js";
+import { FAULTS } from "./fault-combinations.js";
+import { cutLinksAtRandom, injectFault, injectHarshFault } from "./random-faults.js";
+import { LOWER_LIMITS, playRollout, withAnnouncedLimits } from "./rollout.js";
 
 /** Time in which jobs are submitted and faults begin, in microseconds. */
-export const BUSY = 150 * S;
+export const BUSY_PERIOD = 150 * S;
 
 /** No fault lasts for longer than this, in microseconds. */
-export const LONGEST_TROUBLE = 65 * S;
+export const LONGEST_FAULT = 65 * S;
 
 /** The most of each kind that a day may have; how many it has is drawn. */
 export interface DayLimits {
   /** Chains of dependent jobs; 0 also turns version changes off. */
   readonly chains: number;
   /** Faults of `badNight`. */
-  readonly badNights: number;
+  readonly harshFaults: number;
   /** Faults of `MEETING`. */
-  readonly meetings: number;
+  readonly combinations: number;
 }
 
-export const DEFAULT_LIMITS: DayLimits = { chains: 5, badNights: 4, meetings: 3 };
+export const DEFAULT_LIMITS: DayLimits = { chains: 5, harshFaults: 4, combinations: 3 };
 
 /** Jobs that await some of those before them, of other chains as well; some are called off, some come last of all. */
 const submitChains = (cluster: Cluster, random: Random, most: number, from: number, until: number): void => {
@@ -68,39 +68,44 @@
   const mesh = seed % 2 === 0;
   const chains = new Random(seed + 4_000);
   const rolls = limits.chains > 0 && chains.chance(0.5);
-  const cluster = new Cluster(seed, { mesh }, rolls ? next : undefined, seed % 3 === 0 ? SMALL : undefined);
+  const cluster = new Cluster(
+    seed,
+    { mesh },
+    rolls ? withAnnouncedLimits : undefined,
+    seed % 3 === 0 ? SMALL : undefined,
+  );
   if (rolls) {
-    const { upgrade } = rollout(seed, mesh, next, cluster);
+    const { upgrade } = playRollout(seed, mesh, withAnnouncedLimits, cluster);
     const turns = [0, 1, 2].map((at) => (8 + chains.int(0, 30) + at * chains.int(1, 12)) * S);
     for (const [at, turn] of turns.entries()) cluster.world.at(turn, () => upgrade(at));
-    cluster.world.at(chains.int(75, 140) * S, () => cluster.state.lower(LOWER));
+    cluster.world.at(chains.int(75, 140) * S, () => cluster.state.lower(LOWER_LIMITS));
     submitChains(cluster, chains, limits.chains, Math.max(...turns) + 5 * S, 140 * S);
   } else submitChains(cluster, chains, limits.chains, 5 * S, 140 * S);
   const random = new Random(seed + 1_000);
   for (let number = 0; number < 26; number += 1) {
     const job = randomJob(random, number);
-    const at = number < 6 ? 2 * S : random.int(2 * S, BUSY);
+    const at = number < 6 ? 2 * S : random.int(2 * S, BUSY_PERIOD);
     cluster.world.at(at, () => cluster.submit(job, { runUs: job.shape === "daemon" ? null : random.int(3, 30) * S }));
     const given = random.chance(0.2);
     if (given) cluster.world.at(at + random.int(0, 40 * S), () => cluster.users.cancel(job.ref));
   }
   for (let number = 0; number < 8; number += 1)
-    cluster.world.at(random.int(0, BUSY), () => cluster.users.askOnce("wk-900000"));
+    cluster.world.at(random.int(0, BUSY_PERIOD), () => cluster.users.askOnce("wk-900000"));
   for (let number = random.int(3, 7); number > 0; number -= 1) {
-    cluster.world.at(random.int(10 * S, BUSY), () => trouble(cluster, random));
+    cluster.world.at(random.int(10 * S, BUSY_PERIOD), () => injectFault(cluster, random));
   }
   // With connections between controllers, cuts that leave some links up come on top of everything else.
   for (let number = mesh ? random.int(1, 4) : 0; number > 0; number -= 1) {
-    cluster.world.at(random.int(10 * S, BUSY), () => partialCuts(cluster, random));
+    cluster.world.at(random.int(10 * S, BUSY_PERIOD), () => cutLinksAtRandom(cluster, random));
   }
   // One-way loss, late copies, lone holders and instant returns over all of that, each from a sequence of its own.
   const nights = new Random(seed + 2_000);
-  for (let number = nights.int(0, limits.badNights); number > 0; number -= 1) {
-    cluster.world.at(nights.int(10 * S, BUSY), () => badNight(cluster, nights));
+  for (let number = nights.int(0, limits.harshFaults); number > 0; number -= 1) {
+    cluster.world.at(nights.int(10 * S, BUSY_PERIOD), () => injectHarshFault(cluster, nights));
   }
   const meetings = new Random(seed + 3_000);
-  for (let number = meetings.int(0, limits.meetings); number > 0; number -= 1) {
-    cluster.world.at(meetings.int(10 * S, BUSY), () => meetings.pick(Object.values(MEETING))(cluster));
+  for (let number = meetings.int(0, limits.combinations); number > 0; number -= 1) {
+    cluster.world.at(meetings.int(10 * S, BUSY_PERIOD), () => meetings.pick(Object.values(FAULTS))(cluster));
   }
   return cluster;
 };
--- a/test/sim/troubles.ts
+++ b/test/sim/random-faults.ts
@@ -2,7 +2,7 @@
 import type { Cluster } from "./cluster.js";
 
 /** Cuts between machines that leave some links up, two or three of them over each other. */
-export const partialCuts = (cluster: Cluster, random: Random): void => {
+export const cutLinksAtRandom = (cluster: Cluster, random: Random): void => {
   for (let number = random.int(1, 3); number > 0; number -= 1) {
     const node = random.int(0, 2);
     const forUs = random.int(3, 40) * S;
@@ -30,7 +30,7 @@
 };
 
 /** What came with the added rules: one-way loss, late copies, lone holders, returns within a fraction of a second. */
-export const badNight = (cluster: Cluster, random: Random): void => {
+export const injectHarshFault = (cluster: Cluster, random: Random): void => {
   const forUs = random.int(5, 60) * S;
   const mode = random.pick(["hold", "reset"] as const);
   const machines = cluster.cloud.running().flatMap(({ worker }) => (worker === null ? [] : [worker]));
@@ -72,7 +72,7 @@
 };
 
 /** Every kind of trouble the users listed, drawn at random, often several at once. */
-export const trouble = (cluster: Cluster, random: Random, kinds = 16): void => {
+export const injectFault = (cluster: Cluster, random: Random, kinds = 16): void => {
   const length = (): number => random.int(5, 40) * S;
   const node = random.int(0, 2);
   const machines = cluster.cloud.running();
--- a/test/sim/rollout.ts
+++ b/test/sim/rollout.ts
@@ -4,9 +4,10 @@
 import { Cluster, plainJob, type Submission, settingsAt } from "./cluster.js";
 
 /** Limits that the state service will have from some moment on. */
-export const NEXT = "[deployment.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 6\n\n[deployment.cloud]";
-export const next = (text: string): string => text.replace("[deployment.cloud]", NEXT);
-export const LOWER = { writeRps: 28, valueBytes: 2_048, txnOps: 6 };
+export const ANNOUNCED_LIMITS =
+  "[deployment.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 6\n\n[deployment.cloud]";
+export const withAnnouncedLimits = (text: string): string => text.replace("[deployment.cloud]", ANNOUNCED_LIMITS);
+export const LOWER_LIMITS = { writeRps: 28, valueBytes: 2_048, txnOps: 6 };
 
 /** A controller that knows nothing of `awaits`, of lower limits or of any field that came with them. */
 const asOld = (request: HttpRequest): HttpRequest => {
@@ -29,11 +30,11 @@
 }
 
 /** Three old controllers under the new settings page, of which they know what the old version knew. */
-export const rollout = (
+export const playRollout = (
   seed: number,
   mesh: boolean,
-  altered = next,
-  cluster = new Cluster(seed, { mesh }, next),
+  altered = withAnnouncedLimits,
+  cluster = new Cluster(seed, { mesh }, withAnnouncedLimits),
 ): Rollout => {
   const upgraded = new Set<number>();
   const { controllers } = cluster.site.addresses;
@@ -54,7 +55,7 @@
 };
 
 /** Chains of five with a diamond, one every four seconds, some of them called off. */
-export const chainsOf = (cluster: Cluster, from: number, until: number): readonly string[] => {
+export const submitDependencyChains = (cluster: Cluster, from: number, until: number): readonly string[] => {
   const last: string[] = [];
   let number = 0;
   const id = (stage: number): string => `wk-${60 + stage}${String(number).padStart(4, "0")}`;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -10,9 +10,9 @@
 import { decodeUnreachableZones } from "../src/storage/unreachable-zones-record.js";
 import { settingsText } from "./fixtures.js";
 import { Cluster, plainJob } from "./sim/cluster.js";
-import { longJobs } from "./sim/meetings.js";
-import { settled, type Trouble } from "./sim/night.js";
-import { chainsOf, LOWER, next, type Rollout, rollout } from "./sim/rollout.js";
+import { submitLongJobs } from "./sim/fault-combinations.js";
+import { assertRecovered, type Fault } from "./sim/faulty-day.js";
+import { LOWER_LIMITS, playRollout, type Rollout, submitDependencyChains, withAnnouncedLimits } from "./sim/rollout.js";
 
 // What both versions share, as the old one wrote it (docs/compatibility.md) ---------------------------------------------
 
@@ -70,7 +70,7 @@
 });
 
 test("what the new version writes is what the old one reads, and more only where the old one never looks", async () => {
-  const cluster = new Cluster(51, {}, next);
+  const cluster = new Cluster(51, {}, withAnnouncedLimits);
   cluster.submit(plainJob("wk-000001", { dueS: 100 }), { runUs: 200 * S });
   cluster.submit(plainJob("wk-000002"), { runUs: 3 * S });
   await cluster.run(40 * S);
@@ -119,7 +119,7 @@
   },
 };
 
-const TROUBLES: Readonly<Record<string, Trouble>> = {
+const TROUBLES: Readonly<Record<string, Fault>> = {
   "no trouble": () => undefined,
   "writes late": (c) => c.world.at(42 * S, () => c.state.lateWrites(0.2, 60 * S)),
   "a zone cut, the holder ends": (c) => {
@@ -136,20 +136,20 @@
 for (const [way, [name, upgrade]] of Object.entries(UPGRADES).entries()) {
   for (const [at, [other, trouble]] of Object.entries(TROUBLES).entries()) {
     test(`both versions serve side by side: ${name}; ${other}; then chains and lower limits`, async () => {
-      const r = rollout(61 + way * 4 + at, (way + at) % 2 === 0);
+      const r = playRollout(61 + way * 4 + at, (way + at) % 2 === 0);
       const { cluster } = r;
       cluster.rooms.ordinary = 12;
-      longJobs(cluster);
+      submitLongJobs(cluster);
       stream(cluster, 5 * S, 140 * S);
       upgrade(r);
       trouble(cluster);
-      const last = chainsOf(cluster, 84 * S, 140 * S);
-      cluster.world.at(105 * S, () => cluster.state.lower(LOWER));
+      const last = submitDependencyChains(cluster, 84 * S, 140 * S);
+      cluster.world.at(105 * S, () => cluster.state.lower(LOWER_LIMITS));
       await cluster.run(160 * S);
       for (const node of [0, 1, 2]) assert.ok(r.isNew(node), "not all are new");
       cluster.checker.calmFrom = cluster.world.now;
       await cluster.run(170 * S);
-      settled(cluster);
+      assertRecovered(cluster);
       assert.deepEqual(cluster.errors, []);
       const finals = last.map((id) => cluster.checker.finalOf(id));
       assert.ok(finals.includes("done") && finals.includes("withdrawn"), finals.join());
@@ -163,7 +163,7 @@
 }
 
 test("a record of the old version that is larger than the new limit is read, shrinks and ends", async () => {
-  const r = rollout(81, false, (text) => next(text).replace("value_kb = 2.0", "value_kb = 1.0"));
+  const r = playRollout(81, false, (text) => withAnnouncedLimits(text).replace("value_kb = 2.0", "value_kb = 1.0"));
   const { cluster, upgrade } = r;
   cluster.rooms.ordinary = 60;
   cluster.cloud.boots = { never: 0, late: 0, early: 0 };
@@ -175,7 +175,7 @@
   assert.ok(bytes > 1_024, `${bytes} bytes`);
   for (const at of [0, 1, 2]) upgrade(at);
   await cluster.run(10 * S);
-  cluster.state.lower({ ...LOWER, valueBytes: 1_024 });
+  cluster.state.lower({ ...LOWER_LIMITS, valueBytes: 1_024 });
   cluster.submit(plainJob("wk-000003", { shards: 40, cpus: 1, sizeGb: 0.1 }), { runUs: 5 * S });
   await cluster.run(20 * S);
   // The long one is called off while its record can't be written again as it is.
@@ -187,16 +187,16 @@
 });
 
 test("a job whose own record is larger than the new limit can be called off, and asked about, and ends", async () => {
-  const r = rollout(83, false);
+  const r = playRollout(83, false);
   const { cluster, upgrade } = r;
   const flavors = ["big", ...Array.from({ length: 300 }, (_, at) => `none-${at}`)];
   cluster.submit(plainJob("wk-000001", { flavors, shards: 2, guessS: 300 }), { runUs: 300 * S });
   cluster.submit(plainJob("wk-000002", { flavors, shards: 2, guessS: 40 }), { runUs: 40 * S });
   await cluster.run(30 * S);
-  assert.ok(JSON.stringify(cluster.state.value("c/job/wk-000001")).length > LOWER.valueBytes);
+  assert.ok(JSON.stringify(cluster.state.value("c/job/wk-000001")).length > LOWER_LIMITS.valueBytes);
   for (const at of [0, 1, 2]) upgrade(at);
   await cluster.run(10 * S);
-  cluster.state.lower(LOWER);
+  cluster.state.lower(LOWER_LIMITS);
   cluster.users.cancel("wk-000001");
   await cluster.run(80 * S);
   const finals = ["wk-000001", "wk-000002"].map((id) => cluster.checker.finalOf(id));
@@ -215,12 +215,12 @@
   cluster.state.lower({ valueBytes: 1_000, txnOps: 4 });
   cluster.submit(plainJob("wk-900002", { shards: 120, cpus: 1, sizeGb: 0.1, guessS: 30 }), { runUs: 10 * S });
   await cluster.run(150 * S);
-  settled(cluster);
+  assertRecovered(cluster);
   assert.ok(cluster.state.tooLarge > 0 && cluster.state.tooLarge < 60, `${cluster.state.tooLarge} refused`);
 });
 
 test("settings: the lower limits hold, and what leaves too little is refused with the field's name", () => {
-  const { store } = parseSettings(next(settingsText(0)));
+  const { store } = parseSettings(withAnnouncedLimits(settingsText(0)));
   assert.deepEqual(store, {
     requestsPerS: 150,
     writesPerS: 28,
@@ -229,7 +229,8 @@
     layoutBytes: 8_192,
   });
   assert.equal(
-    parseSettings(next(settingsText(0)).replace("write_rps = 28.0", "write_rps = 90.0")).store.writesPerS,
+    parseSettings(withAnnouncedLimits(settingsText(0)).replace("write_rps = 28.0", "write_rps = 90.0")).store
+      .writesPerS,
     40,
   );
   for (const [from, to, says] of [
@@ -237,6 +238,6 @@
     ["txn_ops = 6", "txn_ops = 1", /deployment\.state\.next\.txn_ops: must be at least 2$/],
     ["write_rps = 28.0", "write_rps = 0.2", /deployment\.state\.next\.write_rps: must be at least 1$/],
   ] as const) {
-    assert.throws(() => parseSettings(next(settingsText(0)).replace(from, to)), says);
+    assert.throws(() => parseSettings(withAnnouncedLimits(settingsText(0)).replace(from, to)), says);
   }
 });
