--- a/src/protocol/record-codec.ts
+++ b/src/protocol/record-codec.ts
@@ -22,9 +22,17 @@
   readonly codec: ValueCodec<unknown> | null;
 }
 
-const mapEntries = (value: unknown, map: (entry: unknown) => unknown): unknown => {
-  if (value === undefined || value === null) return value;
-  return Array.isArray(value) ? value.map(map) : map(value);
+const apply = (codec: ValueCodec<unknown> | null, direction: "encode" | "decode", value: unknown): unknown => {
+  if (codec === null || value === undefined || value === null) return value;
+  if (Array.isArray(value)) return value.map((entry: unknown) => codec[direction](entry));
+  return codec[direction](value);
+};
+
+/** Sets a field that is not in the table, whose name may be any: `__proto__` is a field like all others. */
+const setOwn = (target: Record<string, unknown>, name: string, value: unknown): void => {
+  if (name === "__proto__")
+    Object.defineProperty(target, name, { value, enumerable: true, configurable: true, writable: true });
+  else target[name] = value;
 };
 
 /**
@@ -48,24 +56,27 @@
 
   /** What is stored of these fields. */
   encode(value: Partial<T>): JsonObject {
-    const entries = Object.entries<unknown>(value).map(([field, fieldValue]): [string, unknown] => {
+    const stored: Record<string, unknown> = {};
+    for (const field of Object.keys(value)) {
+      const fieldValue = value[field as keyof T];
       const mapped = this.mappedByField.get(field);
-      if (mapped === undefined) return [field, fieldValue];
-      const { name, codec } = mapped;
-      return [name, codec === null ? fieldValue : mapEntries(fieldValue, (entry) => codec.encode(entry))];
-    });
-    return Object.fromEntries(entries);
+      if (mapped === undefined) setOwn(stored, field, fieldValue);
+      else stored[mapped.name] = apply(mapped.codec, "encode", fieldValue);
+    }
+    return stored;
   }
 
   /** The object of which this is stored; not checked. */
   decode(stored: unknown): T {
-    const entries = Object.entries<unknown>(stored as JsonObject).flatMap(([name, fieldValue]): [string, unknown][] => {
+    const fields = stored as JsonObject;
+    const value: Record<string, unknown> = {};
+    for (const name of Object.keys(fields)) {
+      const fieldValue = fields[name];
       const mapped = this.mappedByStoredName.get(name);
+      if (mapped !== undefined) value[mapped.name] = apply(mapped.codec, "decode", fieldValue);
       // An unknown field must not pass for the field that has its name in memory.
-      if (mapped === undefined) return this.mappedByField.has(name) ? [] : [[name, fieldValue]];
-      const { name: field, codec } = mapped;
-      return [[field, codec === null ? fieldValue : mapEntries(fieldValue, (entry) => codec.decode(entry))]];
-    });
-    return Object.fromEntries(entries) as T;
+      else if (!this.mappedByField.has(name)) setOwn(value, name, fieldValue);
+    }
+    return value as T;
   }
 }
--- a/src/storage/job-records.ts
+++ b/src/storage/job-records.ts
@@ -45,13 +45,8 @@
 /** The stored form of a job. */
 export const encodeJobRecord = (record: JobRecord): JsonObject => jobCodec.encode(record);
 
-/**
- * Reads a job. Written by this program alone and never edited elsewhere, so the inner form of the specification, of the
- * list's location and of the failures is taken as it is. Throws `MalformedMessageError` where the value or the
- * specification is no object, or the shard no number.
- */
-export const decodeJobRecord = (value: unknown): JobRecord => {
-  const fields = asObject(value, "job record");
+/** The job of a stored object that is not checked further; see `decodeJobRecord`. */
+const readFields = (fields: JsonObject): JobRecord => {
   const reason = decodeCancellationReason(fields);
   return {
     spec: jobSpecCodec.decode(asObject(fields.spec, "spec")),
@@ -64,6 +59,23 @@
   };
 };
 
+/** Jobs by the stored object that they were read from: each answer to a user and each change reads the same object. */
+const decodedRecords = new WeakMap<JsonObject, JobRecord>();
+
+/**
+ * Reads a job. Written by this program alone and never edited elsewhere, so the inner form of the specification, of the
+ * list's location and of the failures is taken as it is. Throws `MalformedMessageError` where the value or the
+ * specification is no object, or the shard no number.
+ */
+export const decodeJobRecord = (value: unknown): JobRecord => {
+  const fields = asObject(value, "job record");
+  const known = decodedRecords.get(fields);
+  if (known !== undefined) return known;
+  const record = readFields(fields);
+  decodedRecords.set(fields, record);
+  return record;
+};
+
 /**
  * The jobs that this one depends on, wherever its list lies; null while a part of the list is not among the entries.
  */
