--- a/src/coordination/jobs/job-watcher.ts
+++ b/src/coordination/jobs/job-watcher.ts
@@ -68,7 +68,7 @@
     for (const job of shard.jobs.values()) this.taskStates.finishIfComplete(job);
     this.deleteOrphanedDependencyLists();
     this.restored = true;
-    log.info(LogEvent.ShardAcquired, { block: lease.shard, number: lease.epoch, jobs: shard.jobs.size });
+    log.info(LogEvent.ShardAcquired, { shard: lease.shard, epoch: lease.epoch, jobs: shard.jobs.size });
   }
 
   /** Job records in the order of acceptance, and the keys of range records in the order of their indexes. */
--- a/src/coordination/leadership/leader-checks.ts
+++ b/src/coordination/leadership/leader-checks.ts
@@ -79,7 +79,7 @@
     const { context, failureDetector } = this.dependencies;
     const { clock, log, lease } = context;
     if (valid) failureDetector.restartSettling();
-    log.info(valid ? LogEvent.LeaseRegained : LogEvent.LeaseExpired, { block: lease.shard });
+    log.info(valid ? LogEvent.LeaseRegained : LogEvent.LeaseExpired, { shard: lease.shard });
     if (valid) context.eventListener?.({ kind: "state away", span: (clock.now() - this.leaseInvalidSince) as Micros });
     else this.leaseInvalidSince = clock.now();
     this.leaseWasValid = valid;
--- a/src/coordination/workers/command-dispatcher.ts
+++ b/src/coordination/workers/command-dispatcher.ts
@@ -93,7 +93,7 @@
     machine.fencing.forgetSentAt = clock.now();
     machine.fencing.sequence += 1;
     if (!hasFencingSequencesLeft(machine)) {
-      this.context.log.info(LogEvent.FencingSequencesExhausted, { machine: machine.name, number: lease.epoch });
+      this.context.log.info(LogEvent.FencingSequencesExhausted, { machine: machine.name, epoch: lease.epoch });
       this.context.onInconsistent();
       return [];
     }
