--- a/src/coordination/scheduling/gang-placement.ts
+++ b/src/coordination/scheduling/gang-placement.ts
@@ -1,4 +1,4 @@
-/** Placement of gangs: all open tasks of the job in one round, or none. */
+/** Placement of gangs: all waiting tasks of the job in one round, or none. */
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
 import type { Task } from "../../cluster/task.js";
@@ -9,13 +9,13 @@
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 import { TaskPlacer } from "./task-placer.js";
 
-/** What a trial placement of a whole gang came to. */
+/** The result of a trial placement of a whole gang. */
 type GangTrial =
   | { readonly kind: "fits"; readonly candidates: readonly Candidate[] }
   | { readonly kind: "no capacity"; readonly task: Task }
   | { readonly kind: "record full" };
 
-/** Why the gang is not placed in this round, whatever capacity there is; null where nothing prevents it. */
+/** The action to take instead of placing the gang, whatever capacity there is; null if the gang may be placed. */
 const gangObstacle = (
   { shard, now }: SchedulerSnapshot,
   job: Job,
@@ -23,7 +23,7 @@
   candidateIndex: CandidateIndex,
 ): RoundAction | null => {
   if (tasks.some((task) => task.earliestStart > now)) return { kind: "wait", job, reason: "gang incomplete" };
-  // The sooner the rest is stopped, the sooner it starts anew together.
+  // The remaining tasks are stopped at once, so that the whole gang can restart sooner.
   if (job.placedTasks.size > 0) return { kind: "dissolve", job };
   if (isLimitReserved(candidateIndex.reservation, job) || !shard.withinLimit(job.spec, tasks.length)) {
     return { kind: "wait", job, reason: "team limit" };
@@ -31,7 +31,7 @@
   return null;
 };
 
-/** Places the gang on copies of the candidates: nothing of a gang that does not fit whole must be left behind. */
+/** Places the gang on copies of the candidates, so that a gang that does not fit as a whole leaves no trace. */
 const tryGang = (
   snapshot: SchedulerSnapshot,
   job: Job,
@@ -53,7 +53,7 @@
   return { kind: "fits", candidates };
 };
 
-/** Places the tasks on the candidates of which a trial chose the copies. */
+/** Places the tasks on the candidates whose copies the trial chose. */
 function* commitGang(
   job: Job,
   tasks: readonly Task[],
@@ -72,8 +72,8 @@
 }
 
 /**
- * Places all of a gang's open tasks in this round, or none. `zoneTaskCounts`: the job's tasks by zone, changed as they
- * are placed. Returns the first task for which there was no capacity, if there is one.
+ * Places all of a gang's waiting tasks in this round, or none. `zoneTaskCounts`: the job's tasks by zone, updated as
+ * they are placed. Returns the first task that found no capacity, or null.
  */
 export function* placeGang(
   snapshot: SchedulerSnapshot,
--- a/src/coordination/scheduling/job-order.ts
+++ b/src/coordination/scheduling/job-order.ts
@@ -6,22 +6,22 @@
 import { relativeSize } from "./placement/bfgp.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
-/** Whose capacity a job's next task takes, lowest first in order. */
+/** How a job's next task relates to its team's guarantee; lower values are placed first. */
 const Entitlement = {
   /** The job is entitled to its team's guarantee. */
   Guaranteed: 0,
   /** The job is not entitled, but its team's present use is below its guarantee. */
   TeamBelowGuarantee: 1,
-  /** The job takes what its team is not guaranteed. */
+  /** The job uses capacity beyond its team's guarantee. */
   Beyond: 2,
 } as const;
 
-/** A job with the keys by which it is ordered. */
+/** A job with its sort keys. */
 interface OrderedJob {
   readonly job: Job;
   readonly rank: number;
   readonly entitlement: number;
-  /** The team's use as a share of its guarantee; 0 while all guarantees can be met. */
+  /** The share of its guarantee that the team uses, for entitled jobs while guarantees are overcommitted; else 0. */
   readonly guaranteeUsed: number;
   /** A task's demand as a share of the largest machine type. */
   readonly size: number;
@@ -30,7 +30,7 @@
   readonly deadline: number;
 }
 
-/** The share of its guarantee that the team uses now, by the resource of which it uses most. */
+/** The share of its guarantee that the team uses now: the larger of its CPU and GPU shares; 1 for an unknown team. */
 const guaranteeUsed = (used: { readonly cpu: number; readonly gpu: number }, team: Team | undefined): number => {
   if (team === undefined) return 1;
   const { cpu, gpu } = team.guaranteed;
@@ -45,7 +45,7 @@
 const withKeys = (snapshot: SchedulerSnapshot, job: Job, largestMachine: Resources): OrderedJob => {
   const { shard, settings, guaranteesOvercommitted } = snapshot;
   const { spec } = job;
-  // Where not all guarantees can be met, each team gets the same share of its own.
+  // Where not all guarantees can be met, each team gets the same share of its guarantee.
   const sharesGuarantees = guaranteesOvercommitted && job.withinGuarantee;
   return {
     job,
@@ -63,7 +63,7 @@
   a.entitlement - b.entitlement ||
   a.guaranteeUsed - b.guaranteeUsed ||
   b.size - a.size ||
-  // Where capacity is short for good, a replica is worth most to a service that has few of its own.
+  // Where capacity stays short, one more replica helps a service with few replicas most.
   b.missingReplicas - a.missingReplicas ||
   (a.missingReplicas > 0 ? a.job.spec.tasks - b.job.spec.tasks : 0) ||
   a.deadline - b.deadline ||
@@ -75,7 +75,7 @@
   const jobs: Job[] = [];
   for (const job of shard.jobs.values()) {
     if (job.cancelled || job.outcomePending || job.awaitingDependencies || job.retryAfter > now) continue;
-    // Tasks of a large job come into being range by range; that adds to the snapshot without changing it.
+    // Tasks of a large job are created range by range; creating some does not affect other decisions.
     if (job.waitingTasks.size === 0) shard.createNextTaskRange(job);
     if (job.waitingTasks.size > 0 && allowedStarts(job, now) > 0) jobs.push(job);
   }
@@ -88,7 +88,7 @@
   return largest;
 };
 
-/** Jobs with something to place now, most important and largest first. */
+/** Jobs with tasks that may be placed now, in placement order: by rank, entitlement, size and further keys. */
 export const waitingJobs = (snapshot: SchedulerSnapshot): Job[] => {
   const jobs = placeableJobs(snapshot);
   const largestMachine = largestMachineOf(snapshot);
@@ -97,7 +97,7 @@
   return (hasGraphSteps ? reorderWithinGraphs(ordered) : ordered).map(({ job }) => job);
 };
 
-/** Equal for steps of one graph that differ in their age only; null for jobs of no graph. */
+/** A key that is equal for steps of one graph that differ in waiting time and id only; null for jobs of no graph. */
 const graphOrderKey = (entry: OrderedJob): string | null => {
   const { job, rank, entitlement, guaranteeUsed: used, size, missingReplicas, deadline } = entry;
   if (job.spec.origin === undefined) return null;
@@ -105,8 +105,8 @@
 };
 
 /**
- * Steps of one graph that are equal but for their age change places among themselves, by their graph's own order. The
- * places themselves, and with them the turn of all other jobs, stay as they were.
+ * Sorts steps of one graph that differ in waiting time and id only by their position in the graph. They exchange places
+ * among themselves; the places of all other jobs do not change.
  */
 const reorderWithinGraphs = (ordered: readonly OrderedJob[]): OrderedJob[] => {
   const indexesByKey = new Map<string, number[]>();
--- a/src/coordination/scheduling/job-placement.ts
+++ b/src/coordination/scheduling/job-placement.ts
@@ -1,4 +1,4 @@
-/** Placement of one job's waiting tasks: task by task, and range by range of its tasks. */
+/** Placement of one job's waiting tasks, one task range after the other. */
 import type { Job } from "../../cluster/job.js";
 import type { Task } from "../../cluster/task.js";
 import { allowedStarts } from "../workers/failure-attribution.js";
@@ -14,12 +14,15 @@
 import { TaskPlacer } from "./task-placer.js";
 
 /**
- * What came of a range of a job's tasks: the first task without capacity; that the job's next range may be placed; null
- * where the job is done for this round and no capacity is to be made for it.
+ * The result of placing a task range: the first task without capacity; "next range" if the job's next range may be
+ * placed; null if nothing more of the job is placed in this round and no capacity is to be made for it by preemption.
  */
 type RangeOutcome = Task | "next range" | null;
 
-/** May one more task of the job be placed? Deferred: not now, for a reason that is not the team's limit. */
+/**
+ * Whether one more task of the job may be placed. "deferred": not in this round, for a reason other than the team's
+ * limit.
+ */
 const admitTask = (
   { shard, now }: SchedulerSnapshot,
   job: Job,
@@ -33,9 +36,9 @@
 };
 
 /**
- * Takes one write from the budget for the task's range; false where none is left. Placed ahead of its record, a task
- * only keeps capacity from those whose record is about to be written; that one write takes along all that its range is
- * given meanwhile.
+ * Takes one write from the budget for the task's range; false where none is left. A task placed too far ahead of its
+ * record only blocks capacity that tasks with an earlier write could use. A range with a pending write needs no other:
+ * that write carries all placements made in the range until then.
  */
 const takeRecordBudget = (
   { range }: Task,
@@ -49,7 +52,10 @@
   return true;
 };
 
-/** A job for which another has found no capacity in this round already. */
+/**
+ * Handles a job whose demand is known to find no capacity in this round: returns the task, for preemption, unless the
+ * team's limit forbids it.
+ */
 function* skipExhausted({ shard }: SchedulerSnapshot, task: Task): Generator<RoundAction, Task | null> {
   const { job } = task;
   if (shard.withinLimit(job.spec)) return task;
@@ -57,7 +63,7 @@
   return null;
 }
 
-/** Places the tasks that exist by now, in the order of their index. */
+/** Places the job's waiting tasks that are not in back-off, in the order of their index. */
 // biome-ignore lint/complexity/noExcessiveCognitiveComplexity: each step may yield an action that takes effect before the next one is taken
 function* placeTasks(
   snapshot: SchedulerSnapshot,
@@ -85,7 +91,8 @@
       markExhausted(job, candidateIndex, now);
       return task;
     }
-    // The range's value would become larger than is taken: until some of it has ended, others of the job go on.
+    // The range's record would exceed the size limit: the task waits until others of its range have ended; tasks of
+    // other ranges are placed meanwhile.
     if (!shard.fitsInRecord(task, candidate.machine.name)) {
       heldBack += 1;
       continue;
@@ -102,7 +109,7 @@
   return job.waitingTasks.size === heldBack && shard.createNextTaskRange(job) ? "next range" : null;
 }
 
-/** Places a gang, where what is left to boosted jobs allows all of it. */
+/** Places a gang; a boosted one only if the CPUs left to boosted jobs suffice for all of it. */
 function* placeGangWithinBoost(
   snapshot: SchedulerSnapshot,
   job: Job,
@@ -118,7 +125,7 @@
   return unplaced;
 }
 
-/** Places the tasks of the ranges that exist by now. */
+/** Places the tasks of the ranges created so far. */
 function* placeRange(
   snapshot: SchedulerSnapshot,
   job: Job,
@@ -130,7 +137,7 @@
   if (spec.singleZone && job.placedTasks.size === 0) {
     const zone = zoneWithMostCapacity(job, candidateIndex);
     if (zone === null) return [...job.waitingTasks][0] ?? null;
-    // Keeps the other zones out even before the first task is there.
+    // Excludes the other zones before the first task is placed: any count above 0 does.
     zoneTaskCounts.set(zone, Number.MIN_VALUE);
   }
   const place = spec.shape === "gang" ? placeGangWithinBoost : placeTasks;
@@ -138,8 +145,8 @@
 }
 
 /**
- * Places a job's waiting tasks, range by range. `boosted`: the jobs placed before all others and the CPUs left to them,
- * where the job is placed as one of these. Returns the first task for which there was no capacity, if there is one.
+ * Places a job's waiting tasks, range by range. `boosted`: the boosted jobs and the CPUs left to them if the job is
+ * placed as one of them, else null. Returns the first task that found no capacity, or null.
  */
 export function* placeJob(
   snapshot: SchedulerSnapshot,
--- a/src/coordination/scheduling/job-start.ts
+++ b/src/coordination/scheduling/job-start.ts
@@ -1,19 +1,21 @@
-/** What a job needs to have started, by its shape. */
+/** When a job counts as started, and what it needs to start, by its shape. */
 import type { Job } from "../../cluster/job.js";
 import type { JobSpec } from "../../protocol/job-spec.js";
 
-/** So many tasks at once a job needs to have started: a gang all of them, a service half, an array one. */
+/** The number of tasks after which a job counts as started: all of a gang, half of a service, one of an array. */
 const tasksNeeded = ({ shape, tasks }: JobSpec): number => {
   if (shape === "gang") return tasks;
   return shape === "service" ? Math.ceil(tasks / 2) : 1;
 };
 
-/** A service, whose replicas come one by one, is as good as started with half of them; it waits for one at a time. */
+/**
+ * Whether the job has started. A service counts as started with half of its replicas, which are placed one at a time.
+ */
 export const hasStarted = (job: Job): boolean =>
   job.spec.shape === "array" ? job.started : job.placedTasks.size + job.completedTasks >= tasksNeeded(job.spec);
 
-/** How many tasks have to fit at once. */
+/** How many tasks must be placed in the same round: all of a gang, else one. */
 export const tasksPlacedTogether = ({ shape, tasks }: JobSpec): number => (shape === "gang" ? tasks : 1);
 
-/** What it takes to start the job, in thousandths of CPUs. */
+/** The CPUs that must be free at once for the job to start, in thousandths. */
 export const cpuToStart = (spec: JobSpec): number => tasksPlacedTogether(spec) * spec.demand.cpu;
--- a/src/coordination/scheduling/placement-round.ts
+++ b/src/coordination/scheduling/placement-round.ts
@@ -1,6 +1,7 @@
 /**
- * One placement round over the waiting jobs of a shard. Its stages: order the jobs, index the machines that can take tasks,
- * place boosted jobs, reserve capacity for late ones, place the rest, and preempt for what found no capacity.
+ * One placement round over the waiting jobs of a shard. Its stages: order the jobs, index the machines that can take
+ * tasks, place boosted jobs, reserve capacity for late ones, place the rest, and preempt for tasks that found no
+ * capacity.
  */
 import type { Job } from "../../cluster/job.js";
 import type { Task } from "../../cluster/task.js";
@@ -18,7 +19,7 @@
 import { writePriorityOf } from "./start-deadline.js";
 import { type BoostedJobs, boostStarvedJobs, START_BOUND, StartHistory } from "./starvation.js";
 
-/** What is kept from round to round. */
+/** The state that is kept between rounds. */
 export interface RoundState extends PreemptionState, ReservationState {
   guaranteesOvercommitted: boolean;
   readonly startHistory: StartHistory;
@@ -34,13 +35,13 @@
   reservationRetryAt: new Map(),
 });
 
-/** An overcommitment of guarantees only ends once claims are below this share of the capacity. */
+/** Hysteresis: guarantees stay overcommitted until claims are at most this share of the capacity. */
 const OVERCOMMIT_END_SHARE = 0.9;
 
-/** This share of the machines with tasks has to be ready for their capacity to tell anything. */
+/** Overcommitment is judged only while at least this many ready machines exist for each machine with tasks. */
 const MIN_KNOWN_SHARE = 0.8;
 
-/** What the stages of one round share. */
+/** The data that the stages of one round share. */
 interface Round {
   readonly snapshot: SchedulerSnapshot;
   readonly state: RoundState;
@@ -55,19 +56,19 @@
   return count;
 };
 
-/** Reports where the guarantees have come to exceed the capacity, in thousandths of CPUs, or no longer do. */
+/** Reports that guarantee claims start or stop exceeding `capacity` (thousandths of CPUs). */
 function* reportOvercommitment({ snapshot, state, candidateIndex }: Round, capacity: number): Generator<RoundAction> {
   const { machines, guarantees } = candidateIndex;
   const { claimed } = guarantees;
   const overcommitted = claimed > capacity * (state.guaranteesOvercommitted ? OVERCOMMIT_END_SHARE : 1);
   if (overcommitted === state.guaranteesOvercommitted) return;
-  // A new leader has hardly heard of its machines yet: that their capacity is unknown is no overcommitment.
+  // A new leader has received few heartbeats yet: machines of unknown capacity do not mean overcommitment.
   if (machines.length < MIN_KNOWN_SHARE * countMachinesWithTasks(snapshot)) return;
   state.guaranteesOvercommitted = overcommitted;
   yield { kind: "guarantees", overcommitted, claimed, capacity };
 }
 
-/** Places a job and counts its starts. Returns the first task for which there was no capacity, if there is one. */
+/** Places a job's tasks and counts its starts. Returns the first task that found no capacity, or null. */
 function* placeAndCount(round: Round, job: Job, boosted: BoostedJobs | null): Generator<RoundAction, Task | null> {
   const { snapshot, state, candidateIndex, runningTasks } = round;
   const placedBefore = job.placedTasks.size;
@@ -78,15 +79,15 @@
   return unplaced;
 }
 
-/** Jobs of the boosted stage for which capacity is to be sought. */
+/** Boosted jobs that are left without capacity. */
 interface BoostedOutcome {
-  /** Jobs that have waited for too long and not started, the longest waiting first. */
+  /** Jobs not started within `START_BOUND`, the longest waiting first. */
   readonly late: readonly Job[];
-  /** The first task without capacity of each job. Capacity only shrinks within a round: it is not searched again. */
+  /** The first task without capacity of each job; not tried again, since capacity only shrinks within a round. */
   readonly unplacedTasks: ReadonlyMap<Job, Task>;
 }
 
-/** Places the jobs that go before all others. */
+/** Places the boosted jobs, which precede all others. */
 function* placeBoosted(round: Round, boosted: BoostedJobs): Generator<RoundAction, BoostedOutcome> {
   const { now } = round.snapshot;
   const late: Job[] = [];
@@ -99,14 +100,17 @@
   return { late, unplacedTasks };
 }
 
-/** Are there writes left for the job's placements, or placements of it whose write is still to come? */
+/** Whether the write budget allows another placement of the job, or a pending write of the job can carry it. */
 const hasRecordBudget = ({ snapshot, candidateIndex }: Round, job: Job): boolean =>
   candidateIndex.recordBudget[writePriorityOf(job, snapshot.settings)] >= 1 ||
   job.ranges.some(({ placementPendingSince }) => placementPendingSince !== null);
 
-/** Places one job in its turn, and preempts for it where the rules allow it. `knownUnplaced`: known from a stage before. */
+/**
+ * Places one job in the order of the round, and preempts for it where the rules allow it. `knownUnplaced`: the task
+ * that found no capacity in the boosted stage, if any.
+ */
 function* placeInTurn(round: Round, job: Job, knownUnplaced: Task | undefined): Generator<RoundAction> {
-  // Not looked at any closer: with thousands of jobs waiting for the records, rounds would take seconds to no avail.
+  // Skipped early: with thousands of jobs waiting for their records to be written, rounds would take seconds in vain.
   if (!hasRecordBudget(round, job)) {
     yield { kind: "wait", job, reason: "record budget" };
     return;
@@ -119,8 +123,9 @@
 }
 
 /**
- * One placement round: what is waiting, in order, each task on the machine that Algorithm 1 chooses (docs/design.md),
- * and capacity made where the rules allow it. The caller carries out each action before it asks for the next one.
+ * Decides one placement round: places waiting tasks in order, each on the machine that Algorithm 1 chooses
+ * (docs/design.md), and preempts where the rules allow it. The caller applies each action before requesting the next
+ * one.
  */
 export function* decideRound(snapshot: SchedulerSnapshot, state: RoundState): Generator<RoundAction> {
   const guarantees = new GuaranteeUsage(snapshot);
--- a/src/coordination/scheduling/round-action.ts
+++ b/src/coordination/scheduling/round-action.ts
@@ -7,26 +7,28 @@
 import type { PreemptAction } from "./preemption.js";
 import { checkpointGraceS } from "./preemption-cost.js";
 
-/** Why tasks of a job go on waiting after a round. */
+/** Why tasks of a job are still waiting after a round. */
 export type WaitReason =
-  /** One more would exceed the team's limit. */
+  /** One more task would exceed the team's limit, or what is left of the limit is reserved for another job. */
   | "team limit"
-  /** No machine that the job may use has capacity for one. */
+  /** No machine that the job may use has capacity for one of its tasks. */
   | "no capacity"
-  /** No zone has capacity for a job whose tasks stay in one. */
+  /** All tasks of the job must run in one zone, and no zone has capacity for any of them. */
   | "no zone"
-  /** Placements made already take all the writes that the key-value store allows for the next seconds. */
+  /** Placements that are not on record yet already use up the key-value store's writes for the next few seconds. */
   | "record budget"
-  /** A gang's tasks are in back-off, or some of them are still on machines. */
+  /** Some tasks of the gang are in back-off, or still on machines. */
   | "gang incomplete";
 
-/** One decision of a round. Whoever runs the round carries it out before the next one is asked for. */
+/** One decision of a round. The caller applies it before requesting the next one, which may depend on it. */
 export type RoundAction =
   | { readonly kind: "place"; readonly task: Task; readonly machine: Machine }
-  /** A gang that lost a task cannot go on. */
+  /** Stops the remaining tasks of a gang that has lost a task: a gang cannot continue incomplete. */
   | { readonly kind: "dissolve"; readonly job: Job }
   | { readonly kind: "wait"; readonly job: Job; readonly reason: WaitReason }
-  /** Claims within guarantees have come to exceed all capacity, or no longer do; in thousandths of CPUs. */
+  /**
+   * The unfinished demand of entitled jobs (`claimed`) starts or stops exceeding all capacity; in thousandths of CPUs.
+   */
   | {
       readonly kind: "guarantees";
       readonly overcommitted: boolean;
@@ -36,7 +38,7 @@
   | PreemptAction
   | ReservationAction;
 
-/** Applies an action to the shard's state; records, commands and timers are left to whoever carries it out. */
+/** Applies an action to the shard's state; the caller writes records, sends commands and sets timers. */
 export const applyAction = (shard: ShardState, action: RoundAction): void => {
   switch (action.kind) {
     case "place":
--- a/src/coordination/scheduling/scheduler-snapshot.ts
+++ b/src/coordination/scheduling/scheduler-snapshot.ts
@@ -6,25 +6,25 @@
 import type { InspectionCounter } from "./placement/ranking.js";
 
 /**
- * What decisions are made from. They change nothing in it: what is to happen comes out as actions with their reasons,
- * each of which is carried out before the next one is asked for, so that it counts for what follows. The controller's
- * loops carry them out through records and commands, the fast model of what-if at once.
+ * The input of scheduling decisions, which do not modify it. Decisions are returned as actions with their reasons; the
+ * caller applies each action before it requests the next one, so that later decisions take it into account. The
+ * controller applies them through records and commands; the fast what-if model applies them directly.
  */
 export interface SchedulerSnapshot {
   readonly now: Micros;
   readonly shard: ShardState;
   readonly settings: Pick<Settings, "teams" | "objectives">;
   readonly options: OperatorOptions;
-  /** A machine without a heartbeat for so long gets no new tasks, in microseconds. */
+  /** A machine gets no new tasks once its last heartbeat is older than this, in microseconds. */
   readonly heartbeatTimeout: number;
-  /** A worker that has not seen this fencing token is not known well enough. */
+  /** A machine gets no new tasks until its worker has reported a fencing token at least this high. */
   readonly firstFencingToken: number;
-  /** Claims within guarantees exceed all capacity: each team is served the same share of its own. */
+  /** The unfinished demand of entitled jobs exceeds all capacity: each team gets the same share of its guarantee. */
   readonly guaranteesOvercommitted: boolean;
-  /** Searches for victims that a round may make. */
+  /** The maximum number of victim searches in a round. */
   readonly maxPreemptionSearches: number;
-  /** Ranges that may yet come to wait for their placements to be on record: of urgent work, and of other work. */
+  /** How many more task ranges of urgent and of other jobs may have placements that are not on record yet. */
   readonly recordBudget: Readonly<Record<"urgent" | "normal", number>>;
-  /** Counts the machines and tasks inspected. */
+  /** Counts the machines and tasks inspected, as a measure of a decision's cost. */
   readonly inspection: InspectionCounter;
 }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -13,21 +13,21 @@
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 import { writePriorityOf } from "./start-deadline.js";
 
-/** Searches for victims that a round may make; fewer under load. */
+/** The maximum number of victim searches in a round; lower under load shedding. */
 export const MAX_PREEMPTION_SEARCHES = 24;
 const MAX_PREEMPTION_SEARCHES_UNDER_LOAD = 4;
-/** Placements may wait so long for the key-value store's writes, in seconds. */
+/** Bounds of how far placements may run ahead of their records, in seconds of key-value store writes. */
 const MIN_RECORDS_AHEAD_S = 2;
 const MAX_RECORDS_AHEAD_S = 8;
-/** Placements ahead of their records are to last for so many times the interval between rounds. */
+/** Placements run ahead of their records by this multiple of the interval between rounds. */
 const ROUND_INTERVAL_FACTOR = 1.5;
-/** The share of the placements ahead of their records that is kept for jobs that are not urgent. */
+/** The share of the placements ahead of their records that is set aside for non-urgent jobs. */
 const NON_URGENT_SHARE = 0.2;
 
-/** Machines of a reservation that the log names. */
+/** The maximum number of machine names logged for a reservation. */
 const MAX_LOGGED_MACHINES = 5;
 
-/** Carries out what placement rounds decide, through records and commands. */
+/** Runs placement rounds and carries out their actions by writing records and sending commands. */
 export class Scheduler {
   readonly inspection: InspectionCounter = { count: 0 };
   private readonly roundState = newRoundState();
@@ -42,8 +42,8 @@
   }
 
   /**
-   * What is known now, for decisions. `recordBudget`: only a round uses it, and it takes a walk over all jobs, so plans do
-   * without.
+   * The present input of scheduling decisions. `recordBudget` is used by rounds only and takes a walk over all jobs to
+   * compute, so scaling plans omit it.
    */
   snapshot(recordBudget: SchedulerSnapshot["recordBudget"] = { urgent: 0, normal: 0 }): SchedulerSnapshot {
     const { shard, clock, settings, options, lease, loadShedder } = this.context;
@@ -63,16 +63,19 @@
     };
   }
 
-  /** Until well into the next round, whenever that will be: else writes would be left unused between slow rounds. */
+  /**
+   * How far placements may run ahead of their records, in seconds of writes: past the expected start of the next round,
+   * or writes would go unused between slow rounds.
+   */
   private recordsAheadS(): number {
     const sinceLastRoundS = (this.context.clock.now() - this.lastRoundAt) / 1_000_000;
     return Math.min(MAX_RECORDS_AHEAD_S, Math.max(MIN_RECORDS_AHEAD_S, ROUND_INTERVAL_FACTOR * sinceLastRoundS));
   }
 
   /**
-   * Ranges that may yet come to wait for their placements to be on record. Urgent jobs are limited by urgent ones only,
-   * since their writes go first; all others keep a share of their own, so that they go on however much is urgent. Ends of
-   * jobs wait in the same queues, and must not keep all starts out.
+   * How many more task ranges may have placements that are not on record yet. Urgent jobs are limited by urgent writes
+   * only, since those are sent first. Other jobs keep a share of their own, so that they progress however many writes
+   * are urgent. Queued outcome records are not counted: they share the queues, and must not block all starts.
    */
   private recordBudget(): SchedulerSnapshot["recordBudget"] {
     const waiting = { urgent: 0, normal: 0 };
@@ -89,17 +92,17 @@
     };
   }
 
-  /** For the log: what each pool holds, and what waits. */
+  /** The machine pools and waiting tasks, for the log. */
   summarize(): PoolSummary {
     return summarizePools(this.snapshot());
   }
 
-  /** The job for which capacity is reserved, if there is one. */
+  /** Id of the job for which capacity is reserved; null if there is none. */
   get reservedForJob(): string | null {
     return this.roundState.reservation?.job.spec.id ?? null;
   }
 
-  /** Runs one placement round, unless the lease has expired. */
+  /** Runs one placement round and carries out its actions; does nothing once the lease has expired. */
   runRound(): void {
     if (!this.context.lease.isValid()) return;
     this.context.shard.maxRecordBytes = this.context.transactions.maxValueBytes;
@@ -122,13 +125,13 @@
     return false;
   }
 
-  /** Reports how many machines and tasks have been inspected since the last report. */
+  /** Reports how many machines and tasks have been inspected since the previous report. */
   reportInspections(): void {
     this.context.onInspected?.(this.inspection.count - this.reportedInspections);
     this.reportedInspections = this.inspection.count;
   }
 
-  /** Carries out one action: one short case for each kind. */
+  /** Applies one action to the shard state, then writes, sends or logs what it requires. */
   private execute(action: RoundAction): void {
     const { context } = this;
     const { shard, log } = context;
