--- a/src/coordination/scheduling/candidate-index.ts
+++ b/src/coordination/scheduling/candidate-index.ts
@@ -1,6 +1,6 @@
 /**
- * Index of the machines that can take tasks in one round, by pool. It is changed as tasks are placed, and remembers for
- * which demands no capacity was found, so that no job searches a second time for what another did not find.
+ * Index of the machines that can take tasks in one round, by pool. It is updated as tasks are placed, and records the
+ * demands for which no capacity was found, so that other jobs with such demands skip the search.
  */
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
@@ -14,12 +14,12 @@
 import type { RankedServer } from "./placement/ranking.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
-/** A machine that can take tasks, with what is left of it in this round. */
+/** A machine that can take tasks, with the capacity that it has left in this round. */
 export interface Candidate extends RankedServer {
   readonly machine: Machine;
 }
 
-/** Images of a machine; as in the paper, an image that is being fetched counts as being there. */
+/** Images of a machine; as in the paper, an image that is being fetched counts as present. */
 class MachineImages implements Images {
   private assigned: string | null = null;
 
@@ -47,45 +47,46 @@
   machine,
 });
 
-/** A copy on which placement may be tried without effect on the original. */
+/** A copy for trial placements, which do not affect the original. */
 export const copyCandidate = (candidate: Candidate): Candidate => ({
   ...candidate,
   images: new MachineImages(candidate.machine),
 });
 
-/** Machines of one type, zone and kind: whether a job may use them is the same for all. */
+/** Machines of one type, zone and kind (spot or ordinary): a job may use either all of them or none. */
 export interface MachinePool {
   readonly typeName: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** All that can take tasks, and of those the ones with replicas, with or without free capacity. */
+  /** The number of machines that can take tasks, with or without free capacity. */
   total: number;
+  /** The number of these that run replicas of services. */
   withReplicas: number;
-  /** Those with capacity for the smallest of what is waiting. */
+  /** The machines with capacity for the smallest waiting demand. */
   readonly candidates: Candidate[];
 }
 
-/** The machines, limits and findings that the stages of one round share. */
+/** The machines, budgets and search results that the stages of one round share. */
 export interface CandidateIndex {
   readonly pools: readonly MachinePool[];
   readonly machines: readonly Machine[];
   readonly broadZones: ReadonlySet<string>;
-  /** Demands for which nothing was left in this round, by what the jobs may use. */
+  /** Demands for which no capacity was found in this round, by `constraintKey` of their jobs. */
   readonly exhaustedDemands: Map<string, Resources[]>;
-  /** Zones with capacity for a job's task, as found in this round. */
+  /** Cache: zones with capacity for one of a job's tasks, as first determined in this round. */
   readonly zonesWithCapacity: Map<Job, ReadonlySet<string>>;
-  /** Machines of the tasks that a job had placed when it was first searched for victims. */
+  /** Cache: machines of a job's placed tasks, as of the round's first victim search among them. */
   readonly machinesByJob: Map<Job, readonly Machine[]>;
   readonly guarantees: GuaranteeUsage;
-  /** Capacity that is reserved for one job. */
+  /** The capacity reservation for one job, if there is one. */
   reservation: Reservation | null;
-  /** Searches for victims made in this round. */
+  /** The number of victim searches made in this round. */
   preemptionSearches: number;
-  /** Ranges whose placements may yet come to wait for their write, for urgent jobs and for the others. */
+  /** How many more task ranges of urgent and of other jobs may have placements that are not on record yet. */
   readonly recordBudget: Record<"urgent" | "normal", number>;
 }
 
-/** Machines that can take tasks now, with what is left on them. */
+/** All machines that can take tasks now, with their free capacity. */
 export const listCandidates = (snapshot: SchedulerSnapshot): Candidate[] => {
   const list: Candidate[] = [];
   for (const machine of readyMachines(snapshot)) list.push(asCandidate(machine, machine.type, list.length));
@@ -93,8 +94,8 @@
 };
 
 /**
- * Zones where the cloud offers most types. What can go anywhere goes there first: a zone with little capacity is
- * the only one left for the second half of a job that has to be spread.
+ * The zones where the cloud offers the most machine types. Tasks that may run anywhere prefer them, since the other,
+ * smaller zones are needed for the second half of jobs that must be spread.
  */
 const findBroadZones = ({ shard }: SchedulerSnapshot): ReadonlySet<string> => {
   const typesByZone = new Map<string, number>();
@@ -105,7 +106,7 @@
   return new Set([...typesByZone].filter(([, types]) => types === maxTypes).map(([zone]) => zone));
 };
 
-/** The least of each resource that a task of the jobs demands. */
+/** The minimum of each resource over the demands of the jobs' tasks. */
 const smallestDemand = (jobs: readonly Job[]): Resources => {
   let smallest: Resources = jobs[0]?.spec.demand ?? { cpu: 0, gpu: 0, ram: 0 };
   for (const { spec } of jobs) {
@@ -119,7 +120,7 @@
   return smallest;
 };
 
-/** The machine's pool among these, added where it is not there yet. */
+/** The machine's pool among `pools`; added if missing. */
 const findOrAddPool = (pools: MachinePool[], { typeName, zone, spot }: Machine): MachinePool => {
   for (const known of pools)
     if (known.zone === zone && known.spot === spot && known.typeName === typeName) return known;
@@ -128,7 +129,7 @@
   return pool;
 };
 
-/** Indexes the ready machines for the jobs that wait, as a round finds them. */
+/** Indexes the ready machines for the waiting jobs at the start of a round. */
 export const buildCandidateIndex = (
   snapshot: SchedulerSnapshot,
   jobs: readonly Job[],
@@ -138,7 +139,7 @@
   const smallest = smallestDemand(jobs);
   const pools: MachinePool[] = [];
   const machines: Machine[] = [];
-  // Written out, since it is walked for every machine in every round: no generator, no key made up for each.
+  // Hot loop over every machine in every round: it avoids a generator and a string key for each machine.
   for (const machine of snapshot.shard.machines.values()) {
     if (!isReady(machine, snapshot)) continue;
     const { type } = machine;
@@ -169,7 +170,7 @@
   };
 };
 
-/** The zone with capacity for most of the job's tasks now, for jobs that stay in one; null where none has any. */
+/** The zone with capacity for the most tasks of a job that must run in one zone; null if no zone has any. */
 export const zoneWithMostCapacity = (job: Job, candidateIndex: CandidateIndex): string | null => {
   const { spec } = job;
   const tasksByZone = new Map<string, number>();
@@ -184,7 +185,7 @@
   return best === undefined || best[1] === 0 ? null : best[0];
 };
 
-/** Zones with capacity for one more of the job's tasks now. */
+/** The zones that the job may use and that have capacity for one more of its tasks now. */
 export const zonesWithCapacity = (job: Job, candidateIndex: CandidateIndex): ReadonlySet<string> => {
   const { spec } = job;
   const counts = zoneCounts(job);
@@ -197,10 +198,9 @@
 };
 
 /**
- * What a job may use, for those to which all zones of it are open. Of machines reserved for another job it is how
- * many the job may backfill: whoever may backfill more of them may find capacity where others found none. Without that
- * the very job that had the reservation took its machines for full, since another had searched before it, and they stood
- * idle.
+ * A key that is equal for jobs that may use the same machines; null for jobs whose zones depend on their placed tasks.
+ * The key includes how many reserved machines the job may use: without that, the job holding the reservation shared the
+ * failed search of an earlier job that may not backfill, and its reserved machines stayed idle.
  */
 const constraintKey = (job: Job, { reservation }: CandidateIndex, now: Micros): string | null => {
   const { spec } = job;
@@ -212,14 +212,17 @@
   return `${spec.types?.join(",") ?? "*"}/${spec.zone ?? "*"}/${spec.spot}/${backfillable}`;
 };
 
-/** Capacity only shrinks within a round: a demand without any stands for all that are as large or larger. */
+/**
+ * Whether a job with the same constraints and no larger demand has found no capacity in this round: capacity only
+ * shrinks within a round.
+ */
 export const isKnownExhausted = (job: Job, candidateIndex: CandidateIndex, now: Micros): boolean => {
   const key = constraintKey(job, candidateIndex, now);
   if (key === null) return false;
   return candidateIndex.exhaustedDemands.get(key)?.some((demand) => fits(demand, job.spec.demand)) ?? false;
 };
 
-/** Notes that there is no capacity left for the job's demand in this round. */
+/** Records that there is no capacity left for the job's demand in this round. */
 export const markExhausted = (job: Job, candidateIndex: CandidateIndex, now: Micros): void => {
   const { spec } = job;
   const key = constraintKey(job, candidateIndex, now);
--- a/src/coordination/scheduling/capacity-reservation.ts
+++ b/src/coordination/scheduling/capacity-reservation.ts
@@ -1,6 +1,6 @@
 /**
- * Reservation of capacity for the job that has waited longest: backfilling with one reservation (EASY). Other jobs use the
- * reserved machines only for what ends before the reservation is complete.
+ * Reservation of capacity for the job that has waited longest: backfilling with one reservation (EASY). Other jobs use
+ * reserved machines only for tasks expected to end before the reserved capacity is due.
  */
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
@@ -9,52 +9,54 @@
 import { earliestMachines, limitAvailableAt, MAX_RESERVATION } from "./reservation-search.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
-/** A reservation lasts so many times the expected wait: estimates are often wrong by half. */
+/** A reservation lasts this multiple of the expected wait: run-time estimates are often wrong by half. */
 const RESERVATION_FACTOR = 2;
-/** A reservation lasts so much longer than that. */
+/** Added to the duration of a reservation. */
 const RESERVATION_SLACK = seconds(10);
-/** A job for which nothing could be reserved is considered again after this time. */
+/** Delay before a job for which nothing could be reserved is considered again. */
 const RETRY_DELAY = seconds(20);
-/** A job whose reservation ran out unused is considered again after this time. */
+/** Delay before a job whose reservation expired unused is considered again. */
 const EXPIRED_RETRY_DELAY = seconds(60);
-/** Jobs that a round searches a reservation for. */
+/** The maximum number of jobs per round for which a reservation is searched. */
 const MAX_SEARCHES = 2;
-/** What is to end before the reservation is complete may backfill it, its estimate taken so many times. */
+/**
+ * A task may backfill a reserved machine if this multiple of its estimated run time ends before the capacity is due.
+ */
 const BACKFILL_FACTOR = 1.5;
 
-/** Capacity that comes free, reserved for the job that has waited longest. */
+/** Capacity that is expected to become free, reserved for one job. */
 export interface Reservation {
   readonly job: Job;
-  /** When each machine is expected to have the capacity; none: it is the team's limit that is reserved. */
+  /** When each reserved machine is expected to have the capacity; empty if the team's limit is reserved instead. */
   readonly machines: ReadonlyMap<Machine, Micros>;
   readonly until: Micros;
 }
 
-/** What reservations keep from round to round. */
+/** The state of reservations that is kept between rounds. */
 export interface ReservationState {
   reservation: Reservation | null;
-  /** Jobs that are not considered again before a time. */
+  /** When jobs without success are considered again. */
   readonly reservationRetryAt: Map<Job, Micros>;
 }
 
-/** Why a reservation ends: its job has started, it ran out, or the job has ended. */
+/** Why a reservation ends: its job has started, it has expired, or its job has ended. */
 export type ReleaseReason = "started" | "expired" | "job ended";
 
-/** What a round decides on reservations. */
+/** A decision of a round on reservations. */
 export type ReservationAction =
   | { readonly kind: "reserve"; readonly reservation: Reservation }
   | { readonly kind: "unreserve"; readonly job: Job; readonly reason: ReleaseReason }
-  /** Nowhere will there be capacity for the job within the time that a reservation may last. */
+  /** No capacity for the job is expected to become free within `MAX_RESERVATION`. */
   | { readonly kind: "no capacity to reserve"; readonly job: Job };
 
-/** Why the reservation is to end; null where it is to go on. */
+/** Why the reservation is to end; null if it is to be kept. */
 const releaseReason = ({ shard, now }: SchedulerSnapshot, { job, until }: Reservation): ReleaseReason | null => {
   if (job.cancelled || job.outcomePending || !shard.jobs.has(job.spec.id)) return "job ended";
   if (hasStarted(job)) return "started";
   return now > until ? "expired" : null;
 };
 
-/** Ends the present reservation, where there is one and it is to end. */
+/** Releases the present reservation if there is a reason to. */
 function* releaseReservation(snapshot: SchedulerSnapshot, state: ReservationState): Generator<ReservationAction, void> {
   const { reservation } = state;
   if (reservation === null) return;
@@ -66,7 +68,7 @@
   yield { kind: "unreserve", job, reason };
 }
 
-/** Forgets delays that are over, and those of jobs that have ended. */
+/** Removes delays that are over, and those of jobs that have ended. */
 const expireRetries = ({ shard, now }: SchedulerSnapshot, { reservationRetryAt }: ReservationState): void => {
   for (const [job, retryAt] of reservationRetryAt) {
     if (retryAt <= now || !shard.jobs.has(job.spec.id)) reservationRetryAt.delete(job);
@@ -83,7 +85,10 @@
   return { job, machines, until: Math.min(now + MAX_RESERVATION, until) as Micros };
 };
 
-/** A reservation for the job: of its team's limit where that keeps it from starting, else of machines; null if there is none. */
+/**
+ * Searches a reservation for the job: of its team's limit if that prevents its start, else of machines. Null if none is
+ * possible.
+ */
 const findReservation = (snapshot: SchedulerSnapshot, job: Job, machines: readonly Machine[]): Reservation | null => {
   const { shard, now } = snapshot;
   if (!shard.withinLimit(job.spec, tasksPlacedTogether(job.spec))) {
@@ -96,11 +101,11 @@
 };
 
 /**
- * Reserves capacity for the longest waiting job that needs more at once than comes free by itself: a whole machine, all of
- * a gang, the rest of its team's limit. Small work beside it takes every bit as soon as it is free, so that it would wait
- * for ever; others fill in only what ends before (backfilling with one reservation, EASY). One at a time, for a bounded
- * time, so that it can idle no more than what one job is going to use. `late`: those that have waited for too long, oldest
- * first, to which this round had nothing to give.
+ * Reserves capacity for the longest waiting job that needs more at once than becomes free by itself: a whole machine,
+ * all of a gang, the rest of its team's limit. Without a reservation it would wait for ever, as small tasks take all
+ * capacity as soon as it is free; with one, other jobs may only backfill (EASY). There is one reservation at a time, of
+ * bounded duration, so that no more capacity idles than one job is going to use. `late`: the jobs that have waited too
+ * long and found no capacity in this round, longest waiting first.
  */
 export function* reserveCapacity(
   snapshot: SchedulerSnapshot,
@@ -114,7 +119,7 @@
   let searches = 0;
   for (const job of late) {
     if (state.reservationRetryAt.has(job) || hasStarted(job)) continue;
-    // Each looks at every machine.
+    // Each search inspects every machine.
     searches += 1;
     if (searches > MAX_SEARCHES) return;
     const reservation = findReservation(snapshot, job, machines);
@@ -128,7 +133,10 @@
   }
 }
 
-/** May a task of the job go there, or is the machine reserved for another from before the task ends? */
+/**
+ * Whether a task of the job may be placed on the machine now: the machine is not reserved for another job, or the task
+ * is expected to end before the reserved capacity is due.
+ */
 export const mayBackfill = (reservation: Reservation | null, job: Job, machine: Machine, now: Micros): boolean => {
   const availableAt = reservation?.machines.get(machine);
   if (availableAt === undefined || reservation?.job === job) return true;
@@ -136,7 +144,7 @@
   return shape !== "service" && estimatedRunS > 0 && now + seconds(estimatedRunS * BACKFILL_FACTOR) <= availableAt;
 };
 
-/** Is what is left of the team's limit reserved for another of its jobs? */
+/** Whether the remainder of the limit of the job's team is reserved for another job of the team. */
 export const isLimitReserved = (reservation: Reservation | null, job: Job): boolean =>
   reservation !== null &&
   reservation.machines.size === 0 &&
--- a/src/coordination/scheduling/eligibility.ts
+++ b/src/coordination/scheduling/eligibility.ts
@@ -8,13 +8,13 @@
 import { fits } from "./placement/bfgp.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
-/** May the job use such a machine at all? */
+/** Whether the job's constraints on type, zone and spot instances allow such a machine. */
 export const allows = (spec: JobSpec, typeName: string, zone: string, spot: boolean): boolean =>
   (spec.types === null || spec.types.includes(typeName)) &&
   (spec.zone === null || spec.zone === zone) &&
   (!spot || spec.spot);
 
-/** Zones of the job's tasks, wherever one may be; a machine known by name only has the zone "". */
+/** The number of the job's placed tasks by zone; "" counts the tasks whose machine, and so its zone, is unknown. */
 export const zoneCounts = (job: Job): Map<string, number> => {
   const counts = new Map<string, number>();
   for (const task of job.placedTasks) {
@@ -24,14 +24,17 @@
   return counts;
 };
 
-/** Given where the job's other tasks may be, can one more go to this zone? */
+/**
+ * Whether one more of the job's tasks may run in this zone. `counts`: its placed tasks by zone. Tasks of unknown zone
+ * ("") are taken to be in any zone, to be safe.
+ */
 export const zoneAllowed = (spec: JobSpec, counts: ReadonlyMap<string, number>, zone: string): boolean => {
   const unknown = counts.get("") ?? 0;
   if (spec.singleZone && [...counts].some(([other, count]) => count > 0 && other !== zone)) return false;
   return !spec.spread || (counts.get(zone) ?? 0) + unknown < Math.ceil(spec.tasks / 2);
 };
 
-/** Why a machine takes no new tasks now. */
+/** Why a machine is given no new tasks now. */
 export type UnreadyReason =
   | "type unknown"
   | "booting"
@@ -44,7 +47,7 @@
   | "unreachable"
   | "fencing token unverified";
 
-/** Why the machine takes no new tasks now; null if it does. */
+/** Why the machine is given no new tasks now; null if it is ready. */
 export const unready = (machine: Machine, snapshot: SchedulerSnapshot): UnreadyReason | null =>
   unreadyByLifecycle(machine, snapshot) ?? unreadyByContact(machine, snapshot);
 
@@ -74,14 +77,17 @@
 export const isReady = (machine: Machine, snapshot: SchedulerSnapshot): machine is TypedMachine =>
   unready(machine, snapshot) === null;
 
-/** Machines that can take tasks now. Not a generator: rounds and scaling plans walk the whole fleet. */
+/** All machines that can take tasks now. An array rather than a generator, for speed: callers walk the whole fleet. */
 export const readyMachines = (snapshot: SchedulerSnapshot): readonly TypedMachine[] => {
   const ready: TypedMachine[] = [];
   for (const machine of snapshot.shard.machines.values()) if (isReady(machine, snapshot)) ready.push(machine);
   return ready;
 };
 
-/** Why a job can never run here, whatever comes free; null if it can. */
+/**
+ * Why a job can never run with these teams and machine types, however much capacity becomes free; null if it can. An
+ * array needs to fit its team's limit with one task, other shapes with all.
+ */
 export const neverRuns = (
   spec: JobSpec,
   { teams }: Pick<Settings, "teams">,
--- a/src/coordination/scheduling/guarantee-usage.ts
+++ b/src/coordination/scheduling/guarantee-usage.ts
@@ -1,15 +1,18 @@
-/** What teams are guaranteed and use in one round, and which tasks they can lose without falling below it. */
+/**
+ * Teams' guarantees and their use in one round, and which tasks a team can lose without falling below its guarantee.
+ */
 import { attemptOf, type Task } from "../../cluster/task.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 /**
- * A task that was started so often is not preempted any more. Attempts are on record, so the bound holds
- * across failovers; starts that failed count, too, which errs on the side of leaving work alone.
+ * A task with this many attempts is not preempted any more. Attempts are on record, so the bound holds across
+ * failovers. Failed starts count as well, so that the bound errs on the side of too few preemptions.
  */
 export const MAX_ATTEMPTS = 3;
 
-/** Takes tasks into a set as long as their teams keep their guarantees without all of them. */
+/** Collects a set of tasks whose teams keep their guarantees if all of the set are stopped. */
 export interface VictimTally {
+  /** Adds the task; returns false, and adds nothing, if its team would fall below its guarantee. */
   take(task: Task): boolean;
 }
 
@@ -21,30 +24,30 @@
 const fitsIn = (a: Amounts, b: Amounts): boolean => a.cpu <= b.cpu && a.gpu <= b.gpu;
 
 /**
- * What teams are entitled to, in one round. A job is entitled while it fits into its team's guarantee together with
- * the team's earlier unfinished jobs; that is decided for whole jobs, once: a job that is entitled stays so. Preemptions for
- * guarantees therefore go from entitled jobs to others only, and no two teams can take turns in preempting each other.
- * By each team's present use alone, as before, one team's stopped tasks were at once within its guarantee again and
- * stopped the other's (test/preemption.test.ts).
+ * Entitlement of jobs to their teams' guarantees, in one round. A job becomes entitled once it fits into its team's
+ * guarantee together with the team's earlier unfinished jobs; this is decided for whole jobs and is permanent.
+ * Preemption for a guarantee is only for an entitled job and only of jobs that are not, so that two teams cannot
+ * preempt each other in turn. With a rule on present use alone, a team whose tasks had been stopped was at once below
+ * its guarantee again and preempted the other team's tasks (test/preemption.test.ts).
  */
 export class GuaranteeUsage {
-  /** What each team has told to stop, and is not to be counted on for anything. */
+  /** The demand of each team's tasks that are being stopped, which does not count as use of its guarantee. */
   private readonly stoppingByTeam = new Map<string, { cpu: number; gpu: number }>();
   private counted = false;
 
-  /** What entitled jobs have not completed yet. */
+  /** The demand of all unfinished tasks of entitled jobs, in thousandths of CPUs. */
   readonly claimed: number;
 
   constructor(private readonly snapshot: SchedulerSnapshot) {
     this.claimed = markEntitledJobs(snapshot);
   }
 
-  /** May this task be preempted for another team's guarantee, so that its own team keeps what it is guaranteed? */
+  /** Whether the task may be preempted for another team's guarantee: its own team keeps its guarantee without it. */
   isSparable(task: Task): boolean {
     return this.keepsGuaranteeWithout(task, { cpu: 0, gpu: 0 });
   }
 
-  /** For a set of tasks that are to be stopped together. */
+  /** An empty set of tasks to be stopped together. */
   tally(): VictimTally {
     const taken = new Map<string, { cpu: number; gpu: number }>();
     return {
@@ -72,14 +75,14 @@
     });
   }
 
-  /** The task has been told to stop, or is about to be. */
+  /** Records that the task is being stopped in this round. */
   taskStopped(task: Task): void {
     const { team, demand } = task.job.spec;
     const known = this.stoppingOf(team);
     this.stoppingByTeam.set(team, { cpu: known.cpu + demand.cpu, gpu: known.gpu + demand.gpu });
   }
 
-  /** Started too often to be stopped once more; `grace`: attempts beyond the usual bound, for what loses no work. */
+  /** Whether the task has too many attempts to be stopped again; `grace`: attempts allowed beyond `MAX_ATTEMPTS`. */
   startedTooOften(task: Task, grace = 0): boolean {
     return attemptOf(task.desired) >= MAX_ATTEMPTS + grace;
   }
@@ -87,7 +90,7 @@
   private stoppingOf(team: string): { cpu: number; gpu: number } {
     if (!this.counted) {
       this.counted = true;
-      // Walks all that is placed, so only in a round that searches for victims.
+      // Walks all placed tasks, so it is done only in rounds that search for victims.
       for (const { placedTasks, spec } of this.snapshot.shard.jobs.values()) {
         for (const { stopRequest } of placedTasks) {
           if (stopRequest === null) continue;
@@ -101,8 +104,8 @@
 }
 
 /**
- * Marks the jobs that have come to fit within their teams' guarantees; a mark once given stays. Returns the thousandths
- * of CPUs that marked jobs have not completed yet.
+ * Marks the jobs that fit within their teams' guarantees; marks are permanent. Returns the demand of all unfinished
+ * tasks of marked jobs, in thousandths of CPUs.
  */
 const markEntitledJobs = ({ shard, settings }: SchedulerSnapshot): number => {
   let claimed = 0;
@@ -118,8 +121,8 @@
       guarantees.set(team, remaining);
     }
     job.withinGuarantee ||= fitsIn({ cpu: demand.cpu * tasks, gpu: demand.gpu * tasks }, remaining);
-    // What earlier jobs still demand is taken even where it exceeds the guarantee: then nothing later fits either.
-    // A job on probation demands no more than its next start: the rest is left to the team's others.
+    // The demand of earlier jobs is deducted even if it exceeds the guarantee: then no later job fits either.
+    // A job on probation is counted with one task only, its next start; the rest is left to the team's other jobs.
     const unfinished = job.onProbation
       ? Math.min(1, tasks - job.completedTasks)
       : Math.max(0, tasks - job.completedTasks);
--- a/src/coordination/scheduling/task-placer.ts
+++ b/src/coordination/scheduling/task-placer.ts
@@ -1,6 +1,6 @@
 /**
  * Choice of machines for the tasks of one job, one after the other: Algorithm 1 of the paper over sets of machines (its
- * S_i) that are tried from the narrowest preference to all that the job may use.
+ * S_i), tried in order of preference, the last being all machines that the job may use.
  */
 import type { Job } from "../../cluster/job.js";
 import type { Candidate, CandidateIndex, MachinePool } from "./candidate-index.js";
@@ -10,7 +10,7 @@
 import { Ranking } from "./placement/ranking.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
-/** One of the subsets of S_i that are tried in turn. */
+/** Selects one of the subsets of S_i that are tried in order. */
 interface CandidateFilter {
   readonly spotOnly: boolean;
   readonly broadZonesOnly: boolean;
@@ -18,9 +18,9 @@
 }
 
 /**
- * Work that may use spot machines goes there while one fits: the paper leaves the choice of S_i to the operator, and
- * ordinary machines are dearer and the only ones for the rest. Machines that run replicas stay for long; filling those
- * first lets the others become empty and be scaled in.
+ * Jobs that may use spot machines prefer them: ordinary machines cost more and are the only ones that other jobs may
+ * use (the paper leaves the choice of S_i to the operator). Machines that run replicas are kept for long; filling them
+ * first lets the other machines become empty and be scaled in.
  */
 const FILTERS: readonly CandidateFilter[] = [
   { spotOnly: true, broadZonesOnly: true, withReplicasOnly: false },
@@ -30,21 +30,21 @@
   { spotOnly: false, broadZonesOnly: false, withReplicasOnly: false },
 ];
 
-/** The first filter of jobs that may not use spot machines. */
+/** Index of the first filter of jobs that may not use spot machines. */
 const FIRST_ORDINARY_FILTER = 2;
 
-/** Places a run of one job's tasks, one after the other. */
+/** Chooses machines for the tasks of one job, one after the other. */
 export class TaskPlacer {
   private readonly pools: readonly MachinePool[];
-  /** The zones open to a job depend on where its tasks are. */
+  /** Whether the zones that the job may use depend on where its tasks are. */
   private readonly isZoneBound: boolean;
-  /** Machines where the job has just failed are left out: there is another with capacity. */
+  /** Whether machines on which the job failed recently are left out, as another machine has capacity. */
   private readonly skipsFailed: boolean;
   private openZones = "";
   private filterIndex: number;
   private ranking: Ranking<Candidate> | null = null;
 
-  /** `zoneTaskCounts`: the job's tasks by zone, changed as tasks are confirmed. */
+  /** `zoneTaskCounts`: the job's tasks by zone, updated as placements are confirmed. */
   constructor(
     private readonly snapshot: Pick<SchedulerSnapshot, "options" | "inspection" | "now">,
     private readonly job: Job,
@@ -54,7 +54,7 @@
     const { spec } = job;
     this.isZoneBound = spec.spread || spec.singleZone;
     this.pools = candidateIndex.pools.filter((pool) => allows(spec, pool.typeName, pool.zone, pool.spot));
-    // Not where it has just failed, if there is anywhere else: a faulty machine is often the fullest one.
+    // Machines on which the job failed are avoided where possible: best fit often prefers a faulty machine, as the fullest.
     this.skipsFailed = this.pools.some(({ candidates }) =>
       candidates.some((candidate) => !this.hasFailedOn(candidate) && fits(spec.demand, candidate.free)),
     );
@@ -74,7 +74,7 @@
     return null;
   }
 
-  /** The task is on the machine that `nextCandidate` returned. */
+  /** Records that the task was placed on the machine that `nextCandidate` returned. */
   confirm({ machine }: Candidate): void {
     this.ranking?.confirmChoice();
     this.zoneTaskCounts.set(machine.zone, Math.floor(this.zoneTaskCounts.get(machine.zone) ?? 0) + 1);
@@ -83,7 +83,7 @@
       ({ typeName, zone, spot }) => typeName === machine.typeName && zone === machine.zone && spot === machine.spot,
     );
     if (pool !== undefined) pool.withReplicas += 1;
-    // It now belongs to those that are filled first.
+    // With its first replica the machine joins those that are filled first.
     this.restart();
   }
 
@@ -100,7 +100,7 @@
     return machine.lifecycle.recentFailures.has(this.job.spec.id) || this.job.failedMachines.has(machine.name);
   }
 
-  /** Starts over once other zones are open to the job than before. */
+  /** Restarts with the first filter when the zones that the job may use have changed. */
   private updateOpenZones(): void {
     const openZones = this.pools
       .filter((pool) => zoneAllowed(this.job.spec, this.zoneTaskCounts, pool.zone))
@@ -116,8 +116,8 @@
     return !this.isZoneBound || zoneAllowed(this.job.spec, this.zoneTaskCounts, pool.zone);
   }
 
-  /** Ranks the candidates that pass the filter; |S_i| counts the machines without capacity, too. */
-  // biome-ignore lint/complexity/noExcessiveCognitiveComplexity: walks every candidate for each job: filters stand inline to call nothing for each
+  /** Ranks the candidates that pass the filter; |S_i| includes machines without capacity. */
+  // biome-ignore lint/complexity/noExcessiveCognitiveComplexity: hot loop over every candidate for each job: inline filters save calls
   private rank(filter: CandidateFilter): Ranking<Candidate> {
     const { job, candidateIndex, snapshot } = this;
     const candidates: Candidate[] = [];
