--- a/src/coordination/scheduling/eligibility.ts
+++ b/src/coordination/scheduling/eligibility.ts
@@ -26,7 +26,7 @@
 
 /**
  * Whether one more of the job's tasks may run in this zone. `counts`: its placed tasks by zone. Tasks of unknown zone
- * ("") are taken to be in any zone, to be safe.
+ * ("") count against every zone.
  */
 export const zoneAllowed = (spec: JobSpec, counts: ReadonlyMap<string, number>, zone: string): boolean => {
   const unknown = counts.get("") ?? 0;
--- a/src/coordination/scheduling/placement/bfgp.ts
+++ b/src/coordination/scheduling/placement/bfgp.ts
@@ -1,10 +1,10 @@
 /**
- * Best fit greedy placement, energy saving (the paper's BFGP-ES: section IV, Algorithms 1 and 2). Pure: it
- * works on copies handed in by the caller and changes nothing else. docs/design.md tells what differs.
+ * Best fit greedy placement, energy saving (the paper's BFGP-ES: section IV, Algorithms 1 and 2). It has no side
+ * effects but on the servers passed in by the caller. docs/design.md describes where it differs from the paper.
  */
 import type { Resources } from "../../../protocol/resources.js";
 
-/** The images that a server holds, or is about to. */
+/** The images that a server has cached or is about to fetch. */
 export interface Images {
   has(image: string): boolean;
   add(image: string): unknown;
@@ -14,12 +14,12 @@
 export interface Server {
   readonly name: string;
   readonly capacity: Resources;
-  /** c_j: what is left. */
+  /** c_j: the remaining capacity. */
   free: Resources;
-  /** b_j */
+  /** b_j: whether the server runs any task. */
   busy: boolean;
   readonly images: Images;
-  /** For w = v / t (section III-B): a gigabyte costs its fetch time. */
+  /** The fetch rate t of w = v / t (section III-B): the cost of an image is its fetch time. */
   readonly fetchGbPerS: number;
 }
 
@@ -32,11 +32,11 @@
 
 const DIMENSIONS = ["cpu", "gpu", "ram"] as const;
 
-/** Is the demand within what is free, in every dimension? */
+/** Whether the demand is at most the free capacity in every dimension. */
 export const fits = (demand: Resources, free: Resources): boolean =>
   demand.cpu <= free.cpu && demand.gpu <= free.gpu && demand.ram <= free.ram;
 
-/** How many of the demand fit one after the other. */
+/** How many times the demand fits into the free capacity; infinite for a demand of zero. */
 export const countThatFit = (demand: Resources, free: Resources): number => {
   let count = Number.POSITIVE_INFINITY;
   for (const dimension of DIMENSIONS) {
@@ -45,21 +45,21 @@
   return Math.max(0, count);
 };
 
-/** The sum, by dimension. */
+/** a + b in every dimension. */
 export const addResources = (a: Resources, b: Resources): Resources => ({
   cpu: a.cpu + b.cpu,
   gpu: a.gpu + b.gpu,
   ram: a.ram + b.ram,
 });
 
-/** The difference, by dimension. */
+/** a - b in every dimension; components may be negative. */
 export const subtractResources = (a: Resources, b: Resources): Resources => ({
   cpu: a.cpu - b.cpu,
   gpu: a.gpu - b.gpu,
   ram: a.ram - b.ram,
 });
 
-/** c_j / c̄_j, taken in the dimension that runs out first. */
+/** c_j / c̄_j, the free share of the server, in its scarcest dimension. */
 export const remainingShare = (server: Server): number => {
   let smallest = 1;
   for (const dimension of DIMENSIONS) {
@@ -69,7 +69,7 @@
   return smallest;
 };
 
-/** max(0, d_i - c_j), summed over the dimensions as shares of the machine. */
+/** max(0, d_i - c_j), summed over the dimensions as shares of the server's capacity. */
 export const overflowShare = (demand: Resources, server: Server): number => {
   let sum = 0;
   for (const dimension of DIMENSIONS) {
@@ -79,11 +79,13 @@
   return sum;
 };
 
-/** w: the seconds that the server takes to fetch the component's image; 0 where it is there. */
+/** w: the time in seconds that the server takes to fetch the component's image; 0 if it has the image. */
 export const fetchSeconds = (component: Component, server: Server): number =>
   server.images.has(component.image) ? 0 : component.imageGb / server.fetchGbPerS;
 
-/** Algorithm 2: the k servers that fit, are busy and are fullest, in this order of weight. */
+/**
+ * Algorithm 2: the first k servers, ordered by whether the demand fits, whether they are busy, and how full they are.
+ */
 export const shortlist = <S extends Server>(demand: Resources, servers: readonly S[], kappa: number): readonly S[] => {
   const ranked = servers.map((server, index) => ({
     server,
@@ -97,7 +99,7 @@
   return ranked.slice(0, k).map((entry) => entry.server);
 };
 
-/** Lines 6 to 11 of Algorithm 1 for one component; null where it would overflow and so has to wait. */
+/** Lines 6 to 11 of Algorithm 1 for one component; null if it fits on no shortlisted server and so has to wait. */
 export const choose = <S extends Server>(component: Component, servers: readonly S[], kappa: number): S | null => {
   let best: { server: S; over: number; cost: number } | null = null;
   for (const server of shortlist(component.demand, servers, kappa)) {
@@ -108,14 +110,14 @@
   return best !== null && best.over === 0 ? best.server : null;
 };
 
-/** Lines 12 to 14: the server now counts as busy, fuller and holding the image. */
+/** Lines 12 to 14 of Algorithm 1: updates the server's free capacity, busy flag and images for the component. */
 export const assign = (component: Component, server: Server): void => {
   server.free = subtractResources(server.free, component.demand);
   server.busy = true;
   server.images.add(component.image);
 };
 
-/** d_i as one number: the largest share of the reference machine that it takes. */
+/** d_i as one number: the largest share of the reference machine that it takes in any dimension. */
 export const relativeSize = (demand: Resources, reference: Resources): number => {
   let largest = 0;
   for (const dimension of DIMENSIONS) {
--- a/src/coordination/scheduling/placement/ranking.ts
+++ b/src/coordination/scheduling/placement/ranking.ts
@@ -1,11 +1,11 @@
 /**
- * Algorithms 1 and 2 for a run of equal components. The shortlist of one step differs from that of the step
- * before in the place of one server only, so it is sorted once and then kept: the result is that of `choose`,
- * step by step, without looking at every server again for each task.
+ * Algorithms 1 and 2 for a sequence of equal components. Each step changes the position of one server only, so the
+ * servers are sorted once and then kept in order. The results equal those of repeated `choose`, without inspecting
+ * every server for each component.
  */
 import { type Component, fetchSeconds, fits, remainingShare, type Server } from "./bfgp.js";
 
-/** A server with its place in the order that breaks ties. */
+/** A server with its position in the order that breaks ties. */
 export interface RankedServer extends Server {
   readonly order: number;
 }
@@ -19,7 +19,7 @@
 const compareEntries = <S extends RankedServer>(a: RankingEntry<S>, b: RankingEntry<S>): number =>
   Number(b.busy) - Number(a.busy) || a.remainingShare - b.remainingShare || a.server.order - b.server.order;
 
-/** Counts the servers inspected, so that a test can bound it. */
+/** Counts inspected servers and tasks, so that tests can bound the cost of decisions. */
 export interface InspectionCounter {
   count: number;
 }
@@ -30,7 +30,7 @@
   private readonly shortlistSize: number;
   private chosenIndex = -1;
 
-  /** `total` is the number of servers that the component may use, with or without free capacity: the paper's |S_i|. */
+  /** `total`: the number of servers that the component may use, with or without free capacity; the paper's |S_i|. */
   constructor(
     private readonly component: Component,
     servers: readonly S[],
@@ -47,7 +47,7 @@
     this.shortlistSize = Math.max(1, Math.floor(kappa * total));
   }
 
-  /** The server with the smallest tuple on the shortlist; null if none has capacity. */
+  /** The server on the shortlist that fetches the image fastest, the first of equals; null if none has capacity. */
   choose(): S | null {
     const end = Math.min(this.shortlistSize, this.fitting.length);
     let leastCost = Number.POSITIVE_INFINITY;
@@ -64,7 +64,10 @@
     return this.fitting[this.chosenIndex]?.server ?? null;
   }
 
-  /** The chosen server has been assigned the component: it can only move forward, or drop out. */
+  /**
+   * Reorders the chosen server after the component was assigned to it: fuller now, it moves forward, or drops out if no
+   * further component fits.
+   */
   confirmChoice(): void {
     const [entry] = this.fitting.splice(this.chosenIndex, 1);
     if (entry === undefined || !fits(this.component.demand, entry.server.free)) return;
--- a/src/coordination/scheduling/pool-summary.ts
+++ b/src/coordination/scheduling/pool-summary.ts
@@ -13,7 +13,9 @@
   otherTasks: number;
 }
 
-/** Descriptions of pools by type, zone and kind, and numbers of waiting tasks by job class. */
+/**
+ * Descriptions of pools by machine type, zone and kind (spot or ordinary), and numbers of waiting tasks by job class.
+ */
 export interface PoolSummary {
   readonly pools: Record<string, string>;
   readonly waiting: Record<string, number>;
@@ -37,7 +39,7 @@
   return pools;
 };
 
-/** What each pool of ready machines holds, and what waits. */
+/** Summarizes the ready machines of each pool, and the waiting tasks by job class. */
 export const summarizePools = (snapshot: SchedulerSnapshot): PoolSummary => {
   const waiting: Record<string, number> = {};
   for (const { spec, waitingTasks } of waitingJobs(snapshot)) {
--- a/src/coordination/scheduling/preemption-budget.ts
+++ b/src/coordination/scheduling/preemption-budget.ts
@@ -1,27 +1,30 @@
-/** The limit on preemptions that no rank demands. */
+/** The limit on preemptions for reasons other than rank. */
 
-/** Preemptions that one start allows. */
+/** Preemptions added to the budget by each task start. */
 const PREEMPTIONS_PER_START = 0.05;
-/** The budget at first, and what may always be saved up. */
+/** The initial budget, and the minimum of its upper bound. */
 const MIN_SAVED = 16;
-/** What may be saved up, as a share of the running tasks. */
+/** The upper bound of the budget, as a share of the running tasks. */
 const SAVED_SHARE = 0.02;
 
 /**
- * How many more tasks may be stopped for guarantees, or moved: one for every so many starts. Where guarantees, bursts and
- * losses come together, every stop makes work that soon needs another; without this bound more was stopped than ended
- * (the fleet site of 868 machines at twice its size: 38,271 stops among 56,463 starts).
+ * Limits how many tasks may be preempted for guarantees or moved, in proportion to task starts. When guarantees, bursts
+ * of jobs and lost machines coincide, a preempted task soon causes the next preemption; without this bound more tasks
+ * were stopped than completed (fleet site of 868 machines at twice its size: 38,271 stops among 56,463 starts).
  */
 export class PreemptionBudget {
   private remaining = MIN_SAVED;
 
-  /** A task was placed. `runningTasks`: tasks on machines now; what is saved up for a wave grows with them. */
+  /**
+   * Adds to the budget for a task that was placed. `runningTasks`: tasks on ready machines, which raise its upper
+   * bound.
+   */
   taskStarted(runningTasks: number): void {
     const maxSaved = Math.max(MIN_SAVED, runningTasks * SAVED_SHARE);
     this.remaining = Math.min(maxSaved, this.remaining + PREEMPTIONS_PER_START);
   }
 
-  /** Takes so many preemptions from the budget; false, and nothing taken, where fewer are left. */
+  /** Takes `count` preemptions from the budget; returns false, and takes none, if fewer are left. */
   take(count: number): boolean {
     if (this.remaining < count) return false;
     this.remaining -= count;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,4 +1,4 @@
-/** Preemption: running tasks are stopped, where the rules allow it, for tasks that found no capacity. */
+/** Preemption: stops running tasks, where the rules allow it, for tasks that found no capacity. */
 import type { Machine } from "../../cluster/machine.js";
 import type { Task } from "../../cluster/task.js";
 import { type Micros, seconds } from "../../transport/clock.js";
@@ -12,24 +12,24 @@
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 import { findCheapestVictims, type PreemptionReason, type Victim, type VictimSet } from "./victim-search.js";
 
-/** A preempted task is not placed again, and a task that was preempted for is not searched for again, before this. */
+/** Delay before a preempted task may be placed again, and before victims are searched again for the same task. */
 const PREEMPTION_PAUSE = seconds(3);
-/** The same for tasks that are moved. */
+/** Delay before a moved task may be placed again. */
 const MOVE_PAUSE = seconds(0.3);
-/** The next search for a task after one in vain. */
+/** Delay before the next search after one that found no victims. */
 const SEARCH_RETRY_DELAY = seconds(1);
 
-/** A task that is to be stopped for another one. */
+/** A task that is to be stopped for another task. */
 export interface PreemptedTask {
   readonly task: Task;
-  /** Time to save its progress, in seconds. */
+  /** The time given to it to write a checkpoint, in seconds. */
   readonly graceS: number;
-  /** Not to be placed again before. */
+  /** The earliest time at which it may be placed again. */
   readonly notBefore: Micros;
   readonly reason: PreemptionReason;
 }
 
-/** What preemption decides. */
+/** A decision of preemption. */
 export type PreemptAction =
   | {
       readonly kind: "preempt";
@@ -37,10 +37,10 @@
       readonly machine: Machine;
       readonly victims: readonly PreemptedTask[];
     }
-  /** No victims are to be searched for the task again before. */
+  /** No victims are searched for the task again before `notBefore`. */
   | { readonly kind: "postpone search"; readonly task: Task; readonly notBefore: Micros };
 
-/** What preemption keeps from round to round. */
+/** The state of preemption that is kept between rounds. */
 export interface PreemptionState {
   readonly promisedCapacity: PromisedCapacity;
   readonly preemptionBudget: PreemptionBudget;
@@ -53,12 +53,12 @@
 const asPreempted = ({ task, reason }: Victim, now: Micros): PreemptedTask => ({
   task,
   graceS: checkpointGraceS(task.job.spec),
-  // Without a pause it could be back before the other has come.
+  // Without a pause it could take its place again before the other task is placed there.
   notBefore: (now + (reason === "moved" ? MOVE_PAUSE : PREEMPTION_PAUSE)) as Micros,
   reason,
 });
 
-/** Nothing else of this round is to count on the machine's capacity. */
+/** Removes the machine from the candidates, so that no other task of this round is placed on it. */
 const removeCandidate = ({ pools }: CandidateIndex, machine: Machine): void => {
   for (const { candidates } of pools) {
     const index = candidates.findIndex((candidate) => candidate.machine === machine);
@@ -66,7 +66,7 @@
   }
 };
 
-/** Preempts the tasks of the set for the task. */
+/** Preempts the victims for the task, and promises the rest of the freed capacity to others. */
 function* preempt(
   { now }: SchedulerSnapshot,
   { promisedCapacity }: PreemptionState,
@@ -81,7 +81,7 @@
   removeCandidate(candidateIndex, machine);
 }
 
-/** Preempts the cheapest set of tasks on one machine that makes capacity for the task. Returns whether there was one. */
+/** Preempts the cheapest set of victims on one machine that makes capacity for the task. Returns whether it did. */
 function* searchAndPreempt(
   snapshot: SchedulerSnapshot,
   state: PreemptionState,
@@ -101,7 +101,7 @@
   return true;
 }
 
-/** Lets the task wait for capacity that was promised already. Returns whether there was enough. */
+/** Lets the task wait for capacity that earlier preemptions are about to free. Returns whether there was enough. */
 function* usePromisedCapacity(
   { now }: SchedulerSnapshot,
   { promisedCapacity }: PreemptionState,
@@ -116,8 +116,8 @@
 }
 
 /**
- * Makes capacity for the task that found none and for the rest of its job: after a wave of losses hundreds wait at once.
- * Ends with the first task for which none could be made.
+ * Preempts for the task that found no capacity and for the other waiting tasks of its job, since hundreds of them may
+ * wait after many machines are lost. Ends at the first task for which no capacity could be made.
  */
 export function* preemptFor(
   snapshot: SchedulerSnapshot,
--- a/src/coordination/scheduling/reservation-search.ts
+++ b/src/coordination/scheduling/reservation-search.ts
@@ -1,4 +1,6 @@
-/** When capacity for a job is expected to come free, and on which machines, by the estimates of what runs there. */
+/**
+ * When capacity for a job is expected to become free, and on which machines, by run-time estimates of running tasks.
+ */
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
 import type { Task } from "../../cluster/task.js";
@@ -9,24 +11,29 @@
 import { addResources, countThatFit, subtractResources } from "./placement/bfgp.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
-/** Beyond this nothing is reserved for a job: the capacity is worth more to others, and the wait has another remedy. */
+/**
+ * The maximum duration of a reservation, and the maximum expected wait for which one is made: beyond it the capacity is
+ * worth more to other jobs, and the wait has another remedy.
+ */
 export const MAX_RESERVATION = seconds(100);
-/** A running task is expected to go on for at least this, however long past its estimate. */
+/** A running task is expected to run for at least this much longer, however long past its estimate. */
 const MIN_REMAINING = seconds(1);
 
-/** A machine that is expected to have capacity for so many of a job's tasks from a time on. */
+/** The expectation that a machine has capacity for `count` of a job's tasks from `availableAt` on. */
 interface ExpectedCapacity {
   readonly availableAt: Micros;
   readonly count: number;
 }
 
-/** When a task is expected to end, by its owner's estimate; null for replicas and where nothing is said of its time. */
+/**
+ * When a task is expected to end, by its owner's estimate; null for replicas of services and tasks without an estimate.
+ */
 const expectedEnd = ({ runningSince, job: { spec } }: Task, now: Micros): Micros | null => {
   if (spec.shape === "service" || spec.estimatedRunS <= 0) return null;
   return Math.max((runningSince ?? now) + seconds(spec.estimatedRunS), now + MIN_REMAINING) as Micros;
 };
 
-/** Tasks with their expected ends, soonest first; those of which no end is expected are left out. */
+/** Tasks with their expected ends, soonest first; tasks without an expected end are left out. */
 const expectedEnds = (tasks: Iterable<Task>, now: Micros): { readonly end: Micros; readonly task: Task }[] => {
   const ends: { readonly end: Micros; readonly task: Task }[] = [];
   for (const task of tasks) {
@@ -37,8 +44,8 @@
 };
 
 /**
- * When the machine will have capacity for a task of the job, as its tasks are expected to end; `untilAllEnded`: as many
- * tasks as fit once all of these have ended. Null where it never will.
+ * When the machine is expected to have capacity for one task of the job, as its own tasks end. With `untilAllEnded`:
+ * when all its tasks with an expected end have ended, and how many tasks of the job fit then. Null if none will fit.
  */
 const capacityAvailableAt = (
   machine: Machine,
@@ -68,7 +75,9 @@
   }
 }
 
-/** When so much of its team's limit is expected to be free that the job can start; null where not within bounds. */
+/**
+ * When enough of its team's limit is expected to be free for the job to start; null if not within `MAX_RESERVATION`.
+ */
 export const limitAvailableAt = (snapshot: SchedulerSnapshot, { spec }: Job): Micros | null => {
   const { shard, now, settings } = snapshot;
   const limit = settings.teams.get(spec.team)?.limit;
@@ -90,11 +99,12 @@
   return withinLimit() && availableAt - now <= MAX_RESERVATION ? availableAt : null;
 };
 
+/** A machine with its expected capacity. */
 interface MachineCapacity extends ExpectedCapacity {
   readonly machine: Machine;
 }
 
-/** Machines that the job may use and that will have capacity for it, soonest and largest first. */
+/** Machines that the job may use and that are expected to have capacity for it: soonest, then largest, first. */
 const machinesByAvailability = (
   snapshot: SchedulerSnapshot,
   job: Job,
@@ -113,7 +123,10 @@
   return available.sort((a, b) => a.availableAt - b.availableAt || b.count - a.count);
 };
 
-/** The first machines, of one zone or of all, that together hold so many tasks; null where all of them do not. */
+/**
+ * The first machines of `available`, in `zone` unless null, that together have capacity for so many tasks; null if all
+ * of them do not suffice.
+ */
 const takeMachines = (
   available: readonly MachineCapacity[],
   zone: string | null,
@@ -133,7 +146,10 @@
   return null;
 };
 
-/** The machines that will have capacity for the job soonest, and when; null where they will not within bounds. */
+/**
+ * The machines that are expected to have capacity for the job soonest, each with the expected time; null if not within
+ * `MAX_RESERVATION`.
+ */
 export const earliestMachines = (
   snapshot: SchedulerSnapshot,
   job: Job,
--- a/src/coordination/scheduling/start-deadline.ts
+++ b/src/coordination/scheduling/start-deadline.ts
@@ -1,15 +1,21 @@
-/** Objectives for the start of jobs, and what they make urgent. */
+/** Start deadlines of jobs from the operator's objectives, and the write priorities that follow from them. */
 import type { Job } from "../../cluster/job.js";
 import type { JobSpec } from "../../protocol/job-spec.js";
 import type { Settings } from "../../settings/settings.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 
-/** Classes expected to start within this time are urgent, whatever their rank. */
+/** Jobs with a start deadline no longer than this are urgent, whatever their rank. */
 const URGENT_START = seconds(30);
-/** The share of the time in which a class is expected to start that may pass before others are preempted for it. */
+/**
+ * The share of its start deadline that a job may wait for capacity to become free by itself: until then no costly
+ * preemption and no scaling out is done for it.
+ */
 export const MAX_QUEUE_SHARE = 0.5;
 
-/** The shortest time in which the class's tasks, or its team's guaranteed ones, are expected to start; else null. */
+/**
+ * The shortest time within which the job's tasks are expected to start, in microseconds, by the objectives for its
+ * class and, if its team has a guarantee, for guarantees; null without such objectives.
+ */
 export const startDeadline = (
   spec: JobSpec,
   { objectives, teams }: Pick<Settings, "objectives" | "teams">,
@@ -24,7 +30,7 @@
   return shortest;
 };
 
-/** How long the class's tasks may wait for what comes free by itself, in microseconds. */
+/** How long the job's tasks may wait for capacity that becomes free by itself, in microseconds. */
 export const maxQueueTime = (spec: JobSpec, settings: Pick<Settings, "objectives" | "teams">): number =>
   (startDeadline(spec, settings) ?? 0) * MAX_QUEUE_SHARE;
 
@@ -32,8 +38,8 @@
 const HIGH_RANK = 1;
 
 /**
- * Work whose starts and ends go before others' where the key-value store's writes are short: of the upper ranks, within a
- * guarantee, or of a class that is to start within moments.
+ * Whether the job's starts and ends are written before those of others while writes to the key-value store are scarce:
+ * for jobs of high rank, within a guarantee, or with a short start deadline.
  */
 const isUrgent = (
   { spec, withinGuarantee, effectiveRank }: Pick<Job, "spec" | "withinGuarantee" | "effectiveRank">,
@@ -44,7 +50,7 @@
   return within !== null && within <= URGENT_START;
 };
 
-/** The priority with which the job's starts and ends are written. */
+/** The priority with which the job's starts and ends are written to the key-value store. */
 export const writePriorityOf = (
   job: Pick<Job, "spec" | "withinGuarantee" | "effectiveRank">,
   settings: Pick<Settings, "objectives" | "teams">,
--- a/src/coordination/scheduling/starvation.ts
+++ b/src/coordination/scheduling/starvation.ts
@@ -1,4 +1,4 @@
-/** Prevention of starvation: jobs of classes and teams of which too few have started go before all others for a while. */
+/** Prevention of starvation: waiting jobs of classes and teams of which too few jobs have started are placed first. */
 import { quantile } from "simple-statistics";
 import type { Job } from "../../cluster/job.js";
 import type { JobSpec } from "../../protocol/job-spec.js";
@@ -6,19 +6,20 @@
 import { cpuToStart, hasStarted } from "./job-start.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
-/** Where less than this share of a class's or team's jobs has started, those that have waited longest go first for a while. */
+/** A class or team is starved while less than this share of its jobs has started. */
 const MIN_STARTED_SHARE = 0.6;
-/** A job that has waited for less is not starved yet. */
+/** A job that has waited for less than this is not boosted. */
 const MIN_BOOST_WAIT = seconds(20);
-/** The share of all capacity that boosted jobs may take; bounds what it costs all others. */
+/** The share of all capacity that boosted jobs may use; bounds their cost to other jobs. */
 const BOOST_SHARE = 0.1;
 
-/** A job that has not started by then is boosted, however others fare; four minutes are promised. */
+/** A job that has waited longer than this without a start is boosted in any case: a start within 4 min is promised. */
 export const START_BOUND = seconds(120);
-/** A class's largest jobs are those as large as the largest tenth of so many recent ones, by all the CPUs asked for. */
+/** The largest jobs of a class are those in the largest tenth of its recent jobs, by the CPUs of all their tasks. */
 const LARGEST_QUANTILE = 0.9;
+/** The number of recent jobs of each class whose sizes are kept. */
 const REMEMBERED_SIZES = 200;
-/** With fewer known sizes no job counts as one of the largest. */
+/** With fewer recorded sizes no job counts as one of the largest. */
 const FEWEST_SIZES = 5;
 
 /** The sizes of the recent jobs of a class. */
@@ -42,7 +43,10 @@
 
 const sizeOf = ({ demand, tasks }: JobSpec): number => Math.max(1, demand.cpu) * tasks;
 
-/** How many jobs of each class, each team and of each class's largest have had a task placed since this leader acquired the shard. */
+/**
+ * Counts the started jobs (one task placed) of each group since this leader acquired the shard. The groups are the
+ * classes, the teams, and the largest jobs of each class.
+ */
 export class StartHistory {
   private readonly startedCounts = new Map<string, number>();
   private readonly sizes = new Map<string, JobSizes>();
@@ -57,19 +61,19 @@
     return groups;
   }
 
-  /** Is the job of one of these groups? */
+  /** Whether the job belongs to one of these groups. */
   isStarving(job: Job, starvedGroups: ReadonlySet<string>): boolean {
     return this.groupsOf(job).some((group) => starvedGroups.has(group));
   }
 
-  /** A task of the job is placed. */
+  /** Counts the job as started, once, when a task of it is placed. */
   jobStarted(job: Job): void {
     if (job.started) return;
     job.started = true;
     for (const group of this.groupsOf(job)) this.startedCounts.set(group, (this.startedCounts.get(group) ?? 0) + 1);
   }
 
-  /** Groups of which too few jobs have started, given those that wait for their first task. */
+  /** Groups of which too few jobs have started. `waiting`: the jobs that have not started. */
   starvedGroups(waiting: readonly Job[]): ReadonlySet<string> {
     const counts = new Map<string, number>();
     for (const job of waiting) for (const group of this.groupsOf(job)) counts.set(group, (counts.get(group) ?? 0) + 1);
@@ -82,7 +86,7 @@
   }
 }
 
-/** Jobs that go before all others in this round, the longest waiting first, and the capacity left to them. */
+/** The jobs that are placed before all others in this round, longest waiting first, and the capacity left to them. */
 export interface BoostedJobs {
   readonly jobs: readonly Job[];
   /** Thousandths of CPUs. */
@@ -90,10 +94,10 @@
 }
 
 /**
- * Strict priority lets a low rank wait for ever beside enough work of a higher one, and within a rank the larger tasks
- * keep the smaller ones out. A class or team of which too few jobs have started has its longest waiting ones placed first,
- * as long as all such work together keeps to a small share of the capacity; it is not preempted for a higher rank either.
- * Nothing is preempted for it. `capacity`: thousandths of CPUs on all machines.
+ * Boosts jobs that would starve: with strict priority a low rank waits for ever beside enough work of a higher rank,
+ * and within a rank large tasks keep small ones out. Late jobs of a class or team of which too few jobs have started
+ * are placed first, within a small share of all capacity. Boosted jobs are not preempted for a higher rank, and no task
+ * is preempted for them in the boosted stage. `capacity`: thousandths of CPUs on all ready machines.
  */
 export const boostStarvedJobs = (
   snapshot: SchedulerSnapshot,
@@ -120,7 +124,7 @@
     if (boosted) used += placedTasks.size * spec.demand.cpu;
   }
   jobs.sort((a, b) => a.waitingSince - b.waitingSince);
-  // One of them may take more than the share by itself, and must get its turn all the same.
+  // A single job may need more than the share, and must be able to start all the same.
   const first = used === 0 && jobs[0] !== undefined ? cpuToStart(jobs[0].spec) : 0;
   return { jobs, remaining: Math.max(first, capacity * BOOST_SHARE - used) };
 };
--- a/src/coordination/scheduling/task-placer.ts
+++ b/src/coordination/scheduling/task-placer.ts
@@ -54,7 +54,7 @@
     const { spec } = job;
     this.isZoneBound = spec.spread || spec.singleZone;
     this.pools = candidateIndex.pools.filter((pool) => allows(spec, pool.typeName, pool.zone, pool.spot));
-    // Machines on which the job failed are avoided where possible: best fit often prefers a faulty machine, as the fullest.
+    // Machines on which the job failed are avoided if possible: a faulty machine is often the fullest, so the first choice.
     this.skipsFailed = this.pools.some(({ candidates }) =>
       candidates.some((candidate) => !this.hasFailedOn(candidate) && fits(spec.demand, candidate.free)),
     );
@@ -117,7 +117,7 @@
   }
 
   /** Ranks the candidates that pass the filter; |S_i| includes machines without capacity. */
-  // biome-ignore lint/complexity/noExcessiveCognitiveComplexity: hot loop over every candidate for each job: inline filters save calls
+  // biome-ignore lint/complexity/noExcessiveCognitiveComplexity: hot loop: inline filters save a call for each candidate and job
   private rank(filter: CandidateFilter): Ranking<Candidate> {
     const { job, candidateIndex, snapshot } = this;
     const candidates: Candidate[] = [];
--- a/src/coordination/scheduling/victim-search.ts
+++ b/src/coordination/scheduling/victim-search.ts
@@ -1,4 +1,4 @@
-/** Search for the tasks whose preemption makes capacity for another task: which may be stopped, and the cheapest set. */
+/** Search for the cheapest set of tasks that may be preempted to make capacity for another task. */
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
 import type { Task } from "../../cluster/task.js";
@@ -14,23 +14,26 @@
 import { maxQueueTime } from "./start-deadline.js";
 
 /**
- * Work is only preempted for a guarantee once this share of the time that the guarantee has is over: capacity may come
- * free by itself.
+ * Tasks are preempted for a guarantee only once the waiting task has waited this share of the guarantee objective,
+ * since capacity may become free by itself.
  */
 const GUARANTEE_WAIT_SHARE = 0.6;
-/** The time that a guarantee has where no objective says so. */
+/** The time within which a guarantee is to be met if no objective sets it. */
 const DEFAULT_GUARANTEE_TIME = seconds(10);
-/** Attempts beyond the usual bound for what is moved: it loses no work. */
+/** Attempts allowed beyond `MAX_ATTEMPTS` for moved replicas, which lose no work. */
 const EXTRA_MOVE_ATTEMPTS = 1;
 
-/** Why a task is preempted: its rank is lower, its team exceeds its guarantee, or it has a place elsewhere. */
+/**
+ * Why a task is preempted: its rank is lower, another team's guarantee needs its capacity, or it can run in another
+ * zone.
+ */
 export type PreemptionReason = "outranked" | "guarantee" | "moved";
 
 /** A task that may be preempted. */
 export interface Victim {
   readonly task: Task;
   readonly reason: PreemptionReason;
-  /** What is lost, in the unit of `preemptionCost`. */
+  /** The work lost, in the unit of `preemptionCost`. */
   readonly cost: number;
 }
 
@@ -39,7 +42,7 @@
   readonly victims: readonly Victim[];
   readonly cost: number;
   readonly machine: Machine;
-  /** What the machine has free without them. */
+  /** The machine's free capacity without the victims. */
   readonly free: Resources;
 }
 
@@ -48,13 +51,13 @@
   return (objective?.within ?? DEFAULT_GUARANTEE_TIME) * GUARANTEE_WAIT_SHARE;
 };
 
-/** May a task of the other job be preempted for this one? The same for all of that job's tasks. */
+/** Why tasks of the other job may be preempted for this task; null if they may not. The same for all of its tasks. */
 const preemptionReason = (snapshot: SchedulerSnapshot, task: Task, other: Job): "outranked" | "guarantee" | null => {
   const { job } = task;
   if (other.cancelled) return null;
-  // What was boosted so that its class is served at all is not preempted by those whom it went before.
+  // Boosted jobs are not preempted by the higher ranks before which they were placed, or the boost would be undone.
   if (other.effectiveRank > job.effectiveRank) return other.boosted ? null : "outranked";
-  // Replicas are not preempted for a guarantee: two teams' services kept driving each other off a scarce zone.
+  // Replicas are not preempted for a guarantee: two teams' services kept preempting each other in a scarce zone.
   if (other.spec.shape === "service" || other.spec.team === job.spec.team) return null;
   if (snapshot.now - task.waitingSince < guaranteeWaitTime(snapshot)) return null;
   const allowed = job.withinGuarantee && !other.withinGuarantee && other.effectiveRank >= job.effectiveRank;
@@ -62,8 +65,8 @@
 };
 
 /**
- * A replica that could as well run in another zone, with capacity for it there now, makes way for one of a spread job that
- * cannot: it is moved, which takes seconds, where the other would wait for ever.
+ * Whether replicas of the other job may be moved for this task. A replica with capacity in another zone makes way for a
+ * task of a spread job that has none elsewhere: a move takes seconds, while that task would wait for ever.
  */
 const isMovable = (task: Task, other: Job): boolean => {
   if (!task.job.spec.spread || other.spec.shape !== "service" || other === task.job) return false;
@@ -81,7 +84,7 @@
   return false;
 };
 
-/** What a search finds out about each other job once, and which machines have any task that may be preempted. */
+/** The rules that hold for each other job in one search, and the machines with any task that may be preempted. */
 class VictimFinder {
   private readonly rules = new Map<
     Job,
@@ -104,7 +107,7 @@
     }
   }
 
-  /** Determined once a round: what is placed meanwhile has not been seen running, and is not preempted. */
+  /** Determined once a round: tasks placed later in the round are not known to run, and so are not preempted. */
   private machinesOf({ inspection }: SchedulerSnapshot, job: Job): readonly Machine[] {
     const known = this.candidateIndex.machinesByJob.get(job);
     if (known !== undefined) return known;
@@ -116,7 +119,7 @@
     return machines;
   }
 
-  /** Why the task may be preempted; null where it may not. Moved where that is possible: it costs the least. */
+  /** Why the task may be preempted; null if it may not. A move is preferred, since it costs least. */
   reasonFor(victim: Task): PreemptionReason | null {
     const rule = this.rules.get(victim.job);
     if (rule === undefined || victim.stopRequest !== null || victim.startCommand.kind !== "observed") return null;
@@ -139,20 +142,23 @@
   for (const task of machine.tasks) {
     const reason = finder.reasonFor(task);
     if (reason === null || (reason === "guarantee" && endsSoon(task, now))) continue;
-    // A move costs no work: the replica goes on elsewhere.
+    // A move loses no work: the replica continues in another zone.
     victims.push({ task, reason, cost: reason === "moved" ? 0 : preemptionCost(task, now) });
   }
   return victims.sort((a, b) => b.task.job.effectiveRank - a.task.job.effectiveRank || a.cost - b.cost);
 };
 
-/** May so much be lost for the task? */
+/** Whether preemption at this cost is justified for the task. */
 const isWorthwhile = (snapshot: SchedulerSnapshot, task: Task, cost: number, forGuarantee: boolean): boolean => {
   if (cost <= maxPreemptionCost(task)) return true;
-  // For a higher rank more may be lost than gained, but not before what comes free by itself has had its time.
+  // For a higher rank more work may be lost than gained, but only after a wait for capacity to become free by itself.
   return !forGuarantee && snapshot.now - task.waitingSince >= maxQueueTime(task.job.spec, snapshot.settings);
 };
 
-/** The cheapest set of tasks on this machine whose preemption makes capacity for the task, or null. */
+/**
+ * The set of tasks on this machine whose preemption makes capacity for the task, lowest rank and cheapest first; null
+ * if there is none, or it costs too much.
+ */
 const cheapestVictimsOn = (
   snapshot: SchedulerSnapshot,
   task: Task,
@@ -169,7 +175,7 @@
   let forGuarantee = false;
   for (const victim of candidates) {
     if (fits(demand, free)) break;
-    // Counted together: each alone may leave its team the guarantee, and several of them not.
+    // Victims are counted together: a team may keep its guarantee without any one of them, but not without several.
     if (victim.reason === "guarantee" && !tally.take(victim.task)) continue;
     forGuarantee ||= victim.reason === "guarantee";
     victims.push(victim);
@@ -181,9 +187,9 @@
 };
 
 /**
- * The cheapest set of tasks on one machine whose preemption makes capacity for the task; null where there is none.
- * `zoneTaskCounts`: tasks of the task's job by zone. Looks at every task that may be preempted, so it is not done for all
- * that wait in each round.
+ * The cheapest set of tasks on one machine whose preemption makes capacity for the task; null if there is none.
+ * `zoneTaskCounts`: placed tasks of the task's job by zone. It inspects every task that may be preempted, so a round
+ * limits the number of searches.
  */
 export const findCheapestVictims = (
   snapshot: SchedulerSnapshot,
