--- a/src/coordination/scheduling/start-deadline.ts
+++ b/src/coordination/scheduling/start-deadline.ts
@@ -7,8 +7,8 @@
 /** Jobs with a start deadline no longer than this are urgent, whatever their rank. */
 const URGENT_START = seconds(30);
 /**
- * The share of its start deadline that a job may wait for capacity to become free by itself: until then no costly
- * preemption and no scaling out is done for it.
+ * The share of its start deadline that a job may wait for capacity to become free by itself: until then preemption
+ * for it must not cost more than it gains, and scale-out may count on that capacity.
  */
 export const MAX_QUEUE_SHARE = 0.5;
 
