--- a/src/coordination/scheduling/task-placer.ts
+++ b/src/coordination/scheduling/task-placer.ts
@@ -54,7 +54,7 @@
     const { spec } = job;
     this.isZoneBound = spec.spread || spec.singleZone;
     this.pools = candidateIndex.pools.filter((pool) => allows(spec, pool.typeName, pool.zone, pool.spot));
-    // Machines on which the job failed are avoided if possible: a faulty machine is often the fullest one, chosen first.
+    // Machines on which the job failed are avoided if possible: best fit prefers the fullest, which is often a faulty one.
     this.skipsFailed = this.pools.some(({ candidates }) =>
       candidates.some((candidate) => !this.hasFailedOn(candidate) && fits(spec.demand, candidate.free)),
     );
