--- a/src/coordination/scheduling/candidate-index.ts
+++ b/src/coordination/scheduling/candidate-index.ts
@@ -59,9 +59,9 @@
   readonly zone: string;
   readonly spot: boolean;
   /** The number of machines that can take tasks, with or without free capacity. */
-  total: number;
+  machineCount: number;
   /** The number of these that run replicas of services. */
-  withReplicas: number;
+  machinesWithReplicas: number;
   /** The machines with capacity for the smallest waiting demand. */
   readonly candidates: Candidate[];
 }
@@ -70,7 +70,7 @@
 export interface CandidateIndex {
   readonly pools: readonly MachinePool[];
   readonly machines: readonly Machine[];
-  readonly broadZones: ReadonlySet<string>;
+  readonly zonesWithMostTypes: ReadonlySet<string>;
   /** Demands for which no capacity was found in this round, by `constraintKey` of their jobs. */
   readonly exhaustedDemands: Map<string, Resources[]>;
   /** Cache: zones with capacity for one of a job's tasks, as first determined in this round. */
@@ -97,7 +97,7 @@
  * The zones where the cloud offers the most machine types. Tasks that may run anywhere prefer them, since the other,
  * smaller zones are needed for the second half of jobs that must be spread.
  */
-const findBroadZones = ({ shard }: SchedulerSnapshot): ReadonlySet<string> => {
+const findZonesWithMostTypes = ({ shard }: SchedulerSnapshot): ReadonlySet<string> => {
   const typesByZone = new Map<string, number>();
   for (const type of shard.machineTypes().values()) {
     for (const zone of type.zones) typesByZone.set(zone, (typesByZone.get(zone) ?? 0) + 1);
@@ -124,7 +124,7 @@
 const findOrAddPool = (pools: MachinePool[], { typeName, zone, spot }: Machine): MachinePool => {
   for (const known of pools)
     if (known.zone === zone && known.spot === spot && known.typeName === typeName) return known;
-  const pool: MachinePool = { typeName, zone, spot, total: 0, withReplicas: 0, candidates: [] };
+  const pool: MachinePool = { typeName, zone, spot, machineCount: 0, machinesWithReplicas: 0, candidates: [] };
   pools.push(pool);
   return pool;
 };
@@ -144,8 +144,8 @@
     if (!isReady(machine, snapshot)) continue;
     const { type } = machine;
     const pool = findOrAddPool(pools, machine);
-    pool.total += 1;
-    if (machine.load.replicas > 0) pool.withReplicas += 1;
+    pool.machineCount += 1;
+    if (machine.load.replicas > 0) pool.machinesWithReplicas += 1;
     const { used } = machine.load;
     const { capacity } = type;
     const hasCapacity =
@@ -159,7 +159,7 @@
   return {
     pools,
     machines,
-    broadZones: findBroadZones(snapshot),
+    zonesWithMostTypes: findZonesWithMostTypes(snapshot),
     exhaustedDemands: new Map(),
     zonesWithCapacity: new Map(),
     machinesByJob: new Map(),
--- a/src/coordination/scheduling/capacity-reservation.ts
+++ b/src/coordination/scheduling/capacity-reservation.ts
@@ -104,20 +104,20 @@
  * Reserves capacity for the longest waiting job that needs more at once than becomes free by itself: a whole machine,
  * all of a gang, the rest of its team's limit. Without a reservation it would wait for ever, as small tasks take all
  * capacity as soon as it is free; with one, other jobs may only backfill (EASY). There is one reservation at a time, of
- * bounded duration, so that no more capacity idles than one job is going to use. `late`: the jobs that have waited too
- * long and found no capacity in this round, longest waiting first.
+ * bounded duration, so that no more capacity idles than one job is going to use. `lateJobs`: the jobs that have waited
+ * too long and found no capacity in this round, longest waiting first.
  */
 export function* reserveCapacity(
   snapshot: SchedulerSnapshot,
   state: ReservationState,
-  late: readonly Job[],
+  lateJobs: readonly Job[],
   machines: readonly Machine[],
 ): Generator<ReservationAction> {
   yield* releaseReservation(snapshot, state);
   if (state.reservation !== null) return;
   expireRetries(snapshot, state);
   let searches = 0;
-  for (const job of late) {
+  for (const job of lateJobs) {
     if (state.reservationRetryAt.has(job) || hasStarted(job)) continue;
     // Each search inspects every machine.
     searches += 1;
--- a/src/coordination/scheduling/gang-placement.ts
+++ b/src/coordination/scheduling/gang-placement.ts
@@ -16,7 +16,7 @@
   | { readonly kind: "record full" };
 
 /** The action to take instead of placing the gang, whatever capacity there is; null if the gang may be placed. */
-const gangObstacle = (
+const gangBlockedBy = (
   { shard, now }: SchedulerSnapshot,
   job: Job,
   tasks: readonly Task[],
@@ -84,7 +84,7 @@
   while (snapshot.shard.createNextTaskRange(job));
   const tasks = [...job.waitingTasks].sort((a, b) => a.index - b.index);
   if (tasks.length === 0) return null;
-  const obstacle = gangObstacle(snapshot, job, tasks, candidateIndex);
+  const obstacle = gangBlockedBy(snapshot, job, tasks, candidateIndex);
   if (obstacle !== null) {
     yield obstacle;
     return null;
--- a/src/coordination/scheduling/guarantee-usage.ts
+++ b/src/coordination/scheduling/guarantee-usage.ts
@@ -8,12 +8,12 @@
  * A task with this many attempts is not preempted any more. Attempts are on record, so the bound holds across
  * failovers. Failed starts count as well, so that the bound errs on the side of too few preemptions.
  */
-export const MAX_ATTEMPTS = 3;
+export const MAX_PREEMPTION_ATTEMPTS = 3;
 
 /** Collects a set of tasks whose teams keep their guarantees if all of the set are stopped. */
 export interface VictimTally {
   /** Adds the task; returns false, and adds nothing, if its team would fall below its guarantee. */
-  take(task: Task): boolean;
+  tryAdd(task: Task): boolean;
 }
 
 interface Amounts {
@@ -33,7 +33,7 @@
 export class GuaranteeUsage {
   /** The demand of each team's tasks that are being stopped, which does not count as use of its guarantee. */
   private readonly stoppingByTeam = new Map<string, { cpu: number; gpu: number }>();
-  private counted = false;
+  private stopsCounted = false;
 
   /** The demand of all unfinished tasks of entitled jobs, in thousandths of CPUs. */
   readonly claimed: number;
@@ -43,7 +43,7 @@
   }
 
   /** Whether the task may be preempted for another team's guarantee: its own team keeps its guarantee without it. */
-  isSparable(task: Task): boolean {
+  isPreemptibleForGuarantee(task: Task): boolean {
     return this.keepsGuaranteeWithout(task, { cpu: 0, gpu: 0 });
   }
 
@@ -51,7 +51,7 @@
   tally(): VictimTally {
     const taken = new Map<string, { cpu: number; gpu: number }>();
     return {
-      take: (task) => {
+      tryAdd: (task) => {
         const { team, demand } = task.job.spec;
         const before = taken.get(team) ?? { cpu: 0, gpu: 0 };
         if (!this.keepsGuaranteeWithout(task, before)) return false;
@@ -68,7 +68,7 @@
     const guaranteed = settings.teams.get(team)?.guaranteed;
     if (guaranteed === undefined) return true;
     const used = shard.teamUsage(team);
-    const stopping = this.stoppingOf(team);
+    const stopping = this.stoppingDemand(team);
     return fitsIn(guaranteed, {
       cpu: used.cpu - stopping.cpu - others.cpu - demand.cpu,
       gpu: used.gpu - stopping.gpu - others.gpu - demand.gpu,
@@ -76,20 +76,23 @@
   }
 
   /** Records that the task is being stopped in this round. */
-  taskStopped(task: Task): void {
+  recordStop(task: Task): void {
     const { team, demand } = task.job.spec;
-    const known = this.stoppingOf(team);
+    const known = this.stoppingDemand(team);
     this.stoppingByTeam.set(team, { cpu: known.cpu + demand.cpu, gpu: known.gpu + demand.gpu });
   }
 
-  /** Whether the task has too many attempts to be stopped again; `grace`: attempts allowed beyond `MAX_ATTEMPTS`. */
-  startedTooOften(task: Task, grace = 0): boolean {
-    return attemptOf(task.desired) >= MAX_ATTEMPTS + grace;
+  /**
+   * Whether the task has too many attempts to be stopped again; `extraAttempts`: allowed beyond
+   * `MAX_PREEMPTION_ATTEMPTS`.
+   */
+  hasTooManyAttempts(task: Task, extraAttempts = 0): boolean {
+    return attemptOf(task.desired) >= MAX_PREEMPTION_ATTEMPTS + extraAttempts;
   }
 
-  private stoppingOf(team: string): { cpu: number; gpu: number } {
-    if (!this.counted) {
-      this.counted = true;
+  private stoppingDemand(team: string): { cpu: number; gpu: number } {
+    if (!this.stopsCounted) {
+      this.stopsCounted = true;
       // Walks all placed tasks, so it is done only in rounds that search for victims.
       for (const { placedTasks, spec } of this.snapshot.shard.jobs.values()) {
         for (const { stopRequest } of placedTasks) {
--- a/src/coordination/scheduling/job-order.ts
+++ b/src/coordination/scheduling/job-order.ts
@@ -121,7 +121,7 @@
   const positionOf = ({ job }: OrderedJob): number => job.spec.origin?.position ?? 0;
   for (const indexes of indexesByKey.values()) {
     const steps = indexes.flatMap((index) => ordered[index] ?? []).sort((a, b) => positionOf(a) - positionOf(b));
-    for (const [turn, step] of steps.entries()) result[indexes[turn] ?? 0] = step;
+    for (const [offset, step] of steps.entries()) result[indexes[offset] ?? 0] = step;
   }
   return result;
 };
--- a/src/coordination/scheduling/job-placement.ts
+++ b/src/coordination/scheduling/job-placement.ts
@@ -81,7 +81,7 @@
   }
   const placer = new TaskPlacer(snapshot, job, candidateIndex, zoneTaskCounts);
   const priority = writePriorityOf(job, snapshot.settings);
-  let heldBack = 0;
+  let skippedTasks = 0;
   for (const task of tasks) {
     const admission = admitTask(snapshot, job, candidateIndex, boosted);
     if (admission === "team limit") yield { kind: "wait", job, reason: "team limit" };
@@ -94,7 +94,7 @@
     // The range's record would exceed the size limit: the task waits until others of its range have ended; tasks of
     // other ranges are placed meanwhile.
     if (!shard.fitsInRecord(task, candidate.machine.name)) {
-      heldBack += 1;
+      skippedTasks += 1;
       continue;
     }
     if (!takeRecordBudget(task, priority, candidateIndex.recordBudget)) {
@@ -106,7 +106,7 @@
     placer.confirm(candidate);
     if (boosted !== null) boosted.remaining -= spec.demand.cpu;
   }
-  return job.waitingTasks.size === heldBack && shard.createNextTaskRange(job) ? "next range" : null;
+  return job.waitingTasks.size === skippedTasks && shard.createNextTaskRange(job) ? "next range" : null;
 }
 
 /** Places a gang; a boosted one only if the CPUs left to boosted jobs suffice for all of it. */
--- a/src/coordination/scheduling/job-start.ts
+++ b/src/coordination/scheduling/job-start.ts
@@ -3,7 +3,7 @@
 import type { JobSpec } from "../../protocol/job-spec.js";
 
 /** The number of tasks after which a job counts as started: all of a gang, half of a service, one of an array. */
-const tasksNeeded = ({ shape, tasks }: JobSpec): number => {
+const tasksToStart = ({ shape, tasks }: JobSpec): number => {
   if (shape === "gang") return tasks;
   return shape === "service" ? Math.ceil(tasks / 2) : 1;
 };
@@ -12,7 +12,7 @@
  * Whether the job has started. A service counts as started with half of its replicas, which are placed one at a time.
  */
 export const hasStarted = (job: Job): boolean =>
-  job.spec.shape === "array" ? job.started : job.placedTasks.size + job.completedTasks >= tasksNeeded(job.spec);
+  job.spec.shape === "array" ? job.started : job.placedTasks.size + job.completedTasks >= tasksToStart(job.spec);
 
 /** How many tasks must be placed in the same round: all of a gang, else one. */
 export const tasksPlacedTogether = ({ shape, tasks }: JobSpec): number => (shape === "gang" ? tasks : 1);
--- a/src/coordination/scheduling/placement-round.ts
+++ b/src/coordination/scheduling/placement-round.ts
@@ -17,7 +17,7 @@
 import type { RoundAction } from "./round-action.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 import { writePriorityOf } from "./start-deadline.js";
-import { type BoostedJobs, boostStarvedJobs, START_BOUND, StartHistory } from "./starvation.js";
+import { type BoostedJobs, boostStarvedJobs, MAX_START_WAIT, StartHistory } from "./starvation.js";
 
 /** The state that is kept between rounds. */
 export interface RoundState extends PreemptionState, ReservationState {
@@ -39,7 +39,7 @@
 const OVERCOMMIT_END_SHARE = 0.9;
 
 /** Overcommitment is judged only while at least this many ready machines exist for each machine with tasks. */
-const MIN_KNOWN_SHARE = 0.8;
+const MIN_READY_SHARE = 0.8;
 
 /** The data that the stages of one round share. */
 interface Round {
@@ -63,7 +63,7 @@
   const overcommitted = claimed > capacity * (state.guaranteesOvercommitted ? OVERCOMMIT_END_SHARE : 1);
   if (overcommitted === state.guaranteesOvercommitted) return;
   // A new leader has received few heartbeats yet: machines of unknown capacity do not mean overcommitment.
-  if (machines.length < MIN_KNOWN_SHARE * countMachinesWithTasks(snapshot)) return;
+  if (machines.length < MIN_READY_SHARE * countMachinesWithTasks(snapshot)) return;
   state.guaranteesOvercommitted = overcommitted;
   yield { kind: "guarantees", overcommitted, claimed, capacity };
 }
@@ -74,14 +74,14 @@
   const placedBefore = job.placedTasks.size;
   const unplaced = yield* placeJob(snapshot, job, candidateIndex, boosted);
   for (let placed = placedBefore; placed < job.placedTasks.size; placed += 1)
-    state.preemptionBudget.taskStarted(runningTasks);
-  if (job.placedTasks.size > placedBefore) state.startHistory.jobStarted(job);
+    state.preemptionBudget.recordStart(runningTasks);
+  if (job.placedTasks.size > placedBefore) state.startHistory.recordStart(job);
   return unplaced;
 }
 
 /** Boosted jobs that are left without capacity. */
 interface BoostedOutcome {
-  /** Jobs not started within `START_BOUND`, the longest waiting first. */
+  /** Jobs not started within `MAX_START_WAIT`, the longest waiting first. */
   readonly late: readonly Job[];
   /** The first task without capacity of each job; not tried again, since capacity only shrinks within a round. */
   readonly unplacedTasks: ReadonlyMap<Job, Task>;
@@ -95,7 +95,7 @@
   for (const job of boosted.jobs) {
     const unplaced = yield* placeAndCount(round, job, boosted);
     if (unplaced !== null) unplacedTasks.set(job, unplaced);
-    if (now - job.waitingSince > START_BOUND && !hasStarted(job)) late.push(job);
+    if (now - job.waitingSince > MAX_START_WAIT && !hasStarted(job)) late.push(job);
   }
   return { late, unplacedTasks };
 }
@@ -109,7 +109,7 @@
  * Places one job in the order of the round, and preempts for it where the rules allow it. `knownUnplaced`: the task
  * that found no capacity in the boosted stage, if any.
  */
-function* placeInTurn(round: Round, job: Job, knownUnplaced: Task | undefined): Generator<RoundAction> {
+function* placeInOrder(round: Round, job: Job, knownUnplaced: Task | undefined): Generator<RoundAction> {
   // Skipped early: with thousands of jobs waiting for their records to be written, rounds would take seconds in vain.
   if (!hasRecordBudget(round, job)) {
     yield { kind: "wait", job, reason: "record budget" };
@@ -141,5 +141,5 @@
   const { late, unplacedTasks } = yield* placeBoosted(round, boosted);
   yield* reserveCapacity(snapshot, state, late, machines);
   candidateIndex.reservation = state.reservation;
-  for (const job of jobs) yield* placeInTurn(round, job, unplacedTasks.get(job));
+  for (const job of jobs) yield* placeInOrder(round, job, unplacedTasks.get(job));
 }
--- a/src/coordination/scheduling/pool-summary.ts
+++ b/src/coordination/scheduling/pool-summary.ts
@@ -4,7 +4,7 @@
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 /** Thousandths of CPUs in one CPU. */
-const MILLICPUS = 1_000;
+const MILLICPUS_PER_CPU = 1_000;
 
 interface PoolTotals {
   machines: number;
@@ -32,7 +32,7 @@
     const pool = pools.get(key) ?? { machines: 0, freeCpus: 0, replicas: 0, otherTasks: 0 };
     pools.set(key, pool);
     pool.machines += 1;
-    pool.freeCpus += (type.capacity.cpu - machine.load.used.cpu) / MILLICPUS;
+    pool.freeCpus += (type.capacity.cpu - machine.load.used.cpu) / MILLICPUS_PER_CPU;
     pool.replicas += machine.load.replicas;
     pool.otherTasks += machine.tasks.size - machine.load.replicas;
   }
--- a/src/coordination/scheduling/preemption-cost.ts
+++ b/src/coordination/scheduling/preemption-cost.ts
@@ -10,9 +10,9 @@
 /** The minimum fetch rate that is assumed, in gigabytes a second. */
 const MIN_FETCH_GB_PER_S = 0.01;
 /** A task within this time of its estimated end, on either side, is about to end. */
-const ENDS_SOON = seconds(3);
+const ENDS_SOON_WINDOW = seconds(3);
 /** The minimum run time that is assumed: with estimates near zero no preemption would be worthwhile. */
-const MIN_ESTIMATE = seconds(10);
+const MIN_ESTIMATED_RUN = seconds(10);
 
 /** The time that a task is given to write a checkpoint when stopped, in whole seconds; 0 if it writes none. */
 export const checkpointGraceS = ({
@@ -40,7 +40,7 @@
   const { shape, estimatedRunS } = victim.job.spec;
   if (shape === "service" || estimatedRunS <= 0 || victim.runningSince === null) return false;
   const remaining = victim.runningSince + seconds(estimatedRunS) - now;
-  return remaining > -ENDS_SOON && remaining < ENDS_SOON;
+  return remaining > -ENDS_SOON_WINDOW && remaining < ENDS_SOON_WINDOW;
 };
 
 /**
@@ -51,5 +51,5 @@
 export const maxPreemptionCost = (task: Task): number => {
   const { shape, estimatedRunS, demand } = task.job.spec;
   if (shape === "service") return Number.POSITIVE_INFINITY;
-  return Math.max(seconds(estimatedRunS), MIN_ESTIMATE) * Math.max(1, demand.cpu);
+  return Math.max(seconds(estimatedRunS), MIN_ESTIMATED_RUN) * Math.max(1, demand.cpu);
 };
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -13,9 +13,9 @@
 import { findCheapestVictims, type PreemptionReason, type Victim, type VictimSet } from "./victim-search.js";
 
 /** Delay before a preempted task may be placed again, and before victims are searched again for the same task. */
-const PREEMPTION_PAUSE = seconds(3);
+const PREEMPTION_DELAY = seconds(3);
 /** Delay before a moved task may be placed again. */
-const MOVE_PAUSE = seconds(0.3);
+const MOVE_DELAY = seconds(0.3);
 /** Delay before the next search after one that found no victims. */
 const SEARCH_RETRY_DELAY = seconds(1);
 
@@ -46,15 +46,15 @@
   readonly preemptionBudget: PreemptionBudget;
 }
 
-const countTask = (zoneTaskCounts: Map<string, number>, { zone }: Machine): void => {
+const countTaskInZone = (zoneTaskCounts: Map<string, number>, { zone }: Machine): void => {
   zoneTaskCounts.set(zone, (zoneTaskCounts.get(zone) ?? 0) + 1);
 };
 
-const asPreempted = ({ task, reason }: Victim, now: Micros): PreemptedTask => ({
+const toPreemptedTask = ({ task, reason }: Victim, now: Micros): PreemptedTask => ({
   task,
   graceS: checkpointGraceS(task.job.spec),
   // Without a pause it could take its place again before the other task is placed there.
-  notBefore: (now + (reason === "moved" ? MOVE_PAUSE : PREEMPTION_PAUSE)) as Micros,
+  notBefore: (now + (reason === "moved" ? MOVE_DELAY : PREEMPTION_DELAY)) as Micros,
   reason,
 });
 
@@ -75,8 +75,8 @@
   { machine, free, victims }: VictimSet,
 ): Generator<PreemptAction, void> {
   promisedCapacity.promise(machine, subtractResources(free, task.job.spec.demand), now);
-  const preempted = victims.map((victim) => asPreempted(victim, now));
-  for (const { task: victim } of preempted) candidateIndex.guarantees.taskStopped(victim);
+  const preempted = victims.map((victim) => toPreemptedTask(victim, now));
+  for (const { task: victim } of preempted) candidateIndex.guarantees.recordStop(victim);
   yield { kind: "preempt", by: task, machine, victims: preempted };
   removeCandidate(candidateIndex, machine);
 }
@@ -91,12 +91,12 @@
 ): Generator<PreemptAction, boolean> {
   candidateIndex.preemptionSearches += 1;
   const cheapest = findCheapestVictims(snapshot, task, candidateIndex, zoneTaskCounts);
-  const pause = cheapest === null ? SEARCH_RETRY_DELAY : PREEMPTION_PAUSE;
-  yield { kind: "postpone search", task, notBefore: (snapshot.now + pause) as Micros };
+  const delay = cheapest === null ? SEARCH_RETRY_DELAY : PREEMPTION_DELAY;
+  yield { kind: "postpone search", task, notBefore: (snapshot.now + delay) as Micros };
   if (cheapest === null) return false;
   const budgeted = cheapest.victims.filter(({ reason }) => reason !== "outranked").length;
-  if (!state.preemptionBudget.take(budgeted)) return false;
-  countTask(zoneTaskCounts, cheapest.machine);
+  if (!state.preemptionBudget.tryTake(budgeted)) return false;
+  countTaskInZone(zoneTaskCounts, cheapest.machine);
   yield* preempt(snapshot, state, task, candidateIndex, cheapest);
   return true;
 }
@@ -110,8 +110,8 @@
 ): Generator<PreemptAction, boolean> {
   const machine = promisedCapacity.take(task, zoneTaskCounts);
   if (machine === null) return false;
-  countTask(zoneTaskCounts, machine);
-  yield { kind: "postpone search", task, notBefore: (now + PREEMPTION_PAUSE) as Micros };
+  countTaskInZone(zoneTaskCounts, machine);
+  yield { kind: "postpone search", task, notBefore: (now + PREEMPTION_DELAY) as Micros };
   return true;
 }
 
@@ -130,14 +130,14 @@
   const zoneTaskCounts = zoneCounts(job);
   state.promisedCapacity.expire(now);
   const maxStarts = allowedStarts(job, now);
-  let served = 0;
+  let satisfied = 0;
   for (const task of job.waitingTasks) {
-    if (candidateIndex.preemptionSearches >= maxPreemptionSearches || served >= maxStarts) return;
+    if (candidateIndex.preemptionSearches >= maxPreemptionSearches || satisfied >= maxStarts) return;
     if (task.earliestStart > now || task.nextPreemptionSearch > now) continue;
     const found =
       (yield* usePromisedCapacity(snapshot, state, task, zoneTaskCounts)) ||
       (yield* searchAndPreempt(snapshot, state, task, candidateIndex, zoneTaskCounts));
     if (!found) return;
-    served += 1;
+    satisfied += 1;
   }
 }
--- a/src/coordination/scheduling/reservation-search.ts
+++ b/src/coordination/scheduling/reservation-search.ts
@@ -127,7 +127,7 @@
  * The first machines of `available`, in `zone` unless null, that together have capacity for so many tasks; null if all
  * of them do not suffice.
  */
-const takeMachines = (
+const chooseMachines = (
   available: readonly MachineCapacity[],
   zone: string | null,
   tasks: number,
@@ -159,10 +159,10 @@
   const { now } = snapshot;
   const available = machinesByAvailability(snapshot, job, machines);
   const zones = spec.singleZone ? new Set(available.map(({ machine }) => machine.zone)) : [null];
-  let earliest: ReturnType<typeof takeMachines> = null;
+  let earliest: ReturnType<typeof chooseMachines> = null;
   for (const zone of zones) {
-    const taken = takeMachines(available, zone, tasksPlacedTogether(spec), now);
-    if (taken !== null && (earliest === null || taken.completeAt < earliest.completeAt)) earliest = taken;
+    const chosen = chooseMachines(available, zone, tasksPlacedTogether(spec), now);
+    if (chosen !== null && (earliest === null || chosen.completeAt < earliest.completeAt)) earliest = chosen;
   }
   return earliest === null || earliest.completeAt - now > MAX_RESERVATION ? null : earliest.machines;
 };
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -78,17 +78,21 @@
    * are urgent. Queued outcome records are not counted: they share the queues, and must not block all starts.
    */
   private recordBudget(): SchedulerSnapshot["recordBudget"] {
-    const waiting = { urgent: 0, normal: 0 };
+    const pendingRanges = { urgent: 0, normal: 0 };
     for (const job of this.context.shard.jobs.values()) {
       if (job.cancelled || job.outcomePending) continue;
       const priority = writePriorityOf(job, this.context.settings);
-      for (const { placementPendingSince } of job.ranges) if (placementPendingSince !== null) waiting[priority] += 1;
+      for (const { placementPendingSince } of job.ranges)
+        if (placementPendingSince !== null) pendingRanges[priority] += 1;
     }
-    const ahead = this.context.transactions.writesPerSecond * this.recordsAheadS();
-    const remaining = { urgent: ahead - waiting.urgent, normal: ahead - waiting.urgent - waiting.normal };
+    const writesAhead = this.context.transactions.writesPerSecond * this.recordsAheadS();
+    const remaining = {
+      urgent: writesAhead - pendingRanges.urgent,
+      normal: writesAhead - pendingRanges.urgent - pendingRanges.normal,
+    };
     return {
       urgent: Math.floor(remaining.urgent),
-      normal: Math.floor(Math.max(remaining.normal, ahead * NON_URGENT_SHARE - waiting.normal)),
+      normal: Math.floor(Math.max(remaining.normal, writesAhead * NON_URGENT_SHARE - pendingRanges.normal)),
     };
   }
 
--- a/src/coordination/scheduling/starvation.ts
+++ b/src/coordination/scheduling/starvation.ts
@@ -14,30 +14,31 @@
 const BOOST_SHARE = 0.1;
 
 /** A job that has waited longer than this without a start is boosted in any case: a start within 4 min is promised. */
-export const START_BOUND = seconds(120);
+export const MAX_START_WAIT = seconds(120);
 /** The largest jobs of a class are those in the largest tenth of its recent jobs, by the CPUs of all their tasks. */
 const LARGEST_QUANTILE = 0.9;
 /** The number of recent jobs of each class whose sizes are kept. */
-const REMEMBERED_SIZES = 200;
+const MAX_RECORDED_SIZES = 200;
 /** With fewer recorded sizes no job counts as one of the largest. */
-const FEWEST_SIZES = 5;
+const MIN_RECORDED_SIZES = 5;
 
 /** The sizes of the recent jobs of a class. */
 class JobSizes {
-  private readonly known = new WeakSet<Job>();
-  private readonly recent: number[] = [];
-  private largestFrom = Number.POSITIVE_INFINITY;
+  private readonly recordedJobs = new WeakSet<Job>();
+  private readonly recentSizes: number[] = [];
+  private largestThreshold = Number.POSITIVE_INFINITY;
 
-  learn(job: Job, size: number): void {
-    if (this.known.has(job)) return;
-    this.known.add(job);
-    this.recent.push(size);
-    if (this.recent.length > REMEMBERED_SIZES) this.recent.shift();
-    if (this.recent.length >= FEWEST_SIZES) this.largestFrom = quantile(this.recent, LARGEST_QUANTILE);
+  record(job: Job, size: number): void {
+    if (this.recordedJobs.has(job)) return;
+    this.recordedJobs.add(job);
+    this.recentSizes.push(size);
+    if (this.recentSizes.length > MAX_RECORDED_SIZES) this.recentSizes.shift();
+    if (this.recentSizes.length >= MIN_RECORDED_SIZES)
+      this.largestThreshold = quantile(this.recentSizes, LARGEST_QUANTILE);
   }
 
   isLargest(size: number): boolean {
-    return size >= this.largestFrom;
+    return size >= this.largestThreshold;
   }
 }
 
@@ -55,7 +56,7 @@
     const { spec } = job;
     const sizes = this.sizes.get(spec.jobClass) ?? new JobSizes();
     this.sizes.set(spec.jobClass, sizes);
-    sizes.learn(job, sizeOf(spec));
+    sizes.record(job, sizeOf(spec));
     const groups = [`class ${spec.jobClass}`, `team ${spec.team}`];
     if (sizes.isLargest(sizeOf(spec))) groups.push(`largest ${spec.jobClass}`);
     return groups;
@@ -67,7 +68,7 @@
   }
 
   /** Counts the job as started, once, when a task of it is placed. */
-  jobStarted(job: Job): void {
+  recordStart(job: Job): void {
     if (job.started) return;
     job.started = true;
     for (const group of this.groupsOf(job)) this.startedCounts.set(group, (this.startedCounts.get(group) ?? 0) + 1);
@@ -107,15 +108,15 @@
 ): BoostedJobs => {
   const { shard, now } = snapshot;
   const notStarted = waiting.filter(
-    (job) => !job.started || (now - job.waitingSince > START_BOUND && !hasStarted(job)),
+    (job) => !job.started || (now - job.waitingSince > MAX_START_WAIT && !hasStarted(job)),
   );
   const late = notStarted.filter(
     ({ waitingSince, onProbation }) => !onProbation && now - waitingSince > MIN_BOOST_WAIT,
   );
   if (late.length > 0) {
-    const starving = startHistory.starvedGroups(notStarted);
+    const starvedGroups = startHistory.starvedGroups(notStarted);
     for (const job of late)
-      job.boosted ||= now - job.waitingSince > START_BOUND || startHistory.isStarving(job, starving);
+      job.boosted ||= now - job.waitingSince > MAX_START_WAIT || startHistory.isStarving(job, starvedGroups);
   }
   const jobs = waiting.filter(({ boosted }) => boosted);
   if (jobs.length === 0) return { jobs, remaining: 0 };
@@ -125,6 +126,6 @@
   }
   jobs.sort((a, b) => a.waitingSince - b.waitingSince);
   // A single job may need more than the share, and must be able to start all the same.
-  const first = used === 0 && jobs[0] !== undefined ? cpuToStart(jobs[0].spec) : 0;
-  return { jobs, remaining: Math.max(first, capacity * BOOST_SHARE - used) };
+  const minForFirstJob = used === 0 && jobs[0] !== undefined ? cpuToStart(jobs[0].spec) : 0;
+  return { jobs, remaining: Math.max(minForFirstJob, capacity * BOOST_SHARE - used) };
 };
--- a/src/coordination/scheduling/task-placer.ts
+++ b/src/coordination/scheduling/task-placer.ts
@@ -13,7 +13,7 @@
 /** Selects one of the subsets of S_i that are tried in order. */
 interface CandidateFilter {
   readonly spotOnly: boolean;
-  readonly broadZonesOnly: boolean;
+  readonly zonesWithMostTypesOnly: boolean;
   readonly withReplicasOnly: boolean;
 }
 
@@ -23,11 +23,11 @@
  * first lets the other machines become empty and be scaled in.
  */
 const FILTERS: readonly CandidateFilter[] = [
-  { spotOnly: true, broadZonesOnly: true, withReplicasOnly: false },
-  { spotOnly: true, broadZonesOnly: false, withReplicasOnly: false },
-  { spotOnly: false, broadZonesOnly: true, withReplicasOnly: true },
-  { spotOnly: false, broadZonesOnly: true, withReplicasOnly: false },
-  { spotOnly: false, broadZonesOnly: false, withReplicasOnly: false },
+  { spotOnly: true, zonesWithMostTypesOnly: true, withReplicasOnly: false },
+  { spotOnly: true, zonesWithMostTypesOnly: false, withReplicasOnly: false },
+  { spotOnly: false, zonesWithMostTypesOnly: true, withReplicasOnly: true },
+  { spotOnly: false, zonesWithMostTypesOnly: true, withReplicasOnly: false },
+  { spotOnly: false, zonesWithMostTypesOnly: false, withReplicasOnly: false },
 ];
 
 /** Index of the first filter of jobs that may not use spot machines. */
@@ -54,7 +54,7 @@
     const { spec } = job;
     this.isZoneBound = spec.spread || spec.singleZone;
     this.pools = candidateIndex.pools.filter((pool) => allows(spec, pool.typeName, pool.zone, pool.spot));
-    // Machines on which the job failed are avoided if possible: best fit prefers the fullest, which is often a faulty one.
+    // Machines on which the job failed are avoided if possible: best fit prefers full machines, often the faulty one.
     this.skipsFailed = this.pools.some(({ candidates }) =>
       candidates.some((candidate) => !this.hasFailedOn(candidate) && fits(spec.demand, candidate.free)),
     );
@@ -82,7 +82,7 @@
     const pool = this.pools.find(
       ({ typeName, zone, spot }) => typeName === machine.typeName && zone === machine.zone && spot === machine.spot,
     );
-    if (pool !== undefined) pool.withReplicas += 1;
+    if (pool !== undefined) pool.machinesWithReplicas += 1;
     // With its first replica the machine joins those that are filled first.
     this.restart();
   }
@@ -112,7 +112,7 @@
 
   private passes(pool: MachinePool, filter: CandidateFilter): boolean {
     if (filter.spotOnly && !pool.spot) return false;
-    if (filter.broadZonesOnly && !this.candidateIndex.broadZones.has(pool.zone)) return false;
+    if (filter.zonesWithMostTypesOnly && !this.candidateIndex.zonesWithMostTypes.has(pool.zone)) return false;
     return !this.isZoneBound || zoneAllowed(this.job.spec, this.zoneTaskCounts, pool.zone);
   }
 
@@ -124,7 +124,7 @@
     let total = 0;
     for (const pool of this.pools) {
       if (!this.passes(pool, filter)) continue;
-      total += filter.withReplicasOnly ? pool.withReplicas : pool.total;
+      total += filter.withReplicasOnly ? pool.machinesWithReplicas : pool.machineCount;
       for (const candidate of pool.candidates) {
         if (filter.withReplicasOnly && candidate.machine.load.replicas === 0) continue;
         if (!mayBackfill(candidateIndex.reservation, job, candidate.machine, snapshot.now)) continue;
--- a/src/coordination/scheduling/victim-search.ts
+++ b/src/coordination/scheduling/victim-search.ts
@@ -19,8 +19,8 @@
  */
 const GUARANTEE_WAIT_SHARE = 0.6;
 /** The time within which a guarantee is to be met if no objective sets it. */
-const DEFAULT_GUARANTEE_TIME = seconds(10);
-/** Attempts allowed beyond `MAX_ATTEMPTS` for moved replicas, which lose no work. */
+const DEFAULT_GUARANTEE_OBJECTIVE = seconds(10);
+/** Attempts allowed beyond `MAX_PREEMPTION_ATTEMPTS` for moved replicas, which lose no work. */
 const EXTRA_MOVE_ATTEMPTS = 1;
 
 /**
@@ -48,7 +48,7 @@
 
 const guaranteeWaitTime = ({ settings }: SchedulerSnapshot): number => {
   const objective = settings.objectives.find(({ kind }) => kind === "guarantee");
-  return (objective?.within ?? DEFAULT_GUARANTEE_TIME) * GUARANTEE_WAIT_SHARE;
+  return (objective?.within ?? DEFAULT_GUARANTEE_OBJECTIVE) * GUARANTEE_WAIT_SHARE;
 };
 
 /** Why tasks of the other job may be preempted for this task; null if they may not. The same for all of its tasks. */
@@ -124,10 +124,10 @@
     const rule = this.rules.get(victim.job);
     if (rule === undefined || victim.stopRequest !== null || victim.startCommand.kind !== "observed") return null;
     const { guarantees } = this.candidateIndex;
-    const movable = rule.movable && !guarantees.startedTooOften(victim, EXTRA_MOVE_ATTEMPTS);
+    const movable = rule.movable && !guarantees.hasTooManyAttempts(victim, EXTRA_MOVE_ATTEMPTS);
     if (movable && hasCapacityElsewhere(victim, this.candidateIndex)) return "moved";
-    if (rule.reason === null || guarantees.startedTooOften(victim)) return null;
-    return rule.reason === "outranked" || guarantees.isSparable(victim) ? rule.reason : null;
+    if (rule.reason === null || guarantees.hasTooManyAttempts(victim)) return null;
+    return rule.reason === "outranked" || guarantees.isPreemptibleForGuarantee(victim) ? rule.reason : null;
   }
 
   tally(): VictimTally {
@@ -176,7 +176,7 @@
   for (const victim of candidates) {
     if (fits(demand, free)) break;
     // Victims are counted together: a team may keep its guarantee without any one of them, but not without several.
-    if (victim.reason === "guarantee" && !tally.take(victim.task)) continue;
+    if (victim.reason === "guarantee" && !tally.tryAdd(victim.task)) continue;
     forGuarantee ||= victim.reason === "guarantee";
     victims.push(victim);
     free = addResources(free, victim.task.job.spec.demand);
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -4,7 +4,7 @@
 import { createMachine } from "../src/cluster/machine.js";
 import { ShardState } from "../src/cluster/shard-state.js";
 import { attemptOf, type Task } from "../src/cluster/task.js";
-import { MAX_ATTEMPTS } from "../src/coordination/scheduling/guarantee-usage.js";
+import { MAX_PREEMPTION_ATTEMPTS } from "../src/coordination/scheduling/guarantee-usage.js";
 import { decideRound, newRoundState } from "../src/coordination/scheduling/placement-round.js";
 import { applyAction, type RoundAction } from "../src/coordination/scheduling/round-action.js";
 import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
@@ -191,7 +191,7 @@
     simulation.round((action) => {
       if (action.kind !== "preempt") return;
       for (const { task, reason } of action.victims) {
-        assert.ok(attemptOf(task.desired) <= MAX_ATTEMPTS, "preempted once too often");
+        assert.ok(attemptOf(task.desired) <= MAX_PREEMPTION_ATTEMPTS, "preempted once too often");
         if (reason === "guarantee") assert.ok(simulation.staying(task.job.spec.team) >= 16, "below its guarantee");
       }
     });
