--- a/test/eligibility.test.ts
+++ b/test/eligibility.test.ts
@@ -8,7 +8,7 @@
 import { makeSchedulingFixture, TYPE } from "./scheduling-fixtures.js";
 import { plainJob } from "./sim/cluster.js";
 
-test("a machine that takes no tasks has a reason", () => {
+test("each condition that makes a machine unready has its reason, and the machine gets no tasks", () => {
   const cases: [(machine: Machine) => void, UnreadyReason | null][] = [
     [() => undefined, null],
     [(machine) => Object.assign(machine, { type: null }), "type unknown"],
@@ -35,7 +35,7 @@
   }
 });
 
-test("jobs that can never run are distinguished from those that wait", () => {
+test("a job that can never run is told from one that may wait, with the reason", () => {
   const { settings } = makeSchedulingFixture(0);
   const types = new Map([[TYPE.name, TYPE]]);
   const never = (fields: Parameters<typeof plainJob>[1]): string | null =>
--- a/test/object-shapes.test.ts
+++ b/test/object-shapes.test.ts
@@ -1,7 +1,7 @@
 /**
- * Objects that rounds and checks walk by the thousand have one hidden class each, so that reading their fields hits the
- * engine's inline caches. Machines made by a spread had one hidden class apiece: found by bisection of the processor
- * time of one day (24 s before that change, 37 s after it), seen as `HaveSameMap` being false for any two of them.
+ * Objects that rounds and checks walk by the thousand must share one hidden class, so that reading their fields hits
+ * the engine's inline caches. Guards against objects with a hidden class each, as machines had when they were made by
+ * spread syntax: the processor time of one simulated day rose from 24 s to 37 s.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -21,7 +21,7 @@
     (number * 1_000_000) as Micros,
   );
 
-test("all machines have one hidden class, and so has each of their parts", () => {
+test("all machines share one hidden class, and so does each of their parts", () => {
   const machines = Array.from({ length: 100 }, (_, number) => makeMachine(number));
   const [first, ...others] = machines as [Machine, ...Machine[]];
   const { counters, reachability, lease, fencing, load, reported, lifecycle, commands } = first;
@@ -33,7 +33,7 @@
   }
 });
 
-test("all bins of a scaling plan have one hidden class", () => {
+test("all capacity bins of a scaling plan share one hidden class", () => {
   const type = TYPES[0];
   assert.ok(type !== undefined);
   const bins = Array.from({ length: 20 }, (_, number) => newBin({ type, zone: `z-${number}`, spot: false }));
--- a/test/placement-round.test.ts
+++ b/test/placement-round.test.ts
@@ -9,7 +9,7 @@
 const waitReasons = (actions: readonly RoundAction[]): string[] =>
   actions.flatMap((action) => (action.kind === "wait" ? [`${action.job.spec.id}: ${action.reason}`] : []));
 
-test("a job that waits has the reason of the present round", () => {
+test("a waiting job is reported with the reason that holds in the present round", () => {
   const { add, round, shard } = makeSchedulingFixture(1);
   add({ owner: "capped", shards: 20, cpus: 1 }, "wk-limited");
   add({ shards: 3, cpus: 12, rank: "normal" }, "wk-large");
@@ -28,7 +28,7 @@
   assert.equal(shard.jobs.get("wk-large")?.placedTasks.size, 1);
 });
 
-test("a job just submitted is placed in the round under way, though the clock goes on meanwhile", () => {
+test("a job submitted at the time of the snapshot is placed even if the clock advances before the round runs", () => {
   const { add, snapshot, world } = makeSchedulingFixture(1);
   add({ shards: 2 }, "wk-1");
   const snapshotBefore = snapshot();
@@ -40,14 +40,14 @@
   );
 });
 
-test("each preemption names the task it is for and its reason", () => {
+test("each preemption reports the task that it is for and a reason for each victim", () => {
   const lower = makeSchedulingFixture(1);
   lower.add({ shards: 4, cpus: 4, rank: "normal", saveEveryS: 5, saveTakesS: 1.2 }, "wk-low");
   lower.round();
   const low = lower.shard.jobs.get("wk-low");
   assert.ok(low !== undefined && low.placedTasks.size === 4);
   lower.add({ shards: 1, cpus: 6, rank: "high" }, "wk-high");
-  // Not seen running yet: a start may be under way, and nothing is stopped on a guess.
+  // The tasks are not known to run yet. A start may be in progress, so they are not preempted.
   assert.deepEqual(
     lower.round().filter(({ kind }) => kind === "preempt"),
     [],
@@ -70,7 +70,7 @@
   entitled.round();
   entitled.markRunning(entitled.shard.jobs.get("wk-beyond") as Job);
   entitled.add({ shards: 1, cpus: 4, owner: "capped" }, "wk-entitled");
-  // Not at once: capacity may come free by itself.
+  // Not preempted at once: capacity may become free by itself.
   assert.equal(
     entitled.round().some(({ kind }) => kind === "preempt"),
     false,
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -33,7 +33,7 @@
   imageGb: random.int(1, 30) / 10,
 });
 
-/** The paper's Algorithms 1 and 2 read line by line, with no regard to cost. */
+/** Reference implementation: the paper's Algorithms 1 and 2 line by line, regardless of run time. */
 const literal = (component: Component, servers: readonly Server[], kappa: number): Server | null => {
   const heaviside = (x: number): number => (x >= 0 ? 1 : 0);
   const left = (s: Server): number => Math.min(1, s.free.cpu / s.capacity.cpu, s.free.ram / s.capacity.ram);
@@ -71,7 +71,7 @@
   return least[0] === 0 ? chosen : null;
 };
 
-test("placement agrees with a literal reading of Algorithms 1 and 2", () => {
+test("placement agrees with a line-by-line implementation of Algorithms 1 and 2", () => {
   forSeeds(400, (random) => {
     const servers = randomServers(random);
     const kappa = random.pick([0.1, 0.3, 0.5, 1]);
@@ -83,12 +83,12 @@
       if (chosen === null) continue;
       assign(component, chosen);
       assert.ok(chosen.busy && chosen.images.has(component.image));
-      assert.ok(chosen.free.cpu >= 0 && chosen.free.ram >= 0, "a task overflowed its machine");
+      assert.ok(chosen.free.cpu >= 0 && chosen.free.ram >= 0, "a placement exceeded the capacity of its machine");
     }
   });
 });
 
-test("the shortlist keeps at least one and at most the top share", () => {
+test("the shortlist holds the configured share of the servers, and at least one", () => {
   forSeeds(50, (random) => {
     const servers = randomServers(random);
     const { demand } = randomComponent(random);
@@ -97,12 +97,12 @@
   });
 });
 
-test("the weight of a demand is its largest share", () => {
+test("the relative size of a demand is its largest share in any dimension", () => {
   const reference = { cpu: 32_000, gpu: 0, ram: 64_000 };
   assert.equal(relativeSize({ cpu: 4_000, gpu: 0, ram: 32_000 }, reference), 0.5);
 });
 
-test("a run of equal tasks is placed as task by task, with few inspections", () => {
+test("the ranking places equal tasks like one-by-one placement, with few inspections", () => {
   forSeeds(300, (random) => {
     const servers: RankedServer[] = randomServers(random).map((server, order) => ({ ...server, order }));
     const kappa = random.pick([0.1, 0.3, 0.5, 1]);
@@ -137,6 +137,6 @@
     placed += 1;
   }
   assert.equal(placed, 1_000);
-  // Inspecting every machine for each task would be 1.5 million.
+  // Inspecting every machine for each task would take 1.5 million inspections.
   assert.ok(inspection.count < 500_000, `${inspection.count} inspections`);
 });
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -22,7 +22,7 @@
 const team = (name: string, cpus: number, maxCpus = 0): string =>
   `[[deployment.teams]]\nname = "${name}"\ncpus = ${cpus}.0\ncpus_max = ${maxCpus}.0\n`;
 
-/** Machines, teams and a clock; actions take effect at once, and a preempted task is gone a moment later. */
+/** Machines, teams and a clock. Actions take effect at once; preempted tasks are gone at the next `pass`. */
 class SimulatedShard {
   readonly world = new World();
   readonly shard: ShardState;
@@ -52,7 +52,7 @@
     return this.shard.addJob(decodeSubmission(plainJob(ref, fields)), this.shard.jobs.size + 1, false);
   }
 
-  /** The cpus that a team has running, without what has been told to stop. */
+  /** The CPUs of the team's placed tasks, without tasks that are being stopped. */
   staying(name: string): number {
     let cpu = 0;
     for (const { spec, placedTasks } of this.shard.jobs.values()) {
@@ -62,7 +62,7 @@
     return cpu / 1_000;
   }
 
-  /** One round; `check` sees every stop once it counts. */
+  /** Runs one round; `check` is called with each action after it was applied. */
   round(check: (action: RoundAction) => void = () => undefined): void {
     const snapshot: SchedulerSnapshot = {
       now: this.clock.now(),
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Time passes: what was placed runs, what was stopped has gone, and what has run its time is done. */
+  /** Removes stopped tasks, starts placed tasks, completes tasks after `runUs`, then advances the clock. */
   pass(us: number, runUs: (task: Task) => number = () => Number.POSITIVE_INFINITY): void {
     for (const job of this.shard.jobs.values()) {
       for (const task of [...job.placedTasks]) {
@@ -108,9 +108,9 @@
   }
 }
 
-test("two teams do not take turns in preempting each other", () => {
-  // Both want more than they are guaranteed, and both guarantees together fill the capacity: by their present use alone,
-  // whichever was stopped last was within its guarantee again, and stopped the other's.
+test("two teams do not preempt each other in turn", () => {
+  // Both teams demand more than their guarantees, which together equal the capacity. With a rule on present use alone,
+  // the team whose tasks were stopped last is below its guarantee again, and preempts the other.
   const simulation = new SimulatedShard(2, team("a", 16) + team("b", 16));
   simulation.add("wk-1", { owner: "a", shards: 8, cpus: 4, guessS: 600 });
   simulation.round();
@@ -126,7 +126,7 @@
   assert.ok(sum <= 4, `${sum} preemptions`);
 });
 
-test("a job that fits into its team's guarantee gets it, from work beyond another's", () => {
+test("an entitled job gets its guarantee by preemption of another team's tasks beyond that team's guarantee", () => {
   const simulation = new SimulatedShard(2, team("a", 16) + team("b", 16));
   simulation.add("wk-1", { owner: "a", shards: 8, cpus: 4, guessS: 600 });
   simulation.round();
@@ -142,7 +142,7 @@
 });
 
 test("several preemptions at once leave the other team its guarantee", () => {
-  // One machine, and a need as large as all of it: each task alone could go, not all of them.
+  // One machine, and a task that demands all of it: each victim alone could be stopped, but not all of them.
   const simulation = new SimulatedShard(1, team("a", 8) + team("b", 16));
   simulation.add("wk-1", { owner: "a", shards: 16, cpus: 1, guessS: 600 });
   simulation.round();
@@ -155,7 +155,7 @@
   assert.equal(simulation.staying("a"), 16);
 });
 
-test("no more work is lost than is gained, and a task about to end is not preempted", () => {
+test("preemption loses no more work than it gains, and a task about to end is not preempted", () => {
   const simulation = new SimulatedShard(1, team("a", 0) + team("b", 16));
   simulation.add("wk-1", { owner: "a", shards: 4, cpus: 4, guessS: 300 });
   simulation.round();
@@ -166,7 +166,7 @@
     simulation.round();
     simulation.pass(500_000);
   }
-  assert.equal(simulation.preemptions.size, 0, "two minutes of work for 20 s");
+  assert.equal(simulation.preemptions.size, 0, "preempted a task with 2 min of progress for one of 20 s");
   const soon = new SimulatedShard(1, team("a", 0) + team("b", 16));
   soon.add("wk-1", { owner: "a", shards: 4, cpus: 4, guessS: 12 });
   soon.round();
@@ -174,7 +174,7 @@
   soon.add("wk-2", { owner: "b", shards: 1, cpus: 4, guessS: 60 });
   soon.pass(10_000_000);
   soon.round();
-  assert.equal(soon.preemptions.size, 0, "ends in two seconds");
+  assert.equal(soon.preemptions.size, 0, "preempted a task that ends within 2 s");
 });
 
 test("guarantees that together exceed the capacity cause few preemptions", () => {
@@ -191,7 +191,7 @@
     simulation.round((action) => {
       if (action.kind !== "preempt") return;
       for (const { task, reason } of action.victims) {
-        assert.ok(attemptOf(task.desired) <= MAX_PREEMPTION_ATTEMPTS, "preempted once too often");
+        assert.ok(attemptOf(task.desired) <= MAX_PREEMPTION_ATTEMPTS, "preempted after too many attempts");
         if (reason === "guarantee") assert.ok(simulation.staying(task.job.spec.team) >= 16, "below its guarantee");
       }
     });
@@ -202,7 +202,7 @@
   assert.ok(preemptions <= next * 0.15, `${preemptions} preemptions for ${next} jobs`);
 });
 
-test("overcommitted guarantees are reported once, and each is served by the same share", () => {
+test("overcommitted guarantees are reported once, and all teams are served the same share of theirs", () => {
   const simulation = new SimulatedShard(1, team("a", 16) + team("b", 16));
   const actions: RoundAction[] = [];
   const round = (): void => simulation.round((action) => actions.push(action));
@@ -214,7 +214,7 @@
     report?.kind === "guarantees" && report.overcommitted && report.claimed === 24_000 && report.capacity === 16_000,
   );
   simulation.pass(1_000_000);
-  // As capacity comes free it goes to the team that has less of its own guarantee, whoever asked first.
+  // Freed capacity goes to the team that uses less of its guarantee, whichever job was submitted first.
   for (const task of [...large.placedTasks].slice(0, 8)) task.stopRequest = { graceS: 0 };
   simulation.pass(1_000_000);
   round();
@@ -222,8 +222,9 @@
   assert.equal(actions.filter(({ kind }) => kind === "guarantees").length, 1, "reported once, not in every round");
 });
 
-test("a new leader that has not heard of its machines yet reports no overcommitment", () => {
-  // Seen at every failover of a recorded day: overcommitment, with 3,738 CPUs claimed and a capacity of 0.
+test("a new leader without heartbeats from its machines reports no overcommitment", () => {
+  // Without this rule, every failover reported overcommitment (3,738 CPUs claimed, a capacity of 0), as no machine was
+  // ready yet.
   const simulation = new SimulatedShard(4, team("a", 40));
   simulation.add("wk-1", { owner: "a", shards: 10, cpus: 4, guessS: 60 });
   simulation.round();
@@ -236,7 +237,7 @@
   };
   simulation.round(recordReport);
   assert.deepEqual(reported, []);
-  // Once they are known, it is reported where it is so.
+  // With enough ready machines, real overcommitment is reported.
   for (const machine of simulation.shard.machines.values()) machine.counters.highestToken = TOKEN;
   for (const [name] of [...simulation.shard.machines].slice(2)) simulation.shard.machines.delete(name);
   simulation.round(recordReport);
--- a/test/scheduling-fixtures.ts
+++ b/test/scheduling-fixtures.ts
@@ -1,3 +1,4 @@
+/** Fixture of the tests of placement rounds: a shard with idle machines of one type. */
 import type { Job } from "../src/cluster/job.js";
 import { createMachine, type Machine } from "../src/cluster/machine.js";
 import { ShardState } from "../src/cluster/shard-state.js";
@@ -12,12 +13,12 @@
 import { bigType, settingsText } from "./fixtures.js";
 import { plainJob } from "./sim/cluster.js";
 
-/** The one machine type of these fixtures. */
+/** The only machine type of these fixtures. */
 export const TYPE = bigType(["east", "west"]);
-/** The fencing token that all machines have seen. */
+/** The fencing token that all workers have reported. */
 const TOKEN = 65_536;
 
-/** A shard with so many idle machines of one type, and rounds whose actions are carried out at once. */
+/** A shard with idle machines of one type, and rounds whose placements take effect at once. */
 export const makeSchedulingFixture = (machines: number) => {
   const world = new World();
   world.now = 1_000_000_000;
@@ -47,7 +48,7 @@
   });
   const add = (fields: Parameters<typeof plainJob>[1], ref: string): Job =>
     shard.addJob(decodeSubmission(plainJob(ref, fields)), 1, false);
-  /** Carries out what is decided, as far as the shard state is concerned. */
+  /** Runs one round; applies its placements and search delays to the shard state, but not its other actions. */
   const round = (): RoundAction[] => {
     const actions: RoundAction[] = [];
     for (const action of decideRound(snapshot(), newRoundState())) {
--- a/test/scheduling-rounds.test.ts
+++ b/test/scheduling-rounds.test.ts
@@ -7,11 +7,11 @@
 import type { Micros } from "../src/transport/clock.js";
 import { makeShard, SPEC } from "./shard-fixtures.js";
 
-test("rounds place no further ahead than records can be written, whatever else waits for the write budget", () => {
+test("placements run no further ahead of their records than the write budget, whatever else is queued", () => {
   const { shard, context, taskStates } = makeShard(200);
   const marked: string[] = [];
   const scheduler = new Scheduler(
-    // Ten writes a second, and hundreds of ends of jobs waiting.
+    // Ten writes a second, and hundreds of queued outcome records.
     {
       ...context,
       transactions: { ...context.transactions, writesPerSecond: 10, pendingCount: () => 500 },
@@ -26,11 +26,11 @@
   );
   for (let at = 0; at < 60; at += 1) shard.addJob({ ...SPEC, id: `wk-${at}`, tasks: 20 }, 1, false);
   scheduler.runRound();
-  assert.equal(marked.length, 20, "two seconds' writes");
-  // Each of them whole: the fewer writes, the more tasks they carry.
+  assert.equal(marked.length, 20, "the writes of two seconds");
+  // Each range is placed as a whole: one write carries all its placements.
   assert.ok(marked.every((id) => shard.jobs.get(id)?.placedTasks.size === 20));
   scheduler.runRound();
-  assert.equal(marked.length, 20, "nothing more until some are written");
+  assert.equal(marked.length, 20, "no further placements until some records are written");
   for (const id of marked.slice(0, 5))
     for (const range of shard.jobs.get(id)?.ranges ?? []) range.placementPendingSince = null;
   scheduler.runRound();
@@ -57,10 +57,10 @@
   scheduler.runRound();
   const placed = [...shard.jobs.values()].reduce((sum, job) => sum + job.placedTasks.size, 0);
   assert.ok(placed > 10_000, `${placed} placed`);
-  // Each task on each machine would be 17 million.
-  assert.ok(scheduler.inspection.count < 1_500_000, `${scheduler.inspection.count} looked at`);
+  // Inspecting each machine for each task would take 17 million inspections.
+  assert.ok(scheduler.inspection.count < 1_500_000, `${scheduler.inspection.count} inspections`);
   const before = scheduler.inspection.count;
   scheduler.runRound();
   const idle = scheduler.inspection.count - before;
-  assert.ok(idle < 100_000, `${idle} looked at in a round with nothing to place`);
+  assert.ok(idle < 100_000, `${idle} inspections in a round with nothing to place`);
 });
--- a/test/starvation.test.ts
+++ b/test/starvation.test.ts
@@ -21,7 +21,7 @@
 
 type Fields = Parameters<typeof plainJob>[1] & { readonly runS: number };
 
-/** Jobs that are submitted at given times to a fixed number of full machines; everything placed runs its time and is done. */
+/** Jobs submitted at given times to a fixed number of machines; each placed task completes after its run time. */
 class SimulatedShard {
   readonly world = new World();
   readonly clock = new HostClock(this.world, 1, 0);
@@ -105,7 +105,7 @@
     return Math.max(...waits);
   }
 
-  /** By class: the share of jobs of which at least one task was placed, and of those that are done. */
+  /** The class's number of jobs, and the shares of them that have started and that are done. */
   served(jobClass: string): { readonly started: number; readonly done: number; readonly jobs: number } {
     const own = this.all.filter(({ job }) => job.spec.jobClass === jobClass);
     const share = (is: (job: Job) => boolean): number => own.filter(({ job }) => is(job)).length / own.length;
@@ -117,7 +117,9 @@
   }
 }
 
-/** Four machines of 16 CPUs that more and more work of the upper rank would fill for good. */
+/**
+ * Four machines of 16 CPUs with more work of high rank than they have capacity for; `low` adds other jobs each second.
+ */
 const simulateBesideHighRank = (
   low: (simulation: SimulatedShard, second: number, random: Random) => void,
   durationS = 400,
@@ -125,7 +127,7 @@
   const simulation = new SimulatedShard(4);
   const random = new Random(5);
   for (let halfSecond = 0; halfSecond < durationS * 2; halfSecond += 1) {
-    // A tenth more than the machines can carry: 0.9 jobs a second of 4 tasks, 2 CPUs and 10 s each.
+    // A tenth more than the capacity: 0.9 jobs a second of 4 tasks with 2 CPUs and 10 s each.
     if (random.chance(0.45)) simulation.add({ jobclass: "production", rank: "high", shards: 4, cpus: 2, runS: 10 });
     if (halfSecond % 2 === 0) low(simulation, halfSecond / 2, random);
     simulation.step();
@@ -139,13 +141,13 @@
       simulation.add({ jobclass: "idle", owner: "capped", rank: "best_effort", shards: 2, cpus: 1, runS: 15 });
   });
   const idle = simulation.served("idle");
-  // Strictly by rank, one of them was started: the first.
+  // With strict priority only the first of them started.
   assert.ok(idle.started >= 0.5 && idle.done >= 0.5, JSON.stringify(idle));
   const production = simulation.served("production");
   assert.ok(production.done > 0.8, JSON.stringify(production));
 });
 
-test("a team with ten tasks is not starved by one with a hundred thousand", () => {
+test("a team with ten tasks is not starved by a team with a hundred thousand", () => {
   const simulation = new SimulatedShard(4);
   simulation.add({ jobclass: "giant", owner: "open", rank: "high", shards: 100_000, cpus: 2, runS: 20 });
   for (let index = 0; index < 10; index += 1) simulation.step();
@@ -157,7 +159,7 @@
   assert.ok(few.done >= 0.5, JSON.stringify(few));
 });
 
-test("a burst of another team's small jobs starts, and takes no more than the boosted share", () => {
+test("a burst of small low-rank jobs of another team starts, at little cost to the higher rank", () => {
   const without = simulateBesideHighRank(() => undefined).served("production");
   const simulation = simulateBesideHighRank((simulation, second) => {
     for (let index = 0; index < 5; index += 1) {
@@ -193,7 +195,7 @@
   assert.equal(simulation.preemptions, 0);
 });
 
-test("no job is boosted where all start in time", () => {
+test("no job is boosted while all jobs start in time", () => {
   const simulation = new SimulatedShard(4);
   for (let index = 0; index < 200; index += 1) {
     if (index % 10 === 0) simulation.add({ jobclass: "production", rank: "high", shards: 2, cpus: 2, runS: 10 });
@@ -204,16 +206,16 @@
   assert.equal(simulation.served("idle").started, 1);
 });
 
-/** The longest that a job of the class waited for its first task, in seconds; the whole time where one never began. */
+/** The longest wait of a job of the class for its first placement (or until now, without one), in seconds. */
 const longestWait = (simulation: SimulatedShard, jobClass: string): number =>
   simulation.longestWait(jobClass) / 1_000_000;
 
-test("a task that needs a whole machine starts beside a stream of small ones of a higher rank", () => {
+test("a task that needs a whole machine starts beside a stream of small tasks of a higher rank", () => {
   const simulation = simulateBesideHighRank((simulation, second) => {
     if (second === 20) simulation.add({ jobclass: "whole", rank: "normal", shards: 1, cpus: 16, runS: 20 });
   }, 300);
   assert.ok(longestWait(simulation, "whole") < 180, `${longestWait(simulation, "whole")} s`);
-  // Reserved capacity is idle capacity: it must not be much.
+  // Reserved capacity idles, so it must not cost much throughput.
   const without = simulateBesideHighRank(() => undefined, 300).served("production").done;
   assert.ok(
     simulation.served("production").done > without - 0.1,
@@ -221,7 +223,7 @@
   );
 });
 
-test("a large task of a limited team is not starved by small ones that use up the limit", () => {
+test("a large task of a limited team is not starved by small tasks that use up the limit", () => {
   const simulation = new SimulatedShard(8);
   for (let halfSecond = 0; halfSecond < 600; halfSecond += 1) {
     if (halfSecond % 2 === 0)
@@ -242,7 +244,7 @@
   assert.ok(longestWait(simulation, "gang") < 200, `${longestWait(simulation, "gang")} s`);
 });
 
-test("reserved capacity is not taken for exhausted because a job that may not backfill it was tried before", () => {
+test("a failed search of a job that may not backfill does not keep the reservation's job off its machines", () => {
   const simulation = new SimulatedShard(1);
   simulation.add({ runS: 60, cpus: 8, shards: 1, rank: "prod" });
   simulation.add({ runS: 60, cpus: 8, shards: 1, rank: "best_effort" });
@@ -255,8 +257,8 @@
     machines: new Map([[machine, now]]),
     until: (now + seconds(30)) as Micros,
   };
-  // The first one, of a higher rank, finds all capacity reserved. The second, which has the reservation, took that for its
-  // own result and left the machine idle for as long.
+  // The first job, of a higher rank, finds all capacity reserved. The second job, which holds the reservation, must not
+  // share that result, or its machine stays idle until the reservation expires.
   simulation.step();
   assert.deepEqual([first.job.placedTasks.size, second.job.placedTasks.size], [0, 1]);
 });
