--- a/test/eligibility.test.ts
+++ b/test/eligibility.test.ts
@@ -38,12 +38,12 @@
 test("a job that can never run is told from one that may wait, with the reason", () => {
   const { settings } = makeSchedulingFixture(0);
   const types = new Map([[TYPE.name, TYPE]]);
-  const never = (fields: Parameters<typeof plainJob>[1]): string | null =>
+  const reasonFor = (fields: Parameters<typeof plainJob>[1]): string | null =>
     neverRuns(decodeSubmission(plainJob("wk-1", fields)) as JobSpec, settings, types);
-  assert.equal(never({}), null);
-  assert.equal(never({ owner: "nobody" }), "unknown team");
-  assert.equal(never({ cpus: 17 }), "a task fits no allowed machine type");
-  assert.equal(never({ flavors: ["small"] }), "a task fits no allowed machine type");
-  assert.equal(never({ owner: "capped", shards: 100, cpus: 1 }), null);
-  assert.equal(never({ owner: "capped", shards: 17, cpus: 1, shape: "daemon" }), "more than the team's limit");
+  assert.equal(reasonFor({}), null);
+  assert.equal(reasonFor({ owner: "nobody" }), "unknown team");
+  assert.equal(reasonFor({ cpus: 17 }), "a task fits no allowed machine type");
+  assert.equal(reasonFor({ flavors: ["small"] }), "a task fits no allowed machine type");
+  assert.equal(reasonFor({ owner: "capped", shards: 100, cpus: 1 }), null);
+  assert.equal(reasonFor({ owner: "capped", shards: 17, cpus: 1, shape: "daemon" }), "more than the team's limit");
 });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -34,41 +34,41 @@
 });
 
 /** Reference implementation: the paper's Algorithms 1 and 2 line by line, regardless of run time. */
-const literal = (component: Component, servers: readonly Server[], kappa: number): Server | null => {
+const referenceChoose = (component: Component, servers: readonly Server[], kappa: number): Server | null => {
   const heaviside = (x: number): number => (x >= 0 ? 1 : 0);
-  const left = (s: Server): number => Math.min(1, s.free.cpu / s.capacity.cpu, s.free.ram / s.capacity.ram);
+  const freeShare = (s: Server): number => Math.min(1, s.free.cpu / s.capacity.cpu, s.free.ram / s.capacity.ram);
   const better = (a: Server, b: Server): boolean => {
-    const p = (s: Server): number[] => [
+    const sortKey = (s: Server): number[] => [
       heaviside(s.free.cpu - component.demand.cpu) * heaviside(s.free.ram - component.demand.ram),
       s.busy ? 1 : 0,
-      -left(s),
+      -freeShare(s),
       -servers.indexOf(s),
     ];
-    const [x, y] = [p(a), p(b)];
+    const [x, y] = [sortKey(a), sortKey(b)];
     for (let at = 0; at < x.length; at += 1) if (x[at] !== y[at]) return (x[at] ?? 0) > (y[at] ?? 0);
     return false;
   };
   const k = Math.max(1, Math.floor(kappa * servers.length));
-  const top: Server[] = [];
-  while (top.length < k) {
+  const shortlisted: Server[] = [];
+  while (shortlisted.length < k) {
     let next: Server | null = null;
-    for (const s of servers) if (!top.includes(s) && (next === null || better(s, next))) next = s;
+    for (const s of servers) if (!shortlisted.includes(s) && (next === null || better(s, next))) next = s;
     if (next === null) break;
-    top.push(next);
+    shortlisted.push(next);
   }
   let chosen: Server | null = null;
-  let least: [number, number] = [Number.POSITIVE_INFINITY, Number.POSITIVE_INFINITY];
-  for (const s of top) {
+  let leastCost: [number, number] = [Number.POSITIVE_INFINITY, Number.POSITIVE_INFINITY];
+  for (const s of shortlisted) {
     const over =
       Math.max(0, component.demand.cpu - s.free.cpu) / s.capacity.cpu +
       Math.max(0, component.demand.ram - s.free.ram) / s.capacity.ram;
-    const bytes = s.images.has(component.image) ? 0 : component.imageGb / s.fetchGbPerS;
-    if (over < least[0] || (over === least[0] && bytes < least[1])) {
+    const fetchS = s.images.has(component.image) ? 0 : component.imageGb / s.fetchGbPerS;
+    if (over < leastCost[0] || (over === leastCost[0] && fetchS < leastCost[1])) {
       chosen = s;
-      least = [over, bytes];
+      leastCost = [over, fetchS];
     }
   }
-  return least[0] === 0 ? chosen : null;
+  return leastCost[0] === 0 ? chosen : null;
 };
 
 test("placement agrees with a line-by-line implementation of Algorithms 1 and 2", () => {
@@ -77,7 +77,7 @@
     const kappa = random.pick([0.1, 0.3, 0.5, 1]);
     for (let step = 0; step < 12; step += 1) {
       const component = randomComponent(random);
-      const expected = literal(component, servers, kappa);
+      const expected = referenceChoose(component, servers, kappa);
       const chosen = choose(component, servers, kappa);
       assert.equal(chosen?.name, expected?.name);
       if (chosen === null) continue;
@@ -110,7 +110,7 @@
     const inspection = { count: 0 };
     const ranking = new Ranking(component, servers, servers.length, kappa, inspection);
     for (let step = 0; step < 40; step += 1) {
-      const expected = literal(component, servers, kappa);
+      const expected = referenceChoose(component, servers, kappa);
       const chosen = ranking.choose();
       assert.equal(chosen?.name, expected?.name);
       if (chosen === null) break;
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -22,7 +22,7 @@
 const team = (name: string, cpus: number, maxCpus = 0): string =>
   `[[deployment.teams]]\nname = "${name}"\ncpus = ${cpus}.0\ncpus_max = ${maxCpus}.0\n`;
 
-/** Machines, teams and a clock. Actions take effect at once; preempted tasks are gone at the next `pass`. */
+/** Machines, teams and a clock. Actions take effect at once; preempted tasks are gone at the next `advance`. */
 class SimulatedShard {
   readonly world = new World();
   readonly shard: ShardState;
@@ -53,7 +53,7 @@
   }
 
   /** The CPUs of the team's placed tasks, without tasks that are being stopped. */
-  staying(name: string): number {
+  cpusNotStopping(name: string): number {
     let cpu = 0;
     for (const { spec, placedTasks } of this.shard.jobs.values()) {
       if (spec.team === name)
@@ -63,7 +63,7 @@
   }
 
   /** Runs one round; `check` is called with each action after it was applied. */
-  round(check: (action: RoundAction) => void = () => undefined): void {
+  round(onAction: (action: RoundAction) => void = () => undefined): void {
     const snapshot: SchedulerSnapshot = {
       now: this.clock.now(),
       shard: this.shard,
@@ -82,12 +82,12 @@
         for (const { task } of action.victims)
           this.preemptions.set(task.name, (this.preemptions.get(task.name) ?? 0) + 1);
       }
-      check(action);
+      onAction(action);
     }
   }
 
   /** Removes stopped tasks, starts placed tasks, completes tasks after `runUs`, then advances the clock. */
-  pass(us: number, runUs: (task: Task) => number = () => Number.POSITIVE_INFINITY): void {
+  advance(us: number, runUs: (task: Task) => number = () => Number.POSITIVE_INFINITY): void {
     for (const job of this.shard.jobs.values()) {
       for (const task of [...job.placedTasks]) {
         if (task.stopRequest !== null) {
@@ -114,11 +114,11 @@
   const simulation = new SimulatedShard(2, team("a", 16) + team("b", 16));
   simulation.add("wk-1", { owner: "a", shards: 8, cpus: 4, guessS: 600 });
   simulation.round();
-  simulation.pass(1_000_000);
+  simulation.advance(1_000_000);
   simulation.add("wk-2", { owner: "b", shards: 8, cpus: 4, guessS: 600 });
   for (let index = 0; index < 240; index += 1) {
     simulation.round();
-    simulation.pass(500_000);
+    simulation.advance(500_000);
   }
   const maxPerTask = Math.max(0, ...simulation.preemptions.values());
   const sum = [...simulation.preemptions.values()].reduce((total, count) => total + count, 0);
@@ -130,12 +130,12 @@
   const simulation = new SimulatedShard(2, team("a", 16) + team("b", 16));
   simulation.add("wk-1", { owner: "a", shards: 8, cpus: 4, guessS: 600 });
   simulation.round();
-  simulation.pass(1_000_000);
+  simulation.advance(1_000_000);
   const entitled = simulation.add("wk-2", { owner: "b", shards: 4, cpus: 4, guessS: 600 });
   for (let index = 0; index < 40; index += 1) {
     simulation.round();
-    assert.ok(simulation.staying("a") >= 16, "below its guarantee");
-    simulation.pass(500_000);
+    assert.ok(simulation.cpusNotStopping("a") >= 16, "below its guarantee");
+    simulation.advance(500_000);
   }
   assert.equal(entitled.placedTasks.size, 4);
   assert.deepEqual([...simulation.preemptions.values()], [1, 1, 1, 1]);
@@ -146,33 +146,33 @@
   const simulation = new SimulatedShard(1, team("a", 8) + team("b", 16));
   simulation.add("wk-1", { owner: "a", shards: 16, cpus: 1, guessS: 600 });
   simulation.round();
-  simulation.pass(1_000_000);
+  simulation.advance(1_000_000);
   simulation.add("wk-2", { owner: "b", shards: 1, cpus: 16, guessS: 600 });
   for (let index = 0; index < 40; index += 1) {
     simulation.round();
-    simulation.pass(500_000);
+    simulation.advance(500_000);
   }
-  assert.equal(simulation.staying("a"), 16);
+  assert.equal(simulation.cpusNotStopping("a"), 16);
 });
 
 test("preemption loses no more work than it gains, and a task about to end is not preempted", () => {
   const simulation = new SimulatedShard(1, team("a", 0) + team("b", 16));
   simulation.add("wk-1", { owner: "a", shards: 4, cpus: 4, guessS: 300 });
   simulation.round();
-  simulation.pass(1_000_000);
-  simulation.pass(120_000_000);
+  simulation.advance(1_000_000);
+  simulation.advance(120_000_000);
   simulation.add("wk-2", { owner: "b", shards: 1, cpus: 4, guessS: 20 });
   for (let index = 0; index < 40; index += 1) {
     simulation.round();
-    simulation.pass(500_000);
+    simulation.advance(500_000);
   }
   assert.equal(simulation.preemptions.size, 0, "preempted a task with 2 min of progress for one of 20 s");
   const soon = new SimulatedShard(1, team("a", 0) + team("b", 16));
   soon.add("wk-1", { owner: "a", shards: 4, cpus: 4, guessS: 12 });
   soon.round();
-  soon.pass(1_000_000);
+  soon.advance(1_000_000);
   soon.add("wk-2", { owner: "b", shards: 1, cpus: 4, guessS: 60 });
-  soon.pass(10_000_000);
+  soon.advance(10_000_000);
   soon.round();
   assert.equal(soon.preemptions.size, 0, "preempted a task that ends within 2 s");
 });
@@ -192,10 +192,11 @@
       if (action.kind !== "preempt") return;
       for (const { task, reason } of action.victims) {
         assert.ok(attemptOf(task.desired) <= MAX_PREEMPTION_ATTEMPTS, "preempted after too many attempts");
-        if (reason === "guarantee") assert.ok(simulation.staying(task.job.spec.team) >= 16, "below its guarantee");
+        if (reason === "guarantee")
+          assert.ok(simulation.cpusNotStopping(task.job.spec.team) >= 16, "below its guarantee");
       }
     });
-    simulation.pass(500_000, () => 8_000_000);
+    simulation.advance(500_000, () => 8_000_000);
   }
   const preemptions = [...simulation.preemptions.values()].reduce((sum, count) => sum + count, 0);
   assert.ok(next > 200);
@@ -213,10 +214,10 @@
   assert.ok(
     report?.kind === "guarantees" && report.overcommitted && report.claimed === 24_000 && report.capacity === 16_000,
   );
-  simulation.pass(1_000_000);
+  simulation.advance(1_000_000);
   // Freed capacity goes to the team that uses less of its guarantee, whichever job was submitted first.
   for (const task of [...large.placedTasks].slice(0, 8)) task.stopRequest = { graceS: 0 };
-  simulation.pass(1_000_000);
+  simulation.advance(1_000_000);
   round();
   assert.equal(second.placedTasks.size, 8);
   assert.equal(actions.filter(({ kind }) => kind === "guarantees").length, 1, "reported once, not in every round");
@@ -228,7 +229,7 @@
   const simulation = new SimulatedShard(4, team("a", 40));
   simulation.add("wk-1", { owner: "a", shards: 10, cpus: 4, guessS: 60 });
   simulation.round();
-  simulation.pass(1_000_000);
+  simulation.advance(1_000_000);
   for (const machine of simulation.shard.machines.values()) machine.counters.highestToken = 0;
   simulation.add("wk-2", { owner: "a", shards: 1, cpus: 1 });
   const reported: boolean[] = [];
--- a/test/scheduling-rounds.test.ts
+++ b/test/scheduling-rounds.test.ts
@@ -9,7 +9,7 @@
 
 test("placements run no further ahead of their records than the write budget, whatever else is queued", () => {
   const { shard, context, taskStates } = makeShard(200);
-  const marked: string[] = [];
+  const placedJobs: string[] = [];
   const scheduler = new Scheduler(
     // Ten writes a second, and hundreds of queued outcome records.
     {
@@ -19,22 +19,22 @@
     {
       ...taskStates,
       recordPlacement: (range: { placementPendingSince: Micros | null; job: { spec: JobSpec } }) => {
-        if (range.placementPendingSince === null) marked.push(range.job.spec.id);
+        if (range.placementPendingSince === null) placedJobs.push(range.job.spec.id);
         range.placementPendingSince = context.clock.now();
       },
     } as unknown as TaskStateWriter,
   );
   for (let at = 0; at < 60; at += 1) shard.addJob({ ...SPEC, id: `wk-${at}`, tasks: 20 }, 1, false);
   scheduler.runRound();
-  assert.equal(marked.length, 20, "the writes of two seconds");
+  assert.equal(placedJobs.length, 20, "the writes of two seconds");
   // Each range is placed as a whole: one write carries all its placements.
-  assert.ok(marked.every((id) => shard.jobs.get(id)?.placedTasks.size === 20));
+  assert.ok(placedJobs.every((id) => shard.jobs.get(id)?.placedTasks.size === 20));
   scheduler.runRound();
-  assert.equal(marked.length, 20, "no further placements until some records are written");
-  for (const id of marked.slice(0, 5))
+  assert.equal(placedJobs.length, 20, "no further placements until some records are written");
+  for (const id of placedJobs.slice(0, 5))
     for (const range of shard.jobs.get(id)?.ranges ?? []) range.placementPendingSince = null;
   scheduler.runRound();
-  assert.equal(marked.length, 25);
+  assert.equal(placedJobs.length, 25);
 });
 
 test("the inspections of a round grow with machines and tasks, not with their product", () => {
--- a/test/starvation.test.ts
+++ b/test/starvation.test.ts
@@ -27,7 +27,7 @@
   readonly clock = new HostClock(this.world, 1, 0);
   readonly settings = parseSettings(settingsText(0));
   readonly shard = new ShardState(this.clock, 128, this.settings.teams, () => new Map([[TYPE.name, TYPE]]));
-  readonly all: { readonly job: Job; readonly runUs: number; readonly submittedAt: number }[] = [];
+  readonly submissions: { readonly job: Job; readonly runUs: number; readonly submittedAt: number }[] = [];
   private readonly firstPlaced = new Map<Job, number>();
   readonly roundState = newRoundState();
   preemptions = 0;
@@ -47,16 +47,16 @@
 
   add({ runS, ...fields }: Fields): void {
     const spec = decodeSubmission(
-      plainJob(`wk-${String(this.all.length).padStart(6, "0")}`, { guessS: runS, ...fields }),
+      plainJob(`wk-${String(this.submissions.length).padStart(6, "0")}`, { guessS: runS, ...fields }),
     );
-    this.all.push({
-      job: this.shard.addJob(spec, this.all.length + 1, false),
+    this.submissions.push({
+      job: this.shard.addJob(spec, this.submissions.length + 1, false),
       runUs: runS * 1_000_000,
       submittedAt: this.world.now,
     });
   }
 
-  private end(task: Task): void {
+  private completeTask(task: Task): void {
     task.desired = { kind: "done" };
     this.shard.releaseTask(task);
     task.job.completedTasks += 1;
@@ -67,7 +67,7 @@
     this.world.now += STEP;
     const now = this.clock.now();
     for (const machine of this.shard.machines.values()) machine.reachability.lastHeartbeatAt = now;
-    for (const { job, runUs } of this.all) {
+    for (const { job, runUs } of this.submissions) {
       for (const task of [...job.placedTasks]) {
         if (task.stopRequest !== null) {
           this.preemptions += 1;
@@ -75,7 +75,7 @@
           this.shard.releaseTask(task);
         } else if (task.runningSince === null) {
           Object.assign(task, { startCommand: { kind: "observed" }, state: "running", runningSince: now });
-        } else if (now - task.runningSince >= runUs) this.end(task);
+        } else if (now - task.runningSince >= runUs) this.completeTask(task);
       }
     }
     const snapshot = {
@@ -98,16 +98,16 @@
     }
   }
 
-  longestWait(jobClass: string): number {
-    const waits = this.all.flatMap(({ job, submittedAt }) => {
+  longestWaitUs(jobClass: string): number {
+    const waits = this.submissions.flatMap(({ job, submittedAt }) => {
       return job.spec.jobClass === jobClass ? [(this.firstPlaced.get(job) ?? this.world.now) - submittedAt] : [];
     });
     return Math.max(...waits);
   }
 
   /** The class's number of jobs, and the shares of them that have started and that are done. */
-  served(jobClass: string): { readonly started: number; readonly done: number; readonly jobs: number } {
-    const own = this.all.filter(({ job }) => job.spec.jobClass === jobClass);
+  startStats(jobClass: string): { readonly started: number; readonly done: number; readonly jobs: number } {
+    const own = this.submissions.filter(({ job }) => job.spec.jobClass === jobClass);
     const share = (is: (job: Job) => boolean): number => own.filter(({ job }) => is(job)).length / own.length;
     return {
       jobs: own.length,
@@ -118,10 +118,11 @@
 }
 
 /**
- * Four machines of 16 CPUs with more work of high rank than they have capacity for; `low` adds other jobs each second.
+ * Four machines of 16 CPUs with more work of high rank than they have capacity for; `addOtherJobs` is called once a
+ * second.
  */
 const simulateBesideHighRank = (
-  low: (simulation: SimulatedShard, second: number, random: Random) => void,
+  addOtherJobs: (simulation: SimulatedShard, second: number, random: Random) => void,
   durationS = 400,
 ): SimulatedShard => {
   const simulation = new SimulatedShard(4);
@@ -129,7 +130,7 @@
   for (let halfSecond = 0; halfSecond < durationS * 2; halfSecond += 1) {
     // A tenth more than the capacity: 0.9 jobs a second of 4 tasks with 2 CPUs and 10 s each.
     if (random.chance(0.45)) simulation.add({ jobclass: "production", rank: "high", shards: 4, cpus: 2, runS: 10 });
-    if (halfSecond % 2 === 0) low(simulation, halfSecond / 2, random);
+    if (halfSecond % 2 === 0) addOtherJobs(simulation, halfSecond / 2, random);
     simulation.step();
   }
   return simulation;
@@ -140,10 +141,10 @@
     if (second % 20 === 0)
       simulation.add({ jobclass: "idle", owner: "capped", rank: "best_effort", shards: 2, cpus: 1, runS: 15 });
   });
-  const idle = simulation.served("idle");
+  const idle = simulation.startStats("idle");
   // With strict priority only the first of them started.
   assert.ok(idle.started >= 0.5 && idle.done >= 0.5, JSON.stringify(idle));
-  const production = simulation.served("production");
+  const production = simulation.startStats("production");
   assert.ok(production.done > 0.8, JSON.stringify(production));
 });
 
@@ -155,21 +156,21 @@
     simulation.add({ jobclass: "few", owner: "capped", rank: "normal", shards: 1, cpus: 1, runS: 20 });
   }
   for (let index = 0; index < 400; index += 1) simulation.step();
-  const few = simulation.served("few");
+  const few = simulation.startStats("few");
   assert.ok(few.done >= 0.5, JSON.stringify(few));
 });
 
 test("a burst of small low-rank jobs of another team starts, at little cost to the higher rank", () => {
-  const without = simulateBesideHighRank(() => undefined).served("production");
+  const without = simulateBesideHighRank(() => undefined).startStats("production");
   const simulation = simulateBesideHighRank((simulation, second) => {
     for (let index = 0; index < 5; index += 1) {
       if (second < 100)
         simulation.add({ jobclass: "burst", owner: "capped", rank: "best_effort", shards: 1, cpus: 0.25, runS: 30 });
     }
   }, 500);
-  const burst = simulation.served("burst");
+  const burst = simulation.startStats("burst");
   assert.ok(burst.started >= 0.5, JSON.stringify(burst));
-  const production = simulation.served("production");
+  const production = simulation.startStats("production");
   assert.ok(
     production.started > without.started - 0.15,
     `${JSON.stringify(production)} against ${JSON.stringify(without)}`,
@@ -185,10 +186,10 @@
   for (let index = 0; index < 400; index += 1) {
     if (index % 6 === 0) simulation.add({ jobclass: "production", rank: "high", shards: 4, cpus: 2, runS: 30 });
     simulation.step();
-    const idle = simulation.all.find(({ job }) => job.spec.jobClass === "idle")?.job;
+    const idle = simulation.submissions.find(({ job }) => job.spec.jobClass === "idle")?.job;
     maxTasks = Math.max(maxTasks, idle?.placedTasks.size ?? 0);
   }
-  const idle = simulation.all.find(({ job }) => job.spec.jobClass === "idle")?.job;
+  const idle = simulation.submissions.find(({ job }) => job.spec.jobClass === "idle")?.job;
   assert.equal(idle?.boosted, true);
   // 64 CPUs in all.
   assert.ok(maxTasks >= 1 && maxTasks <= 6, `${maxTasks} CPUs`);
@@ -202,24 +203,24 @@
     if (index % 15 === 0) simulation.add({ jobclass: "idle", rank: "best_effort", shards: 2, cpus: 2, runS: 10 });
     simulation.step();
   }
-  assert.ok(simulation.all.every(({ job }) => !job.boosted));
-  assert.equal(simulation.served("idle").started, 1);
+  assert.ok(simulation.submissions.every(({ job }) => !job.boosted));
+  assert.equal(simulation.startStats("idle").started, 1);
 });
 
 /** The longest wait of a job of the class for its first placement (or until now, without one), in seconds. */
-const longestWait = (simulation: SimulatedShard, jobClass: string): number =>
-  simulation.longestWait(jobClass) / 1_000_000;
+const longestWaitS = (simulation: SimulatedShard, jobClass: string): number =>
+  simulation.longestWaitUs(jobClass) / 1_000_000;
 
 test("a task that needs a whole machine starts beside a stream of small tasks of a higher rank", () => {
   const simulation = simulateBesideHighRank((simulation, second) => {
     if (second === 20) simulation.add({ jobclass: "whole", rank: "normal", shards: 1, cpus: 16, runS: 20 });
   }, 300);
-  assert.ok(longestWait(simulation, "whole") < 180, `${longestWait(simulation, "whole")} s`);
+  assert.ok(longestWaitS(simulation, "whole") < 180, `${longestWaitS(simulation, "whole")} s`);
   // Reserved capacity idles, so it must not cost much throughput.
-  const without = simulateBesideHighRank(() => undefined, 300).served("production").done;
+  const without = simulateBesideHighRank(() => undefined, 300).startStats("production").done;
   assert.ok(
-    simulation.served("production").done > without - 0.1,
-    `${simulation.served("production").done} against ${without}`,
+    simulation.startStats("production").done > without - 0.1,
+    `${simulation.startStats("production").done} against ${without}`,
   );
 });
 
@@ -232,8 +233,8 @@
       simulation.add({ jobclass: "large", owner: "capped", rank: "high", shards: 3, cpus: 12, runS: 20 });
     simulation.step();
   }
-  assert.ok(longestWait(simulation, "large") < 180, `${longestWait(simulation, "large")} s`);
-  assert.ok(simulation.served("few").started > 0.4);
+  assert.ok(longestWaitS(simulation, "large") < 180, `${longestWaitS(simulation, "large")} s`);
+  assert.ok(simulation.startStats("few").started > 0.4);
 });
 
 test("a gang that needs half of all machines starts beside a stream of small tasks", () => {
@@ -241,14 +242,14 @@
     if (second === 20)
       simulation.add({ jobclass: "gang", rank: "normal", shape: "ensemble", shards: 4, cpus: 8, runS: 20 });
   }, 300);
-  assert.ok(longestWait(simulation, "gang") < 200, `${longestWait(simulation, "gang")} s`);
+  assert.ok(longestWaitS(simulation, "gang") < 200, `${longestWaitS(simulation, "gang")} s`);
 });
 
 test("a failed search of a job that may not backfill does not keep the reservation's job off its machines", () => {
   const simulation = new SimulatedShard(1);
   simulation.add({ runS: 60, cpus: 8, shards: 1, rank: "prod" });
   simulation.add({ runS: 60, cpus: 8, shards: 1, rank: "best_effort" });
-  const [first, second] = simulation.all;
+  const [first, second] = simulation.submissions;
   const [machine] = simulation.shard.machines.values();
   assert.ok(first !== undefined && second !== undefined && machine !== undefined);
   const now = simulation.clock.now();
