--- a/src/coordination/scheduling/candidate-index.ts
+++ b/src/coordination/scheduling/candidate-index.ts
@@ -198,9 +198,10 @@
 };
 
 /**
- * A key that is equal for jobs that may use the same machines; null for jobs whose zones depend on their placed tasks.
- * The key includes how many reserved machines the job may use: without that, the job holding the reservation shared the
- * failed search of an earlier job that may not backfill, and its reserved machines stayed idle.
+ * A key that is equal for jobs with the same constraints; null for jobs whose zones depend on their placed tasks. It
+ * includes how many reserved machines the job may use, since a job that may use more of them may find capacity where
+ * others found none. Without that, the job holding the reservation shared the failed search of an earlier job that may
+ * not backfill, and its reserved machines stayed idle.
  */
 const constraintKey = (job: Job, { reservation }: CandidateIndex, now: Micros): string | null => {
   const { spec } = job;
--- a/src/coordination/scheduling/capacity-reservation.ts
+++ b/src/coordination/scheduling/capacity-reservation.ts
@@ -35,7 +35,7 @@
 /** The state of reservations that is kept between rounds. */
 export interface ReservationState {
   reservation: Reservation | null;
-  /** When jobs without success are considered again. */
+  /** When jobs without a reservation, or with an expired one, are considered again. */
   readonly reservationRetryAt: Map<Job, Micros>;
 }
 
@@ -105,7 +105,7 @@
  * all of a gang, the rest of its team's limit. Without a reservation it would wait for ever, as small tasks take all
  * capacity as soon as it is free; with one, other jobs may only backfill (EASY). There is one reservation at a time, of
  * bounded duration, so that no more capacity idles than one job is going to use. `lateJobs`: the jobs that have waited
- * too long and found no capacity in this round, longest waiting first.
+ * too long and could not start in this round, longest waiting first.
  */
 export function* reserveCapacity(
   snapshot: SchedulerSnapshot,
--- a/src/coordination/scheduling/guarantee-usage.ts
+++ b/src/coordination/scheduling/guarantee-usage.ts
@@ -12,7 +12,9 @@
 
 /** Collects a set of tasks whose teams keep their guarantees if all of the set are stopped. */
 export interface VictimTally {
-  /** Adds the task; returns false, and adds nothing, if its team would fall below its guarantee. */
+  /**
+   * Adds the task; returns false, and adds nothing, if its job is entitled or its team would fall below its guarantee.
+   */
   tryAdd(task: Task): boolean;
 }
 
@@ -42,7 +44,9 @@
     this.claimed = markEntitledJobs(snapshot);
   }
 
-  /** Whether the task may be preempted for another team's guarantee: its own team keeps its guarantee without it. */
+  /**
+   * Whether another team's guarantee may preempt the task: its job is not entitled, and its team keeps its guarantee.
+   */
   isPreemptibleForGuarantee(task: Task): boolean {
     return this.keepsGuaranteeWithout(task, { cpu: 0, gpu: 0 });
   }
--- a/src/coordination/scheduling/preemption-cost.ts
+++ b/src/coordination/scheduling/preemption-cost.ts
@@ -44,9 +44,10 @@
 };
 
 /**
- * The maximum cost of preemption for the task, in the unit of `preemptionCost`: the task's own expected work. To lose
- * more work than is gained makes the queue longer. Without this bound on preemption by rank, 83 starts of four CPUs
- * each stopped 1,278 small tasks of another team within 20 s.
+ * The maximum cost of preemption for the task, in the unit of `preemptionCost`: its own expected work; infinite for
+ * services. It bounds preemption for a guarantee, and for a higher rank while the task can still wait. Losing more work
+ * than is gained makes the queue longer: without this bound for higher ranks, 83 starts of four CPUs each stopped 1,278
+ * small tasks of another team within 20 s.
  */
 export const maxPreemptionCost = (task: Task): number => {
   const { shape, estimatedRunS, demand } = task.job.spec;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -16,7 +16,7 @@
 const PREEMPTION_DELAY = seconds(3);
 /** Delay before a moved task may be placed again. */
 const MOVE_DELAY = seconds(0.3);
-/** Delay before the next search after one that found no victims. */
+/** Delay before victims are searched again for a task after a search that found none. */
 const SEARCH_RETRY_DELAY = seconds(1);
 
 /** A task that is to be stopped for another task. */
--- a/src/coordination/scheduling/round-action.ts
+++ b/src/coordination/scheduling/round-action.ts
@@ -15,7 +15,10 @@
   | "no capacity"
   /** All tasks of the job must run in one zone, and no zone has capacity for any of them. */
   | "no zone"
-  /** Placements that are not on record yet already use up the key-value store's writes for the next few seconds. */
+  /**
+   * Placements that are not on record yet use up the key-value store's writes for the next few seconds, or a gang's
+   * tasks do not fit into the record of their range.
+   */
   | "record budget"
   /** Some tasks of the gang are in back-off, or still on machines. */
   | "gang incomplete";
