--- a/src/coordination/scheduling/placement-round.ts
+++ b/src/coordination/scheduling/placement-round.ts
@@ -74,8 +74,8 @@
   const placedBefore = job.placedTasks.size;
   const unplaced = yield* placeJob(snapshot, job, candidateIndex, boosted);
   for (let placed = placedBefore; placed < job.placedTasks.size; placed += 1)
-    state.preemptionBudget.recordStart(runningTasks);
-  if (job.placedTasks.size > placedBefore) state.startHistory.recordStart(job);
+    state.preemptionBudget.recordTaskStart(runningTasks);
+  if (job.placedTasks.size > placedBefore) state.startHistory.recordJobStart(job);
   return unplaced;
 }
 
--- a/src/coordination/scheduling/preemption-budget.ts
+++ b/src/coordination/scheduling/preemption-budget.ts
@@ -19,7 +19,7 @@
    * Adds to the budget for a task that was placed. `runningTasks`: tasks on ready machines, which raise its upper
    * bound.
    */
-  recordStart(runningTasks: number): void {
+  recordTaskStart(runningTasks: number): void {
     const cap = Math.max(MIN_BUDGET_CAP, runningTasks * BUDGET_CAP_SHARE);
     this.remaining = Math.min(cap, this.remaining + PREEMPTIONS_PER_START);
   }
--- a/src/coordination/scheduling/starvation.ts
+++ b/src/coordination/scheduling/starvation.ts
@@ -68,7 +68,7 @@
   }
 
   /** Counts the job as started, once, when a task of it is placed. */
-  recordStart(job: Job): void {
+  recordJobStart(job: Job): void {
     if (job.started) return;
     job.started = true;
     for (const group of this.groupsOf(job)) this.startedCounts.set(group, (this.startedCounts.get(group) ?? 0) + 1);
@@ -114,9 +114,9 @@
     ({ waitingSince, onProbation }) => !onProbation && now - waitingSince > MIN_BOOST_WAIT,
   );
   if (late.length > 0) {
-    const starvedGroups = startHistory.starvedGroups(notStarted);
+    const starvingGroups = startHistory.starvedGroups(notStarted);
     for (const job of late)
-      job.boosted ||= now - job.waitingSince > MAX_START_WAIT || startHistory.isStarving(job, starvedGroups);
+      job.boosted ||= now - job.waitingSince > MAX_START_WAIT || startHistory.isStarving(job, starvingGroups);
   }
   const jobs = waiting.filter(({ boosted }) => boosted);
   if (jobs.length === 0) return { jobs, remaining: 0 };
