--- a/src/coordination/scheduling/placement-round.ts
+++ b/src/coordination/scheduling/placement-round.ts
@@ -38,7 +38,7 @@
 /** Hysteresis: guarantees stay overcommitted until claims are at most this share of the capacity. */
 const OVERCOMMIT_END_SHARE = 0.9;
 
-/** Overcommitment is judged only while at least this many ready machines exist for each machine with tasks. */
+/** Overcommitment is judged only if ready machines number at least this share of the machines with tasks. */
 const MIN_READY_SHARE = 0.8;
 
 /** The data that the stages of one round share. */
