--- a/src/coordination/scheduling/placement-round.ts
+++ b/src/coordination/scheduling/placement-round.ts
@@ -1,6 +1,7 @@
 /**
- * One placement round over the waiting jobs of a shard. Its stages: order the jobs, index the machines that can take tasks,
- * place boosted jobs, reserve capacity for late ones, place the rest, and preempt for what found no capacity.
+ * One placement round over the waiting jobs of a shard. Its stages: order the jobs, index the machines that can take
+ * tasks, place boosted jobs, reserve capacity for late ones, place the rest, and preempt for tasks that found no
+ * capacity.
  */
 import type { Job } from "../../cluster/job.js";
 import type { Task } from "../../cluster/task.js";
@@ -16,9 +17,9 @@
 import type { RoundAction } from "./round-action.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 import { writePriorityOf } from "./start-deadline.js";
-import { type BoostedJobs, boostStarvedJobs, START_BOUND, StartHistory } from "./starvation.js";
+import { type BoostedJobs, boostStarvedJobs, MAX_START_WAIT, StartHistory } from "./starvation.js";
 
-/** What is kept from round to round. */
+/** The state that is kept between rounds. */
 export interface RoundState extends PreemptionState, ReservationState {
   guaranteesOvercommitted: boolean;
   readonly startHistory: StartHistory;
@@ -34,13 +35,13 @@
   reservationRetryAt: new Map(),
 });
 
-/** An overcommitment of guarantees only ends once claims are below this share of the capacity. */
+/** Hysteresis: guarantees stay overcommitted until claims are at most this share of the capacity. */
 const OVERCOMMIT_END_SHARE = 0.9;
 
-/** This share of the machines with tasks has to be ready for their capacity to tell anything. */
-const MIN_KNOWN_SHARE = 0.8;
+/** Overcommitment is judged only if ready machines number at least this share of the machines with tasks. */
+const MIN_READY_SHARE = 0.8;
 
-/** What the stages of one round share. */
+/** The data that the stages of one round share. */
 interface Round {
   readonly snapshot: SchedulerSnapshot;
   readonly state: RoundState;
@@ -55,38 +56,38 @@
   return count;
 };
 
-/** Reports where the guarantees have come to exceed the capacity, in thousandths of CPUs, or no longer do. */
+/** Reports that guarantee claims start or stop exceeding `capacity` (thousandths of CPUs). */
 function* reportOvercommitment({ snapshot, state, candidateIndex }: Round, capacity: number): Generator<RoundAction> {
   const { machines, guarantees } = candidateIndex;
   const { claimed } = guarantees;
   const overcommitted = claimed > capacity * (state.guaranteesOvercommitted ? OVERCOMMIT_END_SHARE : 1);
   if (overcommitted === state.guaranteesOvercommitted) return;
-  // A new leader has hardly heard of its machines yet: that their capacity is unknown is no overcommitment.
-  if (machines.length < MIN_KNOWN_SHARE * countMachinesWithTasks(snapshot)) return;
+  // A new leader has received few heartbeats yet: machines of unknown capacity do not mean overcommitment.
+  if (machines.length < MIN_READY_SHARE * countMachinesWithTasks(snapshot)) return;
   state.guaranteesOvercommitted = overcommitted;
   yield { kind: "guarantees", overcommitted, claimed, capacity };
 }
 
-/** Places a job and counts its starts. Returns the first task for which there was no capacity, if there is one. */
+/** Places a job's tasks and counts its starts. Returns the first task that found no capacity, or null. */
 function* placeAndCount(round: Round, job: Job, boosted: BoostedJobs | null): Generator<RoundAction, Task | null> {
   const { snapshot, state, candidateIndex, runningTasks } = round;
   const placedBefore = job.placedTasks.size;
   const unplaced = yield* placeJob(snapshot, job, candidateIndex, boosted);
   for (let placed = placedBefore; placed < job.placedTasks.size; placed += 1)
-    state.preemptionBudget.taskStarted(runningTasks);
-  if (job.placedTasks.size > placedBefore) state.startHistory.jobStarted(job);
+    state.preemptionBudget.recordTaskStart(runningTasks);
+  if (job.placedTasks.size > placedBefore) state.startHistory.recordJobStart(job);
   return unplaced;
 }
 
-/** Jobs of the boosted stage for which capacity is to be sought. */
+/** Boosted jobs that are left without capacity. */
 interface BoostedOutcome {
-  /** Jobs that have waited for too long and not started, the longest waiting first. */
+  /** Jobs not started within `MAX_START_WAIT`, the longest waiting first. */
   readonly late: readonly Job[];
-  /** The first task without capacity of each job. Capacity only shrinks within a round: it is not searched again. */
+  /** The first task without capacity of each job; not tried again, since capacity only shrinks within a round. */
   readonly unplacedTasks: ReadonlyMap<Job, Task>;
 }
 
-/** Places the jobs that go before all others. */
+/** Places the boosted jobs, which precede all others. */
 function* placeBoosted(round: Round, boosted: BoostedJobs): Generator<RoundAction, BoostedOutcome> {
   const { now } = round.snapshot;
   const late: Job[] = [];
@@ -94,19 +95,22 @@
   for (const job of boosted.jobs) {
     const unplaced = yield* placeAndCount(round, job, boosted);
     if (unplaced !== null) unplacedTasks.set(job, unplaced);
-    if (now - job.waitingSince > START_BOUND && !hasStarted(job)) late.push(job);
+    if (now - job.waitingSince > MAX_START_WAIT && !hasStarted(job)) late.push(job);
   }
   return { late, unplacedTasks };
 }
 
-/** Are there writes left for the job's placements, or placements of it whose write is still to come? */
+/** Whether the write budget allows another placement of the job, or a pending write of the job can carry it. */
 const hasRecordBudget = ({ snapshot, candidateIndex }: Round, job: Job): boolean =>
   candidateIndex.recordBudget[writePriorityOf(job, snapshot.settings)] >= 1 ||
   job.ranges.some(({ placementPendingSince }) => placementPendingSince !== null);
 
-/** Places one job in its turn, and preempts for it where the rules allow it. `knownUnplaced`: known from a stage before. */
-function* placeInTurn(round: Round, job: Job, knownUnplaced: Task | undefined): Generator<RoundAction> {
-  // Not looked at any closer: with thousands of jobs waiting for the records, rounds would take seconds to no avail.
+/**
+ * Places one job in the order of the round, and preempts for it where the rules allow it. `knownUnplaced`: the task
+ * that found no capacity in the boosted stage, if any.
+ */
+function* placeInOrder(round: Round, job: Job, knownUnplaced: Task | undefined): Generator<RoundAction> {
+  // Skipped early: with thousands of jobs waiting for their records to be written, rounds would take seconds in vain.
   if (!hasRecordBudget(round, job)) {
     yield { kind: "wait", job, reason: "record budget" };
     return;
@@ -119,8 +123,9 @@
 }
 
 /**
- * One placement round: what is waiting, in order, each task on the machine that Algorithm 1 chooses (docs/design.md),
- * and capacity made where the rules allow it. The caller carries out each action before it asks for the next one.
+ * Decides one placement round: places waiting tasks in order, each on the machine that Algorithm 1 chooses
+ * (docs/design.md), and preempts where the rules allow it. The caller applies each action before requesting the next
+ * one.
  */
 export function* decideRound(snapshot: SchedulerSnapshot, state: RoundState): Generator<RoundAction> {
   const guarantees = new GuaranteeUsage(snapshot);
@@ -136,5 +141,5 @@
   const { late, unplacedTasks } = yield* placeBoosted(round, boosted);
   yield* reserveCapacity(snapshot, state, late, machines);
   candidateIndex.reservation = state.reservation;
-  for (const job of jobs) yield* placeInTurn(round, job, unplacedTasks.get(job));
+  for (const job of jobs) yield* placeInOrder(round, job, unplacedTasks.get(job));
 }
--- a/src/coordination/scheduling/pool-summary.ts
+++ b/src/coordination/scheduling/pool-summary.ts
@@ -4,7 +4,7 @@
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 /** Thousandths of CPUs in one CPU. */
-const MILLICPUS = 1_000;
+const MILLICPUS_PER_CPU = 1_000;
 
 interface PoolTotals {
   machines: number;
@@ -13,7 +13,9 @@
   otherTasks: number;
 }
 
-/** Descriptions of pools by type, zone and kind, and numbers of waiting tasks by job class. */
+/**
+ * Descriptions of pools by machine type, zone and kind (spot or ordinary), and numbers of waiting tasks by job class.
+ */
 export interface PoolSummary {
   readonly pools: Record<string, string>;
   readonly waiting: Record<string, number>;
@@ -30,14 +32,14 @@
     const pool = pools.get(key) ?? { machines: 0, freeCpus: 0, replicas: 0, otherTasks: 0 };
     pools.set(key, pool);
     pool.machines += 1;
-    pool.freeCpus += (type.capacity.cpu - machine.load.used.cpu) / MILLICPUS;
+    pool.freeCpus += (type.capacity.cpu - machine.load.used.cpu) / MILLICPUS_PER_CPU;
     pool.replicas += machine.load.replicas;
     pool.otherTasks += machine.tasks.size - machine.load.replicas;
   }
   return pools;
 };
 
-/** What each pool of ready machines holds, and what waits. */
+/** Summarizes the ready machines of each pool, and the waiting tasks by job class. */
 export const summarizePools = (snapshot: SchedulerSnapshot): PoolSummary => {
   const waiting: Record<string, number> = {};
   for (const { spec, waitingTasks } of waitingJobs(snapshot)) {
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,4 +1,4 @@
-/** Preemption: running tasks are stopped, where the rules allow it, for tasks that found no capacity. */
+/** Preemption: stops running tasks, where the rules allow it, for tasks that found no capacity. */
 import type { Machine } from "../../cluster/machine.js";
 import type { Task } from "../../cluster/task.js";
 import { type Micros, seconds } from "../../transport/clock.js";
@@ -12,24 +12,24 @@
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 import { findCheapestVictims, type PreemptionReason, type Victim, type VictimSet } from "./victim-search.js";
 
-/** A preempted task is not placed again, and a task that was preempted for is not searched for again, before this. */
-const PREEMPTION_PAUSE = seconds(3);
-/** The same for tasks that are moved. */
-const MOVE_PAUSE = seconds(0.3);
-/** The next search for a task after one in vain. */
+/** Delay before a preempted task may be placed again, and before victims are searched again for the same task. */
+const PREEMPTION_DELAY = seconds(3);
+/** Delay before a moved task may be placed again. */
+const MOVE_DELAY = seconds(0.3);
+/** Delay before victims are searched again for a task after a search that found none. */
 const SEARCH_RETRY_DELAY = seconds(1);
 
-/** A task that is to be stopped for another one. */
+/** A task that is to be stopped for another task. */
 export interface PreemptedTask {
   readonly task: Task;
-  /** Time to save its progress, in seconds. */
+  /** The time given to it to write a checkpoint, in seconds. */
   readonly graceS: number;
-  /** Not to be placed again before. */
+  /** The earliest time at which it may be placed again. */
   readonly notBefore: Micros;
   readonly reason: PreemptionReason;
 }
 
-/** What preemption decides. */
+/** A decision of preemption. */
 export type PreemptAction =
   | {
       readonly kind: "preempt";
@@ -37,28 +37,28 @@
       readonly machine: Machine;
       readonly victims: readonly PreemptedTask[];
     }
-  /** No victims are to be searched for the task again before. */
+  /** No victims are searched for the task again before `notBefore`. */
   | { readonly kind: "postpone search"; readonly task: Task; readonly notBefore: Micros };
 
-/** What preemption keeps from round to round. */
+/** The state of preemption that is kept between rounds. */
 export interface PreemptionState {
   readonly promisedCapacity: PromisedCapacity;
   readonly preemptionBudget: PreemptionBudget;
 }
 
-const countTask = (zoneTaskCounts: Map<string, number>, { zone }: Machine): void => {
+const countTaskInZone = (zoneTaskCounts: Map<string, number>, { zone }: Machine): void => {
   zoneTaskCounts.set(zone, (zoneTaskCounts.get(zone) ?? 0) + 1);
 };
 
-const asPreempted = ({ task, reason }: Victim, now: Micros): PreemptedTask => ({
+const toPreemptedTask = ({ task, reason }: Victim, now: Micros): PreemptedTask => ({
   task,
   graceS: checkpointGraceS(task.job.spec),
-  // Without a pause it could be back before the other has come.
-  notBefore: (now + (reason === "moved" ? MOVE_PAUSE : PREEMPTION_PAUSE)) as Micros,
+  // Without a pause it could take its place again before the other task is placed there.
+  notBefore: (now + (reason === "moved" ? MOVE_DELAY : PREEMPTION_DELAY)) as Micros,
   reason,
 });
 
-/** Nothing else of this round is to count on the machine's capacity. */
+/** Removes the machine from the candidates, so that no other task of this round is placed on it. */
 const removeCandidate = ({ pools }: CandidateIndex, machine: Machine): void => {
   for (const { candidates } of pools) {
     const index = candidates.findIndex((candidate) => candidate.machine === machine);
@@ -66,7 +66,7 @@
   }
 };
 
-/** Preempts the tasks of the set for the task. */
+/** Preempts the victims for the task, and promises the rest of the freed capacity to others. */
 function* preempt(
   { now }: SchedulerSnapshot,
   { promisedCapacity }: PreemptionState,
@@ -75,13 +75,13 @@
   { machine, free, victims }: VictimSet,
 ): Generator<PreemptAction, void> {
   promisedCapacity.promise(machine, subtractResources(free, task.job.spec.demand), now);
-  const preempted = victims.map((victim) => asPreempted(victim, now));
-  for (const { task: victim } of preempted) candidateIndex.guarantees.taskStopped(victim);
+  const preempted = victims.map((victim) => toPreemptedTask(victim, now));
+  for (const { task: victim } of preempted) candidateIndex.guarantees.recordStop(victim);
   yield { kind: "preempt", by: task, machine, victims: preempted };
   removeCandidate(candidateIndex, machine);
 }
 
-/** Preempts the cheapest set of tasks on one machine that makes capacity for the task. Returns whether there was one. */
+/** Preempts the cheapest set of victims on one machine that makes capacity for the task. Returns whether it did. */
 function* searchAndPreempt(
   snapshot: SchedulerSnapshot,
   state: PreemptionState,
@@ -91,17 +91,17 @@
 ): Generator<PreemptAction, boolean> {
   candidateIndex.preemptionSearches += 1;
   const cheapest = findCheapestVictims(snapshot, task, candidateIndex, zoneTaskCounts);
-  const pause = cheapest === null ? SEARCH_RETRY_DELAY : PREEMPTION_PAUSE;
-  yield { kind: "postpone search", task, notBefore: (snapshot.now + pause) as Micros };
+  const delay = cheapest === null ? SEARCH_RETRY_DELAY : PREEMPTION_DELAY;
+  yield { kind: "postpone search", task, notBefore: (snapshot.now + delay) as Micros };
   if (cheapest === null) return false;
   const budgeted = cheapest.victims.filter(({ reason }) => reason !== "outranked").length;
-  if (!state.preemptionBudget.take(budgeted)) return false;
-  countTask(zoneTaskCounts, cheapest.machine);
+  if (!state.preemptionBudget.tryTake(budgeted)) return false;
+  countTaskInZone(zoneTaskCounts, cheapest.machine);
   yield* preempt(snapshot, state, task, candidateIndex, cheapest);
   return true;
 }
 
-/** Lets the task wait for capacity that was promised already. Returns whether there was enough. */
+/** Lets the task wait for capacity that earlier preemptions are about to free. Returns whether there was enough. */
 function* usePromisedCapacity(
   { now }: SchedulerSnapshot,
   { promisedCapacity }: PreemptionState,
@@ -110,14 +110,14 @@
 ): Generator<PreemptAction, boolean> {
   const machine = promisedCapacity.take(task, zoneTaskCounts);
   if (machine === null) return false;
-  countTask(zoneTaskCounts, machine);
-  yield { kind: "postpone search", task, notBefore: (now + PREEMPTION_PAUSE) as Micros };
+  countTaskInZone(zoneTaskCounts, machine);
+  yield { kind: "postpone search", task, notBefore: (now + PREEMPTION_DELAY) as Micros };
   return true;
 }
 
 /**
- * Makes capacity for the task that found none and for the rest of its job: after a wave of losses hundreds wait at once.
- * Ends with the first task for which none could be made.
+ * Preempts for the task that found no capacity and for the other waiting tasks of its job, since hundreds of them may
+ * wait after many machines are lost. Ends at the first task for which no capacity could be made.
  */
 export function* preemptFor(
   snapshot: SchedulerSnapshot,
@@ -130,14 +130,14 @@
   const zoneTaskCounts = zoneCounts(job);
   state.promisedCapacity.expire(now);
   const maxStarts = allowedStarts(job, now);
-  let served = 0;
+  let satisfied = 0;
   for (const task of job.waitingTasks) {
-    if (candidateIndex.preemptionSearches >= maxPreemptionSearches || served >= maxStarts) return;
+    if (candidateIndex.preemptionSearches >= maxPreemptionSearches || satisfied >= maxStarts) return;
     if (task.earliestStart > now || task.nextPreemptionSearch > now) continue;
     const found =
       (yield* usePromisedCapacity(snapshot, state, task, zoneTaskCounts)) ||
       (yield* searchAndPreempt(snapshot, state, task, candidateIndex, zoneTaskCounts));
     if (!found) return;
-    served += 1;
+    satisfied += 1;
   }
 }
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -4,7 +4,7 @@
 import { createMachine } from "../src/cluster/machine.js";
 import { ShardState } from "../src/cluster/shard-state.js";
 import { attemptOf, type Task } from "../src/cluster/task.js";
-import { MAX_ATTEMPTS } from "../src/coordination/scheduling/guarantee-usage.js";
+import { MAX_PREEMPTION_ATTEMPTS } from "../src/coordination/scheduling/guarantee-usage.js";
 import { decideRound, newRoundState } from "../src/coordination/scheduling/placement-round.js";
 import { applyAction, type RoundAction } from "../src/coordination/scheduling/round-action.js";
 import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
@@ -22,7 +22,7 @@
 const team = (name: string, cpus: number, maxCpus = 0): string =>
   `[[deployment.teams]]\nname = "${name}"\ncpus = ${cpus}.0\ncpus_max = ${maxCpus}.0\n`;
 
-/** Machines, teams and a clock; actions take effect at once, and a preempted task is gone a moment later. */
+/** Machines, teams and a clock. Actions take effect at once; preempted tasks are gone at the next `advance`. */
 class SimulatedShard {
   readonly world = new World();
   readonly shard: ShardState;
@@ -52,8 +52,8 @@
     return this.shard.addJob(decodeSubmission(plainJob(ref, fields)), this.shard.jobs.size + 1, false);
   }
 
-  /** The cpus that a team has running, without what has been told to stop. */
-  staying(name: string): number {
+  /** The CPUs of the team's placed tasks, without tasks that are being stopped. */
+  cpusNotStopping(name: string): number {
     let cpu = 0;
     for (const { spec, placedTasks } of this.shard.jobs.values()) {
       if (spec.team === name)
@@ -62,8 +62,8 @@
     return cpu / 1_000;
   }
 
-  /** One round; `check` sees every stop once it counts. */
-  round(check: (action: RoundAction) => void = () => undefined): void {
+  /** Runs one round; `check` is called with each action after it was applied. */
+  round(onAction: (action: RoundAction) => void = () => undefined): void {
     const snapshot: SchedulerSnapshot = {
       now: this.clock.now(),
       shard: this.shard,
@@ -82,12 +82,12 @@
         for (const { task } of action.victims)
           this.preemptions.set(task.name, (this.preemptions.get(task.name) ?? 0) + 1);
       }
-      check(action);
+      onAction(action);
     }
   }
 
-  /** Time passes: what was placed runs, what was stopped has gone, and what has run its time is done. */
-  pass(us: number, runUs: (task: Task) => number = () => Number.POSITIVE_INFINITY): void {
+  /** Removes stopped tasks, starts placed tasks, completes tasks after `runUs`, then advances the clock. */
+  advance(us: number, runUs: (task: Task) => number = () => Number.POSITIVE_INFINITY): void {
     for (const job of this.shard.jobs.values()) {
       for (const task of [...job.placedTasks]) {
         if (task.stopRequest !== null) {
@@ -108,17 +108,17 @@
   }
 }
 
-test("two teams do not take turns in preempting each other", () => {
-  // Both want more than they are guaranteed, and both guarantees together fill the capacity: by their present use alone,
-  // whichever was stopped last was within its guarantee again, and stopped the other's.
+test("two teams do not preempt each other in turn", () => {
+  // Both teams demand more than their guarantees, which together equal the capacity. With a rule on present use alone,
+  // the team whose tasks were stopped last is below its guarantee again, and preempts the other.
   const simulation = new SimulatedShard(2, team("a", 16) + team("b", 16));
   simulation.add("wk-1", { owner: "a", shards: 8, cpus: 4, guessS: 600 });
   simulation.round();
-  simulation.pass(1_000_000);
+  simulation.advance(1_000_000);
   simulation.add("wk-2", { owner: "b", shards: 8, cpus: 4, guessS: 600 });
   for (let index = 0; index < 240; index += 1) {
     simulation.round();
-    simulation.pass(500_000);
+    simulation.advance(500_000);
   }
   const maxPerTask = Math.max(0, ...simulation.preemptions.values());
   const sum = [...simulation.preemptions.values()].reduce((total, count) => total + count, 0);
@@ -126,55 +126,55 @@
   assert.ok(sum <= 4, `${sum} preemptions`);
 });
 
-test("a job that fits into its team's guarantee gets it, from work beyond another's", () => {
+test("an entitled job gets its guarantee by preemption of another team's tasks beyond that team's guarantee", () => {
   const simulation = new SimulatedShard(2, team("a", 16) + team("b", 16));
   simulation.add("wk-1", { owner: "a", shards: 8, cpus: 4, guessS: 600 });
   simulation.round();
-  simulation.pass(1_000_000);
+  simulation.advance(1_000_000);
   const entitled = simulation.add("wk-2", { owner: "b", shards: 4, cpus: 4, guessS: 600 });
   for (let index = 0; index < 40; index += 1) {
     simulation.round();
-    assert.ok(simulation.staying("a") >= 16, "below its guarantee");
-    simulation.pass(500_000);
+    assert.ok(simulation.cpusNotStopping("a") >= 16, "below its guarantee");
+    simulation.advance(500_000);
   }
   assert.equal(entitled.placedTasks.size, 4);
   assert.deepEqual([...simulation.preemptions.values()], [1, 1, 1, 1]);
 });
 
 test("several preemptions at once leave the other team its guarantee", () => {
-  // One machine, and a need as large as all of it: each task alone could go, not all of them.
+  // One machine, and a task that demands all of it: each victim alone could be stopped, but not all of them.
   const simulation = new SimulatedShard(1, team("a", 8) + team("b", 16));
   simulation.add("wk-1", { owner: "a", shards: 16, cpus: 1, guessS: 600 });
   simulation.round();
-  simulation.pass(1_000_000);
+  simulation.advance(1_000_000);
   simulation.add("wk-2", { owner: "b", shards: 1, cpus: 16, guessS: 600 });
   for (let index = 0; index < 40; index += 1) {
     simulation.round();
-    simulation.pass(500_000);
+    simulation.advance(500_000);
   }
-  assert.equal(simulation.staying("a"), 16);
+  assert.equal(simulation.cpusNotStopping("a"), 16);
 });
 
-test("no more work is lost than is gained, and a task about to end is not preempted", () => {
+test("preemption loses no more work than it gains, and a task about to end is not preempted", () => {
   const simulation = new SimulatedShard(1, team("a", 0) + team("b", 16));
   simulation.add("wk-1", { owner: "a", shards: 4, cpus: 4, guessS: 300 });
   simulation.round();
-  simulation.pass(1_000_000);
-  simulation.pass(120_000_000);
+  simulation.advance(1_000_000);
+  simulation.advance(120_000_000);
   simulation.add("wk-2", { owner: "b", shards: 1, cpus: 4, guessS: 20 });
   for (let index = 0; index < 40; index += 1) {
     simulation.round();
-    simulation.pass(500_000);
+    simulation.advance(500_000);
   }
-  assert.equal(simulation.preemptions.size, 0, "two minutes of work for 20 s");
+  assert.equal(simulation.preemptions.size, 0, "preempted a task with 2 min of progress for one of 20 s");
   const soon = new SimulatedShard(1, team("a", 0) + team("b", 16));
   soon.add("wk-1", { owner: "a", shards: 4, cpus: 4, guessS: 12 });
   soon.round();
-  soon.pass(1_000_000);
+  soon.advance(1_000_000);
   soon.add("wk-2", { owner: "b", shards: 1, cpus: 4, guessS: 60 });
-  soon.pass(10_000_000);
+  soon.advance(10_000_000);
   soon.round();
-  assert.equal(soon.preemptions.size, 0, "ends in two seconds");
+  assert.equal(soon.preemptions.size, 0, "preempted a task that ends within 2 s");
 });
 
 test("guarantees that together exceed the capacity cause few preemptions", () => {
@@ -191,18 +191,19 @@
     simulation.round((action) => {
       if (action.kind !== "preempt") return;
       for (const { task, reason } of action.victims) {
-        assert.ok(attemptOf(task.desired) <= MAX_ATTEMPTS, "preempted once too often");
-        if (reason === "guarantee") assert.ok(simulation.staying(task.job.spec.team) >= 16, "below its guarantee");
+        assert.ok(attemptOf(task.desired) <= MAX_PREEMPTION_ATTEMPTS, "preempted after too many attempts");
+        if (reason === "guarantee")
+          assert.ok(simulation.cpusNotStopping(task.job.spec.team) >= 16, "below its guarantee");
       }
     });
-    simulation.pass(500_000, () => 8_000_000);
+    simulation.advance(500_000, () => 8_000_000);
   }
   const preemptions = [...simulation.preemptions.values()].reduce((sum, count) => sum + count, 0);
   assert.ok(next > 200);
   assert.ok(preemptions <= next * 0.15, `${preemptions} preemptions for ${next} jobs`);
 });
 
-test("overcommitted guarantees are reported once, and each is served by the same share", () => {
+test("overcommitted guarantees are reported once, and all teams are served the same share of theirs", () => {
   const simulation = new SimulatedShard(1, team("a", 16) + team("b", 16));
   const actions: RoundAction[] = [];
   const round = (): void => simulation.round((action) => actions.push(action));
@@ -213,21 +214,22 @@
   assert.ok(
     report?.kind === "guarantees" && report.overcommitted && report.claimed === 24_000 && report.capacity === 16_000,
   );
-  simulation.pass(1_000_000);
-  // As capacity comes free it goes to the team that has less of its own guarantee, whoever asked first.
+  simulation.advance(1_000_000);
+  // Freed capacity goes to the team that uses less of its guarantee, whichever job was submitted first.
   for (const task of [...large.placedTasks].slice(0, 8)) task.stopRequest = { graceS: 0 };
-  simulation.pass(1_000_000);
+  simulation.advance(1_000_000);
   round();
   assert.equal(second.placedTasks.size, 8);
   assert.equal(actions.filter(({ kind }) => kind === "guarantees").length, 1, "reported once, not in every round");
 });
 
-test("a new leader that has not heard of its machines yet reports no overcommitment", () => {
-  // Seen at every failover of a recorded day: overcommitment, with 3,738 CPUs claimed and a capacity of 0.
+test("a new leader without heartbeats from its machines reports no overcommitment", () => {
+  // Without this rule, every failover reported overcommitment (3,738 CPUs claimed, a capacity of 0), as no machine was
+  // ready yet.
   const simulation = new SimulatedShard(4, team("a", 40));
   simulation.add("wk-1", { owner: "a", shards: 10, cpus: 4, guessS: 60 });
   simulation.round();
-  simulation.pass(1_000_000);
+  simulation.advance(1_000_000);
   for (const machine of simulation.shard.machines.values()) machine.counters.highestToken = 0;
   simulation.add("wk-2", { owner: "a", shards: 1, cpus: 1 });
   const reported: boolean[] = [];
@@ -236,7 +238,7 @@
   };
   simulation.round(recordReport);
   assert.deepEqual(reported, []);
-  // Once they are known, it is reported where it is so.
+  // With enough ready machines, real overcommitment is reported.
   for (const machine of simulation.shard.machines.values()) machine.counters.highestToken = TOKEN;
   for (const [name] of [...simulation.shard.machines].slice(2)) simulation.shard.machines.delete(name);
   simulation.round(recordReport);
