--- a/src/coordination/api/admission.ts
+++ b/src/coordination/api/admission.ts
@@ -1,30 +1,30 @@
-/** Admission of submissions under load: back-pressure, and retry slots for those that are turned away. */
+/** Admission control for job submissions: back-pressure under load, and retry times for deferred submissions. */
 import { backpressureKey, shardOf } from "../../storage/keys.js";
 import { type Micros, ms, seconds } from "../../transport/clock.js";
 import type { HttpResponse } from "../../transport/http.js";
 import type { Services } from "../context.js";
 import { retryLater } from "./responses.js";
 
-/** Beyond this wait for the write budget a submission is better told to come back. */
+/** A submission whose write would wait longer than this for the write budget is deferred instead. */
 const MAX_USER_WRITE_DELAY = ms(1_500);
-/** Users give up after a minute in all, so no submission is deferred for long. */
+/** Upper bound for `Retry-After`: clients give up after one minute in total. */
 const MAX_RETRY_AFTER = seconds(10);
 const OVERLOAD_RETRY_AFTER_S = 5;
 const PRESSURE_ADMISSION_INTERVAL = seconds(5);
 const MAX_TRACKED_CLASSES = 64;
 
-/** Decides whether a submission can be taken now. */
+/** Decides whether a submission is processed now or deferred with a retry time. */
 export class Admission {
-  /** By class, when a job of it was last admitted under back-pressure. */
+  /** By job class: the time of the last admission under back-pressure. */
   private readonly admittedUnderPressure = new Map<string, Micros>();
-  /** The time up to which retry slots have been assigned. */
+  /** The time of the latest retry slot assigned so far, in microseconds. */
   private lastRetrySlot = 0;
 
   constructor(
     private readonly services: Pick<Services, "cache" | "clock" | "settings" | "transactions" | "loadShedder">,
   ) {}
 
-  /** Null: admitted; otherwise the response that says when to come back. */
+  /** Null: the job is admitted; otherwise the 503 response with the time after which to retry. */
   deferral(job: { readonly team: string; readonly jobClass: string }): HttpResponse | null {
     const { loadShedder, cache, transactions } = this.services;
     const full = loadShedder.atLeast("saturated") || cache.entries.has(backpressureKey(shardOf(job.team)));
@@ -33,14 +33,14 @@
   }
 
   /**
-   * When to come back: slots follow each other as fast as writes are possible, so that those turned away do not all come
-   * back every second, to be turned away again.
+   * Assigns retry times at the rate at which writes can be sent. With one fixed delay, all deferred submissions would
+   * return every second and be deferred again.
    */
   private assignRetrySlot(): HttpResponse {
     const { clock, settings, transactions } = this.services;
     const now = clock.now();
-    // The rate once this wave is over, not the one that it has been cut to: with that, those turned away in the first
-    // seconds were told to come back so late that a third of the writes went unused meanwhile.
+    // Uses the configured write rate, not the rate as reduced by the current burst: with the reduced rate, submissions
+    // deferred in the first seconds got retry times so late that a third of the write budget went unused.
     const slotsPerSecond = Math.max(1, transactions.fullWritesPerSecond / settings.controllers);
     this.lastRetrySlot = Math.max(now + seconds(1), this.lastRetrySlot + seconds(1) / slotsPerSecond);
     const wait = Math.min(this.lastRetrySlot - now, MAX_RETRY_AFTER);
@@ -48,10 +48,10 @@
     return retryLater("busy", Math.ceil(wait / seconds(1)));
   }
 
-  /** Under back-pressure one job of each class is admitted every few seconds: else a class could get none at all. */
+  /** Under back-pressure, one job of each class is admitted per interval, so that no class is starved. */
   private admitUnderPressure(jobClass: string): boolean {
     const now = this.services.clock.now();
-    // Beyond the limit of tracked classes, new ones share one turn.
+    // All classes beyond the limit of tracked classes share one admission interval.
     const tracked = this.admittedUnderPressure.has(jobClass) || this.admittedUnderPressure.size < MAX_TRACKED_CLASSES;
     const key = tracked ? jobClass : "";
     const lastAdmission = this.admittedUnderPressure.get(key);
--- a/src/coordination/api/job-api.ts
+++ b/src/coordination/api/job-api.ts
@@ -1,4 +1,4 @@
-/** The users' HTTP interface: routes requests to submission, status and cancellation of jobs. */
+/** The HTTP interface for users: routes requests to job submission, job status and job cancellation. */
 import type { MachineType } from "../../protocol/cloud.js";
 import { isJobId } from "../../protocol/job-messages.js";
 import { memberOfKey } from "../../storage/keys.js";
@@ -13,12 +13,12 @@
 import type { LocalShards } from "./local-shards.js";
 import { jsonResponse, retryLater } from "./responses.js";
 
-/** With a cache older than this a controller is not ready: the load balancer is told so. */
+/** The health check reports "not ready" to the load balancer if the watch cache is older than this. */
 const MAX_CACHE_AGE = seconds(4);
 
-/** The users' interface, the same at every controller. */
+/** Handles the HTTP requests of users. Every controller serves it, whichever shards it leads. */
 export class JobApi {
-  /** Outcomes of the jobs that others depend on. */
+  /** Reads the outcomes of ended jobs on which current jobs depend. */
   readonly dependencyResolver: DependencyResolver;
   private readonly status: JobStatusResponder;
   private readonly submission: JobSubmission;
@@ -38,7 +38,7 @@
     this.cancellation = new JobCancellation(services, finder, localShards);
   }
 
-  /** The response to a user's request. */
+  /** Routes a request by path and method; unknown paths and job ids give 404, other methods 405. */
   async handle(request: HttpRequest): Promise<HttpResponse> {
     const path = request.target.split("?")[0] ?? "";
     if (path === "/up") return request.method === "GET" ? this.health() : jsonResponse(405, { error: "use GET" });
@@ -58,14 +58,15 @@
 
   private health(): HttpResponse {
     const { cache, clock, loadShedder } = this.services;
-    // Workers are answered by the leader only, users by any controller: they are sent to the others while there are any.
+    // Heartbeats are handled only by the shard's leader, user requests by any controller. An overloaded leader
+    // therefore makes the load balancer send users to the other controllers, if there are any.
     if (loadShedder.atLeast("degraded") && this.localShards.isLeader() && this.hasPeers())
       return retryLater("busy with workers");
     const fresh = cache.freshAsOf !== null && clock.now() - cache.freshAsOf < MAX_CACHE_AGE;
     return fresh && this.machineTypes.size > 0 ? jsonResponse(200, { up: true }) : retryLater("not ready");
   }
 
-  /** Whether there are other controllers. */
+  /** Whether the watch cache lists any other controller as a member. */
   private hasPeers(): boolean {
     const { cache, settings } = this.services;
     for (const key of cache.entries.keys()) {
--- a/src/coordination/api/job-cancellation.ts
+++ b/src/coordination/api/job-cancellation.ts
@@ -13,15 +13,15 @@
 const MAX_CANCEL_ATTEMPTS = 4;
 
 /**
- * A record written under a higher limit may be too large to be written again. No task of a cancelled job is placed any
- * more, so that its machine types and dependencies are not needed.
+ * A record that was written under a higher size limit may be too large to be rewritten. Tasks of a cancelled job are no
+ * longer placed, so its machine types and dependencies can be dropped.
  */
 const shrinkToFit = (record: JobRecord, maxBytes: number): JobRecord =>
   formatJson(encodeJobRecord(record)).length <= maxBytes
     ? record
     : { ...record, spec: { ...withoutDependencies(record.spec), types: null } };
 
-/** Puts cancellations on record. */
+/** Writes cancellations to the jobs' records in the key-value store. */
 export class JobCancellation {
   constructor(
     private readonly services: Pick<Services, "cache" | "transactions">,
@@ -29,7 +29,10 @@
     private readonly localShards: LocalShards,
   ) {}
 
-  /** Cancels the job unless it has ended; a conflicting write is tried again, at most four times in all. */
+  /**
+   * Cancels the job unless it has ended. After a conflicting write the record is read again and the write is retried,
+   * with at most four attempts in total.
+   */
   // biome-ignore lint/complexity/noExcessiveCognitiveComplexity: one flow of retries, each exit a different response
   async cancel(id: string): Promise<HttpResponse> {
     const { transactions, cache } = this.services;
--- a/src/coordination/api/job-lookup.ts
+++ b/src/coordination/api/job-lookup.ts
@@ -1,4 +1,4 @@
-/** Finds jobs by their ids, current ones and those that have ended. */
+/** Finds jobs by id, both current jobs and jobs that have ended. */
 import type { KeyValueEntry } from "../../protocol/key-value-store.js";
 import { jobKey } from "../../storage/keys.js";
 import { decodeOutcomeRecord, type OutcomeRecord } from "../../storage/outcome-records.js";
@@ -8,17 +8,17 @@
 import { OutcomeReader } from "../jobs/outcome-reader.js";
 
 const MAX_REMEMBERED_OUTCOMES = 5_000;
-/** Of the key-value store's requests, all controllers together spend this share on looking up outcomes. */
+/** The share of the key-value store's request limit that all controllers together may use for outcome lookups. */
 const LOOKUP_SHARE = 0.15;
 
-/** What is known of a job id. */
+/** The result of a lookup by job id. `unknown`: the key-value store could not be read. */
 export type JobLookup =
   | { readonly kind: "current"; readonly entry: KeyValueEntry }
   | { readonly kind: "ended"; readonly end: OutcomeRecord }
   | { readonly kind: "not-found" }
   | { readonly kind: "unknown" };
 
-/** Looks jobs up in the cache and among the recorded outcomes; remembers recent outcomes. */
+/** Looks up jobs in the watch cache and in the outcome records, and caches the outcome records read last. */
 export class JobFinder {
   private readonly recentOutcomes = new Map<string, OutcomeRecord>();
   private readonly outcomeReader: OutcomeReader;
@@ -31,12 +31,12 @@
     );
   }
 
-  /** Whether the job is known to be accepted, without any request. */
+  /** Whether local state already shows that the job was accepted. Sends no request. */
   isKnown(id: string): boolean {
     return this.services.cache.entries.has(jobKey(id)) || this.recentOutcomes.has(id);
   }
 
-  /** The outcome, or that there is none: nothing of what is current is looked at. */
+  /** Reads the job's outcome record. `not-found` means only that there is none: the job may be current. */
   async readTerminalState(id: string): Promise<TerminalState> {
     const remembered = this.recentOutcomes.get(id);
     if (remembered !== undefined) return { kind: "ended", end: remembered };
@@ -45,7 +45,7 @@
     return { kind: reply.kind === "missing" ? "not-found" : "unknown" };
   }
 
-  /** No older than the request: what any controller has told a user before is known to the result. */
+  /** The result is at least as recent as this call: it reflects every response that any controller sent before. */
   async find(id: string): Promise<JobLookup> {
     const { cache } = this.services;
     const remembered = this.recentOutcomes.get(id);
@@ -55,7 +55,7 @@
     if (entry !== undefined) return { kind: "current", entry };
     const terminalState = await this.readTerminalState(id);
     if (terminalState.kind !== "not-found") return terminalState;
-    // Accepted while it was looked up: other users may have been told so before this response arrives.
+    // The job may have been accepted during the lookup, and other users may know that before this response arrives.
     const acceptedSince = cache.entries.get(jobKey(id));
     return acceptedSince === undefined ? { kind: "not-found" } : { kind: "current", entry: acceptedSince };
   }
--- a/src/coordination/api/job-status.ts
+++ b/src/coordination/api/job-status.ts
@@ -1,4 +1,4 @@
-/** Status responses: phase and task counts of a job. */
+/** Responses to status requests: the phase and task counts of a job. */
 import { encodeStatus, type JobPhase } from "../../protocol/job-messages.js";
 import type { JobSpec } from "../../protocol/job-spec.js";
 import type { KeyValueEntry } from "../../protocol/key-value-store.js";
@@ -12,9 +12,9 @@
 import type { LocalShards } from "./local-shards.js";
 import { jsonResponse, retryLater } from "./responses.js";
 
-/** Responds to status requests. */
+/** Builds responses to status requests from the job's record, its task ranges and, at its leader, the shard's state. */
 export class JobStatusResponder {
-  /** Of ranges as they stand in the cache; collected together with the entry itself. */
+  /** Task counts by cached task range entry; an entry's counts are garbage-collected with it. */
   private readonly countsByEntry = new WeakMap<KeyValueEntry, { readonly done: number; readonly running: number }>();
 
   constructor(
@@ -24,10 +24,14 @@
     private readonly localShards: LocalShards,
   ) {}
 
-  /** The response to a status request; `known`: what has been looked up for it already. */
+  /**
+   * Responds to a status request.
+   *
+   * @param known the result of a lookup that was made for this request already
+   */
   async respond(id: string, known?: JobLookup): Promise<HttpResponse> {
     const found = known ?? (await this.finder.find(id));
-    // Whether it was cancelled with a dependency is told by the outcome of that one, which has to be read first.
+    // A job may be cancelled together with a dependency: the outcomes of its dependencies are needed for its phase.
     const resolved = found.kind !== "current" || this.hasStarted(id) || (await this.dependencyResolver.resolve(id));
     if (!resolved) return retryLater("state service unavailable");
     if (found.kind !== "current") return this.describe(id, found);
@@ -35,7 +39,7 @@
     return this.describe(id, entry === undefined ? await this.finder.find(id) : { kind: "current", entry });
   }
 
-  /** Some of its tasks were placed: all its dependencies were on record as done. */
+  /** Whether tasks of the job have been placed, which implies that all its dependencies are done. */
   private hasStarted(id: string): boolean {
     return this.services.cache.entries.has(taskRangeKey(id, 0));
   }
@@ -60,7 +64,7 @@
     }
   }
 
-  /** Where another controller leads the job's shard, placed tasks count as running. */
+  /** Task counts by the records, for a shard that another controller leads; placed tasks count as running. */
   private recordedCounts(spec: JobSpec): { done: number; running: number } {
     let done = 0;
     let running = 0;
@@ -73,7 +77,7 @@
     }
   }
 
-  /** A task range is decoded once for each of its versions, however often its status is polled. */
+  /** Decodes a task range once per version, however often the job's status is polled. */
   private countsOf(entry: KeyValueEntry): { readonly done: number; readonly running: number } {
     const cachedCounts = this.countsByEntry.get(entry);
     if (cachedCounts !== undefined) return cachedCounts;
--- a/src/coordination/api/job-submission.ts
+++ b/src/coordination/api/job-submission.ts
@@ -1,4 +1,4 @@
-/** Submission of jobs by users. A submission may be repeated: it is accepted once. */
+/** Job submission by users. Submissions are idempotent: a repeated one gets the state of the job accepted before. */
 import type { MachineType } from "../../protocol/cloud.js";
 import { decodeSubmission, encodePhase } from "../../protocol/job-messages.js";
 import { type JobSpec, jobSpecCodec } from "../../protocol/job-spec.js";
@@ -15,7 +15,7 @@
 import type { JobStatusResponder } from "./job-status.js";
 import { jsonResponse, retryLater } from "./responses.js";
 
-/** What a job's record holds beside its specification. */
+/** Size allowed for the fields of a job record other than its specification. */
 const RECORD_OVERHEAD_BYTES = 160;
 
 type DecodedSubmission =
@@ -32,7 +32,7 @@
   }
 };
 
-/** What a `JobSubmission` needs. */
+/** The collaborators of a `JobSubmission`. */
 export interface JobSubmissionDependencies {
   readonly services: Services;
   readonly machineTypes: ReadonlyMap<string, MachineType>;
@@ -41,7 +41,7 @@
   readonly status: JobStatusResponder;
 }
 
-/** Accepts submissions, or says why not. */
+/** Validates submissions and writes the records of accepted jobs. */
 export class JobSubmission {
   private readonly admission: Admission;
 
@@ -49,7 +49,10 @@
     this.admission = new Admission(dependencies.services);
   }
 
-  /** The response to a submission with this body. */
+  /**
+   * Accepts the job described by the JSON body. Status 201: accepted now; 200: accepted before; 400 and 422: rejected;
+   * 503: to be retried.
+   */
   async submit(body: string): Promise<HttpResponse> {
     const { services, dependencyResolver } = this.dependencies;
     const { transactions } = services;
@@ -76,7 +79,7 @@
     return this.respondToResult(spec.id, result);
   }
 
-  /** Null: the job may be put on record now, if its dependencies allow it. */
+  /** Null: the job is admitted and its record can be written, provided that its dependencies permit it. */
   private respondUnlessAdmitted(spec: JobSpec, body: string): HttpResponse | Promise<HttpResponse> | null {
     const { services, machineTypes, finder, status } = this.dependencies;
     if (!services.cache.loaded || machineTypes.size === 0) return retryLater("machine types unknown");
@@ -86,7 +89,7 @@
     return this.admission.deferral(spec);
   }
 
-  /** A job with a cancelled dependency is accepted all the same, and cancelled with it. */
+  /** A job with a cancelled dependency is accepted as well, but recorded as cancelled. */
   private recordOf(spec: JobSpec, cancelled: boolean): JobRecord {
     const { wallClock } = this.dependencies.services;
     const acceptance: Partial<JobRecord> = wallClock === null ? {} : { acceptedMs: Math.round(wallClock()) };
@@ -107,19 +110,22 @@
     }
   }
 
-  /** A job accepted once, perhaps under other machine types, is never refused, and may have ended long ago. */
+  /**
+   * Returns the refusal only if the job was never accepted. A repeated submission gets the job's status, even if the
+   * job ended long ago or was accepted when other machine types were offered.
+   */
   private async refuseUnlessAccepted(id: string, refusal: HttpResponse): Promise<HttpResponse> {
     const { finder, status } = this.dependencies;
     const found = await finder.find(id);
     return found.kind === "not-found" ? refusal : status.respond(id, found);
   }
 
-  /** Why no such job is ever accepted; null: there is no reason. */
+  /** The refusal of a job that can never be accepted; null: there is no such reason. */
   private refusal(spec: JobSpec, body: string): HttpResponse | null {
     const { services, machineTypes } = this.dependencies;
     const reason = neverRuns(spec, services.settings, machineTypes);
     if (reason !== null) return jsonResponse(422, { error: reason });
-    // The key-value store would refuse the record however often it is sent.
+    // The key-value store would reject the record on every retry.
     const { maxValueBytes } = services.transactions;
     const tooLarge =
       body.length > maxValueBytes / 2 &&
--- a/src/coordination/api/local-shards.ts
+++ b/src/coordination/api/local-shards.ts
@@ -1,12 +1,12 @@
-/** What the job API asks of the shards that this controller leads. */
+/** The job API's view of the shards that this controller leads. */
 import type { JobSpec } from "../../protocol/job-spec.js";
 
-/** The shards led by this controller, as far as users' requests go. */
+/** Queries about jobs and shards that this controller answers from its own memory. */
 export interface LocalShards {
-  /** The numbers of the job's completed and running tasks; null: its shard is led elsewhere. */
+  /** The numbers of the job's completed and running tasks; null: another controller leads the job's shard. */
   readonly taskCounts: (id: string) => { done: number; running: number } | null;
-  /** Whether this controller leads a shard, so that workers send heartbeats here. */
+  /** Whether this controller leads a shard and therefore receives heartbeats. */
   readonly isLeader: () => boolean;
-  /** Whether the job was cancelled with what it is part of, though its own record does not say so. */
+  /** Whether the job is cancelled through a dependency or its graph run, although its own record is not marked so. */
   readonly isWithdrawn: (spec: JobSpec) => boolean;
 }
