--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,5 +1,5 @@
 /**
- * Scales the shard's machines out and in.
+ * Scales the shard's machines out and in, and keeps their list in line with the cloud's.
  * @module
  */
 import type { Machine } from "../../cluster/machine.js";
@@ -20,7 +20,9 @@
 import { planScaling } from "./scale-plan.js";
 
 const SCALE_INTERVAL = ms(400);
-/** Under load, plans and lists are made this many times less often. */
+/**
+ * Factor by which the periods of scale plans and machine lists grow while load is shed (level `degraded` and above).
+ */
 const SLOWDOWN_UNDER_LOAD = 4;
 const LIST_PAGE_SIZE = 500;
 const LIST_REQUEST_SHARE = 0.2;
@@ -28,16 +30,19 @@
 const CONSOLIDATION_INTERVAL = seconds(15);
 const NEVER = 0 as Micros;
 
-/** Brings the machines that are present towards those that the shard's jobs need. */
+/** Periodically provisions and deletes machines so that the shard's capacity follows the demand of its jobs. */
 export class Autoscaler {
-  /** Zones that cannot be reached as a whole: nothing is provisioned there, and capacity is provided elsewhere. */
+  /**
+   * Zones that are unreachable as a whole: no machine is provisioned there, and replacement capacity is provisioned
+   * elsewhere.
+   */
   unreachableZones: ReadonlySet<string> = new Set();
   private readonly demandHistory = new DemandHistory();
   private readonly deletions: MachineDeletionQueue;
   private readonly reconciler: MachineListReconciler;
   private readonly provisioning: ProvisioningRequests;
   private stopped = false;
-  /** A list of the cloud's machines has been taken in. */
+  /** Whether a machine list of the cloud has been reconciled; no scaling takes place before. */
   private listed = false;
   private nextConsolidation: Micros = NEVER;
 
@@ -52,24 +57,24 @@
     this.provisioning = new ProvisioningRequests(context, cloud);
   }
 
-  /** Ends both loops, and sends no further requests. */
+  /** Ends both loops after their current step; no further requests are sent. */
   stop(): void {
     this.stopped = true;
     this.deletions.stop();
     this.provisioning.stop();
   }
 
-  /** Adds a job that was submitted to the history from which headroom is planned. */
+  /** Adds a submitted job to the history from which headroom is planned. */
   recordDemand(spec: JobSpec): void {
     this.demandHistory.record(spec);
   }
 
-  /** Deletes the machines at the cloud. */
+  /** Requests the deletion of the machines from the cloud; resolved once the deletion queue is empty or stopped. */
   deleteMachines(machines: readonly Machine[], priority: DeletionPriority = "normal"): Promise<void> {
     return this.deletions.delete(machines, priority);
   }
 
-  /** Reconciles the cloud's list and scales, each in its own period, until stopped. */
+  /** Reconciles the machine list and scales, each with its own period, until stopped. */
   async run(): Promise<void> {
     void this.loop(
       () => this.reconcileMachineList(),
@@ -82,8 +87,8 @@
   }
 
   /**
-   * Lists take a bounded share of the calls that the cloud allows: with thousands of machines they are several pages
-   * long, and read as often as a short one they left provisioning in a wave hardly any calls.
+   * Bounds the share of the cloud's request limit that is spent on machine lists. With thousands of machines a list has
+   * several pages; read as often as a short one, it left hardly any requests for provisioning during a burst.
    */
   private listPeriod(): Micros {
     const { settings, shard } = this.context;
@@ -128,7 +133,7 @@
     snapshot.inspection.count += snapshot.shard.machines.size;
     this.scheduler.reportInspections();
     const { loadShedder } = this.context;
-    // Machines beyond what this controller can manage would only be lost.
+    // A saturated controller cannot serve the heartbeats of more machines; their leases would expire.
     if (!loadShedder.atLeast("saturated")) this.provisioning.add(scaleOut);
     if (scaleIn.length > 0)
       void this.deleteMachines(scaleIn.slice(0, MAX_DELETIONS_PER_REQUEST).map(({ machine }) => machine));
--- a/src/coordination/autoscaling/bin-packing.ts
+++ b/src/coordination/autoscaling/bin-packing.ts
@@ -1,5 +1,5 @@
 /**
- * Packs tasks into capacity bins, and adds bins from the cloud's offers where they do not suffice.
+ * Packs tasks into capacity bins, and adds bins for new machines where the existing ones do not suffice.
  * @module
  */
 import type { JobSpec } from "../../protocol/job-spec.js";
@@ -9,17 +9,17 @@
 import { type CapacityBin, newBin, type ScaleOutReason } from "./capacity-bins.js";
 import { type CloudOffers, cheapestOffer, type MachineOffer } from "./cloud-offers.js";
 
-/** Tasks of one job that are packed in one plan. */
+/** The maximum number of tasks of one job that one plan packs. */
 const MAX_PACKED_TASKS = 10_000;
 
-/** Tasks that are to be packed. */
+/** Tasks of one job that are to be packed. */
 export interface PackingDemand {
   readonly reason: ScaleOutReason;
   readonly spec: JobSpec;
   readonly count: number;
-  /** The job's tasks by zone; those that are packed are added. */
+  /** The number of the job's tasks by zone; packing adds the packed tasks. */
   readonly zoneCounts: Map<string, number>;
-  /** Those of the bins that may have free capacity; all of them if left out. */
+  /** The bins that may have free capacity; default: all bins. */
   readonly openBins?: CapacityBin[];
 }
 
@@ -31,7 +31,10 @@
   return counts;
 };
 
-/** The bins of one plan. Packing is first fit, a whole bin at a time: walking all bins for each task took most of a controller's time. */
+/**
+ * The bins of one plan. Packing is first fit and fills a whole bin at a time: iterating over all bins for each task
+ * took most of a controller's CPU time.
+ */
 export class BinPacker {
   constructor(
     private readonly snapshot: SchedulerSnapshot,
@@ -39,7 +42,9 @@
     readonly bins: CapacityBin[],
   ) {}
 
-  /** Packs the tasks into the bins and, as far as these do not suffice and the cloud has offers, into new ones. */
+  /**
+   * Packs the tasks into existing bins, and the remaining ones into new bins as far as the cloud has matching offers.
+   */
   pack(demand: PackingDemand): void {
     const { spec, openBins = this.bins } = demand;
     let remaining = Math.min(demand.count, MAX_PACKED_TASKS);
@@ -69,7 +74,9 @@
   }
 }
 
-/** Packs as many of the `remaining` tasks as fit into the bin and may be in its zone; returns their number. */
+/**
+ * Packs as many of the `remaining` tasks as the bin's free capacity and the job's zone rules allow; returns the number.
+ */
 const fillBin = ({ spec, zoneCounts, reason }: PackingDemand, bin: CapacityBin, remaining: number): number => {
   if (!zoneAllowed(spec, zoneCounts, bin.zone)) return 0;
   let count = Math.min(remaining, countThatFit(spec.demand, bin.free));
--- a/src/coordination/autoscaling/capacity-backoff.ts
+++ b/src/coordination/autoscaling/capacity-backoff.ts
@@ -1,5 +1,5 @@
 /**
- * Backoff for offers for which the cloud has no capacity.
+ * Exponential backoff for offers for which the cloud has no capacity.
  * @module
  */
 import { type Micros, seconds } from "../../transport/clock.js";
@@ -7,11 +7,14 @@
 
 const MIN_REFUSAL_PAUSE = seconds(4);
 const MAX_REFUSAL_PAUSE = seconds(40);
-/** Keeps the power of two within the numbers that are exact. */
+/** Keeps the power of two exact as a plain number. */
 const MAX_DOUBLINGS = 20;
 const NOT_REFUSED = 0 as Micros;
 
-/** Offers that were refused or only partly granted are not requested for a while, each time longer. */
+/**
+ * After a refused or only partly granted request, pauses requests for the offer; each further refusal doubles the
+ * pause.
+ */
 export class CapacityBackoff {
   private readonly backoffByOffer = new Map<string, { readonly until: Micros; readonly count: number }>();
 
@@ -20,7 +23,7 @@
     return this.backoffByOffer.get(key)?.until ?? NOT_REFUSED;
   }
 
-  /** Takes the answer to a request in: `granted` of `requested` machines. */
+  /** Records the response to a provisioning request; a complete grant resets the offer's backoff. */
   recordGrant(offer: MachineOffer, requested: number, granted: number, now: Micros): void {
     const key = offerKey(offer);
     if (granted >= requested) {
--- a/src/coordination/autoscaling/capacity-bins.ts
+++ b/src/coordination/autoscaling/capacity-bins.ts
@@ -1,5 +1,5 @@
 /**
- * Machines as bins into which a scaling plan packs tasks.
+ * Capacity bins: the existing, booting and requested machines into which a scale plan packs tasks.
  * @module
  */
 import type { Machine } from "../../cluster/machine.js";
@@ -10,20 +10,20 @@
 import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
 import type { CloudOffers, MachineOffer } from "./cloud-offers.js";
 
-/** A boot is late beyond this multiple of the type's boot time and the grace, in seconds. */
+/** A boot is late after the type's boot time times this factor, plus the grace in seconds. */
 const LATE_BOOT_FACTOR = 1.8;
 const LATE_BOOT_GRACE_S = 2;
 
-/** What a machine is provisioned for: waiting tasks, replicas in unreachable zones, or headroom. */
+/** Why a machine is provisioned: for waiting tasks, to replace replicas in unreachable zones, or as headroom. */
 export type ScaleOutReason = "waiting" | "unreachable zone" | "headroom";
 
-/** A machine that is there, on its way, or to be provisioned. */
+/** The capacity of a machine that exists, has been requested, or is to be provisioned. */
 export interface CapacityBin extends MachineOffer {
-  /** Null: not provisioned yet. */
+  /** Null: the machine has not been provisioned yet. */
   readonly machine: Machine | null;
   free: Resources;
   used: boolean;
-  /** What was packed into it first; null: nothing. */
+  /** The reason of the first tasks packed into the bin; null: none were. */
   reason: ScaleOutReason | null;
 }
 
@@ -42,13 +42,16 @@
   reason: null,
 });
 
-/** Machines mostly come in the order of their names already, and sorting thousands in every plan was dear. */
+/**
+ * Sorts only where needed: machines mostly are in name order already, and sorting thousands in every plan was
+ * expensive.
+ */
 const sortByName = (bins: MachineBin[]): void => {
   const sorted = bins.every((bin, at) => at === 0 || (bins[at - 1] as MachineBin).machine.name < bin.machine.name);
   if (!sorted) bins.sort((a, b) => (a.machine.name < b.machine.name ? -1 : 1));
 };
 
-/** Those in use first, spot instances before others: what stays empty at the end can be returned. */
+/** Machines in use come first, spot instances before on-demand ones, so that machines left empty can be returned. */
 const readyBins = (snapshot: SchedulerSnapshot): MachineBin[] => {
   const groups: [MachineBin[], MachineBin[], MachineBin[], MachineBin[]] = [[], [], [], []];
   for (const machine of readyMachines(snapshot)) {
@@ -73,7 +76,7 @@
   return bins;
 };
 
-/** Ready machines, then machines that boot, then machines that have been requested. */
+/** Bins of the ready machines, then of those that are booting on time, then of those that have been requested. */
 export const existingBins = (snapshot: SchedulerSnapshot, offers: CloudOffers): CapacityBin[] => {
   const bins: CapacityBin[] = [...readyBins(snapshot), ...bootingBins(snapshot)];
   for (const { offer, count } of offers.pendingRequests) {
--- a/src/coordination/autoscaling/cloud-client.ts
+++ b/src/coordination/autoscaling/cloud-client.ts
@@ -18,12 +18,12 @@
 import { RateLimiter } from "../../transport/rate-limiter.js";
 import { LogEvent } from "../log-events.js";
 
-/** `refused`: no capacity. `failed`: anything else; the request may have been carried out, or may yet be. */
+/** `refused`: no capacity. `failed`: any other failure; the request may have been executed, or may still be. */
 export type CloudResult<T> = { readonly kind: "ok"; readonly value: T } | { readonly kind: "refused" | "failed" };
 
 const REQUEST_TIMEOUT = ms(5_000);
 
-/** Requests to the cloud, within its limit on requests a second. Failures are results; nothing is thrown. */
+/** Sends requests to the cloud within `perSecond` requests per second. Failures are returned, not thrown. */
 export class CloudClient {
   private readonly requestLimit: RateLimiter;
 
@@ -37,10 +37,12 @@
     this.requestLimit = new RateLimiter(clock, perSecond);
   }
 
+  /** The machine types on offer, decoded and as received. */
   async listMachineTypes(): Promise<CloudResult<{ types: readonly MachineType[]; raw: unknown }>> {
     return this.request("GET", "/catalog", null, (raw) => ({ types: decodeMachineTypes(raw), raw }));
   }
 
+  /** Requests `count` machines; returns the names of those granted, possibly fewer. Idempotent by `requestName`. */
   async provision(
     requestName: string,
     type: string,
@@ -56,10 +58,12 @@
     );
   }
 
+  /** Deletes the machines. `ok` confirms that they and all their tasks are gone. */
   async deleteMachines(names: readonly string[]): Promise<CloudResult<true>> {
     return this.request("POST", "/hosts/delete", encodeDeletionRequest(names), () => true as const);
   }
 
+  /** Reads all pages of the machine list; fails if any page fails. */
   async listMachines(): Promise<CloudResult<readonly ListedMachine[]>> {
     const all: ListedMachine[] = [];
     for (let from = ""; ; ) {
--- a/src/coordination/autoscaling/cloud-offers.ts
+++ b/src/coordination/autoscaling/cloud-offers.ts
@@ -1,5 +1,5 @@
 /**
- * Machines that the cloud can be asked for, and what is known of their availability.
+ * The cloud's offers: which machines can be requested, their known availability, and the choice of the cheapest.
  * @module
  */
 import type { MachineType } from "../../protocol/cloud.js";
@@ -10,50 +10,54 @@
 import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
 import type { DemandHistory } from "./demand-history.js";
 
-/** By so much an offer counts as dearer where all machines are of its zone and kind. */
+/** Relative price surcharge of an offer if all machines were of its zone and purchase option (spot or on demand). */
 const CONCENTRATION_PENALTY = 0.2;
 
-/** A machine type in a zone, as a spot instance or not. */
+/** A machine type in a zone, as a spot instance or on demand. */
 export interface MachineOffer {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** What is known of the cloud beyond the machines in the snapshot. */
+/** The scale plan's input about the cloud, beyond the machines in the scheduler snapshot. */
 export interface CloudOffers {
   /** Provisioning requests that have not been answered yet. */
   readonly pendingRequests: readonly { readonly offer: MachineOffer; readonly count: number }[];
-  /** Offers refused lately are not to be requested before this time. */
+  /** The time before which a recently refused offer is not requested again, by its key; 0: it may be requested now. */
   readonly unavailableUntil: (key: string) => Micros;
-  /** Zones that cannot be reached as a whole: nothing is provisioned there, and capacity is provided elsewhere. */
+  /**
+   * Zones that are unreachable as a whole: no machine is provisioned there, and replacement capacity is provisioned
+   * elsewhere.
+   */
   readonly unreachableZones: ReadonlySet<string>;
   readonly demandHistory: DemandHistory;
 }
 
-/** A key that tells offers apart. */
+/** The map key of an offer: `type/zone/spot`. */
 export const offerKey = (offer: MachineOffer): string => `${offer.type.name}/${offer.zone}/${offer.spot}`;
 
 const priceOf = (offer: MachineOffer): number => (offer.spot ? offer.type.spotPrice : offer.type.price);
 
-/** What `cheapestOffer` looks for. */
+/** The input of `cheapestOffer`. */
 export interface OfferSearch {
   readonly snapshot: SchedulerSnapshot;
   readonly offers: CloudOffers;
   readonly spec: JobSpec;
-  /** Tasks that are to be placed on machines of the offer. */
+  /** The number of tasks to be placed on machines of the offer. */
   readonly count: number;
-  /** Tasks of the job by zone. */
+  /** The number of the job's tasks by zone. */
   readonly zoneCounts: ReadonlyMap<string, number>;
-  /** The share of all machines that is of the offer's zone and kind, from 0 to 1. */
+  /** The share of all machines that have the offer's zone and purchase option, from 0 to 1. */
   readonly shareOf: (offer: MachineOffer) => number;
 }
 
 /**
- * The cheapest offer by the task; among near equals the one whose zone and kind hold least, so that a reclaim takes less.
- * Null: no offer suits the job.
+ * The offer with the lowest price per task. The concentration penalty favours the less used zone and purchase option
+ * among offers of similar price, so that a reclaim of spot machines affects fewer tasks. Null: no available offer suits
+ * the job.
  */
-// biome-ignore lint/complexity/noExcessiveCognitiveComplexity: a search over types, zones and kinds in three plain loops
+// biome-ignore lint/complexity/noExcessiveCognitiveComplexity: three nested loops over types, zones and purchase options
 export const cheapestOffer = (search: OfferSearch): MachineOffer | null => {
   const { snapshot, spec, count, shareOf } = search;
   let best: { offer: MachineOffer; cost: number } | null = null;
--- a/src/coordination/autoscaling/consolidation.ts
+++ b/src/coordination/autoscaling/consolidation.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses machines whose replicas can be moved together onto others.
+ * Consolidation: chooses a machine whose service replicas all fit on other machines in use.
  * @module
  */
 import type { Job } from "../../cluster/job.js";
@@ -11,7 +11,7 @@
 import { type DemandHistory, headroomDemand } from "./demand-history.js";
 import { MIN_CHARGED_TIME } from "./scale-in.js";
 
-/** Machines looked at in one go for whether their replicas could go elsewhere. */
+/** The maximum number of machines examined in one search. */
 const MAX_MACHINES_TRIED = 4;
 const MAX_TASKS_MOVED = 10;
 
@@ -25,7 +25,7 @@
   const zones = new Map<Job, Map<string, number>>();
   for (const task of candidate.machine.tasks) {
     const { spec } = task.job;
-    // Kept over the loop: two replicas of one job must not both count on the last place in a zone.
+    // Shared by the job's tasks: two replicas must not both be assigned the last place that is allowed in a zone.
     const counts = zones.get(task.job) ?? zoneCounts(task.job);
     zones.set(task.job, counts);
     counts.set(candidate.machine.zone, (counts.get(candidate.machine.zone) ?? 1) - 1);
@@ -41,7 +41,7 @@
     target.free = subtractResources(target.free, spec.demand);
     counts.set(target.machine.zone, (counts.get(target.machine.zone) ?? 0) + 1);
   }
-  // The headroom for the next service must be there afterwards, or a machine would be provisioned right away.
+  // The headroom for the next service must remain afterwards; otherwise a new machine would be provisioned at once.
   return headroomDemand(snapshot, demandHistory)
     .filter(({ spec }) => !spec.spot)
     .every(({ spec, count }) => {
@@ -52,8 +52,9 @@
 };
 
 /**
- * Replicas stay long after the work that made their machines fill up. An ordinary machine with few of them is
- * drained, one machine at a time, when all have a place elsewhere that holds their image already.
+ * Chooses the next machine to drain; null: none is suitable. Service replicas outlive the batch work that filled their
+ * machines. An on-demand machine with few replicas is drained, one machine at a time, once each replica fits on another
+ * machine that already has its image.
  */
 export const chooseMachineToConsolidate = (
   snapshot: SchedulerSnapshot,
--- a/src/coordination/autoscaling/demand-history.ts
+++ b/src/coordination/autoscaling/demand-history.ts
@@ -1,5 +1,5 @@
 /**
- * Sizes of recent jobs, and the headroom that follows from them.
+ * The sizes of recent jobs, and the headroom derived from them.
  * @module
  */
 import type { JobSpec } from "../../protocol/job-spec.js";
@@ -7,14 +7,14 @@
 import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
 
 const MAX_RECENT_JOBS = 30;
-/** Stands for an objective without a time: longer than any boot. */
+/** Used for an objective without a time limit: longer than any boot. */
 const NO_OBJECTIVE = seconds(1e6);
 
-/** Sizes of recent jobs by class: they tell how much capacity the next one is likely to need at once. */
+/** The task counts of recent jobs by class, from which the size of the class's next job is estimated. */
 export class DemandHistory {
   private readonly jobsByClass = new Map<string, { spec: JobSpec; readonly sizes: number[] }>();
 
-  /** Adds a job that was submitted. */
+  /** Adds a submitted job; beyond the limit, the oldest job of its class is dropped. */
   record(spec: JobSpec): void {
     const recent = this.jobsByClass.get(spec.jobClass) ?? { spec, sizes: [] };
     recent.spec = spec;
@@ -23,7 +23,7 @@
     this.jobsByClass.set(spec.jobClass, recent);
   }
 
-  /** For each class its newest job and the mean number of tasks. */
+  /** For each class, the specification of its newest job and the mean task count of the recent ones. */
   typicalJobs(): readonly { readonly spec: JobSpec; readonly tasks: number }[] {
     return [...this.jobsByClass.values()].map(({ spec, sizes }) => ({
       spec,
@@ -32,7 +32,10 @@
   }
 }
 
-/** Capacity to be kept free: for each class that is to start before a machine has booted, a typical job's tasks. */
+/**
+ * The headroom to be kept free: the tasks of a typical job, times the option `headroom`, for each class whose start
+ * objective is shorter than any machine's boot. On-demand classes come first.
+ */
 export const headroomDemand = (
   { shard, settings, options }: SchedulerSnapshot,
   demandHistory: DemandHistory,
--- a/src/coordination/autoscaling/ending-tasks.ts
+++ b/src/coordination/autoscaling/ending-tasks.ts
@@ -1,5 +1,5 @@
 /**
- * Capacity that comes free by itself, for which tasks can wait instead of for a boot.
+ * Capacity of running tasks that are expected to end soon; waiting tasks can use it instead of a new machine.
  * @module
  */
 import type { JobSpec } from "../../protocol/job-spec.js";
@@ -8,11 +8,11 @@
 import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
 import { MAX_QUEUE_SHARE, maxQueueTime } from "../scheduling/start-deadline.js";
 
-/** Estimates are often wrong by half, so not all of a job is left to what ends soon. */
+/** The maximum share of a job's tasks that waits for ending tasks: run time estimates are often wrong by half. */
 const MAX_ABSORBED_SHARE = 0.8;
 
 interface EndingTask {
-  /** Microseconds until its end, by its estimate. */
+  /** Estimated time until the task ends, in microseconds. */
   readonly remaining: number;
   readonly cpu: number;
   readonly typeName: string;
@@ -20,7 +20,7 @@
   readonly spot: boolean;
 }
 
-/** Longer than this, in microseconds, no class waits for capacity. */
+/** The longest time that any class may wait for capacity, in microseconds. */
 const longestQueueTime = ({ settings }: SchedulerSnapshot): number => {
   let longest = 0;
   for (const { kind, within } of settings.objectives) {
@@ -29,8 +29,8 @@
   return longest;
 };
 
-/** Tasks that ought to end soon, the soonest first. */
-// biome-ignore lint/complexity/noExcessiveCognitiveComplexity: walks every running task of the shard: filters stand inline to call nothing for each
+/** Running tasks that are expected to end within the longest queue time, ordered by expected end. */
+// biome-ignore lint/complexity/noExcessiveCognitiveComplexity: visits every running task of the shard; inline filters avoid a function call for each
 const listEndingTasks = (snapshot: SchedulerSnapshot): EndingTask[] => {
   const endingTasks: EndingTask[] = [];
   const longest = longestQueueTime(snapshot);
@@ -49,16 +49,16 @@
   return endingTasks.sort((a, b) => a.remaining - b.remaining);
 };
 
-/** The capacity of tasks that end soon, each part of it given to one job. */
+/** The CPU capacity of tasks that end soon. Each ending task's capacity is claimed by one job at most. */
 export class EndingCapacity {
-  /** Null until it is needed: listing walks all running tasks. */
+  /** Listed on first use, since that visits all running tasks; null before. */
   private endingTasks: EndingTask[] | null = null;
 
   constructor(private readonly snapshot: SchedulerSnapshot) {}
 
   /**
-   * The number of the job's `count` tasks that can wait for capacity that comes free within the time that its class may
-   * wait. That capacity is taken.
+   * Claims capacity that is expected to become free within the time that the job's class may wait. Returns how many of
+   * the job's `count` tasks it suffices for.
    */
   absorb(spec: JobSpec, count: number): number {
     const queueTime = maxQueueTime(spec, this.snapshot.settings);
@@ -69,7 +69,7 @@
     return Math.min(maxCount, Math.floor(cpu / spec.demand.cpu));
   }
 
-  /** Takes ending tasks on machines that the job may use until their CPU reaches `wanted`; returns what they have. */
+  /** Claims ending tasks on machines that the job may use until their CPU reaches `wanted`; returns their total CPU. */
   private takeCpu(spec: JobSpec, wanted: number, queueTime: number): number {
     this.endingTasks ??= listEndingTasks(this.snapshot);
     const { endingTasks } = this;
--- a/src/coordination/autoscaling/machine-deletion-queue.ts
+++ b/src/coordination/autoscaling/machine-deletion-queue.ts
@@ -1,5 +1,5 @@
 /**
- * Deletes machines at the cloud.
+ * Queue of machine deletions, sent to the cloud in batches.
  * @module
  */
 import { eventFieldsOf } from "../../cluster/events.js";
@@ -10,15 +10,21 @@
 import type { HeartbeatProcessor } from "../workers/heartbeat-processor.js";
 import type { CloudClient } from "./cloud-client.js";
 
-/** The cloud takes this many names at once; a longer list was refused for ever, and a zone's machines stayed. */
+/**
+ * The cloud's limit on names per deletion request. It rejects a longer list on every retry, which kept a whole zone's
+ * machines.
+ */
 export const MAX_DELETIONS_PER_REQUEST = 100;
 const MIN_RETRY_DELAY = ms(500);
 const MAX_RETRY_DELAY = seconds(5);
 
-/** `urgent`: before all that wait; tasks can't begin elsewhere until the machines are gone. */
+/** `urgent`: ahead of the queue, because tasks cannot be started elsewhere until these machines are deleted. */
 export type DeletionPriority = "normal" | "urgent";
 
-/** Deletes machines one request at a time: a request for each few machines left none for provisioning in a wave. */
+/**
+ * Deletes machines in batches, one request at a time: many small deletion requests used up the cloud's request limit
+ * and left none for provisioning during a burst.
+ */
 export class MachineDeletionQueue {
   private readonly pending: Machine[] = [];
   private deleting = false;
@@ -30,12 +36,15 @@
     private readonly heartbeats: HeartbeatProcessor,
   ) {}
 
-  /** Ends the deletions after the request that is under way. */
+  /** Stops after the request in flight. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** Marks the machines as being deleted and deletes them. Resolved once the queue is empty or stopped. */
+  /**
+   * Marks the machines as being deleted and queues them. The call that starts processing resolves once the queue is
+   * empty or stopped, later calls at once.
+   */
   async delete(machines: readonly Machine[], priority: DeletionPriority = "normal"): Promise<void> {
     for (const machine of machines) machine.lifecycle.deleting = true;
     if (priority === "urgent") this.pending.unshift(...machines);
@@ -50,7 +59,7 @@
     }
   }
 
-  /** Repeats the request until it is answered: the answer proves that the machines and all their tasks are gone. */
+  /** Retries the request until it succeeds: only the response proves that the machines and all their tasks are gone. */
   private async deleteBatch(machines: readonly Machine[]): Promise<void> {
     const { clock, lease } = this.context;
     for (let attempt = 0; !this.stopped; attempt += 1) {
--- a/src/coordination/autoscaling/machine-list-reconciler.ts
+++ b/src/coordination/autoscaling/machine-list-reconciler.ts
@@ -1,5 +1,5 @@
 /**
- * Reconciles the cloud's list of machines with the shard's.
+ * Reconciles the shard's machines with the cloud's machine list.
  * @module
  */
 import { eventFieldsOf } from "../../cluster/events.js";
@@ -11,13 +11,15 @@
 import type { HeartbeatProcessor } from "../workers/heartbeat-processor.js";
 import type { MachineDeletionQueue } from "./machine-deletion-queue.js";
 
-/** Names of deleted machines that are kept although the cloud no longer lists them. */
+/** The number of deleted machine names above which names that the cloud no longer lists are dropped. */
 const MAX_DELETED_NAMES = 500;
-/** An unlisted machine is forgotten after its lease, this many list lags and the grace without a heartbeat. */
+/**
+ * An unlisted machine is removed after this time without a heartbeat: its lease, this many list lags, and the grace.
+ */
 const UNLISTED_LIST_LAGS = 4;
 const UNLISTED_GRACE = seconds(20);
 
-/** Adds machines that the cloud lists, updates those that are known, and forgets those that have surely gone. */
+/** Adds and updates machines that the cloud lists, and removes unlisted machines that cannot exist any more. */
 export class MachineListReconciler {
   constructor(
     private readonly context: ShardContext,
@@ -25,7 +27,7 @@
     private readonly deletions: MachineDeletionQueue,
   ) {}
 
-  /** Takes in a complete list. */
+  /** Applies a complete list of the cloud's machines. */
   reconcile(listedMachines: readonly ListedMachine[]): void {
     const { shard } = this.context;
     const listedNames = new Set<string>();
@@ -39,8 +41,8 @@
   }
 
   /**
-   * Absence from a list proves little, so it only ends records of machines without tasks that have sent no heartbeat for
-   * long.
+   * Removes unlisted machines. The list lags, so absence alone does not prove that a machine is gone: only machines
+   * that have no tasks and have sent no heartbeat for a long time are removed.
    */
   private forgetUnlisted(listedNames: ReadonlySet<string>): void {
     const { shard, clock, settings } = this.context;
@@ -63,7 +65,7 @@
     machine.spot = listed.spot;
     machine.address ??= listed.address;
     if (machine.state === "unconfirmed") machine.state = "booting";
-    // After a failover this finds the machines at once, long before their workers have found the new leader.
+    // After a failover a status query reaches the worker long before the worker finds the new leader by itself.
     if (listed.state === "running" && machine.state === "booting") this.context.queryStatus(machine);
     if (listed.state === "failed" && !machine.lifecycle.deleting) this.machineFailed(machine);
   }
--- a/src/coordination/autoscaling/provisioning-requests.ts
+++ b/src/coordination/autoscaling/provisioning-requests.ts
@@ -1,5 +1,5 @@
 /**
- * Requests to the cloud for machines.
+ * Provisioning requests to the cloud.
  * @module
  */
 import { createMachine } from "../../cluster/machine.js";
@@ -12,7 +12,7 @@
 import type { ScaleOutRequest } from "./scale-plan.js";
 
 const MAX_MACHINES_PER_REQUEST = 50;
-/** Requests of one plan for the same offer; the next plan requests what is still missing. */
+/** The maximum number of requests per offer in one plan; the next plan requests the machines that are still missing. */
 const MAX_REQUESTS_PER_OFFER = 4;
 
 interface ProvisioningRequest {
@@ -22,7 +22,9 @@
   readonly since: Micros;
 }
 
-/** Provisioning requests until they are answered. A repeated request has the same name: the cloud carries it out once. */
+/**
+ * Pending provisioning requests. A retry has the same request name, so that the cloud executes the request only once.
+ */
 export class ProvisioningRequests {
   readonly capacityBackoff = new CapacityBackoff();
   private readonly requests: ProvisioningRequest[] = [];
@@ -35,24 +37,24 @@
     private readonly cloud: CloudClient,
   ) {}
 
-  /** Requests that have not been answered yet. */
+  /** Requests to which the cloud has not responded yet. */
   get pending(): readonly { readonly offer: MachineOffer; readonly count: number }[] {
     return this.requests;
   }
 
-  /** No further requests are sent. */
+  /** Prevents further requests; one in flight may still complete. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** Adds requests for the machines of a plan, up to a bounded number for each offer. */
+  /** Queues requests for the machines of a scale plan, up to a maximum number per offer. */
   add(scaleOut: readonly ScaleOutRequest[]): void {
     const { clock, lease } = this.context;
     for (const { offer, count } of scaleOut) {
       const total = Math.min(count, MAX_MACHINES_PER_REQUEST * MAX_REQUESTS_PER_OFFER);
       for (let remaining = total; remaining > 0; remaining -= MAX_MACHINES_PER_REQUEST) {
         this.requestCounter += 1;
-        // Never reused: the epoch is fresh at every failover, the counter within it.
+        // Unique: the epoch changes at every failover, and the counter increases within an epoch.
         const name = `r-${lease.shard}-${lease.epoch}-${this.requestCounter}`;
         const requestCount = Math.min(remaining, MAX_MACHINES_PER_REQUEST);
         this.requests.push({ name, offer, count: requestCount, since: clock.now() });
@@ -60,7 +62,7 @@
     }
   }
 
-  /** Sends the pending requests one after the other, up to the first that fails. */
+  /** Sends the pending requests one at a time and stops at the first failure. A refusal completes a request. */
   async send(): Promise<void> {
     const { lease } = this.context;
     for (const request of [...this.requests]) {
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses machines that are to be returned to the cloud.
+ * Scale-in: chooses the machines to be returned to the cloud.
  * @module
  */
 import { isBeingEmptied, type Machine } from "../../cluster/machine.js";
@@ -8,38 +8,38 @@
 import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
 import type { CapacityBin } from "./capacity-bins.js";
 
-/** The cloud charges at least about this time for a machine. */
+/** The cloud's minimum charge for a machine covers about this time. */
 export const MIN_CHARGED_TIME = seconds(58);
-/** A boot has failed beyond this multiple of the type's boot time and the grace, in seconds. */
+/** A boot has failed after the type's boot time times this factor, plus the grace in seconds. */
 const FAILED_BOOT_FACTOR = 5;
 const FAILED_BOOT_GRACE_S = 15;
-/** For types that the cloud's list does not name, in seconds. */
+/** The boot time in seconds assumed for machine types that the cloud does not list. */
 const DEFAULT_BOOT_S = 60;
 
-/** Why a machine is returned. */
+/** Why a machine is returned to the cloud. */
 export type ScaleInReason = "boot failed" | "drained" | "unknown type" | "idle";
 
-/** A machine that is to be returned. */
+/** A machine that is to be returned to the cloud. */
 export interface ScaleInChoice {
   readonly machine: Machine;
   readonly reason: ScaleInReason;
 }
 
-/** Machines without tasks that a plan has packed something into; those with tasks stay in any case. */
+/** Machines without tasks into which the plan has packed tasks; machines with tasks are kept in any case. */
 const emptyMachinesInUse = (bins: readonly CapacityBin[]): Set<Machine> => {
   const machines = new Set<Machine>();
   for (const { used, machine } of bins) if (used && machine !== null && machine.tasks.size === 0) machines.add(machine);
   return machines;
 };
 
-/** Nothing runs on the machine, and what is placed there is only free with its deletion. */
+/** Whether the machine is being emptied and its tasks neither run nor can be released before the machine is deleted. */
 const holdsTasksOnly = (machine: Machine, now: Micros): boolean => {
   if (!isBeingEmptied(machine)) return false;
   for (const task of machine.tasks) if (task.startCommand.kind !== "none" || mayRelease(task, now)) return false;
   return true;
 };
 
-/** Why an empty machine may be returned; `idle`: unless the plan uses it. Null: it stays. */
+/** Why a machine without running tasks may be returned; an `idle` one is kept if the plan uses it. Null: it is kept. */
 const reasonToReturn = ({ now, options }: SchedulerSnapshot, machine: Machine): ScaleInReason | null => {
   const { lifecycle, state, type, load } = machine;
   const age = now - lifecycle.provisionedAt;
@@ -59,7 +59,10 @@
   }
 };
 
-/** Machines without tasks, or with none that can run or leave, that failed to boot, are drained, or are idle and not used by the plan's bins. */
+/**
+ * Machines that failed to boot, are drained or of an unknown type, or are idle and not used by the plan. They have no
+ * tasks, or only tasks that neither run nor can be released.
+ */
 export const chooseScaleIn = (snapshot: SchedulerSnapshot, bins: readonly CapacityBin[]): readonly ScaleInChoice[] => {
   const inUse = emptyMachinesInUse(bins);
   const choices: ScaleInChoice[] = [];
--- a/src/coordination/autoscaling/scale-plan.ts
+++ b/src/coordination/autoscaling/scale-plan.ts
@@ -1,5 +1,5 @@
 /**
- * Plans which machines to provision and which to return.
+ * The scale plan: which machines to provision and which to return to the cloud.
  * @module
  */
 import type { Job } from "../../cluster/job.js";
@@ -14,9 +14,9 @@
 import { EndingCapacity } from "./ending-tasks.js";
 import { chooseScaleIn, type ScaleInChoice } from "./scale-in.js";
 
-/** After this many jobs, full bins are taken out of those that are looked at. */
+/** Full bins are removed from the open bins after every this many jobs. */
 const SWEEP_INTERVAL_JOBS = 16;
-/** Headroom is spread over zones as for a job of this many tasks. */
+/** The job size assumed for headroom where tasks are spread over zones. */
 const HEADROOM_JOB_TASKS = 1_000;
 
 /** Machines of one offer that are to be provisioned. */
@@ -26,18 +26,19 @@
   readonly reasons: ReadonlySet<ScaleOutReason>;
 }
 
-/** Machines to be provisioned, and machines that may be returned because nothing is expected to use them. */
+/** Machines to be provisioned, and machines that may be returned to the cloud. */
 export interface ScalePlan {
   readonly scaleOut: readonly ScaleOutRequest[];
   readonly scaleIn: readonly ScaleInChoice[];
 }
 
-/** Tasks of the job that are not placed, as far as they may be started and its team's limit permits. */
+/** The number of the job's unplaced tasks that may be started, given its failures and its team's CPU limit. */
 const startableTasks = (job: Job, { shard, settings, now }: SchedulerSnapshot): number => {
   const { spec, waitingTasks, ranges } = job;
   const tasksInRanges = ranges.reduce((sum, range) => sum + range.tasks.length, 0);
   const unplaced = waitingTasks.size + Math.max(0, spec.tasks - tasksInRanges);
-  // With machines for all of a job that fails wherever it is started, machines were empty until its user noticed.
+  // A job that fails wherever it is started is not given machines for all its tasks: they stayed empty until its user
+  // noticed the failures.
   const allowed = Math.min(unplaced, allowedStarts(job, now));
   const limit = settings.teams.get(spec.team)?.limit.cpu ?? null;
   if (limit === null || spec.demand.cpu <= 0) return allowed;
@@ -47,7 +48,7 @@
 
 const packWaiting = (snapshot: SchedulerSnapshot, packer: BinPacker): void => {
   const endingCapacity = new EndingCapacity(snapshot);
-  // With thousands of jobs waiting for thousands of machines, walking the full ones for each job took most of a plan.
+  // With thousands of waiting jobs and machines, iterating over full bins for each job took most of the planning time.
   let openBins = [...packer.bins];
   let packedJobs = 0;
   const jobs = waitingJobs(snapshot);
@@ -63,7 +64,7 @@
   }
 };
 
-/** Replicas that cannot be reached will have to start elsewhere the moment their worker's lease expires. */
+/** Packs replacements for unreachable replicas, which start elsewhere as soon as their workers' leases expire. */
 const packUnreachableZones = (
   snapshot: SchedulerSnapshot,
   unreachableZones: ReadonlySet<string>,
@@ -83,7 +84,7 @@
   }
 };
 
-/** A start within a second cannot wait for a boot: for such classes the capacity for a typical job is kept free. */
+/** Packs headroom for classes whose start objective is too short for a machine to boot. */
 const packHeadroom = (snapshot: SchedulerSnapshot, offers: CloudOffers, packer: BinPacker): void => {
   for (const demand of headroomDemand(snapshot, offers.demandHistory)) {
     const spec = { ...demand.spec, singleZone: false, tasks: HEADROOM_JOB_TASKS };
@@ -103,7 +104,7 @@
   return [...groups.values()];
 };
 
-/** Packs waiting and expected tasks into machines that are there or on their way, and into new ones as needed. */
+/** Packs waiting and expected tasks into existing and requested machines, and into new ones as needed. */
 export const planScaling = (snapshot: SchedulerSnapshot, offers: CloudOffers): ScalePlan => {
   const packer = new BinPacker(snapshot, offers, existingBins(snapshot, offers));
   const existingCount = packer.bins.length;
