--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a controller share: services, the lease of a shard, and the context of the shard's leader. */
+/** Interfaces shared within a controller: its services, the lease of a shard, and the context of the shard's leader. */
 import type { DependencyGraph } from "../cluster/dependency-graph.js";
 import type { ClusterEventListener } from "../cluster/events.js";
 import type { Job } from "../cluster/job.js";
@@ -18,7 +18,7 @@
 import type { Log } from "../transport/log.js";
 import type { LoadShedder } from "./overload/load-shedder.js";
 
-/** The services that every part of a controller uses. */
+/** The services that all components of a controller use. */
 export interface Services {
   readonly clock: Clock;
   readonly log: Log;
@@ -28,56 +28,60 @@
   readonly store: KeyValueStore;
   readonly transactions: TransactionBatcher;
   readonly cache: WatchCache;
-  /** Dependencies between current jobs; kept by every controller. */
+  /** Dependencies between current jobs; every controller maintains the whole graph. */
   readonly dependencies: DependencyGraph;
   /** A random number, uniform in [0, 1). */
   readonly random: () => number;
   readonly eventListener: ClusterEventListener;
   readonly loadShedder: LoadShedder;
-  /** Time of day in milliseconds, true within `settings.clockError`; null if there is none to rely on. */
+  /** Time of day in milliseconds, accurate within `settings.clockError`; null: no reliable clock is available. */
   readonly wallClock: (() => number) | null;
-  /** Told how many machines and tasks each round and scale plan has examined; null: not wanted. */
+  /** Called after each round and scale plan with the number of machines and tasks it examined; null: no listener. */
   readonly onInspected: ((looks: number) => void) | null;
-  /** When this controller's own path to the workers was last found cut or restored; null: never, or there is no mesh. */
+  /** When this controller's own path to the workers was last detected as lost or restored; null: never, or no mesh. */
   readonly workerPathChangedAt: () => Micros | null;
 }
 
-/** The lease of a shard (a set of machines). `epoch` is fresh at every acquisition. */
+/** The lease of a shard (a set of machines). Each acquisition has a new, higher `epoch`. */
 export interface ShardLease {
   readonly shard: number;
   readonly epoch: number;
   readonly key: string;
   readonly version: Uint64;
-  /** By this process's steady clock, counted from before the request that renewed the lease was sent. */
+  /**
+   * Whether the lease is valid by this process's steady clock, counted from before its last renewal request was sent.
+   */
   isValid(): boolean;
 }
 
-/** The services, with the shard and what its leader's collaborators ask of each other. */
+/** The services, the shard and its lease, and the calls between the components of the shard's leader. */
 export interface ShardContext extends Services {
   readonly shard: ShardState;
   readonly lease: ShardLease;
-  /** Another controller leads the shard, or may lead it: nothing more may be done in the shard's name. */
+  /** Another controller leads the shard, or may lead it: this one must stop acting as its leader. */
   onFenced(): void;
-  /** The state in memory is wrong: acquire the shard under a fresh epoch, since commands of this one may be in flight. */
+  /**
+   * The in-memory state is wrong: reacquire the shard under a new epoch, since commands of this one may be in flight.
+   */
   onInconsistent(): void;
-  /** Capacity or work has appeared: a placement round is due. */
+  /** Schedules a placement round, because capacity has become free or tasks are waiting. */
   scheduleRound(): void;
-  /** The machine has commands to be sent. */
+  /** Schedules sending of the commands that are pending for the machine. */
   scheduleCommands(machine: Machine): void;
-  /** The machine ought to be up, but this leader has no heartbeat of it. */
+  /** Enqueues a status query to a worker that should be up but from which this leader has received no heartbeat. */
   queryStatus(machine: Machine): void;
-  /** Sends the worker this lease's fencing token at once. */
+  /** Sends this lease's fencing token to the worker without waiting for its next heartbeat. */
   announceFencingToken(machine: Machine): void;
-  /** False while the machine's zone is on record as unreachable. */
+  /** Whether tasks may be started on the machine; false while its zone is recorded as unreachable. */
   mayStartTasks(machine: Machine): boolean;
-  /** The job's outcome is on record. */
+  /** Called once the job's outcome record has been written. */
   onJobEnded(job: Job, end: OutcomeRecord): void;
-  /** An attempt of the task has failed. */
+  /** Called when an attempt of the task has failed. */
   onTaskFailed(task: Task, reason: ExitReason): void;
 }
 
 /**
- * The delay before the next attempt: `first` doubled with each failure, at most `most`.
+ * The delay before the next attempt: `first`, doubled with each failure, at most `most`.
  *
  * @param failures the number of attempts that have failed since the last success
  */
--- a/src/coordination/extension.ts
+++ b/src/coordination/extension.ts
@@ -1,4 +1,4 @@
-/** The interface of an extension: a part beside the scheduler that makes jobs of its own. */
+/** The interface between the scheduler core and an extension, a component that submits jobs of its own. */
 
 import type { MachineType } from "../protocol/cloud.js";
 import type { JobSpec } from "../protocol/job-spec.js";
@@ -8,34 +8,39 @@
 import type { HttpRequest, HttpResponse } from "../transport/http.js";
 import type { Services, ShardContext } from "./context.js";
 
-/** An extension's part while this controller leads a shard. Must not throw; nothing of it is waited for. */
+/** An extension's handlers for a shard that this controller leads. They must not throw and are not awaited. */
 export interface ShardExtension {
-  /** Anything current has changed; called after the kernel has taken it in. */
+  /** Called for each change of a current record, after the scheduler core has applied it. */
   onChange(change: KeyChange): void;
-  /** The job's outcome is on record. */
+  /** Called once the job's outcome record has been written. */
   onJobEnded(spec: JobSpec, end: OutcomeRecord): void;
-  /** One of the job's tasks ended badly; it is retried unless the job is cancelled. */
+  /** Called when an attempt of one of the job's tasks has failed; the task is retried unless the job is cancelled. */
   onTaskFailed(spec: JobSpec, index: number, reason: ExitReason): void;
+  /** Called when this controller stops leading the shard. */
   stop(): void;
 }
 
-/** What the kernel lets an extension do with a block, beside writing through the committer. */
+/** Operations on a shard that the scheduler core offers to an extension, in addition to transactions. */
 export interface ShardControls {
-  /** Cancels every open job that `isWithdrawn` is now true of: the extension has recorded that, with no write for each job. */
+  /**
+   * Cancels those of the jobs for which `isWithdrawn` has become true. The extension has recorded this once for all, so
+   * that no write per job is needed.
+   */
   cancelWithdrawnJobs(ids: Iterable<string>): void;
 }
 
 /**
- * Something beside the kernel that makes jobs of its own. Its jobs are jobs like all others; the kernel only asks it
- * whether one of them has been withdrawn together with what it belongs to.
+ * A component that submits jobs of its own. The scheduler core treats them like all other jobs, but calls `isWithdrawn`
+ * to find out whether a job was cancelled together with the graph run that it belongs to.
  */
 export interface Extension {
-  /** Null: not one of its paths. */
+  /** Handles a user's request; null: the path does not belong to the extension. */
   handle(request: HttpRequest): Promise<HttpResponse> | null;
+  /** Called when this controller has become the leader of a shard and restored its jobs. */
   acquireShard(context: ShardContext, doors: ShardControls): ShardExtension;
-  /** By what is in this controller's view. */
+  /** Whether the job was cancelled together with its graph run, by the records in this controller's watch cache. */
   isWithdrawn(spec: JobSpec): boolean;
 }
 
-/** Makes the extension of one controller. */
+/** Creates the extension of one controller; `types` are the cloud's machine types by name. */
 export type ExtensionFactory = (services: Services, types: ReadonlyMap<string, MachineType>) => Extension;
--- a/src/coordination/log-events.ts
+++ b/src/coordination/log-events.ts
@@ -1,7 +1,7 @@
-/** Log events of the coordination package. */
+/** The texts of the log events that the coordination package writes. */
 
 /**
- * Log events of the control loops: subject and verb. Operators' pages list each with its meaning (docs/operations).
+ * Log events of the control loops, each a subject and a verb. The operators' pages describe them (docs/operations).
  */
 export const LogEvent = {
   /** This controller has become the leader of a shard. */
@@ -14,111 +14,111 @@
   ClusterLeaderElected: "cluster leader elected",
   /** This controller holds a member lease. */
   MemberJoined: "member joined",
-  /** The key-value store no longer knows the member lease. */
+  /** The member lease no longer exists in the key-value store. */
   MemberLeaseLost: "member lease lost",
-  /** A step of joining or renewing threw. */
+  /** A step of joining the cluster or renewing the member lease threw. */
   MembershipStepFailed: "membership step failed",
-  /** A step of electing or assigning threw. */
+  /** A step of the cluster leader election or of assigning shards threw. */
   ClusterLeadershipFailed: "cluster leadership step failed",
-  /** Nothing may be done in the shard's name until the lease is regained. */
+  /** The shard's lease has expired: the controller does not act as the shard's leader until the lease is regained. */
   LeaseExpired: "lease expired",
   /** The shard's lease is valid again. */
   LeaseRegained: "lease regained",
-  /** A periodic check of the leader threw. */
+  /** A periodic check of the shard leader threw. */
   LeaderTickFailed: "leader tick failed",
-  /** An asynchronous step of the leader threw. */
+  /** An asynchronous step of the shard leader threw. */
   LeaderStepFailed: "leader step failed",
   /** A placement round threw. */
   RoundFailed: "round failed",
-  /** Every 30 s: pools, waiting jobs, failures, heartbeats and writes. */
+  /** Summary every 30 s: pools, waiting jobs, failures, heartbeats and writes. */
   CapacitySummarized: "capacity summarized",
-  /** A loop that must not end has ended. */
+  /** A loop that is to run for the life of the process has ended with an error. */
   LoopFailed: "loop failed",
-  /** A worker's heartbeat could not be read. */
+  /** A worker's heartbeat could not be decoded. */
   HeartbeatMalformed: "heartbeat malformed",
-  /** The recorded list of machine types could not be read. */
+  /** The record of the machine types could not be decoded. */
   MachineTypesRecordMalformed: "machine types record malformed",
-  /** A heartbeat names a machine that was not known. */
+  /** A heartbeat has arrived from a machine that was not known to the shard. */
   MachineReported: "machine reported",
   /** The first verified heartbeat of a machine has been processed. */
   MachineUp: "machine up",
-  /** The cloud takes a spot machine back. */
+  /** The cloud has announced that it reclaims a spot instance. */
   MachineReclaimAnnounced: "machine reclaim announced",
-  /** Commands and responses arrive at the worker again. */
+  /** Commands and responses reach the worker again. */
   WorkerReachable: "worker reachable",
-  /** Heartbeats arrive, but commands or responses do not. */
+  /** The worker's heartbeats arrive, but commands or responses do not reach it. */
   WorkerUnreachable: "worker unreachable",
-  /** The worker has started a new incarnation; its earlier tasks are gone. */
+  /** The worker has started as a new incarnation; tasks of the earlier one no longer run. */
   WorkerIncarnationChanged: "worker incarnation changed",
-  /** The worker's counters have begun anew; earlier commands may still arrive. */
+  /** The worker's counters have restarted; commands sent before may still be delivered. */
   WorkerCountersReset: "worker counters reset",
-  /** All tasks of a machine are surely gone. */
+  /** It is certain that none of the machine's tasks runs any more. */
   TasksLost: "tasks lost",
-  /** A worker no longer lists attempts that it ran. */
+  /** A worker's task list lacks attempts that it ran before. */
   TasksVanished: "tasks vanished",
-  /** A worker runs attempts that no placement explains; they are stopped. */
+  /** A worker runs attempts for which no placement exists; they are stopped. */
   UnexpectedTasksReported: "unexpected tasks reported",
   /** An attempt ended with an error. */
   TaskFailed: "task failed",
-  /** The job fails wherever it runs: one task at a time is tried. */
+  /** The job fails on every machine: only one of its tasks at a time is started. */
   JobOnProbation: "job put on probation",
-  /** Sound jobs fail on the machine: it is drained and returned. */
+  /** Jobs that succeed elsewhere fail on the machine: it is drained and returned to the cloud. */
   MachineFaulty: "machine faulty",
-  /** This process sheds more or less work. */
+  /** The load level of this process has changed, and with it the work that it sheds. */
   LoadLevelChanged: "load level changed",
-  /** A recorded range holds placements unknown here: the shard is taken anew. */
+  /** A recorded task range holds placements unknown to this leader: the shard is reacquired. */
   TaskRangeConflicting: "task range conflicting",
-  /** An own write without a response turned out to be applied. */
+  /** This leader's own write of a task range, to which it got no response, was found to be applied. */
   TaskRangeAdopted: "task range adopted",
-  /** The job's outcome is on record. */
+  /** The job's outcome record has been written. */
   JobEnded: "job ended",
   /** A step of the autoscaler threw. */
   AutoscalerStepFailed: "autoscaler step failed",
-  /** The cloud lists a machine that was not known. */
+  /** The cloud lists a machine that was not known to the shard. */
   MachineDiscovered: "machine discovered",
   /** The cloud lists a machine as failed. */
   MachineFailed: "machine failed",
   /** The cloud has confirmed deletions. */
   MachinesDeleted: "machines deleted",
-  /** The cloud has answered a provisioning request. */
+  /** The cloud has responded to a provisioning request. */
   MachinesProvisioned: "machines provisioned",
-  /** Replicas are moved off a machine so that it can be returned. */
+  /** A machine is drained of its replicas so that it can be returned to the cloud. */
   ConsolidationStarted: "consolidation started",
-  /** Tasks are stopped to make capacity for another. */
+  /** Tasks are stopped to free capacity for another task. */
   TaskPreempted: "task preempted",
-  /** Capacity that comes free is reserved for a job. */
+  /** Capacity that becomes free is reserved for a job. */
   CapacityReserved: "capacity reserved",
-  /** The reservation has ended. */
+  /** A reservation has ended. */
   ReservationReleased: "reservation released",
-  /** No capacity for the job within the time that can be waited for. */
+  /** No reservation can provide capacity for the job within its maximum waiting time. */
   ReservationImpossible: "reservation impossible",
   /** The record of unreachable zones could not be written. */
   UnreachableZonesRecordFailed: "unreachable zones record failed",
-  /** Machines without heartbeats are deleted. */
+  /** Machines that sent no heartbeat for too long are deleted. */
   MachinesSilent: "machines silent",
-  /** Machines that nothing reaches are deleted. */
+  /** Machines whose workers cannot be reached are deleted. */
   UnreachableMachinesRemoved: "unreachable machines removed",
-  /** The shard is taken anew under a fresh epoch. */
+  /** The fencing sequences of a machine are used up: the shard is reacquired under a new epoch. */
   FencingSequencesExhausted: "fencing sequences exhausted",
-  /** A worker's response could not be read. */
+  /** A worker's response could not be decoded. */
   WorkerResponseMalformed: "worker response malformed",
-  /** A part of a recorded list of dependencies is missing. */
+  /** A part of a job's recorded dependency list is missing. */
   DependencyListIncomplete: "dependency list incomplete",
-  /** Reading outcomes of dependencies threw. */
+  /** Reading the outcomes of dependencies threw. */
   OutcomeReadFailed: "outcome read failed",
-  /** Looking up outcomes of ended jobs threw. */
+  /** Looking up the outcomes of ended jobs threw. */
   OutcomeLookupFailed: "outcome lookup failed",
   /** All dependencies of the job are done. */
   JobDependenciesSatisfied: "job dependencies satisfied",
-  /** The job was cancelled, or a dependency of it was. */
+  /** The job or one of its dependencies was cancelled. */
   JobCancelled: "job cancelled",
-  /** A response of the cloud could not be read. */
+  /** A response of the cloud could not be decoded. */
   CloudResponseMalformed: "cloud response malformed",
-  /** Guaranteed work exceeds all capacity: teams are served by turns. */
+  /** The guaranteed work exceeds all capacity: teams are served in turn. */
   GuaranteesOvercommitted: "guarantees overcommitted",
   /** All guaranteed work fits again. */
   GuaranteesSatisfiable: "guarantees satisfiable",
-  /** This controller reaches no workers and gives its shard to another; `reason` says how it knows. */
+  /** This controller cannot reach the workers and hands its shard to another; `reason` names the evidence. */
   LeadershipTransferred: "leadership transferred",
 } as const;
 
--- a/src/coordination/overload/backpressure-signal.ts
+++ b/src/coordination/overload/backpressure-signal.ts
@@ -1,9 +1,9 @@
-/** The key by which a leader tells other controllers to accept no more jobs for its shard. */
+/** The back-pressure key with which a saturated shard leader makes all controllers defer submissions for its shard. */
 
 import { backpressureKey } from "../../storage/keys.js";
 import type { Services, ShardLease } from "../context.js";
 
-/** Tells the other controllers, by a key, to accept no more jobs for a shard, or that they may again. */
+/** Writes the shard's back-pressure key while this process is saturated, and deletes it afterwards. */
 export class BackpressureSignal {
   private publishing = false;
 
@@ -13,6 +13,7 @@
     private readonly guard: (work: Promise<unknown>) => Promise<void>,
   ) {}
 
+  /** Starts a write or deletion of the key if it differs from the load level and no earlier one is in flight. */
   publish(): void {
     const { cache, transactions, loadShedder } = this.services;
     const key = backpressureKey(this.lease.shard);
@@ -26,7 +27,7 @@
       [key, entry?.version ?? 0],
     ]);
     const write = full ? ({ kind: "put", key, value: {} } as const) : ({ kind: "delete", key } as const);
-    // Whatever becomes of it, the next check looks again.
+    // A failed write needs no handling here: the next periodic check calls `publish` again.
     const published = transactions.submit(conditions, [write], "cancellation").then(() => cache.sync());
     void this.guard(published).then(() => {
       this.publishing = false;
--- a/src/coordination/overload/load-shedder.ts
+++ b/src/coordination/overload/load-shedder.ts
@@ -1,40 +1,40 @@
-/** Load levels of this process, and what is left out at each. */
+/** Load levels of this process, and the work that is shed at each. */
 
 import { type Clock, type Micros, ms, seconds } from "../../transport/clock.js";
 import type { Log } from "../../transport/log.js";
 import { LogEvent } from "../log-events.js";
 
 /**
- * What a controller leaves out as its load grows, each level beside what the ones before it do (docs/overload.md):
- * `reduced`: optional work (emptying machines, moving replicas, most searches for something to stop, asking machines for
- * their state); `degraded`: rounds and scaling plans are made less often, and a leader sends the load balancer's new
- * users to the others; `saturated`: nothing more is accepted or rented. Reports and stops go on at every level: an answer
- * to a report is the cheapest thing that keeps a machine's tasks alive.
+ * Load levels of a controller, in rising order. Each level sheds more work than the one before (docs/overload.md):
+ * `reduced`: no optional work (consolidation, most preemption searches, most status queries); `degraded`: placement
+ * rounds and scale plans run less often, and a leader's health check makes the load balancer send users to other
+ * controllers; `saturated`: submissions are deferred and no machines provisioned. Heartbeats and stop commands are
+ * handled at every level: a response to a heartbeat is the cheapest operation that keeps a machine's tasks alive.
  */
 export const LOAD_LEVELS = ["normal", "reduced", "degraded", "saturated"] as const;
-/** One of the load levels, in rising order. */
+/** One of `LOAD_LEVELS`. */
 export type LoadLevel = (typeof LOAD_LEVELS)[number];
 
-/** How near a process is to its limits; all but `late` as shares of the limit. */
+/** Memory and sockets in use, each as a share of the process's limit. */
 export interface ProcessLoad {
   readonly memory: number;
   readonly sockets: number;
 }
 
-/** Where the load of this process is read; null where there is nothing to read, as in most simulations. */
+/** Reads the load of this process; null: it is not measured, as in most simulations, and the level stays `normal`. */
 export type LoadSource = (() => ProcessLoad) | null;
 
 const SAMPLE_INTERVAL = ms(100);
-/** Weight of a new delay in the running mean: about the last second and a half counts. */
+/** Weight of a new sample in the exponential moving average, which covers about the last 1.5 s. */
 const SAMPLE_WEIGHT = 0.07;
-/** Delays beyond this are one standstill, not a load: it must not leave a mark for half a minute. */
+/** Longer delays are capped: a single stall of the process is not load, and must not dominate the average for 30 s. */
 const MAX_SAMPLE = seconds(2);
 const CALM_TIME = seconds(5);
-/** A level is left below this share of what brought it about. */
+/** A level is left only below this share of the thresholds at which it is entered (hysteresis). */
 const LEAVE_SHARE = 0.5;
 
 interface LevelThreshold {
-  /** Mean delay of timers: work that waits for the processor. */
+  /** Mean delay of timers, which shows how long work waits for the CPU. */
   readonly delay: Micros;
   readonly memory: number;
   readonly sockets: number;
@@ -46,7 +46,7 @@
   { delay: ms(800), memory: 0.93, sockets: Number.POSITIVE_INFINITY },
 ];
 
-/** Tells how much of its load this process can carry. Steps up at once, and down one level after a calm time. */
+/** Determines the load level of this process. It rises at once, and falls by one level after a period of lower load. */
 export class LoadShedder {
   private levelIndex = 0;
   private meanDelay = 0;
@@ -63,10 +63,12 @@
     if (source !== null) this.scheduleSample();
   }
 
+  /** The current load level. */
   get level(): LoadLevel {
     return LOAD_LEVELS[this.levelIndex] ?? "saturated";
   }
 
+  /** Whether the current level is `level` or a higher one. */
   atLeast(level: LoadLevel): boolean {
     return this.levelIndex >= LOAD_LEVELS.indexOf(level);
   }
@@ -79,7 +81,7 @@
     });
   }
 
-  /** `late`: how much later than asked for a timer fired. */
+  /** `late`: how much later than scheduled the timer fired. */
   private addSample(late: Micros): void {
     if (this.source === null) return;
     this.meanDelay += SAMPLE_WEIGHT * (Math.min(late, MAX_SAMPLE) - this.meanDelay);
