--- a/src/coordination/autoscaling/cloud-client.ts
+++ b/src/coordination/autoscaling/cloud-client.ts
@@ -93,7 +93,7 @@
       if (outcome.status === 200) return { kind: "ok", value: parse(parseJson(outcome.body)) };
       if (outcome.status === 503 && outcome.body.includes("no capacity")) return { kind: "refused" };
       if (outcome.status === 429) this.requestLimit.backOff(ms(500));
-      else if (outcome.status !== 503) throw new MalformedMessageError(`status ${outcome.status}`);
+      else if (outcome.status !== 503) throw new MalformedMessageError(`unexpected HTTP status ${outcome.status}`);
     } catch (error) {
       this.log.error(LogEvent.CloudResponseMalformed, { target, error: String(error) });
     }
--- a/src/coordination/fencing-token.ts
+++ b/src/coordination/fencing-token.ts
@@ -27,7 +27,9 @@
  */
 export const fencingTokenOf = (lease: ShardLease, machine: Machine): number => {
   if (machine.fencing.sequence >= FENCING_SEQUENCES - 1 || lease.epoch >= EPOCH_LIMIT)
-    throw new FencingTokenRangeError("token out of range");
+    throw new FencingTokenRangeError(
+      `fencing token out of range: epoch ${lease.epoch}, sequence ${machine.fencing.sequence}`,
+    );
   return lease.epoch * FENCING_SEQUENCES + machine.fencing.sequence;
 };
 
