--- a/src/coordination/api/admission.ts
+++ b/src/coordination/api/admission.ts
@@ -27,8 +27,8 @@
   /** Null: the job is admitted; otherwise the 503 response with the time after which to retry. */
   deferral(job: { readonly team: string; readonly jobClass: string }): HttpResponse | null {
     const { loadShedder, cache, transactions } = this.services;
-    const full = loadShedder.atLeast("saturated") || cache.entries.has(backpressureKey(shardOf(job.team)));
-    if (full && !this.admitUnderPressure(job.jobClass)) return retryLater("overloaded", OVERLOAD_RETRY_AFTER_S);
+    const overloaded = loadShedder.atLeast("saturated") || cache.entries.has(backpressureKey(shardOf(job.team)));
+    if (overloaded && !this.admitUnderPressure(job.jobClass)) return retryLater("overloaded", OVERLOAD_RETRY_AFTER_S);
     return transactions.userWriteDelay > MAX_USER_WRITE_DELAY ? this.assignRetrySlot() : null;
   }
 
--- a/src/coordination/api/job-lookup.ts
+++ b/src/coordination/api/job-lookup.ts
@@ -60,8 +60,8 @@
     return acceptedSince === undefined ? { kind: "not-found" } : { kind: "current", entry: acceptedSince };
   }
 
-  private rememberOutcome(id: string, end: OutcomeRecord): void {
-    this.recentOutcomes.set(id, end);
+  private rememberOutcome(id: string, outcome: OutcomeRecord): void {
+    this.recentOutcomes.set(id, outcome);
     if (this.recentOutcomes.size <= MAX_REMEMBERED_OUTCOMES) return;
     const oldest = this.recentOutcomes.keys().next().value;
     if (oldest !== undefined) this.recentOutcomes.delete(oldest);
--- a/src/coordination/api/job-status.ts
+++ b/src/coordination/api/job-status.ts
@@ -29,14 +29,14 @@
    *
    * @param known the result of a lookup that was made for this request already
    */
-  async respond(id: string, known?: JobLookup): Promise<HttpResponse> {
-    const found = known ?? (await this.finder.find(id));
+  async respond(id: string, lookup?: JobLookup): Promise<HttpResponse> {
+    const found = lookup ?? (await this.finder.find(id));
     // A job may be cancelled together with a dependency: the outcomes of its dependencies are needed for its phase.
     const resolved = found.kind !== "current" || this.hasStarted(id) || (await this.dependencyResolver.resolve(id));
     if (!resolved) return retryLater("state service unavailable");
-    if (found.kind !== "current") return this.describe(id, found);
+    if (found.kind !== "current") return this.responseFor(id, found);
     const entry = this.services.cache.entries.get(jobKey(id));
-    return this.describe(id, entry === undefined ? await this.finder.find(id) : { kind: "current", entry });
+    return this.responseFor(id, entry === undefined ? await this.finder.find(id) : { kind: "current", entry });
   }
 
   /** Whether tasks of the job have been placed, which implies that all its dependencies are done. */
@@ -44,7 +44,7 @@
     return this.services.cache.entries.has(taskRangeKey(id, 0));
   }
 
-  private describe(id: string, found: JobLookup): HttpResponse {
+  private responseFor(id: string, found: JobLookup): HttpResponse {
     switch (found.kind) {
       case "unknown":
         return retryLater("state service unavailable");
--- a/src/coordination/api/job-submission.ts
+++ b/src/coordination/api/job-submission.ts
@@ -61,13 +61,13 @@
     const { spec } = decoded;
     const earlyResponse = this.respondUnlessAdmitted(spec, body);
     if (earlyResponse !== null) return earlyResponse;
-    const checked = await dependencyResolver.check(spec.dependencies ?? []);
-    if (checked.kind === "not-found") {
-      const refusal = jsonResponse(422, { error: `awaits: ${checked.id} was never accepted` });
+    const dependencyCheck = await dependencyResolver.check(spec.dependencies ?? []);
+    if (dependencyCheck.kind === "not-found") {
+      const refusal = jsonResponse(422, { error: `awaits: ${dependencyCheck.id} was never accepted` });
       return this.refuseUnlessAccepted(spec.id, refusal);
     }
-    if (checked.kind === "unknown") return retryLater("state service unavailable");
-    const record = this.recordOf(spec, checked.cancelled);
+    if (dependencyCheck.kind === "unknown") return retryLater("state service unavailable");
+    const record = this.createRecord(spec, dependencyCheck.cancelled);
     const prepared = await dependencyResolver.prepareRecord(record, transactions.maxValueBytes);
     if (prepared === null) return retryLater("state service unavailable");
     const key = jobKey(spec.id);
@@ -84,13 +84,13 @@
     const { services, machineTypes, finder, status } = this.dependencies;
     if (!services.cache.loaded || machineTypes.size === 0) return retryLater("machine types unknown");
     if (finder.isKnown(spec.id)) return status.respond(spec.id);
-    const permanentRefusal = this.refusal(spec, body);
+    const permanentRefusal = this.permanentRefusal(spec, body);
     if (permanentRefusal !== null) return this.refuseUnlessAccepted(spec.id, permanentRefusal);
     return this.admission.deferral(spec);
   }
 
   /** A job with a cancelled dependency is accepted as well, but recorded as cancelled. */
-  private recordOf(spec: JobSpec, cancelled: boolean): JobRecord {
+  private createRecord(spec: JobSpec, cancelled: boolean): JobRecord {
     const { wallClock } = this.dependencies.services;
     const acceptance: Partial<JobRecord> = wallClock === null ? {} : { acceptedMs: Math.round(wallClock()) };
     return { spec, shard: shardOf(spec.team), cancelled, ...acceptance };
@@ -121,7 +121,7 @@
   }
 
   /** The refusal of a job that can never be accepted; null: there is no such reason. */
-  private refusal(spec: JobSpec, body: string): HttpResponse | null {
+  private permanentRefusal(spec: JobSpec, body: string): HttpResponse | null {
     const { services, machineTypes } = this.dependencies;
     const reason = neverRuns(spec, services.settings, machineTypes);
     if (reason !== null) return jsonResponse(422, { error: reason });
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -28,7 +28,7 @@
 const LIST_REQUEST_SHARE = 0.2;
 const CONSOLIDATION_CHECK_INTERVAL = seconds(2);
 const CONSOLIDATION_INTERVAL = seconds(15);
-const NEVER = 0 as Micros;
+const IMMEDIATELY = 0 as Micros;
 
 /** Periodically provisions and deletes machines so that the shard's capacity follows the demand of its jobs. */
 export class Autoscaler {
@@ -43,8 +43,8 @@
   private readonly provisioning: ProvisioningRequests;
   private stopped = false;
   /** Whether a machine list of the cloud has been reconciled; no scaling takes place before. */
-  private listed = false;
-  private nextConsolidation: Micros = NEVER;
+  private machineListReceived = false;
+  private nextConsolidation: Micros = IMMEDIATELY;
 
   constructor(
     private readonly context: ShardContext,
@@ -76,11 +76,11 @@
 
   /** Reconciles the machine list and scales, each with its own period, until stopped. */
   async run(): Promise<void> {
-    void this.loop(
+    void this.runPeriodically(
       () => this.reconcileMachineList(),
-      () => this.listPeriod(),
+      () => this.machineListPeriod(),
     );
-    await this.loop(
+    await this.runPeriodically(
       () => this.scale(),
       () => SCALE_INTERVAL,
     );
@@ -90,14 +90,14 @@
    * Bounds the share of the cloud's request limit that is spent on machine lists. With thousands of machines a list has
    * several pages; read as often as a short one, it left hardly any requests for provisioning during a burst.
    */
-  private listPeriod(): Micros {
+  private machineListPeriod(): Micros {
     const { settings, shard } = this.context;
     const pages = 1 + Math.floor(shard.machines.size / LIST_PAGE_SIZE);
-    const share = (pages / (settings.cloud.requestsPerS * LIST_REQUEST_SHARE)) * 1_000_000;
-    return Math.max(seconds(2), settings.cloud.listLag / 2, share) as Micros;
+    const minPeriod = (pages / (settings.cloud.requestsPerS * LIST_REQUEST_SHARE)) * 1_000_000;
+    return Math.max(seconds(2), settings.cloud.listLag / 2, minPeriod) as Micros;
   }
 
-  private async loop(step: () => Promise<void>, period: () => Micros): Promise<void> {
+  private async runPeriodically(step: () => Promise<void>, period: () => Micros): Promise<void> {
     while (!this.stopped) {
       try {
         if (this.context.lease.isValid()) await step();
@@ -113,7 +113,7 @@
     const reply = await this.cloud.listMachines();
     if (reply.kind !== "ok" || this.stopped) return;
     this.reconciler.reconcile(reply.value);
-    this.listed = true;
+    this.machineListReceived = true;
   }
 
   private cloudOffers(): CloudOffers {
@@ -127,7 +127,7 @@
   }
 
   private async scale(): Promise<void> {
-    if (!this.listed || this.context.shard.machineTypes().size === 0) return;
+    if (!this.machineListReceived || this.context.shard.machineTypes().size === 0) return;
     const snapshot = this.scheduler.snapshot();
     const { scaleOut, scaleIn } = planScaling(snapshot, this.cloudOffers());
     snapshot.inspection.count += snapshot.shard.machines.size;
--- a/src/coordination/autoscaling/bin-packing.ts
+++ b/src/coordination/autoscaling/bin-packing.ts
@@ -23,11 +23,12 @@
   readonly openBins?: CapacityBin[];
 }
 
-const zoneAndKindOf = ({ zone, spot }: { readonly zone: string; readonly spot: boolean }): string => `${zone}/${spot}`;
+const zoneAndPurchaseOption = ({ zone, spot }: { readonly zone: string; readonly spot: boolean }): string =>
+  `${zone}/${spot}`;
 
-const countByZoneAndKind = (bins: readonly CapacityBin[]): Map<string, number> => {
+const countByZoneAndPurchaseOption = (bins: readonly CapacityBin[]): Map<string, number> => {
   const counts = new Map<string, number>();
-  for (const bin of bins) counts.set(zoneAndKindOf(bin), (counts.get(zoneAndKindOf(bin)) ?? 0) + 1);
+  for (const bin of bins) counts.set(zoneAndPurchaseOption(bin), (counts.get(zoneAndPurchaseOption(bin)) ?? 0) + 1);
   return counts;
 };
 
@@ -59,15 +60,16 @@
   private packIntoNewBins(demand: PackingDemand, count: number): void {
     const { snapshot, offers, bins } = this;
     const { spec, zoneCounts, openBins = bins } = demand;
-    const binCounts = countByZoneAndKind(bins);
-    const shareOf = (offer: MachineOffer): number => (binCounts.get(zoneAndKindOf(offer)) ?? 0) / (bins.length + 1);
+    const binCounts = countByZoneAndPurchaseOption(bins);
+    const shareOf = (offer: MachineOffer): number =>
+      (binCounts.get(zoneAndPurchaseOption(offer)) ?? 0) / (bins.length + 1);
     for (let remaining = count; remaining > 0; ) {
       const offer = cheapestOffer({ snapshot, offers, spec, count: remaining, zoneCounts, shareOf });
       if (offer === null) return;
       const bin = newBin(offer);
       bins.push(bin);
       if (openBins !== bins) openBins.push(bin);
-      binCounts.set(zoneAndKindOf(bin), (binCounts.get(zoneAndKindOf(bin)) ?? 0) + 1);
+      binCounts.set(zoneAndPurchaseOption(bin), (binCounts.get(zoneAndPurchaseOption(bin)) ?? 0) + 1);
       remaining -= fillBin(demand, bin, remaining);
       if (!bin.used) return;
     }
--- a/src/coordination/autoscaling/capacity-backoff.ts
+++ b/src/coordination/autoscaling/capacity-backoff.ts
@@ -5,8 +5,8 @@
 import { type Micros, seconds } from "../../transport/clock.js";
 import { type MachineOffer, offerKey } from "./cloud-offers.js";
 
-const MIN_REFUSAL_PAUSE = seconds(4);
-const MAX_REFUSAL_PAUSE = seconds(40);
+const MIN_BACKOFF = seconds(4);
+const MAX_BACKOFF = seconds(40);
 /** Keeps the power of two exact as a plain number. */
 const MAX_DOUBLINGS = 20;
 const NOT_REFUSED = 0 as Micros;
@@ -31,7 +31,7 @@
       return;
     }
     const count = (this.backoffByOffer.get(key)?.count ?? 0) + 1;
-    const pause = Math.min(MAX_REFUSAL_PAUSE, MIN_REFUSAL_PAUSE * 2 ** Math.min(MAX_DOUBLINGS, count - 1));
-    this.backoffByOffer.set(key, { until: (now + pause) as Micros, count });
+    const backoff = Math.min(MAX_BACKOFF, MIN_BACKOFF * 2 ** Math.min(MAX_DOUBLINGS, count - 1));
+    this.backoffByOffer.set(key, { until: (now + backoff) as Micros, count });
   }
 }
--- a/src/coordination/autoscaling/capacity-bins.ts
+++ b/src/coordination/autoscaling/capacity-bins.ts
@@ -69,8 +69,8 @@
   for (const machine of snapshot.shard.machines.values()) {
     const { type, zone, spot } = machine;
     if (type === null || machine.state !== "booting" || machine.lifecycle.deleting) continue;
-    const latestBoot = seconds(type.bootS * LATE_BOOT_FACTOR + LATE_BOOT_GRACE_S);
-    if (snapshot.now - machine.lifecycle.provisionedAt > latestBoot) continue;
+    const maxBootTime = seconds(type.bootS * LATE_BOOT_FACTOR + LATE_BOOT_GRACE_S);
+    if (snapshot.now - machine.lifecycle.provisionedAt > maxBootTime) continue;
     bins.push({ type, zone, spot, machine, free: type.capacity, used: false, reason: null });
   }
   return bins;
--- a/src/coordination/autoscaling/cloud-offers.ts
+++ b/src/coordination/autoscaling/cloud-offers.ts
@@ -62,13 +62,13 @@
   const { snapshot, spec, count, shareOf } = search;
   let best: { offer: MachineOffer; cost: number } | null = null;
   for (const type of snapshot.shard.machineTypes().values()) {
-    const fit = Math.min(count, countThatFit(spec.demand, type.capacity));
-    if (fit === 0) continue;
+    const tasksPerMachine = Math.min(count, countThatFit(spec.demand, type.capacity));
+    if (tasksPerMachine === 0) continue;
     for (const zone of type.zones) {
       for (const spot of [false, true]) {
         const offer: MachineOffer = { type, zone, spot };
         if (!isAvailable(search, offer)) continue;
-        const cost = (priceOf(offer) / fit) * (1 + CONCENTRATION_PENALTY * shareOf(offer));
+        const cost = (priceOf(offer) / tasksPerMachine) * (1 + CONCENTRATION_PENALTY * shareOf(offer));
         if (best === null || cost < best.cost) best = { offer, cost };
       }
     }
--- a/src/coordination/autoscaling/consolidation.ts
+++ b/src/coordination/autoscaling/consolidation.ts
@@ -15,13 +15,15 @@
 const MAX_MACHINES_TRIED = 4;
 const MAX_TASKS_MOVED = 10;
 
-const fitElsewhere = (
+const tasksFitElsewhere = (
   snapshot: SchedulerSnapshot,
   demandHistory: DemandHistory,
   candidate: Candidate,
-  servers: readonly Candidate[],
+  onDemandCandidates: readonly Candidate[],
 ): boolean => {
-  const others = servers.filter((other) => other !== candidate && other.busy).map((other) => ({ ...other }));
+  const targets = onDemandCandidates
+    .filter((other) => other !== candidate && other.busy)
+    .map((other) => ({ ...other }));
   const zones = new Map<Job, Map<string, number>>();
   for (const task of candidate.machine.tasks) {
     const { spec } = task.job;
@@ -29,7 +31,7 @@
     const counts = zones.get(task.job) ?? zoneCounts(task.job);
     zones.set(task.job, counts);
     counts.set(candidate.machine.zone, (counts.get(candidate.machine.zone) ?? 1) - 1);
-    const target = others.find(
+    const target = targets.find(
       ({ machine, free, images }) =>
         fits(spec.demand, free) &&
         images.has(spec.image) &&
@@ -46,7 +48,7 @@
     .filter(({ spec }) => !spec.spot)
     .every(({ spec, count }) => {
       let placeable = 0;
-      for (const { free } of others) placeable += Math.floor(free.cpu / Math.max(1, spec.demand.cpu));
+      for (const { free } of targets) placeable += Math.floor(free.cpu / Math.max(1, spec.demand.cpu));
       return placeable >= 2 * count;
     });
 };
@@ -60,21 +62,22 @@
   snapshot: SchedulerSnapshot,
   demandHistory: DemandHistory,
 ): Machine | null => {
-  const servers = listCandidates(snapshot).filter(({ machine }) => !machine.spot);
-  const used = ({ machine }: Candidate): number => machine.tasks.size;
-  const movable = servers
+  const onDemandCandidates = listCandidates(snapshot).filter(({ machine }) => !machine.spot);
+  const taskCount = ({ machine }: Candidate): number => machine.tasks.size;
+  const movable = onDemandCandidates
     .filter(
       (candidate) =>
-        used(candidate) > 0 &&
-        used(candidate) <= MAX_TASKS_MOVED &&
+        taskCount(candidate) > 0 &&
+        taskCount(candidate) <= MAX_TASKS_MOVED &&
         snapshot.now - candidate.machine.lifecycle.provisionedAt > MIN_CHARGED_TIME,
     )
     .filter(({ machine }) =>
       [...machine.tasks].every((task) => task.state === "running" && task.job.spec.shape === "service"),
     )
-    .sort((a, b) => used(a) - used(b));
-  for (const server of movable.slice(0, MAX_MACHINES_TRIED)) {
-    if (fitElsewhere(snapshot, demandHistory, server, servers)) return server.machine;
+    .sort((a, b) => taskCount(a) - taskCount(b));
+  for (const onDemandCandidate of movable.slice(0, MAX_MACHINES_TRIED)) {
+    if (tasksFitElsewhere(snapshot, demandHistory, onDemandCandidate, onDemandCandidates))
+      return onDemandCandidate.machine;
   }
   return null;
 };
--- a/src/coordination/autoscaling/demand-history.ts
+++ b/src/coordination/autoscaling/demand-history.ts
@@ -8,7 +8,7 @@
 
 const MAX_RECENT_JOBS = 30;
 /** Used for an objective without a time limit: longer than any boot. */
-const NO_OBJECTIVE = seconds(1e6);
+const NO_TIME_LIMIT = seconds(1e6);
 
 /** The task counts of recent jobs by class, from which the size of the class's next job is estimated. */
 export class DemandHistory {
@@ -48,7 +48,7 @@
       (objective) =>
         objective.kind === "wait" &&
         objective.jobClass === spec.jobClass &&
-        (objective.within ?? NO_OBJECTIVE) < seconds(shortestBoot),
+        (objective.within ?? NO_TIME_LIMIT) < seconds(shortestBoot),
     );
     if (startsBeforeBoot) demand.push({ spec, count: Math.ceil(tasks * options.headroom) });
   }
--- a/src/coordination/autoscaling/ending-tasks.ts
+++ b/src/coordination/autoscaling/ending-tasks.ts
@@ -9,7 +9,7 @@
 import { MAX_QUEUE_SHARE, maxQueueTime } from "../scheduling/start-deadline.js";
 
 /** The maximum share of a job's tasks that waits for ending tasks: run time estimates are often wrong by half. */
-const MAX_ABSORBED_SHARE = 0.8;
+const MAX_CLAIMED_SHARE = 0.8;
 
 interface EndingTask {
   /** Estimated time until the task ends, in microseconds. */
@@ -60,32 +60,32 @@
    * Claims capacity that is expected to become free within the time that the job's class may wait. Returns how many of
    * the job's `count` tasks it suffices for.
    */
-  absorb(spec: JobSpec, count: number): number {
+  claim(spec: JobSpec, count: number): number {
     const queueTime = maxQueueTime(spec, this.snapshot.settings);
     if (queueTime <= 0 || spec.shape !== "array" || spec.demand.cpu <= 0) return 0;
-    const maxCount = Math.floor(count * MAX_ABSORBED_SHARE);
+    const maxCount = Math.floor(count * MAX_CLAIMED_SHARE);
     if (maxCount <= 0) return 0;
-    const cpu = this.takeCpu(spec, maxCount * spec.demand.cpu, queueTime);
+    const cpu = this.claimCpu(spec, maxCount * spec.demand.cpu, queueTime);
     return Math.min(maxCount, Math.floor(cpu / spec.demand.cpu));
   }
 
   /** Claims ending tasks on machines that the job may use until their CPU reaches `wanted`; returns their total CPU. */
-  private takeCpu(spec: JobSpec, wanted: number, queueTime: number): number {
+  private claimCpu(spec: JobSpec, wanted: number, queueTime: number): number {
     this.endingTasks ??= listEndingTasks(this.snapshot);
     const { endingTasks } = this;
     let cpu = 0;
-    let kept = 0;
+    let keptCount = 0;
     let index = 0;
     for (; index < endingTasks.length && cpu < wanted; index += 1) {
-      const ending = endingTasks[index];
-      if (ending === undefined || ending.remaining > queueTime) break;
-      if (allows(spec, ending.typeName, ending.zone, ending.spot)) cpu += ending.cpu;
+      const endingTask = endingTasks[index];
+      if (endingTask === undefined || endingTask.remaining > queueTime) break;
+      if (allows(spec, endingTask.typeName, endingTask.zone, endingTask.spot)) cpu += endingTask.cpu;
       else {
-        endingTasks[kept] = ending;
-        kept += 1;
+        endingTasks[keptCount] = endingTask;
+        keptCount += 1;
       }
     }
-    endingTasks.splice(kept, index - kept);
+    endingTasks.splice(keptCount, index - keptCount);
     return cpu;
   }
 }
--- a/src/coordination/autoscaling/machine-deletion-queue.ts
+++ b/src/coordination/autoscaling/machine-deletion-queue.ts
@@ -69,10 +69,10 @@
       }
       await sleep(clock, exponentialBackoff(attempt, MIN_RETRY_DELAY, MAX_RETRY_DELAY));
     }
-    if (!this.stopped) this.machinesDeleted(machines);
+    if (!this.stopped) this.removeDeletedMachines(machines);
   }
 
-  private machinesDeleted(machines: readonly Machine[]): void {
+  private removeDeletedMachines(machines: readonly Machine[]): void {
     const { shard, eventListener, log } = this.context;
     for (const machine of machines) {
       machine.state = "deleted";
--- a/src/coordination/autoscaling/machine-list-reconciler.ts
+++ b/src/coordination/autoscaling/machine-list-reconciler.ts
@@ -35,7 +35,7 @@
       listedNames.add(listed.name);
       if (!shard.deletedMachines.has(listed.name)) this.applyListedMachine(listed);
     }
-    this.forgetUnlisted(listedNames);
+    this.removeUnlisted(listedNames);
     for (const name of shard.deletedMachines)
       if (!listedNames.has(name) && shard.deletedMachines.size > MAX_DELETED_NAMES) shard.deletedMachines.delete(name);
   }
@@ -44,7 +44,7 @@
    * Removes unlisted machines. The list lags, so absence alone does not prove that a machine is gone: only machines
    * that have no tasks and have sent no heartbeat for a long time are removed.
    */
-  private forgetUnlisted(listedNames: ReadonlySet<string>): void {
+  private removeUnlisted(listedNames: ReadonlySet<string>): void {
     const { shard, clock, settings } = this.context;
     const now = clock.now();
     const maxSilence = settings.workers.lease + UNLISTED_LIST_LAGS * settings.cloud.listLag + UNLISTED_GRACE;
@@ -67,7 +67,7 @@
     if (machine.state === "unconfirmed") machine.state = "booting";
     // After a failover a status query reaches the worker long before the worker finds the new leader by itself.
     if (listed.state === "running" && machine.state === "booting") this.context.queryStatus(machine);
-    if (listed.state === "failed" && !machine.lifecycle.deleting) this.machineFailed(machine);
+    if (listed.state === "failed" && !machine.lifecycle.deleting) this.handleFailedMachine(machine);
   }
 
   private addMachine(listed: ListedMachine): Machine {
@@ -81,7 +81,7 @@
     return machine;
   }
 
-  private machineFailed(machine: Machine): void {
+  private handleFailedMachine(machine: Machine): void {
     const { eventListener, log } = this.context;
     log.info(LogEvent.MachineFailed, { machine: machine.name });
     eventListener?.({ kind: "machine failed", ...eventFieldsOf(machine) });
--- a/src/coordination/autoscaling/provisioning-requests.ts
+++ b/src/coordination/autoscaling/provisioning-requests.ts
@@ -19,7 +19,7 @@
   readonly name: string;
   readonly offer: MachineOffer;
   readonly count: number;
-  readonly since: Micros;
+  readonly requestedAt: Micros;
 }
 
 /**
@@ -57,7 +57,7 @@
         // Unique: the epoch changes at every failover, and the counter increases within an epoch.
         const name = `r-${lease.shard}-${lease.epoch}-${this.requestCounter}`;
         const requestCount = Math.min(remaining, MAX_MACHINES_PER_REQUEST);
-        this.requests.push({ name, offer, count: requestCount, since: clock.now() });
+        this.requests.push({ name, offer, count: requestCount, requestedAt: clock.now() });
       }
     }
   }
@@ -73,13 +73,13 @@
         this.cloudUnavailableSince ??= this.context.clock.now();
         return;
       }
-      this.cloudAnswered();
+      this.recordCloudAvailable();
       this.requests.splice(this.requests.indexOf(request), 1);
-      this.machinesProvisioned(request, reply.kind === "ok" ? reply.value : []);
+      this.handleGrant(request, reply.kind === "ok" ? reply.value : []);
     }
   }
 
-  private cloudAnswered(): void {
+  private recordCloudAvailable(): void {
     if (this.cloudUnavailableSince === null) return;
     const { clock, eventListener } = this.context;
     const span = (clock.now() - this.cloudUnavailableSince) as Micros;
@@ -87,7 +87,7 @@
     eventListener?.({ kind: "cloud away", span });
   }
 
-  private machinesProvisioned(request: ProvisioningRequest, names: readonly string[]): void {
+  private handleGrant(request: ProvisioningRequest, names: readonly string[]): void {
     const { clock, log, eventListener } = this.context;
     const { name, offer, count } = request;
     const { type, zone, spot } = offer;
@@ -106,13 +106,13 @@
     eventListener?.({ kind: "refused", type: type.name, zone, spot, span });
   }
 
-  private addMachines({ offer, since }: ProvisioningRequest, names: readonly string[]): void {
+  private addMachines({ offer, requestedAt }: ProvisioningRequest, names: readonly string[]): void {
     const { shard, clock } = this.context;
     const { type, zone, spot } = offer;
     for (const name of names) {
       if (shard.machines.has(name) || shard.deletedMachines.has(name)) continue;
       const machine = createMachine({ name, typeName: type.name, type, zone, spot }, clock.now());
-      machine.lifecycle.provisionedAt = since;
+      machine.lifecycle.provisionedAt = requestedAt;
       shard.machines.set(name, machine);
     }
   }
--- a/src/coordination/autoscaling/scale-in.ts
+++ b/src/coordination/autoscaling/scale-in.ts
@@ -33,14 +33,14 @@
 };
 
 /** Whether the machine is being emptied and its tasks neither run nor can be released before the machine is deleted. */
-const holdsTasksOnly = (machine: Machine, now: Micros): boolean => {
+const holdsOnlyUnreleasableTasks = (machine: Machine, now: Micros): boolean => {
   if (!isBeingEmptied(machine)) return false;
   for (const task of machine.tasks) if (task.startCommand.kind !== "none" || mayRelease(task, now)) return false;
   return true;
 };
 
 /** Why a machine without running tasks may be returned; an `idle` one is kept if the plan uses it. Null: it is kept. */
-const reasonToReturn = ({ now, options }: SchedulerSnapshot, machine: Machine): ScaleInReason | null => {
+const scaleInReason = ({ now, options }: SchedulerSnapshot, machine: Machine): ScaleInReason | null => {
   const { lifecycle, state, type, load } = machine;
   const age = now - lifecycle.provisionedAt;
   switch (state) {
@@ -68,8 +68,8 @@
   const choices: ScaleInChoice[] = [];
   for (const machine of snapshot.shard.machines.values()) {
     if (machine.lifecycle.deleting) continue;
-    if (machine.tasks.size > 0 && !holdsTasksOnly(machine, snapshot.now)) continue;
-    const reason = reasonToReturn(snapshot, machine);
+    if (machine.tasks.size > 0 && !holdsOnlyUnreleasableTasks(machine, snapshot.now)) continue;
+    const reason = scaleInReason(snapshot, machine);
     if (reason === null || (reason === "idle" && inUse.has(machine))) continue;
     choices.push({ machine, reason });
   }
--- a/src/coordination/autoscaling/scale-plan.ts
+++ b/src/coordination/autoscaling/scale-plan.ts
@@ -52,14 +52,14 @@
   let openBins = [...packer.bins];
   let packedJobs = 0;
   const jobs = waitingJobs(snapshot);
-  let leastCpu = Number.POSITIVE_INFINITY;
-  for (const { spec } of jobs) leastCpu = Math.min(leastCpu, spec.demand.cpu);
+  let minCpu = Number.POSITIVE_INFINITY;
+  for (const { spec } of jobs) minCpu = Math.min(minCpu, spec.demand.cpu);
   for (const job of jobs) {
     packedJobs += 1;
-    if (packedJobs % SWEEP_INTERVAL_JOBS === 0) openBins = openBins.filter(({ free }) => free.cpu >= leastCpu);
+    if (packedJobs % SWEEP_INTERVAL_JOBS === 0) openBins = openBins.filter(({ free }) => free.cpu >= minCpu);
     const { spec } = job;
     const startable = startableTasks(job, snapshot);
-    const count = startable - endingCapacity.absorb(spec, startable);
+    const count = startable - endingCapacity.claim(spec, startable);
     packer.pack({ reason: "waiting", spec, count, zoneCounts: zoneCounts(job), openBins });
   }
 };
--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -37,7 +37,7 @@
   /** Time of day in milliseconds, accurate within `settings.clockError`; null: no reliable clock is available. */
   readonly wallClock: (() => number) | null;
   /** Called after each round and scale plan with the number of machines and tasks it examined; null: no listener. */
-  readonly onInspected: ((looks: number) => void) | null;
+  readonly onInspected: ((examined: number) => void) | null;
   /** When this controller's own path to the workers was last detected as lost or restored; null: never, or no mesh. */
   readonly workerPathChangedAt: () => Micros | null;
 }
@@ -81,9 +81,9 @@
 }
 
 /**
- * The delay before the next attempt: `first`, doubled with each failure, at most `most`.
+ * The delay before the next attempt: `initial`, doubled with each failure, at most `max`.
  *
  * @param failures the number of attempts that have failed since the last success
  */
-export const exponentialBackoff = (failures: number, first: Micros, most: Micros): Micros =>
-  Math.min(most, first * 2 ** Math.min(20, failures)) as Micros;
+export const exponentialBackoff = (failures: number, initial: Micros, max: Micros): Micros =>
+  Math.min(max, initial * 2 ** Math.min(20, failures)) as Micros;
--- a/src/coordination/extension.ts
+++ b/src/coordination/extension.ts
@@ -37,7 +37,7 @@
   /** Handles a user's request; null: the path does not belong to the extension. */
   handle(request: HttpRequest): Promise<HttpResponse> | null;
   /** Called when this controller has become the leader of a shard and restored its jobs. */
-  acquireShard(context: ShardContext, doors: ShardControls): ShardExtension;
+  acquireShard(context: ShardContext, controls: ShardControls): ShardExtension;
   /** Whether the job was cancelled together with its graph run, by the records in this controller's watch cache. */
   isWithdrawn(spec: JobSpec): boolean;
 }
--- a/src/coordination/overload/backpressure-signal.ts
+++ b/src/coordination/overload/backpressure-signal.ts
@@ -18,15 +18,15 @@
     const { cache, transactions, loadShedder } = this.services;
     const key = backpressureKey(this.lease.shard);
     const entry = cache.entries.get(key);
-    const full = loadShedder.atLeast("saturated");
-    if (this.publishing || full === (entry !== undefined)) return;
+    const saturated = loadShedder.atLeast("saturated");
+    if (this.publishing || saturated === (entry !== undefined)) return;
     this.publishing = true;
-    const { key: lease, version } = this.lease;
+    const { key: leaseKey, version } = this.lease;
     const conditions = new Map([
-      [lease, version],
+      [leaseKey, version],
       [key, entry?.version ?? 0],
     ]);
-    const write = full ? ({ kind: "put", key, value: {} } as const) : ({ kind: "delete", key } as const);
+    const write = saturated ? ({ kind: "put", key, value: {} } as const) : ({ kind: "delete", key } as const);
     // A failed write needs no handling here: the next periodic check calls `publish` again.
     const published = transactions.submit(conditions, [write], "cancellation").then(() => cache.sync());
     void this.guard(published).then(() => {
--- a/src/coordination/overload/load-shedder.ts
+++ b/src/coordination/overload/load-shedder.ts
@@ -28,10 +28,10 @@
 /** Weight of a new sample in the exponential moving average, which covers about the last 1.5 s. */
 const SAMPLE_WEIGHT = 0.07;
 /** Longer delays are capped: a single stall of the process is not load, and must not dominate the average for 30 s. */
-const MAX_SAMPLE = seconds(2);
-const CALM_TIME = seconds(5);
+const MAX_DELAY_SAMPLE = seconds(2);
+const STEP_DOWN_DELAY = seconds(5);
 /** A level is left only below this share of the thresholds at which it is entered (hysteresis). */
-const LEAVE_SHARE = 0.5;
+const STEP_DOWN_SHARE = 0.5;
 
 interface LevelThreshold {
   /** Mean delay of timers, which shows how long work waits for the CPU. */
@@ -51,7 +51,7 @@
   private levelIndex = 0;
   private meanDelay = 0;
   private timerDueAt: Micros;
-  private calmSince: Micros;
+  private belowThresholdSince: Micros;
 
   constructor(
     private readonly clock: Clock,
@@ -59,7 +59,7 @@
     private readonly source: LoadSource,
   ) {
     this.timerDueAt = clock.now();
-    this.calmSince = clock.now();
+    this.belowThresholdSince = clock.now();
     if (source !== null) this.scheduleSample();
   }
 
@@ -81,30 +81,30 @@
     });
   }
 
-  /** `late`: how much later than scheduled the timer fired. */
-  private addSample(late: Micros): void {
+  /** `timerDelay`: how much later than scheduled the timer fired. */
+  private addSample(timerDelay: Micros): void {
     if (this.source === null) return;
-    this.meanDelay += SAMPLE_WEIGHT * (Math.min(late, MAX_SAMPLE) - this.meanDelay);
+    this.meanDelay += SAMPLE_WEIGHT * (Math.min(timerDelay, MAX_DELAY_SAMPLE) - this.meanDelay);
     const { memory, sockets } = this.source();
-    const over = (bound: LevelThreshold, share: number): boolean =>
-      this.meanDelay > bound.delay * share ||
-      memory > 1 - (1 - bound.memory) * (2 - share) ||
-      sockets > bound.sockets * (share < 1 ? 0.9 : 1);
+    const exceeds = (threshold: LevelThreshold, share: number): boolean =>
+      this.meanDelay > threshold.delay * share ||
+      memory > 1 - (1 - threshold.memory) * (2 - share) ||
+      sockets > threshold.sockets * (share < 1 ? 0.9 : 1);
     let reached = 0;
-    for (const [index, bound] of LEVEL_THRESHOLDS.entries()) if (over(bound, 1)) reached = index + 1;
+    for (const [index, threshold] of LEVEL_THRESHOLDS.entries()) if (exceeds(threshold, 1)) reached = index + 1;
     const now = this.clock.now();
     if (reached > this.levelIndex) {
       this.changeLevel(reached, memory, sockets);
       return;
     }
-    const bound = LEVEL_THRESHOLDS[this.levelIndex - 1];
-    if (bound === undefined || over(bound, LEAVE_SHARE)) this.calmSince = now;
-    else if (now - this.calmSince > CALM_TIME) this.changeLevel(this.levelIndex - 1, memory, sockets);
+    const threshold = LEVEL_THRESHOLDS[this.levelIndex - 1];
+    if (threshold === undefined || exceeds(threshold, STEP_DOWN_SHARE)) this.belowThresholdSince = now;
+    else if (now - this.belowThresholdSince > STEP_DOWN_DELAY) this.changeLevel(this.levelIndex - 1, memory, sockets);
   }
 
   private changeLevel(to: number, memory: number, sockets: number): void {
     this.levelIndex = to;
-    this.calmSince = this.clock.now();
+    this.belowThresholdSince = this.clock.now();
     this.log.info(LogEvent.LoadLevelChanged, {
       level: this.level,
       lateMs: Math.round(this.meanDelay / 1_000),
