--- a/test/job-api.test.ts
+++ b/test/job-api.test.ts
@@ -13,7 +13,10 @@
 import { bigType, settingsText } from "./fixtures.js";
 import { plainJob } from "./sim/cluster.js";
 
-/** A controller's answers to users with chosen records below `c/` and `e/`; `away`: the state service answers nothing. */
+/**
+ * A job API over a stubbed watch cache (`put` adds entries) and stubbed outcome records (`ended`, by key).
+ * `storeUnavailable`: the watch cache cannot be synchronized with the key-value store.
+ */
 const doorOn = (ended: Readonly<Record<string, unknown>>, { away = false } = {}) => {
   const world = new World();
   const entries = new Map<string, KeyValueEntry>();
@@ -38,7 +41,7 @@
   } as unknown as Services;
   const types = new Map([["big", bigType(["east"])]]);
   const door = new JobApi(services, types, { taskCounts: () => null, isLeader: () => false, isWithdrawn: () => false });
-  /** Lookups keep a pace by the clock. */
+  /** Advances the simulated time until the response arrives, because outcome lookups are rate-limited by the clock. */
   const handle = async (method: string, target: string, body = ""): Promise<HttpResponse> => {
     let over = false;
     const answered = door.handle({ method, target, body }).finally(() => {
@@ -60,8 +63,9 @@
 
 const JOB = plainJob("wk-000001");
 
-test("a repeat of what was accepted once is answered with its state, whatever it asks for by now", async () => {
-  // Refused by what is known of machine types now, before anybody had looked whether it had been accepted and ended long ago.
+test("a repeated submission of an accepted job gets the job's state, even if its specification is no longer valid", async () => {
+  // Guards against rejecting the specification by the current machine types before looking up whether the job was
+  // accepted earlier and has ended.
   const { submit } = doorOn({ [outcomeKey(JOB.ref)]: { phase: "done", done: 3 } });
   for (const odd of [
     { cpus: 100_000 },
@@ -73,7 +77,7 @@
   }
 });
 
-test("what can never run is refused with the reason once nobody has accepted it, and with none before that is known", async () => {
+test("a job that can never run is rejected with the reason, but only once it is known not to have been accepted", async () => {
   const never = doorOn({});
   assert.deepEqual(await never.submit({ ...JOB, cpus: 100_000 }), [
     422,
@@ -82,13 +86,13 @@
   assert.deepEqual(await never.submit({ ...JOB, owner: "nobody" }), [422, { error: "unknown team" }]);
   const away = doorOn({}, { away: true });
   assert.equal((await away.submit({ ...JOB, cpus: 100_000 }))[0], 503);
-  // A field that lacks is told without any look.
+  // A missing field is reported without any lookup.
   const [status, answer] = await away.submit({ ...JOB, cpus: undefined });
   assert.equal(status, 400);
   assert.match(String(answer.error), /^cpus/);
 });
 
-test("a job accepted while it was looked up among the ended ones is not unknown", async () => {
+test("a job that is accepted while its outcome record is looked up is found", async () => {
   const { put, during, ask } = doorOn({});
   assert.equal(await ask(JOB.ref), 404);
   during.lookUp = () =>
--- a/test/load-shedding.test.ts
+++ b/test/load-shedding.test.ts
@@ -18,7 +18,9 @@
 
 const nothing = (): undefined => undefined;
 
-/** A process whose timers fire late by what is set, and the levels that it went through. */
+/**
+ * A load shedder on a simulated clock whose timers fire `lateUs` late; `seen` lists the logged load levels in order.
+ */
 const underLoad = () => {
   const world = new World();
   const state = { lateUs: 0, memory: 0.3, sockets: 0.3 };
@@ -34,7 +36,7 @@
   return { state, seen, overload: loadShedder, pass };
 };
 
-test("load brings levels about one after the other, and they are left slowly, one at a time", async () => {
+test("load levels rise one after the other under load and fall slowly, one at a time", async () => {
   const { state, seen, overload, pass } = underLoad();
   await pass(5);
   assert.equal(overload.level, "normal");
@@ -45,13 +47,13 @@
   assert.ok(overload.atLeast("degraded") && overload.atLeast("saturated"));
   state.lateUs = 0;
   await pass(4);
-  assert.equal(overload.level, "saturated", "a moment of calm says little");
+  assert.equal(overload.level, "saturated", "the level must not fall after a short time without load");
   await pass(30);
   assert.equal(overload.level, "normal");
   assert.deepEqual(seen, ["reduced", "degraded", "saturated", "degraded", "reduced", "normal"]);
 });
 
-test("one standstill is no load, and a level does not flap at its bound", async () => {
+test("a single stall of the process does not count as load, and the level does not flap at its threshold", async () => {
   const { state, seen, overload, pass } = underLoad();
   await pass(5);
   state.lateUs = 30_000_000;
@@ -61,7 +63,7 @@
   assert.ok(!seen.includes("degraded"), seen.join());
   seen.length = 0;
   for (let at = 0; at < 60; at += 1) {
-    // Around the bound of `reduced`, now above and now below it.
+    // Alternately above and below the 60 ms threshold of `reduced`.
     state.lateUs = at % 2 === 0 ? 70_000 : 50_000;
     await pass(1);
   }
@@ -69,7 +71,7 @@
   assert.equal(overload.level, "reduced");
 });
 
-test("memory alone ends what adds to it before the process ends", async () => {
+test("memory usage alone raises the load level before the process runs out of memory", async () => {
   const { state, overload, pass } = underLoad();
   for (const [memory, level] of [
     [0.79, "normal"],
@@ -84,7 +86,7 @@
   assert.deepEqual(LOAD_LEVELS, ["normal", "reduced", "degraded", "saturated"]);
 });
 
-test("a thousand things to say take a bounded number of pools, and slow hosts none of the others'", async () => {
+test("a thousand pending requests use a bounded number of slots, and slow machines use none of the others' slots", async () => {
   const world = new World();
   const clock = new HostClock(world, 1, 0);
   const running = { responsive: 0, silent: 0, mostResponsive: 0, mostSilent: 0 };
@@ -109,7 +111,7 @@
     pools.add(item);
   }
   await world.run(500_000, nothing);
-  // All that answer have been told, though a fifth of the machines do not.
+  // All responsive machines have been served, although a fifth of the machines does not respond.
   assert.equal([...said.keys()].filter((item) => item % 5 !== 0).length, 800);
   assert.deepEqual([running.mostResponsive, running.mostSilent], [8, 2]);
   await world.run(200_000_000, nothing);
@@ -120,7 +122,7 @@
 const reportText = (tick: number, shards: readonly object[], extra = ""): string =>
   `{"host":"n-1","addr":"10.1.0.1:9000","flavor":"big","area":"east","loaner":false,"tenure":1,"tick":${tick},"baton":65536,"warningS":null,"shards":${JSON.stringify(shards)}${extra}}`;
 
-test("a list of tasks that has not changed is not read again, and any other is", () => {
+test("an unchanged task list of a heartbeat is not decoded again, and a changed one is", () => {
   const shards = [{ shard: "wk-1/0", try: 1, phase: "running" }];
   const first = decodeHeartbeatText(reportText(1, shards), () => null);
   assert.equal(first.taskListUnchanged, false);
@@ -131,7 +133,7 @@
   const ended = [{ shard: "wk-1/0", try: 1, phase: "exited", cause: "done" }];
   assert.equal(decodeHeartbeatText(reportText(3, ended), known).taskListUnchanged, false);
   assert.equal(decodeHeartbeatText(reportText(3, ended), known).tasks[0]?.state, "exited");
-  // The letters of a list inside a text, or deeper in, are no list of this report.
+  // The marker of the task list within a string, or in a nested object, does not start this heartbeat's task list.
   const hidden = reportText(4, shards).replace('"area":"east"', '"area":"x,\\"shards\\":[]}"');
   assert.deepEqual(
     [decodeHeartbeatText(hidden, known).taskListUnchanged, decodeHeartbeatText(hidden, () => null).tasks.length],
@@ -150,7 +152,7 @@
   assert.throws(() => decodeHeartbeatText(`${reportText(7, shards)}]`, known), SyntaxError);
 });
 
-test("reading reports with and without the shortcut gives the same, whatever the list", () => {
+test("decoding a heartbeat with and without the known task list gives the same result for any list", () => {
   forSeeds(200, (random) => {
     let last: string | null = null;
     for (let tick = 1; tick < 12; tick += 1) {
@@ -177,7 +179,7 @@
     socket.write("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
   });
 
-test("more hosts than there are connections take turns: beyond a bound, connections end with their answer", async () => {
+test("beyond a number of open connections, the server closes each connection after its response so that all clients get served", async () => {
   const server = new HttpServer(
     systemClock,
     { maxConnections: 8, keepConnections: 4, requestTimeout: seconds(5), idleTimeout: seconds(5), maxBusy: 8 },
@@ -193,7 +195,7 @@
     });
   const sockets: Socket[] = [];
   const answers: string[] = [];
-  // One after the other, three times as many as the server takes at once.
+  // One after the other, three times as many connections as the server accepts at once.
   for (let at = 0; at < 24; at += 1) {
     const socket = await open();
     sockets.push(socket);
@@ -208,7 +210,7 @@
   await server.close();
 });
 
-test("a fleet beyond the connections of its controllers is lost without bounds, and carried with them", async () => {
+test("a fleet larger than its controllers' connection limits loses tasks to expired leases without load limits, and none with them", async () => {
   const spec = {
     machines: 240,
     controller: { cpuShare: 0.2, memoryMb: 200, connections: 150 },
@@ -229,7 +231,7 @@
   assert.ok(after.sockets < 1);
 });
 
-test("the same load gives the same result", async () => {
+test("simulating the same load twice gives the same result", async () => {
   const spec = {
     machines: 60,
     bounded: true,
@@ -244,7 +246,7 @@
   assert.deepEqual(await playLoad(spec), await playLoad(spec));
 });
 
-test("a load of many years is played from its beginning without holding all that it is going to submit", async () => {
+test("a simulated load of many years starts without holding all of its future submissions in memory", async () => {
   const spec = {
     machines: 1_600,
     bounded: true,
@@ -259,8 +261,8 @@
   let reached = 0;
   const play = playLoad(spec, (now) => {
     reached = now;
-    throw new Error("seen enough");
+    throw new Error("stopped at the first progress report");
   });
-  await assert.rejects(play, /seen enough/);
+  await assert.rejects(play, /stopped at the first progress report/);
   assert.equal(reached, 500_000);
 });
--- a/test/retry-slots.test.ts
+++ b/test/retry-slots.test.ts
@@ -9,9 +9,10 @@
 import { bigType, settingsText } from "./fixtures.js";
 import { plainJob } from "./sim/cluster.js";
 
-test("whoever is turned away is told to come back as fast as writes are possible, however far the rate is cut just now", async () => {
-  // Three controllers' first batches pass the limit together, which cuts each one's rate to a tenth within moments.
-  // Appointments made by that rate were all for ten seconds later, and a third of the writes went unused until then.
+test("deferred submissions get retry times at the full write rate, even while the current rate is reduced", async () => {
+  // The first batches of three controllers together exceed the store's write limit, which at once cuts each one's rate
+  // to a tenth. Retry times computed from the reduced rate were all ten seconds later, and a third of the writes went
+  // unused until then.
   const clock = new HostClock(new World(), 1, 0);
   const log = { error: () => undefined, info: () => undefined, debug: () => undefined };
   const services = {
@@ -37,7 +38,7 @@
     waits.push(retryAfterS ?? 0);
   }
   const { controllers } = services.settings;
-  // 40 at 25 a second over all controllers, the first of them in a second.
+  // 40 retry slots at 25 writes per second shared by all controllers, the first slot after one second.
   assert.equal(Math.max(...waits), 1 + Math.ceil((39 * controllers) / 25));
   assert.equal(Math.min(...waits), 1);
 });
--- a/test/scale-plan.test.ts
+++ b/test/scale-plan.test.ts
@@ -6,7 +6,7 @@
 import { planScaling } from "../src/coordination/autoscaling/scale-plan.js";
 import { makeSchedulingFixture } from "./scheduling-fixtures.js";
 
-test("scale-out and scale-in have reasons, and the backoff after a refusal grows", () => {
+test("scale-out requests and scale-in choices state their reasons, and the backoff grows with each refusal", () => {
   const { snapshot, add, shard, clock, world } = makeSchedulingFixture(2);
   const backoff = new CapacityBackoff();
   const offers: CloudOffers = {
--- a/test/shard-fixtures.ts
+++ b/test/shard-fixtures.ts
@@ -14,6 +14,11 @@
 import type { HttpOutcome } from "../src/transport/http.js";
 import { settingsText } from "./fixtures.js";
 
+/**
+ * Fixtures for tests of a shard's control loops: machine types, a job, machines, heartbeats and a context of doubles.
+ */
+
+/** A log that discards all entries. */
 export const quiet = { error: () => undefined, info: () => undefined, debug: () => undefined };
 export const nothing = (): undefined => undefined;
 
@@ -55,7 +60,10 @@
 
 const settings = parseSettings(settingsText(0));
 
-/** A shard with this many machines that are up, and the context of its control loops; every collaborator is a double. `responses`: what the workers answer in turn. */
+/**
+ * A shard with `machines` machines that are up, and the context of its control loops, in which every collaborator is a
+ * double. `responses` are the workers' responses to HTTP requests, in order; further requests are not sent.
+ */
 export const makeShard = (machines: number, responses: HttpOutcome[] = []) => {
   const world = new World();
   const clock = new HostClock(world, 1, 1_000_000);
@@ -98,6 +106,7 @@
   return { world, shard, context, taskStates };
 };
 
+/** The first task of a new job of `SPEC`, recorded as placed on the machine with attempt 1. */
 export const placedTask = (shard: ShardState, machine: Machine): Task => {
   const job = shard.addJob(SPEC, 1, false);
   shard.createNextTaskRange(job);
@@ -109,7 +118,7 @@
   return task;
 };
 
-/** A heartbeat of the shard's first machine; `fields` replace those given here. */
+/** A heartbeat of the shard's first machine; `fields` override the defaults. */
 export const report = (fields: Partial<Heartbeat> = {}): Heartbeat => ({
   machine: "n-0",
   address: "10.1.0.1:9000",
