--- a/test/load-shedding.test.ts
+++ b/test/load-shedding.test.ts
@@ -16,63 +16,63 @@
 import { playLoad } from "../src/whatif/index.js";
 import { forSeeds } from "./random.js";
 
-const nothing = (): undefined => undefined;
+const noop = (): undefined => undefined;
 
 /**
  * A load shedder on a simulated clock whose timers fire `lateUs` late; `seen` lists the logged load levels in order.
  */
-const underLoad = () => {
+const makeLoadShedder = () => {
   const world = new World();
   const state = { lateUs: 0, memory: 0.3, sockets: 0.3 };
   const clock = new HostClock(world, 1, 0, (delay, run) => world.after(delay + state.lateUs, run));
   const seen: LoadLevel[] = [];
   const log = {
-    error: nothing,
-    debug: nothing,
+    error: noop,
+    debug: noop,
     info: (_: string, fields?: Record<string, unknown>) => seen.push(fields?.level as LoadLevel),
   };
   const loadShedder = new LoadShedder(clock, log, (): ProcessLoad => state);
-  const pass = (s: number): Promise<void> => world.run(world.now + s * 1_000_000, nothing);
-  return { state, seen, overload: loadShedder, pass };
+  const advance = (s: number): Promise<void> => world.run(world.now + s * 1_000_000, noop);
+  return { state, seen, loadShedder, advance };
 };
 
 test("load levels rise one after the other under load and fall slowly, one at a time", async () => {
-  const { state, seen, overload, pass } = underLoad();
-  await pass(5);
-  assert.equal(overload.level, "normal");
+  const { state, seen, loadShedder, advance } = makeLoadShedder();
+  await advance(5);
+  assert.equal(loadShedder.level, "normal");
   state.lateUs = 1_500_000;
-  await pass(60);
-  assert.equal(overload.level, "saturated");
+  await advance(60);
+  assert.equal(loadShedder.level, "saturated");
   assert.deepEqual(seen, ["reduced", "degraded", "saturated"]);
-  assert.ok(overload.atLeast("degraded") && overload.atLeast("saturated"));
+  assert.ok(loadShedder.atLeast("degraded") && loadShedder.atLeast("saturated"));
   state.lateUs = 0;
-  await pass(4);
-  assert.equal(overload.level, "saturated", "the level must not fall after a short time without load");
-  await pass(30);
-  assert.equal(overload.level, "normal");
+  await advance(4);
+  assert.equal(loadShedder.level, "saturated", "the level must not fall after a short time without load");
+  await advance(30);
+  assert.equal(loadShedder.level, "normal");
   assert.deepEqual(seen, ["reduced", "degraded", "saturated", "degraded", "reduced", "normal"]);
 });
 
 test("a single stall of the process does not count as load, and the level does not flap at its threshold", async () => {
-  const { state, seen, overload, pass } = underLoad();
-  await pass(5);
+  const { state, seen, loadShedder, advance } = makeLoadShedder();
+  await advance(5);
   state.lateUs = 30_000_000;
-  await pass(0.2);
+  await advance(0.2);
   state.lateUs = 0;
-  await pass(40);
+  await advance(40);
   assert.ok(!seen.includes("degraded"), seen.join());
   seen.length = 0;
   for (let at = 0; at < 60; at += 1) {
     // Alternately above and below the 60 ms threshold of `reduced`.
     state.lateUs = at % 2 === 0 ? 70_000 : 50_000;
-    await pass(1);
+    await advance(1);
   }
   assert.ok(seen.length <= 1, seen.join());
-  assert.equal(overload.level, "reduced");
+  assert.equal(loadShedder.level, "reduced");
 });
 
 test("memory usage alone raises the load level before the process runs out of memory", async () => {
-  const { state, overload, pass } = underLoad();
+  const { state, loadShedder, advance } = makeLoadShedder();
   for (const [memory, level] of [
     [0.79, "normal"],
     [0.81, "reduced"],
@@ -80,8 +80,8 @@
     [0.95, "saturated"],
   ] as const) {
     state.memory = memory;
-    await pass(1);
-    assert.equal(overload.level, level, String(memory));
+    await advance(1);
+    assert.equal(loadShedder.level, level, String(memory));
   }
   assert.deepEqual(LOAD_LEVELS, ["normal", "reduced", "degraded", "saturated"]);
 });
@@ -90,7 +90,7 @@
   const world = new World();
   const clock = new HostClock(world, 1, 0);
   const running = { responsive: 0, silent: 0, mostResponsive: 0, mostSilent: 0 };
-  const said = new Map<number, number>();
+  const runsByItem = new Map<number, number>();
   const poolOf = (item: number): "responsive" | "silent" => (item % 5 === 0 ? "silent" : "responsive");
   const pools = new ConcurrencyPools<number>(
     clock,
@@ -101,7 +101,7 @@
       running.mostSilent = Math.max(running.mostSilent, running.silent);
       await new Promise<void>((resolve) => world.after(pool === "silent" ? 1_500_000 : 3_000, resolve));
       running[pool] -= 1;
-      said.set(item, (said.get(item) ?? 0) + 1);
+      runsByItem.set(item, (runsByItem.get(item) ?? 0) + 1);
     },
     poolOf,
     { responsive: 8, silent: 2 },
@@ -110,46 +110,49 @@
     pools.add(item);
     pools.add(item);
   }
-  await world.run(500_000, nothing);
+  await world.run(500_000, noop);
   // All responsive machines have been served, although a fifth of the machines does not respond.
-  assert.equal([...said.keys()].filter((item) => item % 5 !== 0).length, 800);
+  assert.equal([...runsByItem.keys()].filter((item) => item % 5 !== 0).length, 800);
   assert.deepEqual([running.mostResponsive, running.mostSilent], [8, 2]);
-  await world.run(200_000_000, nothing);
-  assert.equal(said.size, 1_000);
-  assert.ok([...said.values()].every((count) => count === 1));
+  await world.run(200_000_000, noop);
+  assert.equal(runsByItem.size, 1_000);
+  assert.ok([...runsByItem.values()].every((count) => count === 1));
 });
 
-const reportText = (tick: number, shards: readonly object[], extra = ""): string =>
+const heartbeatText = (tick: number, shards: readonly object[], extra = ""): string =>
   `{"host":"n-1","addr":"10.1.0.1:9000","flavor":"big","area":"east","loaner":false,"tenure":1,"tick":${tick},"baton":65536,"warningS":null,"shards":${JSON.stringify(shards)}${extra}}`;
 
 test("an unchanged task list of a heartbeat is not decoded again, and a changed one is", () => {
   const shards = [{ shard: "wk-1/0", try: 1, phase: "running" }];
-  const first = decodeHeartbeatText(reportText(1, shards), () => null);
+  const first = decodeHeartbeatText(heartbeatText(1, shards), () => null);
   assert.equal(first.taskListUnchanged, false);
   assert.equal(first.tasks.length, 1);
-  const known = (machine: string): string | null => (machine === "n-1" ? first.taskListText : null);
-  const second = decodeHeartbeatText(reportText(2, shards), known);
+  const knownTaskList = (machine: string): string | null => (machine === "n-1" ? first.taskListText : null);
+  const second = decodeHeartbeatText(heartbeatText(2, shards), knownTaskList);
   assert.deepEqual([second.taskListUnchanged, second.sequence, second.tasks.length], [true, 2, 0]);
   const ended = [{ shard: "wk-1/0", try: 1, phase: "exited", cause: "done" }];
-  assert.equal(decodeHeartbeatText(reportText(3, ended), known).taskListUnchanged, false);
-  assert.equal(decodeHeartbeatText(reportText(3, ended), known).tasks[0]?.state, "exited");
+  assert.equal(decodeHeartbeatText(heartbeatText(3, ended), knownTaskList).taskListUnchanged, false);
+  assert.equal(decodeHeartbeatText(heartbeatText(3, ended), knownTaskList).tasks[0]?.state, "exited");
   // The marker of the task list within a string, or in a nested object, does not start this heartbeat's task list.
-  const hidden = reportText(4, shards).replace('"area":"east"', '"area":"x,\\"shards\\":[]}"');
+  const inString = heartbeatText(4, shards).replace('"area":"east"', '"area":"x,\\"shards\\":[]}"');
   assert.deepEqual(
-    [decodeHeartbeatText(hidden, known).taskListUnchanged, decodeHeartbeatText(hidden, () => null).tasks.length],
+    [
+      decodeHeartbeatText(inString, knownTaskList).taskListUnchanged,
+      decodeHeartbeatText(inString, () => null).tasks.length,
+    ],
     [true, 1],
   );
-  const deeper = reportText(5, shards).replace(
+  const nested = heartbeatText(5, shards).replace(
     '"tick":5',
     `"more":{"a":1${first.taskListText?.slice(0, -1)}},"tick":5`,
   );
-  assert.equal(decodeHeartbeatText(deeper, known).sequence, 5);
-  assert.equal(decodeHeartbeatText(deeper, known).tasks.length, 1);
+  assert.equal(decodeHeartbeatText(nested, knownTaskList).sequence, 5);
+  assert.equal(decodeHeartbeatText(nested, knownTaskList).tasks.length, 1);
   assert.throws(
-    () => decodeHeartbeatText(reportText(6, shards).replace('"tick":6', '"tick":-6'), known),
+    () => decodeHeartbeatText(heartbeatText(6, shards).replace('"tick":6', '"tick":-6'), knownTaskList),
     MalformedMessageError,
   );
-  assert.throws(() => decodeHeartbeatText(`${reportText(7, shards)}]`, known), SyntaxError);
+  assert.throws(() => decodeHeartbeatText(`${heartbeatText(7, shards)}]`, knownTaskList), SyntaxError);
 });
 
 test("decoding a heartbeat with and without the known task list gives the same result for any list", () => {
@@ -161,18 +164,18 @@
         try: random.int(1, 2),
         phase: random.pick(["pulling", "running", "exited"]),
       }));
-      const text = reportText(tick, shards, random.chance(0.2) ? ',"later":1' : "");
-      const quick = decodeHeartbeatText(text, () => last);
-      const whole = decodeHeartbeatText(text, () => null);
-      assert.deepEqual({ ...quick, tasks: [], taskListUnchanged: false }, { ...whole, tasks: [] });
-      if (quick.taskListUnchanged) assert.equal(whole.taskListText, last);
-      else assert.deepEqual(quick.tasks, whole.tasks);
-      last = whole.taskListText;
+      const text = heartbeatText(tick, shards, random.chance(0.2) ? ',"later":1' : "");
+      const incremental = decodeHeartbeatText(text, () => last);
+      const complete = decodeHeartbeatText(text, () => null);
+      assert.deepEqual({ ...incremental, tasks: [], taskListUnchanged: false }, { ...complete, tasks: [] });
+      if (incremental.taskListUnchanged) assert.equal(complete.taskListText, last);
+      else assert.deepEqual(incremental.tasks, complete.tasks);
+      last = complete.taskListText;
     }
   });
 });
 
-const ask = (socket: Socket): Promise<string> =>
+const requestHealth = (socket: Socket): Promise<string> =>
   new Promise((resolve) => {
     socket.once("data", (data) => resolve(data.toString()));
     socket.once("close", () => resolve("closed"));
@@ -184,7 +187,7 @@
     systemClock,
     { maxConnections: 8, keepConnections: 4, requestTimeout: seconds(5), idleTimeout: seconds(5), maxBusy: 8 },
     async () => ({ status: 200, body: "{}" }),
-    nothing,
+    noop,
   );
   await server.listen("127.0.0.1", 0);
   const open = (): Promise<Socket> =>
@@ -194,18 +197,18 @@
       socket.once("error", reject);
     });
   const sockets: Socket[] = [];
-  const answers: string[] = [];
+  const responses: string[] = [];
   // One after the other, three times as many connections as the server accepts at once.
   for (let at = 0; at < 24; at += 1) {
     const socket = await open();
     sockets.push(socket);
-    answers.push(await ask(socket));
+    responses.push(await requestHealth(socket));
   }
   assert.ok(
-    answers.every((answer) => answer.startsWith("HTTP/1.1 200")),
-    answers.join(),
+    responses.every((response) => response.startsWith("HTTP/1.1 200")),
+    responses.join(),
   );
-  assert.equal(answers.filter((answer) => !answer.includes("Connection: close")).length, 4);
+  assert.equal(responses.filter((response) => !response.includes("Connection: close")).length, 4);
   for (const socket of sockets) socket.destroy();
   await server.close();
 });
@@ -221,14 +224,14 @@
     untilUs: 80_000_000,
     seed: 3,
   };
-  const before = await playLoad({ ...spec, bounded: false });
-  const after = await playLoad({ ...spec, bounded: true });
-  assert.equal(before.firstLimit, "sockets");
-  assert.ok(before.refused > 1_000 && before.killedByLease > 80, JSON.stringify(before));
-  assert.equal(after.killedByLease, 0, JSON.stringify(after));
-  assert.ok(after.refused < before.refused / 20, JSON.stringify(after));
-  assert.equal(after.ended, 0);
-  assert.ok(after.sockets < 1);
+  const unbounded = await playLoad({ ...spec, bounded: false });
+  const bounded = await playLoad({ ...spec, bounded: true });
+  assert.equal(unbounded.firstLimit, "sockets");
+  assert.ok(unbounded.refused > 1_000 && unbounded.killedByLease > 80, JSON.stringify(unbounded));
+  assert.equal(bounded.killedByLease, 0, JSON.stringify(bounded));
+  assert.ok(bounded.refused < unbounded.refused / 20, JSON.stringify(bounded));
+  assert.equal(bounded.ended, 0);
+  assert.ok(bounded.sockets < 1);
 });
 
 test("simulating the same load twice gives the same result", async () => {
--- a/test/retry-slots.test.ts
+++ b/test/retry-slots.test.ts
@@ -24,7 +24,7 @@
     loadShedder: new LoadShedder(clock, log, null),
   } as unknown as Services;
   const type = bigType(["east"]);
-  const door = new JobApi(services, new Map([[type.name, type]]), {
+  const jobApi = new JobApi(services, new Map([[type.name, type]]), {
     taskCounts: () => null,
     isLeader: () => false,
     isWithdrawn: () => false,
@@ -33,7 +33,7 @@
   for (let at = 0; at < 40; at += 1) {
     const body = JSON.stringify(plainJob(`wk-${String(at).padStart(6, "0")}`));
     const request: HttpRequest = { method: "POST", target: "/v2/runs", body };
-    const { status, retryAfterS } = await door.handle(request);
+    const { status, retryAfterS } = await jobApi.handle(request);
     assert.equal(status, 503);
     waits.push(retryAfterS ?? 0);
   }
