--- a/src/coordination/api/job-status.ts
+++ b/src/coordination/api/job-status.ts
@@ -27,7 +27,7 @@
   /**
    * Responds to a status request.
    *
-   * @param known the result of a lookup that was made for this request already
+   * @param lookup the result of a lookup that was already made for this request
    */
   async respond(id: string, lookup?: JobLookup): Promise<HttpResponse> {
     const found = lookup ?? (await this.finder.find(id));
--- a/src/coordination/autoscaling/machine-deletion-queue.ts
+++ b/src/coordination/autoscaling/machine-deletion-queue.ts
@@ -11,8 +11,8 @@
 import type { CloudClient } from "./cloud-client.js";
 
 /**
- * The cloud's limit on names per deletion request. It rejects a longer list on every retry, which kept a whole zone's
- * machines.
+ * The cloud's limit on names per deletion request. It rejects a longer list on every retry, so that the machines of a
+ * whole zone were never deleted.
  */
 export const MAX_DELETIONS_PER_REQUEST = 100;
 const MIN_RETRY_DELAY = ms(500);
--- a/src/coordination/overload/load-shedder.ts
+++ b/src/coordination/overload/load-shedder.ts
@@ -102,8 +102,8 @@
     else if (now - this.belowThresholdSince > STEP_DOWN_DELAY) this.changeLevel(this.levelIndex - 1, memory, sockets);
   }
 
-  private changeLevel(to: number, memory: number, sockets: number): void {
-    this.levelIndex = to;
+  private changeLevel(newLevelIndex: number, memory: number, sockets: number): void {
+    this.levelIndex = newLevelIndex;
     this.belowThresholdSince = this.clock.now();
     this.log.info(LogEvent.LoadLevelChanged, {
       level: this.level,
--- a/test/shard-fixtures.ts
+++ b/test/shard-fixtures.ts
@@ -20,8 +20,10 @@
 
 /** A log that discards all entries. */
 export const quiet = { error: () => undefined, info: () => undefined, debug: () => undefined };
+/** A callback that does nothing. */
 export const nothing = (): undefined => undefined;
 
+/** The cloud's machine types: one, named `big`. */
 export const TYPES = decodeMachineTypes({
   flavors: ["big"].map((sku) => ({
     sku,
@@ -37,6 +39,7 @@
   })),
 });
 
+/** A job array of three tasks without dependencies or zone rules. */
 export const SPEC: JobSpec = {
   id: "wk-1",
   jobClass: "batch",
