--- a/src/coordination/autoscaling/capacity-backoff.ts
+++ b/src/coordination/autoscaling/capacity-backoff.ts
@@ -12,8 +12,8 @@
 const NOT_REFUSED = 0 as Micros;
 
 /**
- * After a refused or only partly granted request, pauses requests for the offer. Each further refusal doubles the pause,
- * up to a maximum.
+ * After a refused or only partly granted request, pauses requests for the offer. Each further refusal doubles the
+ * pause, up to a maximum.
  */
 export class CapacityBackoff {
   private readonly backoffByOffer = new Map<string, { readonly until: Micros; readonly count: number }>();
