--- a/src/coordination/autoscaling/bin-packing.ts
+++ b/src/coordination/autoscaling/bin-packing.ts
@@ -1,5 +1,5 @@
 /**
- * Packs tasks into capacity bins, and adds bins from the cloud's offers where they do not suffice.
+ * Packs tasks into capacity bins, and adds bins for new machines where the existing ones do not suffice.
  * @module
  */
 import type { JobSpec } from "../../protocol/job-spec.js";
@@ -9,29 +9,33 @@
 import { type CapacityBin, newBin, type ScaleOutReason } from "./capacity-bins.js";
 import { type CloudOffers, cheapestOffer, type MachineOffer } from "./cloud-offers.js";
 
-/** Tasks of one job that are packed in one plan. */
+/** The maximum number of tasks of one job that one plan packs. */
 const MAX_PACKED_TASKS = 10_000;
 
-/** Tasks that are to be packed. */
+/** Tasks of one job that are to be packed. */
 export interface PackingDemand {
   readonly reason: ScaleOutReason;
   readonly spec: JobSpec;
   readonly count: number;
-  /** The job's tasks by zone; those that are packed are added. */
+  /** The number of the job's tasks by zone; packing adds the packed tasks. */
   readonly zoneCounts: Map<string, number>;
-  /** Those of the bins that may have free capacity; all of them if left out. */
+  /** The bins that may have free capacity; default: all bins. */
   readonly openBins?: CapacityBin[];
 }
 
-const zoneAndKindOf = ({ zone, spot }: { readonly zone: string; readonly spot: boolean }): string => `${zone}/${spot}`;
+const zoneAndPurchaseOption = ({ zone, spot }: { readonly zone: string; readonly spot: boolean }): string =>
+  `${zone}/${spot}`;
 
-const countByZoneAndKind = (bins: readonly CapacityBin[]): Map<string, number> => {
+const countByZoneAndPurchaseOption = (bins: readonly CapacityBin[]): Map<string, number> => {
   const counts = new Map<string, number>();
-  for (const bin of bins) counts.set(zoneAndKindOf(bin), (counts.get(zoneAndKindOf(bin)) ?? 0) + 1);
+  for (const bin of bins) counts.set(zoneAndPurchaseOption(bin), (counts.get(zoneAndPurchaseOption(bin)) ?? 0) + 1);
   return counts;
 };
 
-/** The bins of one plan. Packing is first fit, a whole bin at a time: walking all bins for each task took most of a controller's time. */
+/**
+ * The bins of one plan. Packing is first fit and fills a whole bin at a time: iterating over all bins for each task
+ * took most of a controller's CPU time.
+ */
 export class BinPacker {
   constructor(
     private readonly snapshot: SchedulerSnapshot,
@@ -39,7 +43,9 @@
     readonly bins: CapacityBin[],
   ) {}
 
-  /** Packs the tasks into the bins and, as far as these do not suffice and the cloud has offers, into new ones. */
+  /**
+   * Packs the tasks into existing bins, and the remaining ones into new bins as far as the cloud has matching offers.
+   */
   pack(demand: PackingDemand): void {
     const { spec, openBins = this.bins } = demand;
     let remaining = Math.min(demand.count, MAX_PACKED_TASKS);
@@ -54,22 +60,25 @@
   private packIntoNewBins(demand: PackingDemand, count: number): void {
     const { snapshot, offers, bins } = this;
     const { spec, zoneCounts, openBins = bins } = demand;
-    const binCounts = countByZoneAndKind(bins);
-    const shareOf = (offer: MachineOffer): number => (binCounts.get(zoneAndKindOf(offer)) ?? 0) / (bins.length + 1);
+    const binCounts = countByZoneAndPurchaseOption(bins);
+    const shareOf = (offer: MachineOffer): number =>
+      (binCounts.get(zoneAndPurchaseOption(offer)) ?? 0) / (bins.length + 1);
     for (let remaining = count; remaining > 0; ) {
       const offer = cheapestOffer({ snapshot, offers, spec, count: remaining, zoneCounts, shareOf });
       if (offer === null) return;
       const bin = newBin(offer);
       bins.push(bin);
       if (openBins !== bins) openBins.push(bin);
-      binCounts.set(zoneAndKindOf(bin), (binCounts.get(zoneAndKindOf(bin)) ?? 0) + 1);
+      binCounts.set(zoneAndPurchaseOption(bin), (binCounts.get(zoneAndPurchaseOption(bin)) ?? 0) + 1);
       remaining -= fillBin(demand, bin, remaining);
       if (!bin.used) return;
     }
   }
 }
 
-/** Packs as many of the `remaining` tasks as fit into the bin and may be in its zone; returns their number. */
+/**
+ * Packs as many of the `remaining` tasks as the bin's free capacity and the job's zone rules allow; returns the number.
+ */
 const fillBin = ({ spec, zoneCounts, reason }: PackingDemand, bin: CapacityBin, remaining: number): number => {
   if (!zoneAllowed(spec, zoneCounts, bin.zone)) return 0;
   let count = Math.min(remaining, countThatFit(spec.demand, bin.free));
--- a/test/retry-slots.test.ts
+++ b/test/retry-slots.test.ts
@@ -9,9 +9,10 @@
 import { bigType, settingsText } from "./fixtures.js";
 import { plainJob } from "./sim/cluster.js";
 
-test("whoever is turned away is told to come back as fast as writes are possible, however far the rate is cut just now", async () => {
-  // Three controllers' first batches pass the limit together, which cuts each one's rate to a tenth within moments.
-  // Appointments made by that rate were all for ten seconds later, and a third of the writes went unused until then.
+test("deferred submissions get retry times at the full write rate, even while the current rate is reduced", async () => {
+  // The first batches of three controllers together exceed the store's write limit, which at once cuts each one's rate
+  // to a tenth. Retry times computed from the reduced rate were all ten seconds later, and a third of the writes went
+  // unused until then.
   const clock = new HostClock(new World(), 1, 0);
   const log = { error: () => undefined, info: () => undefined, debug: () => undefined };
   const services = {
@@ -23,7 +24,7 @@
     loadShedder: new LoadShedder(clock, log, null),
   } as unknown as Services;
   const type = bigType(["east"]);
-  const door = new JobApi(services, new Map([[type.name, type]]), {
+  const jobApi = new JobApi(services, new Map([[type.name, type]]), {
     taskCounts: () => null,
     isLeader: () => false,
     isWithdrawn: () => false,
@@ -32,12 +33,12 @@
   for (let at = 0; at < 40; at += 1) {
     const body = JSON.stringify(plainJob(`wk-${String(at).padStart(6, "0")}`));
     const request: HttpRequest = { method: "POST", target: "/v2/runs", body };
-    const { status, retryAfterS } = await door.handle(request);
+    const { status, retryAfterS } = await jobApi.handle(request);
     assert.equal(status, 503);
     waits.push(retryAfterS ?? 0);
   }
   const { controllers } = services.settings;
-  // 40 at 25 a second over all controllers, the first of them in a second.
+  // 40 retry slots at 25 writes per second shared by all controllers, the first slot after one second.
   assert.equal(Math.max(...waits), 1 + Math.ceil((39 * controllers) / 25));
   assert.equal(Math.min(...waits), 1);
 });
