--- a/src/coordination/workers/concurrency-pools.ts
+++ b/src/coordination/workers/concurrency-pools.ts
@@ -1,14 +1,15 @@
-/** Limits on how many pieces of work run at once, by class of target. */
+/** Concurrency limits on requests to workers, with a pool for each class of target. */
 
 import type { Clock, Micros } from "../../transport/clock.js";
 
-/** Targets that answer, and targets known to be slow. */
+/** `responsive`: targets that answer requests. `silent`: targets expected to be slow or to time out. */
 export type PoolName = "responsive" | "silent";
 
 /**
- * Runs one piece of work for each of many items, so many at once. An item that is added again while it waits is run
- * once. After a failover or in a wave of starts a thousand machines are to be sent something in the same moment, which
- * took all connections that the process may have; and items that are known to be slow get a pool of their own.
+ * Runs an asynchronous operation for each added item, with a limit on concurrent runs in each pool. An item that is added
+ * again while it is queued runs once. Without the limit, a failover or a burst of task starts sends requests to a
+ * thousand machines at once and uses up the connections of the process. Slow items have their own pool so that they do
+ * not delay the others.
  */
 export class ConcurrencyPools<Item> {
   private readonly waiting: Readonly<Record<PoolName, Set<Item>>> = { responsive: new Set(), silent: new Set() };
@@ -22,13 +23,13 @@
     private readonly limits: Readonly<Record<PoolName, number>>,
   ) {}
 
-  /** Runs the work for the item once there is room in its pool. */
+  /** Queues the item; it runs as soon as its pool is below its limit. */
   add(item: Item): void {
     const pool = this.poolOf(item);
     this.waiting[pool === "responsive" ? "silent" : "responsive"].delete(item);
     this.waiting[pool].add(item);
     if (this.startScheduled) return;
-    // A moment later, so that what one event causes is sent together.
+    // Deferred, so that all items added while handling one event are started together.
     this.startScheduled = true;
     this.clock.after(0 as Micros, () => {
       this.startScheduled = false;
--- a/src/coordination/workers/failure-attribution.ts
+++ b/src/coordination/workers/failure-attribution.ts
@@ -1,28 +1,28 @@
-/** Decides whether a failed task speaks against its job or its machine, and keeps failing jobs on probation. */
+/** Attributes task failures to the job or to the machine, and puts jobs that keep failing on probation. */
 
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
 import type { Task } from "../../cluster/task.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 
-/** A task that ran so long has got over its earlier failures. */
+/** A task that has run for this long counts as stable; its earlier failures no longer matter. */
 export const STABLE_RUN_TIME = seconds(10);
-/** Failures older than this say nothing about the machine any more. */
+/** Failures older than this are no longer counted against the machine. */
 const FAILURE_RETENTION = seconds(90);
-/** Failing on so many machines without a success, the job is the likelier culprit. */
+/** A job that has failed on this many machines without a success is the likelier cause. */
 const MAX_FAILED_MACHINES = 2;
-/** To have run well is to have run so many times as long as what failed. */
+/** A task counts as stable only if it has run this many times as long as the failed one. */
 const STABLE_RUN_FACTOR = 2;
 const QUARANTINE_TIME = seconds(20);
 const MIN_PROBATION_DELAY = seconds(1);
 const MAX_PROBATION_DELAY = seconds(30);
 
-/** What a failure says. `undecided`: the machine is kept free of new work for a moment, until more is known. */
+/** Cause of a failure. `undecided`: not known yet; the machine is quarantined until there is more evidence. */
 export type FailureCause = "undecided" | "machine" | "job";
 
 const runTime = (task: Task, now: Micros): number => (task.runningSince === null ? 0 : now - task.runningSince);
 
-/** Does the job do well elsewhere, so that its failures speak against the machines they happen on? */
+/** Whether the job runs stably on other machines, so that its failures count against the machines they occur on. */
 const isStableElsewhere = (job: Job, failedRunTime: number, elsewhere: Machine | null, now: Micros): boolean => {
   if (job.completedTasks > 0) return true;
   const minRunTime = Math.max(STABLE_RUN_TIME, STABLE_RUN_FACTOR * failedRunTime);
@@ -33,10 +33,11 @@
 };
 
 /**
- * Takes in that the task has failed on the machine. A job submitted with a mistake fails wherever it is started, and all
- * its tasks of a machine fail in one heartbeat: several of them are one piece of evidence, and one failing job is none
- * against a machine as long as it has not done well anywhere. Counted by task, each array with a mistake had the first
- * two machines that it came to returned as faulty, with room for others' work on them (test/failure-attribution.test.ts).
+ * Records that the task failed on the machine, and returns the likely cause. A broken job fails on every machine, and all
+ * its tasks on one machine fail in one heartbeat. Its failures on a machine at the same time therefore count once, and a
+ * single failing job does not count against a machine unless it has run stably elsewhere. When every failed task
+ * counted, each broken job array had the first two machines that ran it deleted as faulty, although they had free
+ * capacity for other jobs (test/failure-attribution.test.ts).
  */
 export const attributeFailure = (
   task: Task,
@@ -67,14 +68,17 @@
       failed !== undefined && !failed.onProbation && isStableElsewhere(failed, failed.longestFailedRun, machine, now)
     );
   });
-  // A machine full of long-lived replicas may only ever get to see a single new job.
+  // A machine full of long-running replicas may never run more than one new job, so repeated failures of one job suffice.
   const faulty = (machine.lifecycle.recentFailures.size >= 2 && failsStableJob) || count >= (stableElsewhere ? 2 : 3);
   return faulty ? "machine" : "undecided";
 };
 
-/** From now on one task at a time is tried, each time after a longer pause; no machine is blamed for the job. */
+/**
+ * Puts the job on probation: its tasks are retried one at a time with exponential back-off, and its failures are no
+ * longer counted against machines.
+ */
 const putOnProbation = (job: Job, machines: ReadonlyMap<string, Machine>, now: Micros): void => {
-  // The rest of a wave that was under way already is no new trial.
+  // Failures of tasks that were already running when the back-off began are not a new trial.
   if (!job.onProbation || now >= job.retryAfter) {
     job.failedProbes += 1;
     const pause = Math.min(MAX_PROBATION_DELAY, MIN_PROBATION_DELAY * 2 ** Math.min(20, job.failedProbes - 1));
@@ -88,7 +92,7 @@
   }
 };
 
-/** A task of the job has completed: whatever failed before, it is not the job. */
+/** Clears the job's failure history and probation after one of its tasks has completed. */
 export const clearSuspicion = (job: Job): void => {
   job.failedProbes = 0;
   job.failedMachines.clear();
@@ -96,7 +100,7 @@
   job.longestFailedRun = 0 as Micros;
 };
 
-/** So many tasks of the job may be placed now, as far as its own failures go. */
+/** Number of tasks of the job that may be placed now given its failure history; infinite if it is not restricted. */
 export const allowedStarts = (job: Job, now: Micros): number => {
   if (!job.onProbation || job.spec.shape === "gang") return Number.POSITIVE_INFINITY;
   if (isStableElsewhere(job, job.longestFailedRun, null, now)) return Number.POSITIVE_INFINITY;
--- a/src/coordination/workers/graceful-eviction.ts
+++ b/src/coordination/workers/graceful-eviction.ts
@@ -1,21 +1,21 @@
-/** Decides which tasks leave a machine that is to be empty. */
+/** Decides which tasks to stop or release on a machine that is being drained. */
 
 import { isBeingEmptied, type Machine } from "../../cluster/machine.js";
 import { isActive, mayRelease, type Task } from "../../cluster/task.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 
-/** Of the time left, so much may be counted on: estimates are often wrong by half. */
+/** Share of the remaining time within which a task must be estimated to end: estimates are often wrong by half. */
 const ESTIMATE_TRUST = 0.7;
 
-/** What is to be done with one task. `graceS`: seconds that it gets to save its checkpoint. */
+/** Action for one task. `graceS`: grace period in seconds for saving a checkpoint. */
 export type EvictionAction =
-  /** No start of it has left or can arrive: it need not be stopped. */
+  /** No start command for it was sent or can still arrive: it needs no stop command. */
   | { readonly kind: "release"; readonly task: Task }
-  /** A start of it may still be delivered: it is to run here and nowhere else, whatever it was to be stopped for. */
+  /** A start command may still be delivered, so it must run here and nowhere else: its stop request is dropped. */
   | { readonly kind: "keep"; readonly task: Task }
   | { readonly kind: "stop"; readonly task: Task; readonly graceS: number };
 
-/** What becomes of a task that is still there; null: it has ended, will end by itself in time, or goes with the machine. */
+/** Eviction of a task on a draining machine; null if it is not active or is expected to end by itself in time. */
 const evictionOf = (task: Task, reclaimAt: Micros | null, now: Micros): EvictionAction | null => {
   if (task.startCommand.kind === "none") return mayRelease(task, now) ? { kind: "release", task } : null;
   if (!isActive(task)) return null;
@@ -31,12 +31,13 @@
 const NO_ACTIONS: readonly EvictionAction[] = [];
 
 /**
- * What is to leave a machine that is to be empty: tasks that will not end by themselves in time. Asked for every machine
- * four times a second, and mostly nothing: then nothing is allocated.
+ * Actions for the tasks of a machine: on a draining machine, evicts those that will not end by themselves in time; on any
+ * machine, resolves stop requests of tasks that were never started. Called for every machine four times a second, mostly
+ * without any action; nothing is allocated then.
  */
 export const decideEvictions = (machine: Machine, now: Micros): readonly EvictionAction[] => {
   const { reclaimAt } = machine.lifecycle;
-  // A faulty machine fails what it starts; what runs there already is left alone.
+  // A faulty machine fails newly started tasks only; tasks that already run there are left running.
   const leaving = isBeingEmptied(machine);
   let actions: EvictionAction[] | null = null;
   for (const task of machine.tasks) {
@@ -50,7 +51,7 @@
   return actions ?? NO_ACTIONS;
 };
 
-/** A task that is to be stopped and does not run. */
+/** Action for a task with a stop request that has no start command; null if it has one or must wait. */
 const evictionOfUnstarted = (task: Task, leaving: boolean, now: Micros): EvictionAction | null => {
   if (task.startCommand.kind !== "none") return null;
   if (mayRelease(task, now)) return { kind: "release", task };
--- a/src/coordination/workers/status-query-queue.ts
+++ b/src/coordination/workers/status-query-queue.ts
@@ -1,38 +1,41 @@
-/** Status queries and announcements of fencing tokens to workers, bounded in number. */
+/** Sends status queries and fencing token announcements to workers with bounded concurrency. */
 
 import type { Machine } from "../../cluster/machine.js";
 import type { Services, ShardLease } from "../context.js";
 import { firstFencingToken } from "../fencing-token.js";
 import type { CommandDispatcher } from "./command-dispatcher.js";
 
-/** Machines asked for their state at once after a failover. */
+/** Maximum concurrent status queries, for instance after a failover. */
 const MAX_QUERIES = 48;
 const MAX_ANNOUNCEMENTS = 24;
-/** Where the processor is short, the machines' own heartbeats are to be read first. */
+/** Lower limit under load shedding, so that incoming heartbeats are processed first. */
 const MAX_QUERIES_UNDER_LOAD = 6;
 
-/** What the queue needs of its shard and its collaborators. */
+/** The queue's dependencies on its shard and its collaborators. */
 export interface StatusQueryDependencies extends Pick<Services, "loadShedder"> {
   readonly lease: ShardLease;
   readonly commands: Pick<CommandDispatcher, "queryStatus" | "send">;
   readonly stopped: () => boolean;
   readonly guard: (work: Promise<unknown>) => Promise<void>;
-  /** A query has ended, and others are still queued. */
+  /** Called when a query has ended while others are still queued. */
   readonly onMoreQueued: () => void;
 }
 
-/** Asks workers for their state and shows them the leader's fencing token, so many at once. */
+/** Queries the status of workers, by priority, and announces the leader's fencing token to them. */
 export class StatusQueryQueue {
-  /** To be asked for their state: those with replicas, those with other work, the rest. */
+  /** Machines to query, in order of priority: with replicas, with other tasks, without tasks. */
   private readonly queues: readonly [Set<Machine>, Set<Machine>, Set<Machine>] = [new Set(), new Set(), new Set()];
   private queriesInFlight = 0;
   private announcementsInFlight = 0;
 
   constructor(private readonly dependencies: StatusQueryDependencies) {}
 
-  /** Bounded: a thousand machines asked at once took all sockets and all processor time from what was running. */
+  /**
+   * Queues a status query. Concurrency is bounded: a thousand queries at once used up all sockets and all processor time
+   * of the process.
+   */
   enqueue(machine: Machine): void {
-    // Those that may have work on them first: what they ran is either still there or to be placed again.
+    // Machines that may run tasks come first: each of their tasks either still runs or has to be placed again.
     const [withReplicas, withWork, others] = this.queues;
     for (const queue of this.queues) queue.delete(machine);
     (machine.load.replicas > 0 ? withReplicas : machine.tasks.size > 0 ? withWork : others).add(machine);
@@ -55,7 +58,7 @@
     while (!this.dependencies.stopped() && this.queriesInFlight < limit) {
       const machine = this.dequeue();
       if (machine === undefined) return;
-      // Its own heartbeat came first, and nothing of it is in doubt.
+      // A heartbeat of the machine has already provided all that the query would show.
       if (
         machine.counters.verified &&
         machine.counters.highestToken >= firstFencingToken(this.dependencies.lease) &&
@@ -73,8 +76,8 @@
   }
 
   /**
-   * Shows the worker the leader's fencing token at once. Only where that is cheap: the response to its heartbeat does so,
-   * too, and it then sends another heartbeat by itself within a second.
+   * Sends the leader's fencing token to the worker at once. Skipped at the concurrency limit or under load: the response
+   * to its next heartbeat carries the token as well, and the worker then sends another heartbeat within a second.
    */
   announceFencingToken(machine: Machine): void {
     if (this.announcementsInFlight >= MAX_ANNOUNCEMENTS || this.dependencies.loadShedder.atLeast("reduced")) return;
