--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -1,4 +1,4 @@
-/** Detection of machines and zones that have fallen silent or are not reached, and what is done about them. */
+/** Detects machines and zones that are silent or unreachable, and has them removed or the leadership transferred. */
 
 import { eventFieldsOf } from "../../cluster/events.js";
 import type { Machine } from "../../cluster/machine.js";
@@ -21,21 +21,21 @@
 } from "./zone-findings.js";
 import { ZoneQueries } from "./zone-queries.js";
 
-/** Time to ask all machines for their state after a failover; before, silence says nothing. */
+/** Time for querying all machines after a failover; a missing heartbeat is not counted as silence until then. */
 const SETTLING_TIME = seconds(5);
 const MAX_SETTLING_TIME = seconds(12);
-/** Without news from the key-value store for so long, silence elsewhere says little. */
+/** If the watch cache is older than this, the controller itself may be cut off, and silent machines are not removed. */
 const STORE_SILENCE_LIMIT = seconds(3);
-/** Silent machines probed in one check: a zone's worth at once would take all connections. */
+/** Maximum probes in one check: probing a whole zone at once would use up all connections. */
 const MAX_PROBES = 64;
-/** The clocks of workers may run slower than this one by so much. */
+/** Maximum factor by which a worker's clock may run slower than this one. */
 const MAX_CLOCK_DRIFT = 1.002;
-/** Beyond a worker's lease, the time until its tasks have surely ended. */
+/** Time after the end of a worker's lease until its tasks have certainly ended. */
 const LEASE_EXPIRY_MARGIN = seconds(0.5);
-/** In the log of lost tasks; tools and tests look for the text. */
+/** Logged as the reason of lost tasks; tools and tests match this text. */
 const LEASE_EXPIRY_REASON = "worker lease over";
 
-/** What the detector needs of its shard and its collaborators. */
+/** The detector's dependencies on its shard and its collaborators. */
 export interface FailureDetectorDependencies {
   readonly context: ShardContext;
   readonly commands: Pick<CommandDispatcher, "queryStatus" | "send">;
@@ -43,11 +43,11 @@
   readonly autoscaler: Pick<Autoscaler, "deleteMachines" | "unreachableZones">;
   readonly unreachableZones: Pick<UnreachableZones, "lastAnsweredBefore" | "markUnreachable">;
   readonly guard: (work: Promise<unknown>) => Promise<void>;
-  /** Another controller may be reached where this one is not. */
+  /** Gives up leadership: another controller may be able to reach the machines that this one cannot. */
   readonly onUnreachable: () => Promise<void>;
 }
 
-/** For operators: names of machines and zones that are not heard or not reached. */
+/** Reachability of the fleet for operators: number of machines that are up, and names of affected machines and zones. */
 export interface FleetHealth {
   readonly up: number;
   readonly unresponsive: readonly string[];
@@ -55,23 +55,23 @@
   readonly unreachableZones: readonly string[];
 }
 
-/** What one check finds before it probes anything. */
+/** State of the fleet at the start of a check, before any probe is sent. */
 interface SilenceSurvey {
   readonly now: Micros;
   readonly limits: SilenceLimits;
-  /** Machines that are up, or are known from the records only and have tasks. */
+  /** Machines that are up, and machines known only from stored records that have tasks. */
   readonly up: readonly Machine[];
-  /** Those of `up` without a heartbeat for too long. */
+  /** Machines in `up` whose last heartbeat is older than the silence limit. */
   readonly silent: readonly Machine[];
-  /** When the last heartbeat of any of them came. */
+  /** When the latest heartbeat of any machine in `up` was received; 0 if there was none. */
   readonly lastHeartbeatAt: number;
-  /** Has the key-value store been heard of lately? */
+  /** Whether the watch cache has been updated from the key-value store recently. */
   readonly storeHeard: boolean;
 }
 
-/** Finds machines, zones or all that have fallen silent or are not reached, and has them given up. */
+/** Finds silent or unreachable machines and zones, removes machines, and gives up leadership if most are affected. */
 export class FailureDetector {
-  /** When workers were last able to reach this controller without a gap. */
+  /** Silence is not checked before this time: workers may not have been able to reach this controller until then. */
   private settledAt: Micros;
   private readonly startedAt: Micros;
   private readonly zoneQueries: ZoneQueries;
@@ -84,7 +84,7 @@
     this.removal = new UnreachableMachineRemoval(dependencies);
   }
 
-  /** For operators: machines that nothing gets to or that have fallen silent, and zones cut off as a whole. */
+  /** Returns for operators the machines that are unreachable or silent, and the zones that are cut off. */
   fleetHealth(): FleetHealth {
     const { shard, clock, settings, options } = this.dependencies.context;
     const silentBefore = clock.now() - settings.workers.heartbeatInterval * options.silentReports;
@@ -99,14 +99,15 @@
     };
   }
 
-  /** After a gap of this process, every machine seems silent until what has arrived meanwhile is read. */
+  /** Restarts the settling time after this process was paused: all machines seem silent until queued heartbeats are read. */
   restartSettling(): void {
     this.settledAt = Math.max(this.settledAt, this.dependencies.context.clock.now() + SETTLING_TIME) as Micros;
   }
 
   /**
-   * Silence says nothing before every machine has been asked once; a zone that is cut off is asked again and again, and
-   * must not keep it from being heard.
+   * Extends the settling time while status queries are queued, since silence counts only after every machine has been
+   * queried once. The extension is bounded: a zone that is cut off is queried repeatedly and would otherwise postpone the
+   * detection of its silence for ever.
    */
   extendSettling(): void {
     const answeredBy = (this.dependencies.context.clock.now() + PROBE_TIMEOUT) as Micros;
@@ -114,7 +115,7 @@
       this.settledAt = Math.max(this.settledAt, answeredBy) as Micros;
   }
 
-  /** Past its lease a worker has ended everything, whether or not it can be heard. */
+  /** Expires the leases of workers that were not renewed in time: such a worker has ended all its tasks by itself. */
   expireLeases(): void {
     const { clock, settings, shard } = this.dependencies.context;
     const expiryTime = Math.ceil(settings.workers.lease * MAX_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN;
@@ -122,27 +123,30 @@
     for (const machine of shard.machines.values()) {
       if (machine.counters.incarnation === null) this.applyInheritedSilence(machine);
       if (machine.lease.expired) {
-        // A start that was being sent may have been answered since.
+        // The response to a start command that was in flight may have added a task since the expiry.
         if (machine.tasks.size > 0) this.dependencies.heartbeats.leaseExpired(machine, LEASE_EXPIRY_REASON);
         continue;
       }
       if (now - machine.lease.renewedAt <= expiryTime) continue;
       machine.lease.expired = true;
-      // A message of the incarnation that is over must not bring its tasks back into the shard's state.
+      // A late heartbeat of the expired incarnation must not restore its tasks in the shard's state.
       if (machine.counters.incarnation !== null) machine.counters.expiredIncarnation = machine.counters.incarnation;
       this.dependencies.heartbeats.leaseExpired(machine, LEASE_EXPIRY_REASON);
     }
   }
 
-  /** A machine not heard of here has no lease renewed later than the time that the leader before left on record. */
+  /**
+   * For a machine without a heartbeat to this leader, limits the time of its last lease renewal to the one recorded by the
+   * previous leader.
+   */
   private applyInheritedSilence(machine: Machine): void {
     const answeredBefore = this.dependencies.unreachableZones.lastAnsweredBefore(machine.zone);
     if (answeredBefore !== null && answeredBefore < machine.lease.renewedAt) machine.lease.renewedAt = answeredBefore;
   }
 
   /**
-   * A machine that misses its heartbeats is probed, and given up if it does not answer: the cloud's answer to the
-   * deletion is a far quicker proof that its tasks are gone than the expiry of its lease.
+   * Probes machines that miss heartbeats and deletes those that do not reply: the cloud's confirmation of the deletion
+   * proves that their tasks have ended much earlier than the expiry of the lease does.
    */
   checkSilence(): void {
     const { context, autoscaler, unreachableZones } = this.dependencies;
@@ -156,7 +160,7 @@
     const silent = silentZones(up, limits, now);
     unreachableZones.markUnreachable(silent);
     const unanswered = this.zoneQueries.unansweredZones(now);
-    // On record as not answered only where nobody is: from where nothing gets to, heartbeats go on coming.
+    // Only silent zones go on record as unanswered. Workers in the other zones still send heartbeats and get responses.
     const cutOffZones = new Set([...silent, ...mostlyUnreachableZones(up, new Set(dead)), ...unanswered]);
     if (this.transferIfNothingReachable(up, new Set(unanswered))) return;
     autoscaler.unreachableZones = cutOffZones;
@@ -169,11 +173,11 @@
     const { shard, settings, options, cache } = this.dependencies.context;
     const { heartbeatInterval } = settings.workers;
     const machineSilence = heartbeatInterval * options.silentReports;
-    // One that is only known from the records, and by now should have been heard of, counts like one fallen silent.
+    // A machine known only from stored records should have sent a heartbeat by now; without one it counts as silent.
     const up: Machine[] = [];
     const silent: Machine[] = [];
     let latestHeartbeatAt = 0;
-    // One walk, four times a second over the whole fleet.
+    // A single pass, since this runs four times a second over the whole fleet.
     for (const machine of shard.machines.values()) {
       if ((machine.state !== "up" && machine.tasks.size === 0) || machine.lifecycle.deleting) continue;
       const { lastHeartbeatAt } = machine.reachability;
@@ -192,8 +196,8 @@
   }
 
   /**
-   * Not one of many is heard: the workers cannot reach this controller, while another may well be reached. Their leases
-   * run, and deleting them one by one, as they miss their heartbeats, would end work that is going on.
+   * Gives up leadership if all machines are silent: their workers cannot reach this controller but may reach another one.
+   * Their leases still run, and deleting the machines one by one as they miss heartbeats would end running tasks.
    */
   private transferIfAllSilent({ now, limits, up, lastHeartbeatAt, storeHeard }: SilenceSurvey): boolean {
     if (up.length < MIN_ZONE_MACHINES || now - lastHeartbeatAt <= limits.machineSilence || !storeHeard) return false;
@@ -201,7 +205,7 @@
     return true;
   }
 
-  /** Not one zone of several machines is reached: another controller may reach them. */
+  /** Gives up leadership if no zone answers queries: another controller may reach the machines. */
   private transferIfNothingReachable(up: readonly Machine[], unansweredZones: ReadonlySet<string>): boolean {
     if (unansweredZones.size === 0 || up.some(({ zone }) => !unansweredZones.has(zone))) return false;
     this.transferLeadership("no zone reachable", up.length);
@@ -222,7 +226,7 @@
       machine.reachability.probedAt = now;
       probedZones.add(machine.zone);
     };
-    // Those that are heard and do not answer are asked again and again: by that they are taken back.
+    // Machines that send heartbeats but time out are probed repeatedly: a reply makes them reachable again.
     const timedOut = up.filter(
       ({ reachability }) =>
         reachability.consecutiveTimeouts > 0 && now - reachability.lastHeartbeatAt <= limits.machineSilence,
@@ -253,9 +257,9 @@
   }
 
   /**
-   * Silent machines that did not answer their probe. Where nobody at all has been heard since it was sent, the silence may
-   * be the controller's own: with six machines one was given up 3.6 s into a cut from all of them, before the cut was
-   * noticed.
+   * Returns silent machines that did not reply to their probe. If no machine at all has sent a heartbeat since the probe,
+   * the controller itself may be cut off: with six machines, one was deleted 3.6 s into a partition from all of them,
+   * before the partition was detected.
    */
   private findDead(
     { now, up, silent, lastHeartbeatAt }: SilenceSurvey,
@@ -271,8 +275,8 @@
   private removeDead(survey: SilenceSurvey, dead: readonly Machine[], cutOffZones: ReadonlySet<string>): void {
     const { context, autoscaler } = this.dependencies;
     if (dead.length === 0 || this.isOwnSilence(survey, dead.length)) return;
-    // Replicas in a zone that is cut off run on for as long as their worker's lease; the cut may well be over
-    // before, and no proof that they are gone is worth ending them.
+    // Replicas in a zone that is cut off run until their worker's lease expires. The partition may end before that, and
+    // an earlier proof that they have ended is not worth stopping them.
     const lost = dead.filter((machine) => machine.load.replicas === 0 || !cutOffZones.has(machine.zone));
     if (lost.length === 0) return;
     context.log.info(LogEvent.MachinesSilent, { machines: lost.map(({ name }) => name), cut: [...cutOffZones] });
@@ -283,8 +287,9 @@
   }
 
   /**
-   * When most are silent, or the key-value store is, too, the fault is more likely on the controller's side. Those that
-   * have not missed a heartbeat yet may just not have been due.
+   * Whether the fault is more likely on the controller's side: most machines are silent, the key-value store is silent
+   * too, or no heartbeat at all has been received for longer than expected. In the last case the machines that do not
+   * count as silent may merely not have had a heartbeat due.
    */
   private isOwnSilence({ now, limits, up, lastHeartbeatAt, storeHeard }: SilenceSurvey, dead: number): boolean {
     if (isOwnFault(dead, up.length) || !storeHeard) return true;
@@ -292,8 +297,9 @@
   }
 
   /**
-   * Workers that cannot reach this controller come to it through others, once their next heartbeat is due, has failed here
-   * and has been tried there. Until then silence says nothing: three machines were given up that a peer reached.
+   * Returns the time until which silence is not counted after the path to the workers changed. A worker that cannot reach
+   * this controller sends its next heartbeat through a peer after the direct attempt has timed out; without this wait,
+   * three machines were deleted that a peer could reach.
    */
   private alternatePathDeadline(): Micros {
     const { workerPathChangedAt, settings } = this.dependencies.context;
--- a/src/coordination/workers/unreachable-machine-removal.ts
+++ b/src/coordination/workers/unreachable-machine-removal.ts
@@ -1,4 +1,4 @@
-/** Removal of machines that are heard and not reached, bounded in number. */
+/** Rate-limited removal of machines that are unreachable or whose lease has expired. */
 
 import { eventFieldsOf } from "../../cluster/events.js";
 import type { Machine } from "../../cluster/machine.js";
@@ -11,33 +11,37 @@
 import { isOwnFault, PROBE_TIMEOUT, UNREACHABLE_PROBE_INTERVAL, workerFailoverTime } from "./detection-timeouts.js";
 import { commandsArrive, isOneWay, responsesArrive } from "./reachability.js";
 
-/** Of the machines, so many are given up within a worker's lease because nothing gets to them. */
+/** Maximum share of all machines that is removed within one worker lease. */
 const MAX_REMOVAL_SHARE = 0.1;
 
-/** What the removal needs of its shard and its collaborators. */
+/** The removal's dependencies on its shard and its collaborators. */
 export interface UnreachableMachineRemovalDependencies {
   readonly context: Pick<ShardContext, "clock" | "settings" | "log" | "eventListener">;
   readonly autoscaler: Pick<Autoscaler, "deleteMachines">;
   readonly guard: (work: Promise<unknown>) => Promise<void>;
-  /** Most machines are unreachable: another controller may reach them. */
+  /** Gives up leadership when most machines are unreachable: another controller may reach them. */
   readonly onUnreachable: () => Promise<void>;
 }
 
 /**
- * Machines that are heard and that nothing gets to, or whose leases nothing renews: deleting them is the fast proof that
- * their tasks are gone. Where many go at once it is a cut and no fault of theirs: the rest keeps what it runs until the
- * worker's lease expires, and whichever controller else leads the shard may reach them.
+ * Deletes machines that send heartbeats but do not receive commands or responses: the deletion is the fastest proof that
+ * their tasks have ended. If many are affected at once, the likely cause is a partition and not the machines. Removals
+ * are therefore bounded: the other machines keep their tasks until their lease expires, and another controller that
+ * becomes the shard leader may reach them.
  */
 export class UnreachableMachineRemoval {
   private recentRemovals: Micros[] = [];
 
   constructor(private readonly dependencies: UnreachableMachineRemovalDependencies) {}
 
-  /** `machines`: those that count as up; `cutOffZones`: zones whose machines with replicas are kept. */
+  /**
+   * Removes machines that have been unreachable for too long, or gives up leadership if most are. `machines`: those that
+   * count as up; `cutOffZones`: zones whose machines with replicas are kept.
+   */
   removeUnreachable(machines: readonly Machine[], cutOffZones: ReadonlySet<string>): void {
     const { clock, settings, log } = this.dependencies.context;
     const now = clock.now();
-    // Other ways to them may open meanwhile, and heartbeats that come by those show the effect of the responses.
+    // Workers may fail over to another path meanwhile, and heartbeats on that path show whether responses arrive.
     const minUnreachableTime = workerFailoverTime(settings.workers.heartbeatInterval);
     const unreachable = machines.filter((machine) => this.isRemovable(machine, now, minUnreachableTime));
     if (unreachable.length === 0) return;
@@ -54,8 +58,8 @@
   }
 
   /**
-   * Silent machines past their lease to which a start is still on its way: as long as they may be back, its task can't begin
-   * elsewhere. `fleetSize`: of the machines that count as up.
+   * Removes silent machines whose lease has expired and to which a start command may still be in flight: its task cannot
+   * be started elsewhere as long as the machine may come back. `fleetSize`: number of machines that count as up.
    */
   removeExpired(silent: readonly Machine[], fleetSize: number): void {
     const now = this.dependencies.context.clock.now();
@@ -71,9 +75,9 @@
   private isRemovable({ reachability }: Machine, now: Micros, minUnreachableTime: number): boolean {
     const { unreachableSince, probedAt } = reachability;
     if (unreachableSince === null || (!isOneWay(reachability) && responsesArrive(reachability))) return false;
-    // Where queries are answered that showed it, there is nothing to wait for.
+    // Responses are lost but queries are answered: the replies have already proven that, so there is nothing to wait for.
     if (commandsArrive(reachability)) return true;
-    // And not without a probe of just now: after a pause of the detector, the first look found what a cut had left behind.
+    // A recent probe is required: after a pause of the detector, the first check would act on stale state of a partition.
     const sinceProbe = now - probedAt;
     return (
       now - unreachableSince > minUnreachableTime &&
@@ -82,7 +86,7 @@
     );
   }
 
-  /** How many machines may be removed now. */
+  /** Number of machines that may be removed now without exceeding the share per worker lease. */
   private removalBudget(machines: number, now: Micros): number {
     const { lease } = this.dependencies.context.settings.workers;
     this.recentRemovals = this.recentRemovals.filter((at) => now - at < lease);
--- a/src/coordination/workers/unreachable-zones.ts
+++ b/src/coordination/workers/unreachable-zones.ts
@@ -1,4 +1,4 @@
-/** The record of zones whose workers are not answered, kept for the next leader of a shard. */
+/** Stored record of the zones whose workers get no responses, for the next leader of the shard. */
 
 import type { Machine } from "../../cluster/machine.js";
 import type { Uint64 } from "../../protocol/json.js";
@@ -14,25 +14,25 @@
 import type { Services, ShardLease } from "../context.js";
 import { LogEvent } from "../log-events.js";
 
-/** Microseconds beyond the bound on both clocks' errors: for rounding, and for the drift of the steady clocks meanwhile. */
+/** Microseconds added to the error bounds of both clocks, for rounding and for the drift of the monotonic clocks. */
 const CLOCK_MARGIN = 50_000;
-/** A zone in which a worker was heard is not put on record for so long. */
+/** A zone is not recorded as unreachable for this time after a heartbeat from one of its workers. */
 const RECENTLY_HEARD = seconds(10);
 
 /**
- * Keeps on record since when no worker in a zone has been answered, so that the next leader need not wait a whole lease
- * of the workers from its own beginning: with a zone cut off and the leader lost shortly before the leases expired,
- * replicas were gone for half a minute that nobody started elsewhere.
+ * Records since when no worker in a zone has been sent a response, so that the next leader need not wait for a full
+ * worker lease from its own start. Without the record, when a zone was cut off and the leader failed shortly before the
+ * leases expired, its replicas were missing for half a minute before they were started elsewhere.
  *
- * The argument. `since` is no earlier than the last response, by whichever leader, that can have renewed a lease in the
- * zone. While a zone may be on record (from before the write leaves until a write without it is confirmed), no worker there
- * is answered and nothing is started there: `mayAnswer` returns false. A leader that is lost without a confirmed write
- * leaves the record, or its lack, behind as it is; a late write fails on the version of the shard's lease. The next
- * leader takes the zone as on record from its first moment. `since` is time of day, which every controller knows
- * within the bound of the settings; both errors are added to it.
+ * Safety argument: `since` is no earlier than the last response, by any leader, that can have renewed a lease in the
+ * zone. While a zone may be on record (from before the write is sent until a write without the zone is confirmed), no
+ * worker there gets a response and no task is started there: `mayAnswer` returns false. If a leader fails without a
+ * confirmed write, the stored record stays as it is; a late write fails on the version of the shard's lease. The next
+ * leader treats the recorded zones as on record from its start. `since` is wall-clock time, which every controller knows
+ * within the error bound of the settings; the errors of both clocks are allowed for.
  */
 export class UnreachableZones {
-  /** Zones that the record may name. */
+  /** Zones that the stored record may contain, including those of an unconfirmed write. */
   private readonly recordedZones = new Set<string>();
   private readonly inheritedSince = new Map<string, Micros>();
   private readonly lastHeardAt = new Map<string, Micros>();
@@ -53,11 +53,11 @@
     if (entry !== undefined) this.inherit(decodeUnreachableZones(entry.value));
   }
 
-  /** Takes over the record of the leader before. */
+  /** Takes over the record of the previous leader. */
   private inherit({ epoch, unansweredSinceMs }: UnreachableZonesRecord): void {
     const { wallClock, clock, settings } = this.services;
-    // Believed only from the leader just before: one in between may have answered and, of an older version, not known
-    // the record, as in a rolling update.
+    // Valid only if written in the directly preceding epoch. A leader in between may run an older version that does not
+    // know the record, as in a rolling update, and may have sent responses.
     if (epoch !== this.lease.epoch - 1) return;
     for (const [zone, sinceMs] of Object.entries(unansweredSinceMs)) {
       if (zone === "") continue;
@@ -67,7 +67,7 @@
       this.inheritedSince.set(zone, (clock.now() - Math.max(0, ago)) as Micros);
     }
     this.desiredZones = new Set(this.recordedZones);
-    // To be believed in turn, it has to stand under this leader's own epoch.
+    // The next leader accepts the record only if it carries this leader's epoch.
     this.mustRewrite = this.recordedZones.size > 0;
     this.writeChanges();
   }
@@ -76,38 +76,38 @@
     return unreachableZonesKey(this.lease.shard);
   }
 
-  /** Zones that the leader before left on record. */
+  /** Zones on the previous leader's record, as far as still on record. */
   get inheritedZones(): ReadonlySet<string> {
     return new Set(this.inheritedSince.keys());
   }
 
-  /** May workers there be answered, and tasks be started? */
+  /** Whether workers in the zone may be sent responses and start commands. */
   mayAnswer(zone: string): boolean {
     return !this.recordedZones.has(zone);
   }
 
-  /** No worker there was answered after this time; null where that is not on record. */
+  /** Time after which the previous leaders sent no response to a worker in the zone; null if there is no such record. */
   lastAnsweredBefore(zone: string): Micros | null {
     return this.inheritedSince.get(zone) ?? null;
   }
 
-  /** Zones of which nothing is heard now; called again and again. */
+  /** Puts silent zones on record. Called periodically, which also retries failed writes. */
   markUnreachable(zones: ReadonlySet<string>): void {
     const { wallClock } = this.services;
     if (wallClock === null) return;
     const now = this.services.clock.now();
-    // A machine that has just come up may be all that is heard of a zone of dead ones: put on record again and again,
-    // the zone was never answered (seed 4 of the random days).
-    // Machines known from the records only have no zone yet: all of them, at the next leader's beginning.
+    // In a zone of dead machines, a machine that has just come up may be the only one that sends heartbeats. If the zone
+    // were put on record again after each of them, that machine would never get a response.
+    // Machines known only from stored records have no zone yet; for a new leader these are all machines.
     const quiet = [...zones].filter(
       (zone) => zone !== "" && now - (this.lastHeardAt.get(zone) ?? Number.NEGATIVE_INFINITY) > RECENTLY_HEARD,
     );
-    // Those that are on record stay there until a worker in them is heard.
+    // Zones on record stay there until a heartbeat of one of their workers is received.
     this.desiredZones = new Set([...this.desiredZones, ...quiet]);
     this.writeChanges();
   }
 
-  /** A worker in the zone has been heard: it is to be answered as soon as the record no longer names it. */
+  /** Takes the zone off the record after a heartbeat from it; responses resume once that write is confirmed. */
   markReachable(zone: string): void {
     this.lastHeardAt.set(zone, this.services.clock.now());
     if (!this.recordedZones.has(zone)) return;
@@ -115,13 +115,13 @@
     this.writeChanges();
   }
 
-  /** Writes the record where the zones wanted on it differ from those that may be there; one write at a time. */
+  /** Writes the record if the desired zones differ from those possibly on record; one write at a time. */
   private writeChanges(): void {
     if ((this.isRecordCurrent() && !this.mustRewrite) || this.writing || !this.lease.isValid()) return;
     const { transactions, log } = this.services;
     const { desiredZones } = this;
     this.writing = true;
-    // From here on they may be on record: responses stop first.
+    // The zones may be on record as soon as the write is sent, so responses stop before it.
     for (const zone of desiredZones) this.recordedZones.add(zone);
     transactions
       .submit(this.writeConditions(), [this.writeOperation(desiredZones)], "cancellation")
@@ -145,8 +145,8 @@
   }
 
   /**
-   * Never a deletion: what is not there has version 0 again, and an earlier write without an answer, applied late under
-   * that condition, put a zone on record that was being answered. A write of no zones moves the version on.
+   * Returns a put also for an empty record. A deleted key has version 0 again, so an earlier write with unknown outcome
+   * could still satisfy its condition on that version and, applied late, put a zone on record that gets responses.
    */
   private writeOperation(zones: ReadonlySet<string>): WriteOperation {
     return { kind: "put", key: this.key, value: encodeUnreachableZones(this.buildRecord(zones)) };
@@ -160,7 +160,7 @@
       for (const zone of [...this.inheritedSince.keys()]) if (!writtenZones.has(zone)) this.inheritedSince.delete(zone);
       return;
     }
-    // One of this controller's own writes without an answer may have been applied; a later try finds its version.
+    // An earlier write of this controller with unknown outcome may have been applied; retries use the version it left.
     const { cache } = this.services;
     if (result.kind === "conflict" && (await cache.sync())) this.version = cache.entries.get(this.key)?.version ?? 0;
   }
@@ -169,11 +169,11 @@
     const { wallClock, clock } = this.services;
     const since: Record<string, number> = {};
     for (const zone of zones) {
-      // The leader before may have answered there to its end: without its record, that is this leader's beginning.
-      // Counted from the machines heard of alone, a zone that had not been heard yet went on record as silent for ever,
-      // and its tasks were started a second time (docs/incidents/silence-record.md).
+      // Without an inherited record, the previous leader may have sent responses until this leader's start. If only
+      // machines with a heartbeat counted, a zone without any so far would be recorded as silent since the beginning of
+      // time, and its tasks would be started a second time (docs/incidents/silence-record.md).
       let latest: number = this.inheritedSince.get(zone) ?? this.startedAt;
-      // One that has never been heard of runs nothing that was started.
+      // A machine without a heartbeat to this leader runs no task started by this leader.
       for (const machine of this.machines()) {
         if (machine.zone === zone && machine.state === "up") latest = Math.max(latest, machine.lease.renewedAt);
       }
--- a/src/coordination/workers/zone-findings.ts
+++ b/src/coordination/workers/zone-findings.ts
@@ -1,38 +1,38 @@
-/** What the contact times of machines say of their zones: silent, mostly unreachable. Pure functions. */
+/** Pure functions that derive from the contact times of machines which zones are silent or mostly unreachable. */
 
 import type { Machine } from "../../cluster/machine.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import { isReachable } from "./reachability.js";
 
-/** A zone counts as cut off when so many of its heartbeats are missing, and not before the least time of silence. */
+/** A zone counts as silent when this many heartbeats of its machines are missing, but not before the minimum silence. */
 const MISSED_ZONE_HEARTBEATS = 8;
 const MIN_ZONE_SILENCE = seconds(1.5);
-/** With fewer machines in a zone there is nobody to compare one with. */
+/** With fewer machines in a zone, there are too few others to compare a machine with. */
 export const MIN_ZONE_MACHINES = 3;
-/** Of a zone's machines, so many that nothing gets to make it a cut of the zone, whatever is still heard from there. */
+/** A zone with this share of unreachable machines counts as cut off, even if it still sends heartbeats. */
 const UNREACHABLE_ZONE_SHARE = 0.5;
 
-/** The contacts with one zone's machines. */
+/** Latest contacts with the machines of one zone. */
 export interface ZoneContact {
   /** When a machine of the zone last answered a query or command. */
   lastResponseAt: number;
-  /** The machine heard of last. */
+  /** The machine with the latest heartbeat. */
   lastHeard: Machine;
   machines: number;
 }
 
-/** When silence starts to say something, in microseconds. */
+/** Limits for the detection of silence, in microseconds. */
 export interface SilenceLimits {
   /** A machine is silent after this time without a heartbeat. */
   readonly machineSilence: number;
   readonly heartbeatInterval: Micros;
 }
 
-/** Within this time (microseconds) so many machines ought to have been heard several times. */
+/** Time in microseconds within which several heartbeats are expected from a group of this many machines. */
 export const expectedQuietTime = (machines: number, { machineSilence, heartbeatInterval }: SilenceLimits): number =>
   Math.min(machineSilence, Math.max(MIN_ZONE_SILENCE, (MISSED_ZONE_HEARTBEATS * heartbeatInterval) / machines));
 
-/** By zone, the last contacts with its machines. */
+/** Returns the latest contacts with the machines, by zone. */
 export const zoneContacts = (machines: readonly Machine[]): ReadonlyMap<string, ZoneContact> => {
   const contacts = new Map<string, ZoneContact>();
   for (const machine of machines) {
@@ -49,7 +49,10 @@
   return contacts;
 };
 
-/** Zones to most of whose machines nothing gets, though heartbeats may still come from there. */
+/**
+ * Returns zones in which at least half of the machines, and at least `MIN_ZONE_MACHINES`, are dead or unreachable, even
+ * if heartbeats are still received. Empty if this holds for all zones: the fault is then on the controller's side.
+ */
 export const mostlyUnreachableZones = (machines: readonly Machine[], dead: ReadonlySet<Machine>): readonly string[] => {
   const zones = new Map<string, { machines: number; unreachable: number }>();
   for (const machine of machines) {
@@ -69,11 +72,11 @@
   return cutOff.length === zones.size ? [] : cutOff.map(([zone]) => zone);
 };
 
-/** Zones of which nothing has been heard for a time in which many of their machines ought to have sent heartbeats. */
+/** Returns zones without any heartbeat for a time in which several were expected; empty if no zone sends heartbeats. */
 export const silentZones = (machines: readonly Machine[], limits: SilenceLimits, now: Micros): ReadonlySet<string> => {
   const zones = new Map<string, { machines: number; lastHeartbeatAt: number }>();
   for (const { zone, reachability } of machines) {
-    // Known from the records only: in no zone that anything could be concluded of.
+    // Known only from stored records: the zone is not known yet.
     if (zone === "") continue;
     let known = zones.get(zone);
     if (known === undefined) {
@@ -87,6 +90,6 @@
     ([, known]) =>
       known.machines >= MIN_ZONE_MACHINES && now - known.lastHeartbeatAt > expectedQuietTime(known.machines, limits),
   );
-  // Where no zone at all is heard, the fault is on the controller's side.
+  // If all zones are silent, the fault is on the controller's side.
   return new Set(silent.length === zones.size ? [] : silent.map(([zone]) => zone));
 };
--- a/src/coordination/workers/zone-queries.ts
+++ b/src/coordination/workers/zone-queries.ts
@@ -1,14 +1,14 @@
-/** Queries by which one machine that is heard speaks for its zone, while others there are probed. */
+/** Control queries to a live machine of each zone in which silent machines are probed. */
 
 import type { Machine } from "../../cluster/machine.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import { PROBE_TIMEOUT } from "./detection-timeouts.js";
 import { MIN_ZONE_MACHINES, type ZoneContact, zoneContacts } from "./zone-findings.js";
 
-/** Two queries to a zone without an answer. */
+/** Time without a reply after which a zone counts as unanswered; two queries fit into it. */
 const ZONE_UNANSWERED_LIMIT = seconds(3.6);
 
-/** Queries to a zone that nobody there has answered. */
+/** A series of queries to a zone without any reply yet. */
 interface OpenZoneQuery {
   /** When the first one was sent. */
   readonly since: Micros;
@@ -17,9 +17,10 @@
 }
 
 /**
- * A machine that does not answer says nothing while nobody else in its zone is known to: with each machine that is asked for
- * its silence, one that is heard is asked as well. All seven machines of a site whose heartbeats came while nothing got
- * to them were given up one after the other.
+ * Distinguishes a dead machine from a zone that is cut off: a failed probe is no evidence against a machine unless other
+ * machines of its zone reply. When a machine of a zone is probed, the one with the latest heartbeat is probed too.
+ * Without this, all seven machines of a site were deleted one after the other when their heartbeats arrived but requests
+ * to them did not.
  */
 export class ZoneQueries {
   private readonly open = new Map<string, OpenZoneQuery>();
@@ -39,8 +40,8 @@
 
   private updateZone(zone: string, contact: ZoneContact, probedZones: ReadonlySet<string>, now: Micros): void {
     const query = this.open.get(zone);
-    // With fewer machines there is nobody to compare with, also where there were more when the first one was asked: of a
-    // zone that had come down to one machine, nobody was asked again, and it counted as cut off for ever.
+    // With too few machines to compare, a query that was opened when there were more is closed as well: otherwise a zone
+    // that shrank to one machine is never queried again and counts as cut off for ever.
     const answered = query !== undefined && contact.lastResponseAt > query.since;
     if (contact.machines < MIN_ZONE_MACHINES || answered) {
       this.open.delete(zone);
@@ -52,7 +53,7 @@
     this.probe(contact.lastHeard);
   }
 
-  /** Zones of which nobody has answered several queries, whatever is heard from there. */
+  /** Returns zones in which no machine has replied to several queries, even if heartbeats are still received. */
   unansweredZones(now: Micros): readonly string[] {
     return [...this.open].filter(([, { since }]) => now - since > ZONE_UNANSWERED_LIMIT).map(([zone]) => zone);
   }
