--- a/src/coordination/workers/detection-timeouts.ts
+++ b/src/coordination/workers/detection-timeouts.ts
@@ -7,7 +7,7 @@
 /** Interval between probes of a machine that sends heartbeats but is unreachable. */
 export const UNREACHABLE_PROBE_INTERVAL = seconds(4);
 /** If more than this share of all machines is affected, the fault is assumed to be on the controller's side. */
-export const OWN_FAULT_SHARE = 0.6;
+export const CONTROLLER_FAULT_SHARE = 0.6;
 /** Upper bound on the time between heartbeats, as a multiple of the heartbeat interval. */
 const MAX_HEARTBEAT_JITTER = 1.25;
 /** Time after which a worker abandons a heartbeat without a response. */
@@ -20,5 +20,5 @@
   heartbeatInterval * MAX_HEARTBEAT_JITTER + WORKER_HEARTBEAT_TIMEOUT + WORKER_FAILOVER_TIME;
 
 /** Whether so many of the machines are affected that the controller's own network is the likelier cause. */
-export const isOwnFault = (affected: number, machines: number): boolean =>
-  affected > Math.max(2, machines * OWN_FAULT_SHARE);
+export const isLikelyControllerFault = (affected: number, machines: number): boolean =>
+  affected > Math.max(2, machines * CONTROLLER_FAULT_SHARE);
--- a/src/coordination/workers/failure-attribution.ts
+++ b/src/coordination/workers/failure-attribution.ts
@@ -23,11 +23,11 @@
 const runTime = (task: Task, now: Micros): number => (task.runningSince === null ? 0 : now - task.runningSince);
 
 /** Whether the job runs stably on other machines, so that its failures count against the machines they occur on. */
-const isStableElsewhere = (job: Job, failedRunTime: number, elsewhere: Machine | null, now: Micros): boolean => {
+const isStableElsewhere = (job: Job, failedRunTime: number, excludedMachine: Machine | null, now: Micros): boolean => {
   if (job.completedTasks > 0) return true;
   const minRunTime = Math.max(STABLE_RUN_TIME, STABLE_RUN_FACTOR * failedRunTime);
   for (const task of job.placedTasks) {
-    if (task.machine !== elsewhere && task.state === "running" && runTime(task, now) >= minRunTime) return true;
+    if (task.machine !== excludedMachine && task.state === "running" && runTime(task, now) >= minRunTime) return true;
   }
   return false;
 };
@@ -47,25 +47,27 @@
   now: Micros,
 ): FailureCause => {
   const { job } = task;
-  const { id } = job.spec;
-  const ran = runTime(task, now);
-  job.longestFailedRun = Math.max(job.longestFailedRun, ran) as Micros;
+  const { id: jobId } = job.spec;
+  const failedRunTime = runTime(task, now);
+  job.longestFailedRun = Math.max(job.longestFailedRun, failedRunTime) as Micros;
   job.failedMachines.add(machine.name);
-  const stableElsewhere = isStableElsewhere(job, ran, machine, now);
+  const stableElsewhere = isStableElsewhere(job, failedRunTime, machine, now);
   if (!stableElsewhere && (job.onProbation || job.failedMachines.size >= MAX_FAILED_MACHINES)) {
     putOnProbation(job, machines, now);
     return "job";
   }
-  for (const [other, { at }] of machine.lifecycle.recentFailures)
-    if (now - at > FAILURE_RETENTION) machine.lifecycle.recentFailures.delete(other);
-  const known = machine.lifecycle.recentFailures.get(id);
-  const count = known === undefined ? 1 : known.at === now ? known.count : known.count + 1;
-  machine.lifecycle.recentFailures.set(id, { at: now, count });
+  for (const [failedJobId, { at }] of machine.lifecycle.recentFailures)
+    if (now - at > FAILURE_RETENTION) machine.lifecycle.recentFailures.delete(failedJobId);
+  const previous = machine.lifecycle.recentFailures.get(jobId);
+  const count = previous === undefined ? 1 : previous.at === now ? previous.count : previous.count + 1;
+  machine.lifecycle.recentFailures.set(jobId, { at: now, count });
   machine.lifecycle.quarantinedUntil = Math.max(machine.lifecycle.quarantinedUntil, now + QUARANTINE_TIME) as Micros;
-  const failsStableJob = [...machine.lifecycle.recentFailures.keys()].some((other) => {
-    const failed = jobs.get(other);
+  const failsStableJob = [...machine.lifecycle.recentFailures.keys()].some((failedJobId) => {
+    const failedJob = jobs.get(failedJobId);
     return (
-      failed !== undefined && !failed.onProbation && isStableElsewhere(failed, failed.longestFailedRun, machine, now)
+      failedJob !== undefined &&
+      !failedJob.onProbation &&
+      isStableElsewhere(failedJob, failedJob.longestFailedRun, machine, now)
     );
   });
   // A machine full of long-running replicas may never run more than one new job, so repeated failures of one job suffice.
@@ -81,8 +83,8 @@
   // Failures of tasks that were already running when the back-off began are not a new trial.
   if (!job.onProbation || now >= job.retryAfter) {
     job.failedProbes += 1;
-    const pause = Math.min(MAX_PROBATION_DELAY, MIN_PROBATION_DELAY * 2 ** Math.min(20, job.failedProbes - 1));
-    job.retryAfter = (now + pause) as Micros;
+    const delay = Math.min(MAX_PROBATION_DELAY, MIN_PROBATION_DELAY * 2 ** Math.min(20, job.failedProbes - 1));
+    job.retryAfter = (now + delay) as Micros;
   }
   job.onProbation = true;
   for (const name of job.failedMachines) {
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -7,16 +7,21 @@
 import type { ShardContext } from "../context.js";
 import { LogEvent } from "../log-events.js";
 import type { CommandDispatcher } from "./command-dispatcher.js";
-import { isOwnFault, PROBE_TIMEOUT, UNREACHABLE_PROBE_INTERVAL, workerFailoverTime } from "./detection-timeouts.js";
+import {
+  isLikelyControllerFault,
+  PROBE_TIMEOUT,
+  UNREACHABLE_PROBE_INTERVAL,
+  workerFailoverTime,
+} from "./detection-timeouts.js";
 import type { HeartbeatProcessor } from "./heartbeat-processor.js";
 import { isReachable } from "./reachability.js";
 import { UnreachableMachineRemoval } from "./unreachable-machine-removal.js";
 import type { UnreachableZones } from "./unreachable-zones.js";
 import {
-  expectedQuietTime,
   MIN_ZONE_MACHINES,
   mostlyUnreachableZones,
   type SilenceLimits,
+  silenceThreshold,
   silentZones,
 } from "./zone-findings.js";
 import { ZoneQueries } from "./zone-queries.js";
@@ -25,7 +30,7 @@
 const SETTLING_TIME = seconds(5);
 const MAX_SETTLING_TIME = seconds(12);
 /** If the watch cache is older than this, the controller itself may be cut off, and silent machines are not removed. */
-const STORE_SILENCE_LIMIT = seconds(3);
+const CACHE_STALENESS_LIMIT = seconds(3);
 /** Maximum probes in one check: probing a whole zone at once would use up all connections. */
 const MAX_PROBES = 64;
 /** Maximum factor by which a worker's clock may run slower than this one. */
@@ -41,7 +46,7 @@
   readonly commands: Pick<CommandDispatcher, "queryStatus" | "send">;
   readonly heartbeats: Pick<HeartbeatProcessor, "leaseExpired">;
   readonly autoscaler: Pick<Autoscaler, "deleteMachines" | "unreachableZones">;
-  readonly unreachableZones: Pick<UnreachableZones, "lastAnsweredBefore" | "markUnreachable">;
+  readonly unreachableZones: Pick<UnreachableZones, "unansweredSince" | "markUnreachable">;
   readonly guard: (work: Promise<unknown>) => Promise<void>;
   /** Gives up leadership: another controller may be able to reach the machines that this one cannot. */
   readonly onUnreachable: () => Promise<void>;
@@ -66,7 +71,7 @@
   /** When the latest heartbeat of any machine in `up` was received; 0 if there was none. */
   readonly lastHeartbeatAt: number;
   /** Whether the watch cache has been updated from the key-value store recently. */
-  readonly storeHeard: boolean;
+  readonly isCacheFresh: boolean;
 }
 
 /** Finds silent or unreachable machines and zones, removes machines, and gives up leadership if most are affected. */
@@ -110,9 +115,9 @@
    * detection of its silence for ever.
    */
   extendSettling(): void {
-    const answeredBy = (this.dependencies.context.clock.now() + PROBE_TIMEOUT) as Micros;
-    if (answeredBy < this.startedAt + MAX_SETTLING_TIME)
-      this.settledAt = Math.max(this.settledAt, answeredBy) as Micros;
+    const repliesDueAt = (this.dependencies.context.clock.now() + PROBE_TIMEOUT) as Micros;
+    if (repliesDueAt < this.startedAt + MAX_SETTLING_TIME)
+      this.settledAt = Math.max(this.settledAt, repliesDueAt) as Micros;
   }
 
   /** Expires the leases of workers that were not renewed in time: such a worker has ended all its tasks by itself. */
@@ -121,7 +126,7 @@
     const expiryTime = Math.ceil(settings.workers.lease * MAX_CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN;
     const now = clock.now();
     for (const machine of shard.machines.values()) {
-      if (machine.counters.incarnation === null) this.applyInheritedSilence(machine);
+      if (machine.counters.incarnation === null) this.applyInheritedLeaseRenewal(machine);
       if (machine.lease.expired) {
         // The response to a start command that was in flight may have added a task since the expiry.
         if (machine.tasks.size > 0) this.dependencies.heartbeats.leaseExpired(machine, LEASE_EXPIRY_REASON);
@@ -139,9 +144,10 @@
    * For a machine without a heartbeat to this leader, limits the time of its last lease renewal to the one recorded by the
    * previous leader.
    */
-  private applyInheritedSilence(machine: Machine): void {
-    const answeredBefore = this.dependencies.unreachableZones.lastAnsweredBefore(machine.zone);
-    if (answeredBefore !== null && answeredBefore < machine.lease.renewedAt) machine.lease.renewedAt = answeredBefore;
+  private applyInheritedLeaseRenewal(machine: Machine): void {
+    const unansweredSince = this.dependencies.unreachableZones.unansweredSince(machine.zone);
+    if (unansweredSince !== null && unansweredSince < machine.lease.renewedAt)
+      machine.lease.renewedAt = unansweredSince;
   }
 
   /**
@@ -155,8 +161,8 @@
     const survey = this.survey(now);
     const { up, limits } = survey;
     if (this.transferIfAllSilent(survey)) return;
-    const openZones = this.zoneQueries.update(up, this.probeMachines(survey), now);
-    const dead = this.findDead(survey, openZones);
+    const zonesWithOpenQueries = this.zoneQueries.update(up, this.probeMachines(survey), now);
+    const dead = this.findDead(survey, zonesWithOpenQueries);
     const silent = silentZones(up, limits, now);
     unreachableZones.markUnreachable(silent);
     const unanswered = this.zoneQueries.unansweredZones(now);
@@ -191,7 +197,7 @@
       up,
       silent,
       lastHeartbeatAt: latestHeartbeatAt,
-      storeHeard: now - (cache.freshAsOf ?? now) <= STORE_SILENCE_LIMIT,
+      isCacheFresh: now - (cache.freshAsOf ?? now) <= CACHE_STALENESS_LIMIT,
     };
   }
 
@@ -199,8 +205,8 @@
    * Gives up leadership if all machines are silent: their workers cannot reach this controller but may reach another one.
    * Their leases still run, and deleting the machines one by one as they miss heartbeats would end running tasks.
    */
-  private transferIfAllSilent({ now, limits, up, lastHeartbeatAt, storeHeard }: SilenceSurvey): boolean {
-    if (up.length < MIN_ZONE_MACHINES || now - lastHeartbeatAt <= limits.machineSilence || !storeHeard) return false;
+  private transferIfAllSilent({ now, limits, up, lastHeartbeatAt, isCacheFresh }: SilenceSurvey): boolean {
+    if (up.length < MIN_ZONE_MACHINES || now - lastHeartbeatAt <= limits.machineSilence || !isCacheFresh) return false;
     this.transferLeadership("no heartbeats", up.length);
     return true;
   }
@@ -263,27 +269,27 @@
    */
   private findDead(
     { now, up, silent, lastHeartbeatAt }: SilenceSurvey,
-    openZones: ReadonlySet<string>,
+    zonesWithOpenQueries: ReadonlySet<string>,
   ): readonly Machine[] {
     return silent.filter(({ reachability, zone }) => {
       const { probedAt } = reachability;
       if (probedAt < reachability.lastHeartbeatAt || now - probedAt <= PROBE_TIMEOUT) return false;
-      return up.length < MIN_ZONE_MACHINES || (lastHeartbeatAt > probedAt && !openZones.has(zone));
+      return up.length < MIN_ZONE_MACHINES || (lastHeartbeatAt > probedAt && !zonesWithOpenQueries.has(zone));
     });
   }
 
   private removeDead(survey: SilenceSurvey, dead: readonly Machine[], cutOffZones: ReadonlySet<string>): void {
     const { context, autoscaler } = this.dependencies;
-    if (dead.length === 0 || this.isOwnSilence(survey, dead.length)) return;
+    if (dead.length === 0 || this.isControllerCutOff(survey, dead.length)) return;
     // Replicas in a zone that is cut off run until their worker's lease expires. The partition may end before that, and
     // an earlier proof that they have ended is not worth stopping them.
-    const lost = dead.filter((machine) => machine.load.replicas === 0 || !cutOffZones.has(machine.zone));
-    if (lost.length === 0) return;
-    context.log.info(LogEvent.MachinesSilent, { machines: lost.map(({ name }) => name), cut: [...cutOffZones] });
+    const removals = dead.filter((machine) => machine.load.replicas === 0 || !cutOffZones.has(machine.zone));
+    if (removals.length === 0) return;
+    context.log.info(LogEvent.MachinesSilent, { machines: removals.map(({ name }) => name), cut: [...cutOffZones] });
     const { eventListener, settings } = context;
-    for (const machine of lost)
+    for (const machine of removals)
       eventListener?.({ kind: "machine silent", span: settings.workers.lease, ...eventFieldsOf(machine) });
-    void this.dependencies.guard(autoscaler.deleteMachines(lost));
+    void this.dependencies.guard(autoscaler.deleteMachines(removals));
   }
 
   /**
@@ -291,9 +297,9 @@
    * too, or no heartbeat at all has been received for longer than expected. In the last case the machines that do not
    * count as silent may merely not have had a heartbeat due.
    */
-  private isOwnSilence({ now, limits, up, lastHeartbeatAt, storeHeard }: SilenceSurvey, dead: number): boolean {
-    if (isOwnFault(dead, up.length) || !storeHeard) return true;
-    return up.length >= MIN_ZONE_MACHINES && now - lastHeartbeatAt > expectedQuietTime(up.length, limits);
+  private isControllerCutOff({ now, limits, up, lastHeartbeatAt, isCacheFresh }: SilenceSurvey, dead: number): boolean {
+    if (isLikelyControllerFault(dead, up.length) || !isCacheFresh) return true;
+    return up.length >= MIN_ZONE_MACHINES && now - lastHeartbeatAt > silenceThreshold(up.length, limits);
   }
 
   /**
--- a/src/coordination/workers/graceful-eviction.ts
+++ b/src/coordination/workers/graceful-eviction.ts
@@ -5,7 +5,7 @@
 import { type Micros, seconds } from "../../transport/clock.js";
 
 /** Share of the remaining time within which a task must be estimated to end: estimates are often wrong by half. */
-const ESTIMATE_TRUST = 0.7;
+const USABLE_TIME_SHARE = 0.7;
 
 /** Action for one task. `graceS`: grace period in seconds for saving a checkpoint. */
 export type EvictionAction =
@@ -22,7 +22,7 @@
   const { spec } = task.job;
   const timeLeft = reclaimAt === null ? Number.POSITIVE_INFINITY : reclaimAt - now;
   const runTime = task.runningSince === null ? 0 : now - task.runningSince;
-  const endsInTime = spec.shape !== "service" && seconds(spec.estimatedRunS) - runTime < timeLeft * ESTIMATE_TRUST;
+  const endsInTime = spec.shape !== "service" && seconds(spec.estimatedRunS) - runTime < timeLeft * USABLE_TIME_SHARE;
   if (endsInTime) return null;
   const savesCheckpoint = spec.checkpointIntervalS > 0 && seconds(spec.checkpointDurationS) <= timeLeft;
   return { kind: "stop", task, graceS: savesCheckpoint ? Math.ceil(spec.checkpointDurationS) : 0 };
@@ -38,12 +38,12 @@
 export const decideEvictions = (machine: Machine, now: Micros): readonly EvictionAction[] => {
   const { reclaimAt } = machine.lifecycle;
   // A faulty machine fails newly started tasks only; tasks that already run there are left running.
-  const leaving = isBeingEmptied(machine);
+  const evicting = isBeingEmptied(machine);
   let actions: EvictionAction[] | null = null;
   for (const task of machine.tasks) {
     let action: EvictionAction | null = null;
-    if (task.stopRequest !== null) action = evictionOfUnstarted(task, leaving, now);
-    else if (leaving) action = evictionOf(task, reclaimAt, now);
+    if (task.stopRequest !== null) action = actionForUnstarted(task, evicting, now);
+    else if (evicting) action = evictionOf(task, reclaimAt, now);
     if (action === null) continue;
     actions ??= [];
     actions.push(action);
@@ -52,8 +52,8 @@
 };
 
 /** Action for a task with a stop request that has no start command; null if it has one or must wait. */
-const evictionOfUnstarted = (task: Task, leaving: boolean, now: Micros): EvictionAction | null => {
+const actionForUnstarted = (task: Task, evicting: boolean, now: Micros): EvictionAction | null => {
   if (task.startCommand.kind !== "none") return null;
   if (mayRelease(task, now)) return { kind: "release", task };
-  return leaving ? null : { kind: "keep", task };
+  return evicting ? null : { kind: "keep", task };
 };
--- a/src/coordination/workers/status-query-queue.ts
+++ b/src/coordination/workers/status-query-queue.ts
@@ -36,9 +36,9 @@
    */
   enqueue(machine: Machine): void {
     // Machines that may run tasks come first: each of their tasks either still runs or has to be placed again.
-    const [withReplicas, withWork, others] = this.queues;
+    const [withReplicas, withTasks, others] = this.queues;
     for (const queue of this.queues) queue.delete(machine);
-    (machine.load.replicas > 0 ? withReplicas : machine.tasks.size > 0 ? withWork : others).add(machine);
+    (machine.load.replicas > 0 ? withReplicas : machine.tasks.size > 0 ? withTasks : others).add(machine);
     this.startQueries();
   }
 
--- a/src/coordination/workers/unreachable-machine-removal.ts
+++ b/src/coordination/workers/unreachable-machine-removal.ts
@@ -8,7 +8,12 @@
 import type { DeletionPriority } from "../autoscaling/machine-deletion-queue.js";
 import type { ShardContext } from "../context.js";
 import { LogEvent } from "../log-events.js";
-import { isOwnFault, PROBE_TIMEOUT, UNREACHABLE_PROBE_INTERVAL, workerFailoverTime } from "./detection-timeouts.js";
+import {
+  isLikelyControllerFault,
+  PROBE_TIMEOUT,
+  UNREACHABLE_PROBE_INTERVAL,
+  workerFailoverTime,
+} from "./detection-timeouts.js";
 import { commandsArrive, isOneWay, responsesArrive } from "./reachability.js";
 
 /** Maximum share of all machines that is removed within one worker lease. */
@@ -45,7 +50,7 @@
     const minUnreachableTime = workerFailoverTime(settings.workers.heartbeatInterval);
     const unreachable = machines.filter((machine) => this.isRemovable(machine, now, minUnreachableTime));
     if (unreachable.length === 0) return;
-    if (isOwnFault(unreachable.length, machines.length)) {
+    if (isLikelyControllerFault(unreachable.length, machines.length)) {
       log.info(LogEvent.LeadershipTransferred, { reason: "most machines unreachable", machines: unreachable.length });
       void this.dependencies.guard(this.dependencies.onUnreachable());
       return;
--- a/src/coordination/workers/unreachable-zones.ts
+++ b/src/coordination/workers/unreachable-zones.ts
@@ -17,7 +17,7 @@
 /** Microseconds added to the error bounds of both clocks, for rounding and for the drift of the monotonic clocks. */
 const CLOCK_MARGIN = 50_000;
 /** A zone is not recorded as unreachable for this time after a heartbeat from one of its workers. */
-const RECENTLY_HEARD = seconds(10);
+const RECENT_HEARTBEAT_TIME = seconds(10);
 
 /**
  * Records since when no worker in a zone has been sent a response, so that the next leader need not wait for a full
@@ -35,7 +35,7 @@
   /** Zones that the stored record may contain, including those of an unconfirmed write. */
   private readonly recordedZones = new Set<string>();
   private readonly inheritedSince = new Map<string, Micros>();
-  private readonly lastHeardAt = new Map<string, Micros>();
+  private readonly lastHeartbeatAt = new Map<string, Micros>();
   private desiredZones: ReadonlySet<string> = new Set();
   private version: Uint64;
   private writing = false;
@@ -63,8 +63,8 @@
       if (zone === "") continue;
       this.recordedZones.add(zone);
       if (wallClock === null) continue;
-      const ago = (wallClock() - sinceMs) * 1_000 - 2 * settings.maxClockError - CLOCK_MARGIN;
-      this.inheritedSince.set(zone, (clock.now() - Math.max(0, ago)) as Micros);
+      const elapsed = (wallClock() - sinceMs) * 1_000 - 2 * settings.maxClockError - CLOCK_MARGIN;
+      this.inheritedSince.set(zone, (clock.now() - Math.max(0, elapsed)) as Micros);
     }
     this.desiredZones = new Set(this.recordedZones);
     // The next leader accepts the record only if it carries this leader's epoch.
@@ -87,7 +87,7 @@
   }
 
   /** Time after which the previous leaders sent no response to a worker in the zone; null if there is no such record. */
-  lastAnsweredBefore(zone: string): Micros | null {
+  unansweredSince(zone: string): Micros | null {
     return this.inheritedSince.get(zone) ?? null;
   }
 
@@ -99,17 +99,18 @@
     // In a zone of dead machines, a machine that has just come up may be the only one that sends heartbeats. If the zone
     // were put on record again after each of them, that machine would never get a response.
     // Machines known only from stored records have no zone yet; for a new leader these are all machines.
-    const quiet = [...zones].filter(
-      (zone) => zone !== "" && now - (this.lastHeardAt.get(zone) ?? Number.NEGATIVE_INFINITY) > RECENTLY_HEARD,
+    const newZones = [...zones].filter(
+      (zone) =>
+        zone !== "" && now - (this.lastHeartbeatAt.get(zone) ?? Number.NEGATIVE_INFINITY) > RECENT_HEARTBEAT_TIME,
     );
     // Zones on record stay there until a heartbeat of one of their workers is received.
-    this.desiredZones = new Set([...this.desiredZones, ...quiet]);
+    this.desiredZones = new Set([...this.desiredZones, ...newZones]);
     this.writeChanges();
   }
 
   /** Takes the zone off the record after a heartbeat from it; responses resume once that write is confirmed. */
   markReachable(zone: string): void {
-    this.lastHeardAt.set(zone, this.services.clock.now());
+    this.lastHeartbeatAt.set(zone, this.services.clock.now());
     if (!this.recordedZones.has(zone)) return;
     this.desiredZones = new Set([...this.desiredZones].filter((other) => other !== zone));
     this.writeChanges();
@@ -172,13 +173,14 @@
       // Without an inherited record, the previous leader may have sent responses until this leader's start. If only
       // machines with a heartbeat counted, a zone without any so far would be recorded as silent since the beginning of
       // time, and its tasks would be started a second time (docs/incidents/silence-record.md).
-      let latest: number = this.inheritedSince.get(zone) ?? this.startedAt;
+      let lastResponseAt: number = this.inheritedSince.get(zone) ?? this.startedAt;
       // A machine without a heartbeat to this leader runs no task started by this leader.
       for (const machine of this.machines()) {
-        if (machine.zone === zone && machine.state === "up") latest = Math.max(latest, machine.lease.renewedAt);
+        if (machine.zone === zone && machine.state === "up")
+          lastResponseAt = Math.max(lastResponseAt, machine.lease.renewedAt);
       }
-      const ago = Math.max(0, clock.now() - latest);
-      since[zone] = Math.ceil((wallClock?.() ?? 0) - ago / 1_000);
+      const elapsed = Math.max(0, clock.now() - lastResponseAt);
+      since[zone] = Math.ceil((wallClock?.() ?? 0) - elapsed / 1_000);
     }
     return { epoch: this.lease.epoch, unansweredSinceMs: since };
   }
--- a/src/coordination/workers/zone-findings.ts
+++ b/src/coordination/workers/zone-findings.ts
@@ -17,7 +17,7 @@
   /** When a machine of the zone last answered a query or command. */
   lastResponseAt: number;
   /** The machine with the latest heartbeat. */
-  lastHeard: Machine;
+  lastHeartbeatFrom: Machine;
   machines: number;
 }
 
@@ -29,7 +29,7 @@
 }
 
 /** Time in microseconds within which several heartbeats are expected from a group of this many machines. */
-export const expectedQuietTime = (machines: number, { machineSilence, heartbeatInterval }: SilenceLimits): number =>
+export const silenceThreshold = (machines: number, { machineSilence, heartbeatInterval }: SilenceLimits): number =>
   Math.min(machineSilence, Math.max(MIN_ZONE_SILENCE, (MISSED_ZONE_HEARTBEATS * heartbeatInterval) / machines));
 
 /** Returns the latest contacts with the machines, by zone. */
@@ -39,11 +39,12 @@
     const { reachability } = machine;
     let contact = contacts.get(machine.zone);
     if (contact === undefined) {
-      contact = { lastResponseAt: 0, lastHeard: machine, machines: 0 };
+      contact = { lastResponseAt: 0, lastHeartbeatFrom: machine, machines: 0 };
       contacts.set(machine.zone, contact);
     }
     contact.lastResponseAt = Math.max(contact.lastResponseAt, reachability.lastResponseAt);
-    if (reachability.lastHeartbeatAt > contact.lastHeard.reachability.lastHeartbeatAt) contact.lastHeard = machine;
+    if (reachability.lastHeartbeatAt > contact.lastHeartbeatFrom.reachability.lastHeartbeatAt)
+      contact.lastHeartbeatFrom = machine;
     contact.machines += 1;
   }
   return contacts;
@@ -78,17 +79,18 @@
   for (const { zone, reachability } of machines) {
     // Known only from stored records: the zone is not known yet.
     if (zone === "") continue;
-    let known = zones.get(zone);
-    if (known === undefined) {
-      known = { machines: 0, lastHeartbeatAt: 0 };
-      zones.set(zone, known);
+    let activity = zones.get(zone);
+    if (activity === undefined) {
+      activity = { machines: 0, lastHeartbeatAt: 0 };
+      zones.set(zone, activity);
     }
-    known.machines += 1;
-    known.lastHeartbeatAt = Math.max(known.lastHeartbeatAt, reachability.lastHeartbeatAt);
+    activity.machines += 1;
+    activity.lastHeartbeatAt = Math.max(activity.lastHeartbeatAt, reachability.lastHeartbeatAt);
   }
   const silent = [...zones].filter(
-    ([, known]) =>
-      known.machines >= MIN_ZONE_MACHINES && now - known.lastHeartbeatAt > expectedQuietTime(known.machines, limits),
+    ([, activity]) =>
+      activity.machines >= MIN_ZONE_MACHINES &&
+      now - activity.lastHeartbeatAt > silenceThreshold(activity.machines, limits),
   );
   // If all zones are silent, the fault is on the controller's side.
   return new Set(silent.length === zones.size ? [] : silent.map(([zone]) => zone));
--- a/src/coordination/workers/zone-queries.ts
+++ b/src/coordination/workers/zone-queries.ts
@@ -23,7 +23,7 @@
  * to them did not.
  */
 export class ZoneQueries {
-  private readonly open = new Map<string, OpenZoneQuery>();
+  private readonly openQueries = new Map<string, OpenZoneQuery>();
 
   constructor(private readonly probe: (machine: Machine) => void) {}
 
@@ -34,27 +34,27 @@
   update(machines: readonly Machine[], probedZones: ReadonlySet<string>, now: Micros): ReadonlySet<string> {
     const contacts = zoneContacts(machines);
     for (const [zone, contact] of contacts) this.updateZone(zone, contact, probedZones, now);
-    for (const zone of this.open.keys()) if (!contacts.has(zone)) this.open.delete(zone);
-    return new Set(this.open.keys());
+    for (const zone of this.openQueries.keys()) if (!contacts.has(zone)) this.openQueries.delete(zone);
+    return new Set(this.openQueries.keys());
   }
 
   private updateZone(zone: string, contact: ZoneContact, probedZones: ReadonlySet<string>, now: Micros): void {
-    const query = this.open.get(zone);
+    const query = this.openQueries.get(zone);
     // With too few machines to compare, a query that was opened when there were more is closed as well: otherwise a zone
     // that shrank to one machine is never queried again and counts as cut off for ever.
     const answered = query !== undefined && contact.lastResponseAt > query.since;
     if (contact.machines < MIN_ZONE_MACHINES || answered) {
-      this.open.delete(zone);
+      this.openQueries.delete(zone);
       return;
     }
     const due = query === undefined ? probedZones.has(zone) : now - query.lastSentAt > PROBE_TIMEOUT;
     if (!due) return;
-    this.open.set(zone, { since: query?.since ?? now, lastSentAt: now });
-    this.probe(contact.lastHeard);
+    this.openQueries.set(zone, { since: query?.since ?? now, lastSentAt: now });
+    this.probe(contact.lastHeartbeatFrom);
   }
 
   /** Returns zones in which no machine has replied to several queries, even if heartbeats are still received. */
   unansweredZones(now: Micros): readonly string[] {
-    return [...this.open].filter(([, { since }]) => now - since > ZONE_UNANSWERED_LIMIT).map(([zone]) => zone);
+    return [...this.openQueries].filter(([, { since }]) => now - since > ZONE_UNANSWERED_LIMIT).map(([zone]) => zone);
   }
 }
--- a/test/failure-detector.test.ts
+++ b/test/failure-detector.test.ts
@@ -18,7 +18,7 @@
     autoscaler,
     commands: { queryStatus: async () => undefined, send: async () => undefined },
     heartbeats: { leaseExpired: nothing },
-    unreachableZones: { lastAnsweredBefore: () => null, markUnreachable: nothing },
+    unreachableZones: { unansweredSince: () => null, markUnreachable: nothing },
     guard: async () => undefined,
     onUnreachable: async () => undefined,
   });
--- a/test/unreachable-zones.test.ts
+++ b/test/unreachable-zones.test.ts
@@ -136,7 +136,7 @@
   await stage.world.run(stage.world.now + S, nothing);
   assert.deepEqual(Object.keys(decodeUnreachableZones(stage.value).unansweredSinceMs), ["west"]);
   const second = stage.hold([]);
-  assert.equal(second.lastAnsweredBefore(""), null);
+  assert.equal(second.unansweredSince(""), null);
   assert.equal(second.mayAnswer(""), true);
 });
 
@@ -149,16 +149,16 @@
   // In between, one of a version that knows no record, and so answers.
   stage.skip();
   const third = stage.hold([]);
-  assert.equal(third.lastAnsweredBefore("west"), null);
+  assert.equal(third.unansweredSince("west"), null);
   assert.equal(third.mayAnswer("west"), true);
   third.markUnreachable(new Set(["west"]));
   await stage.world.run(stage.world.now + S, nothing);
   const fourth = stage.hold([]);
-  assert.notEqual(fourth.lastAnsweredBefore("west"), null);
+  assert.notEqual(fourth.unansweredSince("west"), null);
   assert.equal(fourth.mayAnswer("west"), false);
   await stage.world.run(stage.world.now + S, nothing);
   // It has put it under its own number by itself.
-  assert.notEqual(stage.hold([]).lastAnsweredBefore("west"), null);
+  assert.notEqual(stage.hold([]).unansweredSince("west"), null);
 });
 
 test("a zone of dead machines in which one has just come up is answered, and stays so", async () => {
@@ -190,7 +190,7 @@
         const machine = machineIn("west", 0);
         machine.state = "booting";
         const unreachableZones = stage.hold([machine]);
-        const believed = unreachableZones.lastAnsweredBefore("west");
+        const believed = unreachableZones.unansweredSince("west");
         if (believed !== null) {
           recorded += 1;
           const trueTime = believed - leader * 1_000_000;
