--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -145,9 +145,9 @@
    * previous leader.
    */
   private applyInheritedLeaseRenewal(machine: Machine): void {
-    const unansweredSince = this.dependencies.unreachableZones.unansweredSince(machine.zone);
-    if (unansweredSince !== null && unansweredSince < machine.lease.renewedAt)
-      machine.lease.renewedAt = unansweredSince;
+    const latestRenewalAt = this.dependencies.unreachableZones.unansweredSince(machine.zone);
+    if (latestRenewalAt !== null && latestRenewalAt < machine.lease.renewedAt)
+      machine.lease.renewedAt = latestRenewalAt;
   }
 
   /**
--- a/test/failure-attribution.test.ts
+++ b/test/failure-attribution.test.ts
@@ -11,7 +11,7 @@
 import { makeShard, SPEC } from "./shard-fixtures.js";
 import { Cluster, plainJob } from "./sim/cluster.js";
 
-const scene = (machines: number) => {
+const makeFixture = (machines: number) => {
   const { shard, world, context } = makeShard(machines);
   const all = [...shard.machines.values()];
   const add = (id: string, tasks: number): Job => {
@@ -28,26 +28,26 @@
   };
   const fail = (task: Task): string => {
     const machine = task.machine as Machine;
-    const verdict = attributeFailure(task, machine, shard.jobs, shard.machines, context.clock.now());
+    const cause = attributeFailure(task, machine, shard.jobs, shard.machines, context.clock.now());
     shard.releaseTask(task);
-    return verdict;
+    return cause;
   };
-  const pass = (s: number): void => {
+  const advance = (s: number): void => {
     world.now += s * S;
   };
-  return { shard, all, add, start, fail, pass, now: () => context.clock.now() };
+  return { shard, all, add, start, fail, advance, now: () => context.clock.now() };
 };
 
-test("an array with a mistake has no machine called faulty, however many of its tasks fail at once", () => {
-  // Each failure was counted for itself: eight tasks of one machine in one report had it drained.
-  const { all, add, start, fail, pass, now } = scene(12);
+test("a broken job array does not make a machine faulty, however many of its tasks fail at once", () => {
+  // If each failure counts separately, eight failed tasks in one heartbeat get the machine drained.
+  const { all, add, start, fail, advance, now } = makeFixture(12);
   const job = add("wk-1", 90);
   const tasks = all.flatMap((machine) => Array.from({ length: 7 }, () => start(job, machine)));
-  pass(1);
-  const verdicts = tasks.map(fail);
-  assert.ok(!verdicts.includes("machine"));
+  advance(1);
+  const causes = tasks.map(fail);
+  assert.ok(!causes.includes("machine"));
   assert.ok(job.onProbation);
-  // What kept the first machine free of work is over with the verdict.
+  // The quarantine of the first machine ends as soon as the failures are attributed to the job.
   for (const {
     lifecycle: { quarantinedUntil },
     lifecycle: { recentFailures },
@@ -57,31 +57,31 @@
   }
 });
 
-test("two jobs with mistakes on the same machine do not make it faulty either", () => {
-  const { all, add, start, fail } = scene(3);
+test("two broken jobs on the same machine do not make it faulty either", () => {
+  const { all, add, start, fail } = makeFixture(3);
   const [a, b] = [add("wk-1", 4), add("wk-2", 4)];
   assert.equal(fail(start(a, all[0])), "undecided");
   assert.equal(fail(start(b, all[0])), "undecided");
 });
 
-test("a machine that fails what does well elsewhere is faulty", () => {
-  const { all, add, start, fail, pass } = scene(3);
+test("a machine on which jobs fail that run stably elsewhere is faulty", () => {
+  const { all, add, start, fail, advance } = makeFixture(3);
   const [a, b] = [add("wk-1", 4), add("wk-2", 4)];
   start(a, all[1]);
   start(b, all[2]);
-  pass(30);
+  advance(30);
   assert.equal(fail(start(a, all[0])), "undecided");
   assert.equal(fail(start(b, all[0])), "machine");
 });
 
-test("a job on probation is tried one task at a time, after ever longer pauses, and goes on once one does well", () => {
-  const { shard, all, add, start, fail, pass, now } = scene(4);
+test("a job on probation runs one task at a time with growing back-off until a task runs stably", () => {
+  const { shard, all, add, start, fail, advance, now } = makeFixture(4);
   const job = add("wk-1", 40);
   assert.equal(allowedStarts(job, now()), Number.POSITIVE_INFINITY);
   for (const task of [start(job, all[0]), start(job, all[1])]) fail(task);
   const trials: number[] = [];
   for (let at = 0; at < 1_200; at += 1) {
-    pass(0.1);
+    advance(0.1);
     if (job.retryAfter > now() || allowedStarts(job, now()) === 0) continue;
     trials.push(at / 10);
     const task = start(job, all[at % 4]);
@@ -90,7 +90,7 @@
   }
   assert.ok(trials.length >= 5 && trials.length <= 10, `${trials.length} trials in two minutes: ${trials}`);
   const last = start(job, all[2]);
-  pass(11);
+  advance(11);
   assert.equal(last.state, "running");
   assert.equal(allowedStarts(job, now()), Number.POSITIVE_INFINITY);
   clearSuspicion(job);
@@ -98,21 +98,21 @@
   assert.equal(shard.jobs.size, 1);
 });
 
-test("tasks that fail after a while need others that ran well for longer to speak for their job", () => {
-  const { all, add, start, fail, pass, now } = scene(4);
+test("after late failures, a job's starts are limited until another of its tasks has run for much longer", () => {
+  const { all, add, start, fail, advance, now } = makeFixture(4);
   const job = add("wk-1", 8);
   const wave = [start(job, all[0]), start(job, all[1]), start(job, all[2])];
-  pass(15);
-  // The last of the wave has run for longer than ten seconds, but no longer than those that failed.
+  advance(15);
+  // The remaining task has run for longer than ten seconds, but no longer than those that failed.
   for (const task of wave.slice(0, 2)) fail(task);
   assert.ok(job.onProbation);
   assert.equal(allowedStarts(job, now()), 0);
-  pass(20);
+  advance(20);
   assert.equal(allowedStarts(job, now()), Number.POSITIVE_INFINITY);
 });
 
-test("what a job on probation has not been given is left to the team's other jobs", () => {
-  const { shard, all, add, start, fail, now } = scene(3);
+test("a job on probation does not hold back the other jobs of its team", () => {
+  const { shard, all, add, start, fail, now } = makeFixture(3);
   const job = add("wk-1", 40);
   const healthy = add("wk-2", 4);
   for (const task of [start(job, all[0]), start(job, all[1])]) fail(task);
@@ -129,7 +129,7 @@
   );
 });
 
-test("jobs with mistakes cost their neighbours no machine and next to no starts", async () => {
+test("broken jobs make no machine faulty, are rarely started again, and do not keep other jobs from completing", async () => {
   const cluster = new Cluster(21);
   cluster.rooms.ordinary = 20;
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0 };
@@ -146,7 +146,7 @@
   assert.equal(cluster.logged(LogEvent.JobOnProbation), true);
   const starts = (from: number, to: number, after: number): number =>
     cluster.begun.filter(({ task, at }) => task >= job(from) && task < job(to) && at > after * S).length;
-  // Two minutes of four jobs; the first wave of at most eighty starts is over by then.
+  // Almost two minutes of four jobs; the first burst of at most eighty starts is over by then.
   assert.ok(starts(10, 20, 80) <= 4 * 12, `${starts(10, 20, 80)} starts of jobs that always fail`);
   for (const at of [20, 21, 22]) assert.equal(cluster.checker.finalOf(job(at)), "done", job(at));
 });
--- a/test/failure-detector.test.ts
+++ b/test/failure-detector.test.ts
@@ -5,8 +5,9 @@
 import type { Micros } from "../src/transport/clock.js";
 import { makeShard, nothing } from "./shard-fixtures.js";
 
-test("a zone that has come down to one machine while questions there were open does not count as cut off for ever", () => {
-  // It was rented nothing for 370 s: of fewer than three machines nobody was asked again, so no answer could end it.
+test("a zone that shrinks to one machine while queries to it are unanswered does not stay cut off for ever", () => {
+  // Zones with fewer than three machines are not queried, so no reply could end an open query, and no machines were
+  // provisioned in the zone for 370 s.
   const { world, shard, context } = makeShard(7);
   Object.assign(context, { cache: { freshAsOf: null }, eventListener: null, workerPathChangedAt: () => null });
   const autoscaler = {
@@ -24,8 +25,8 @@
   });
   const [east, west] = ["east", "west"].map((zone) => [...shard.machines.values()].filter((m) => m.zone === zone));
   assert.ok(east?.length === 4 && west?.length === 3);
-  /** All are heard; in the west nobody answers. */
-  const pass = (seconds: number): void => {
+  /** Advances time: all machines send heartbeats, and those in the zone `west` do not answer queries. */
+  const advance = (seconds: number): void => {
     for (let step = 0; step < seconds * 4; step += 1) {
       world.now += S / 4;
       const now = context.clock.now();
@@ -35,11 +36,11 @@
     }
   };
   for (const machine of west) machine.reachability.consecutiveTimeouts = 1;
-  pass(12);
+  advance(12);
   assert.deepEqual([...autoscaler.unreachableZones], ["west"]);
   for (const { name } of west.slice(1)) shard.machines.delete(name);
   for (const machine of west)
     Object.assign(machine.reachability, { consecutiveTimeouts: 0, lastResponseAt: 0 as Micros });
-  pass(5);
+  advance(5);
   assert.deepEqual([...autoscaler.unreachableZones], []);
 });
--- a/test/graceful-eviction.test.ts
+++ b/test/graceful-eviction.test.ts
@@ -5,7 +5,7 @@
 import { type Micros, seconds } from "../src/transport/clock.js";
 import { makeSchedulingFixture } from "./scheduling-fixtures.js";
 
-test("a graceful eviction stops what will not end in time, and releases at once what never started", () => {
+test("a graceful eviction stops tasks that will not end in time, and releases tasks that were never started", () => {
   const { add, round, shard, machine, markRunning, clock } = makeSchedulingFixture(1);
   add({ shards: 3, cpus: 2, guessS: 100, saveEveryS: 5, saveTakesS: 2 }, "wk-long");
   add({ shards: 1, cpus: 2, guessS: 5 }, "wk-short");
@@ -24,7 +24,7 @@
       ["stop", "wk-long", 2],
     ],
   );
-  // Too late for a checkpoint.
+  // The remaining time is too short for a checkpoint.
   machine.lifecycle.reclaimAt = (clock.now() + seconds(1)) as Micros;
   const late = [...decideEvictions(machine, clock.now())].filter(({ kind }) => kind === "stop");
   assert.deepEqual(
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -1,5 +1,5 @@
 /**
- * Transactions that are carried out late, or twice, must change nothing: each is guarded by conditions on versions.
+ * Transactions that are applied late or twice must change nothing: each is guarded by conditions on versions.
  * @module
  */
 import assert from "node:assert/strict";
@@ -10,18 +10,18 @@
 import { playFaultyDay } from "./sim/faulty-day.js";
 import { GraphSite, JOB_FIELDS } from "./sim/graph-site.js";
 
-/** A transaction as it reached the key-value store, whoever sent it. */
+/** A transaction received by the key-value store from any controller. */
 interface SentTransaction {
   readonly body: string;
   readonly sentAt: number;
 }
 
-/** One example of what a late transaction would change, by kind of key. */
+/** By kind of key, one example of a change that a late transaction would make. */
 type LateEffects = ReadonlyMap<string, string>;
 
-/** A transaction as young as this may just be under way for the first time. */
+/** A transaction younger than this may still be in flight for the first time. */
 const MIN_AGE = S / 2;
-/** No longer than a cut connection holds a message back. */
+/** Longest time for which a partition delays a message. */
 const MAX_AGE = 90 * S;
 const PROBE_INTERVAL = 1.7 * S;
 
@@ -29,9 +29,9 @@
 const kindOf = (key: string): string => key.split("/").slice(0, 2).join("/");
 
 /**
- * Looks, while the site runs, at what each transaction of the last 90 s would change if it were carried out now: late, as
- * the twin of one that was tried again for want of an answer is. Collects the kinds of keys that any of them would have
- * changed, with an example. `alter`: applied to each transaction before it is looked at.
+ * Determines periodically what each transaction of the last 90 s would change if it were applied now, like a delayed
+ * original whose retry has already been applied. Collects the kinds of keys that would have changed, with an example.
+ * `alter`: applied to each transaction before it is examined.
  */
 const watchLateEffects = (cluster: Cluster, alter: (body: string) => string = (body) => body): LateEffects => {
   const { state, world } = cluster;
@@ -57,15 +57,15 @@
 };
 
 /**
- * What is written again at the next look where it is wrong (docs/fault-combinations.md, "Late writes"): whether a shard's leader can
- * take nothing more, which its next tick corrects.
+ * Keys whose late writes do no harm because they are corrected periodically (docs/fault-combinations.md, "Late writes").
+ * `c/full`: whether a shard leader accepts no more jobs, which its next tick corrects.
  */
 const SELF_CORRECTING_KINDS = ["c/full"];
 
 const harmfulEffects = (effects: LateEffects): readonly string[] =>
   [...effects].filter(([kind]) => !SELF_CORRECTING_KINDS.includes(kind)).map(([, example]) => example);
 
-test("no transaction of a day with failovers and cancellations changes anything when it is carried out late or once more", async () => {
+test("with failovers and cancellations, no transaction changes anything when it is applied late or twice", async () => {
   for (const mesh of [false, true]) {
     let effects: LateEffects = new Map();
     const cluster = await playFaultyDay({
@@ -97,7 +97,7 @@
   }
 });
 
-test("transactions without their conditions are found to change something when carried out late", async () => {
+test("transactions without their conditions are detected to change something when applied late", async () => {
   let effects: LateEffects = new Map();
   const withoutConditions = (body: string): string => JSON.stringify({ ...(JSON.parse(body) as object), if: [] });
   const cluster = await playFaultyDay({ mesh: false, more: (c) => (effects = watchLateEffects(c, withoutConditions)) });
@@ -112,7 +112,7 @@
 
 const step = (task_id: string, more: object = {}): object => ({ task_id, ...more });
 
-test("no late transaction changes anything with graphs: withdrawn, cleared, uploaded in parts and put together", async () => {
+test("no late transaction changes anything when graphs are aborted, cleared or uploaded in parts", async () => {
   const site = new GraphSite(31);
   const effects = watchLateEffects(site);
   await site.run(10 * S);
@@ -141,7 +141,7 @@
   }
   site.crash(site.holder(), 0.2 * S);
   await site.run(60 * S);
-  // What was never put together is dropped in the end.
+  // An incomplete upload is deleted after a while.
   await site.ask("POST", "/v2/graphs", { ref: "dr-d", part: 0, parts: 2, text: "half" });
   await site.run(40 * S);
   assert.deepEqual(harmfulEffects(effects), []);
