--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -5,42 +5,45 @@
 import { Cluster, plainJob } from "./sim/cluster.js";
 import { BUSY_PERIOD, LONGEST_FAULT, randomDay } from "./sim/random-day.js";
 
-/** Many more are run by hand: RAINRIDGE_SEEDS=1000 (docs/results.md). */
+/** Number of random days; manual runs use many more: RAINRIDGE_SEEDS=1000 (docs/results.md). */
 const SEEDS = Number(process.env.RAINRIDGE_SEEDS ?? 24);
-const FROM = Number(process.env.RAINRIDGE_FROM ?? 1);
+const FIRST_SEED = Number(process.env.RAINRIDGE_FROM ?? 1);
 
-/** One-way losses, late copies and the like, a day at most. */
-const NIGHTS = Number(process.env.RAINRIDGE_NIGHTS ?? 4);
+/** Maximum number per day of one-way losses, late copies of messages and similar faults. */
+const HARSH_FAULTS = Number(process.env.RAINRIDGE_NIGHTS ?? 4);
 
-/** Refusals of the holder, late transactions, slow answers, held-up commands and the like, a day at most. */
-const MEETINGS = Number(process.env.RAINRIDGE_MET ?? 3);
+/** Maximum number per day of refusals of the shard leader, late transactions, slow responses, delayed commands and similar. */
+const COMBINATIONS = Number(process.env.RAINRIDGE_MET ?? 3);
 
-/** Chains of jobs, a day at most; half of the days begin with the version before them and lower the limits in the end. */
+/**
+ * Maximum number per day of job chains. Half of the days start on the version that does not support chains, and lower the
+ * limits of the key-value store in the end.
+ */
 const CHAINS = Number(process.env.RAINRIDGE_CHAINS ?? 5);
 
-const day = async (seed: number): Promise<void> => {
-  const cluster = randomDay(seed, { chains: CHAINS, harshFaults: NIGHTS, combinations: MEETINGS });
+const runDay = async (seed: number): Promise<void> => {
+  const cluster = randomDay(seed, { chains: CHAINS, harshFaults: HARSH_FAULTS, combinations: COMBINATIONS });
   await cluster.run(BUSY_PERIOD);
   await cluster.run(LONGEST_FAULT);
   cluster.checker.calmFrom = cluster.world.now;
   await cluster.run(400 * S - LONGEST_FAULT);
   assert.deepEqual(cluster.errors, [], `seed ${seed}: errors logged`);
-  const open = cluster.unfinished();
-  assert.deepEqual(open, [], `seed ${seed}: never finished\n${cluster.story(open[0] ?? "-")}`);
+  const unfinished = cluster.unfinished();
+  assert.deepEqual(unfinished, [], `seed ${seed}: never finished\n${cluster.story(unfinished[0] ?? "-")}`);
   const missing = cluster.missingReplicas();
-  const whose = missing[0]?.split("/")[0] ?? "-";
-  assert.deepEqual(missing, [], `seed ${seed}: replicas missing at the end\n${cluster.story(whose)}`);
+  const jobId = missing[0]?.split("/")[0] ?? "-";
+  assert.deepEqual(missing, [], `seed ${seed}: replicas missing at the end\n${cluster.story(jobId)}`);
   assert.deepEqual(cluster.checker.starved(), [], `seed ${seed}: less than half served`);
-  assert.deepEqual(cluster.checker.lateLargest(), [], `seed ${seed}: largest jobs begun too late`);
+  assert.deepEqual(cluster.checker.lateLargest(), [], `seed ${seed}: largest jobs started too late`);
   assert.ok(cluster.checker.starts > 20, `seed ${seed}: hardly anything ran`);
 };
 
-test("all rules hold through random days with overlapping troubles", { timeout: 6_000_000 }, async () => {
-  for (let seed = FROM; seed < FROM + SEEDS; seed += 1) await day(seed);
+test("all invariants hold through random days with overlapping faults", { timeout: 6_000_000 }, async () => {
+  for (let seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed += 1) await runDay(seed);
 });
 
-/** Settings of a deployment of some hundreds of machines. */
-const grown = (text: string): string =>
+/** Changes the settings to those of a deployment with several hundred machines. */
+const withLargeSettings = (text: string): string =>
   text
     .replace("report_s = 3.0", "report_s = 6.0")
     .replace("lease_s = 20.0", "lease_s = 36.0")
@@ -48,8 +51,8 @@
     .replace("txn_ops = 12", "txn_ops = 24")
     .replace("max_connections = 500", "max_connections = 3500");
 
-const largeDay = async (seed: number, troubles: (cluster: Cluster) => void): Promise<Cluster> => {
-  const cluster = new Cluster(seed, {}, grown);
+const runLargeDay = async (seed: number, scheduleFaults: (cluster: Cluster) => void): Promise<Cluster> => {
+  const cluster = new Cluster(seed, {}, withLargeSettings);
   const random = new Random(seed + 500);
   cluster.rooms.spot = 80;
   cluster.rooms.ordinary = 80;
@@ -66,7 +69,7 @@
     cluster.world.at(at, () => cluster.submit(job, { runUs: service ? null : random.int(10, 50) * S }));
     if (random.chance(0.1)) cluster.world.at(at + random.int(0, 60 * S), () => cluster.users.cancel(job.ref));
   }
-  troubles(cluster);
+  scheduleFaults(cluster);
   await cluster.run(420 * S);
   assert.deepEqual(cluster.errors, [], `seed ${seed}: errors logged`);
   assert.deepEqual(cluster.unfinished(), [], `seed ${seed}: never finished`);
@@ -76,10 +79,10 @@
   return cluster;
 };
 
-test("all rules hold on hundreds of machines through waves, hangs, a zone cut off and crashes of all", {
+test("all invariants hold on hundreds of machines through job bursts, hangs, partitions and crashes of all controllers", {
   timeout: 600_000,
 }, async () => {
-  await largeDay(1, (cluster) => {
+  await runLargeDay(1, (cluster) => {
     cluster.world.at(50 * S, () => cluster.site.cutZone("east", 40 * S, "hold"));
     cluster.world.at(60 * S, () => cluster.crash(0));
     cluster.world.at(120 * S, () => {
@@ -90,7 +93,7 @@
       for (const at of [0, 1, 2]) cluster.crash(at);
     });
   });
-  await largeDay(2, (cluster) => {
+  await runLargeDay(2, (cluster) => {
     cluster.world.at(40 * S, () => {
       cluster.cloud.running().forEach(({ worker }, at) => {
         if (at % 4 === 0) worker?.hang(50 * S);
--- a/test/scenarios.test.ts
+++ b/test/scenarios.test.ts
@@ -5,8 +5,8 @@
 import { Cluster, plainJob } from "./sim/cluster.js";
 
 test("replicas of one team are not stopped to give another its guarantee", async () => {
-  // Seen on a site whose smaller zone had a single ordinary machine: two teams' services drove each other off
-  // it every few seconds, all day long.
+  // In a zone with a single on-demand machine, the services of two teams preempted each other every few seconds without
+  // end.
   const cluster = new Cluster(3);
   cluster.rooms.ordinary = 1;
   const service = { shape: "daemon", rank: "prod", area: "west", flavors: ["small"] } as const;
@@ -17,9 +17,9 @@
   assert.equal(cluster.checker.starts, 2);
 });
 
-test("a replica that can run elsewhere makes way for one that cannot", async () => {
-  // Seen on a site with one ordinary machine in its smaller zone: once jobs without a need for it had filled it,
-  // the second replicas of spread jobs waited all day.
+test("a replica that can run elsewhere is moved to make room for one that cannot", async () => {
+  // In a zone with a single on-demand machine that was filled by jobs that could run elsewhere, the second replicas of
+  // spread jobs waited without end.
   const cluster = new Cluster(4);
   cluster.rooms.ordinary = 1;
   const service = { shape: "daemon", rank: "prod", flavors: ["big"] } as const;
@@ -32,7 +32,7 @@
   assert.deepEqual(cluster.missingReplicas(), []);
 });
 
-test("replicas left behind on two machines are brought together on one", async () => {
+test("replicas left on two machines are consolidated on one", async () => {
   const cluster = new Cluster(6);
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0 };
   const service = { shape: "daemon", rank: "prod", flavors: ["big"], area: "east", shards: 1 } as const;
@@ -46,9 +46,9 @@
   assert.deepEqual(cluster.missingReplicas(), []);
 });
 
-test("work goes elsewhere when the machine that holds most replicas fails what it starts", async () => {
-  // Seen in the random days: with one new job only, nothing spoke against the machine, and as the fullest one it
-  // was chosen again each time the back-off ended.
+test("tasks are placed elsewhere when the machine with the most replicas fails newly started tasks", async () => {
+  // With a single new job there was no evidence against the machine, and since it was the fullest one, it was chosen
+  // again each time the back-off ended.
   const cluster = new Cluster(8);
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0 };
   cluster.rooms.ordinary = 1;
@@ -58,15 +58,15 @@
   for (const { worker } of cluster.cloud.running()) worker?.sicken();
   cluster.submit(plainJob("wk-000002", { ...service, shards: 2 }));
   await cluster.run(150 * S);
-  // Only now is there another machine to be had; by now the back-off outlasts every grudge against this one.
+  // Another machine becomes available only now, when the back-off is longer than failures count against this machine.
   cluster.rooms.ordinary = 8;
   await cluster.run(120 * S);
   assert.deepEqual(cluster.missingReplicas(), []);
 });
 
-test("a machine whose replicas have nowhere to go together is not emptied", async () => {
-  // Seen in the random days: two replicas of one job each counted on the same last place in the other zone, and
-  // were moved out and back for ever.
+test("a machine is not drained if there is no room elsewhere for all its replicas at once", async () => {
+  // Two replicas of a job were each planned into the same last free capacity in the other zone, and were moved out and
+  // back without end.
   const cluster = new Cluster(12);
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0 };
   cluster.submit(plainJob("wk-000001", { shape: "daemon", rank: "prod", flavors: ["big"], shards: 3, spread: true }));
@@ -75,15 +75,15 @@
   assert.deepEqual(cluster.missingReplicas(), []);
 });
 
-test("a crashed holder's block is taken and its machines known within a moment of the restart", async () => {
-  // The next leader used to wait for its next renewal, and machines were only known once they had reported.
-  // Three of four CPUs are taken, so that there is room whatever was rented.
+test("after a restart of all controllers, the shard is acquired and its machines are discovered within seconds", async () => {
+  // Guards against a new leader that waits for its next lease renewal, and for heartbeats to discover the machines.
+  // Each task uses three of four CPUs, so that there is free capacity on any type of machine.
   const cluster = new Cluster(5);
   for (let at = 0; at < 6; at += 1)
     cluster.submit(plainJob(`wk-00000${at}`, { shards: 4, cpus: 3 }), { runUs: 200 * S });
   await cluster.run(60 * S);
   for (const at of [0, 1, 2]) cluster.crash(at);
-  // Longer than the restart takes, and far shorter than workers need to come by on their own.
+  // Longer than the restart takes, but much shorter than the time until the workers' next heartbeats.
   await cluster.run(3 * S);
   const running = cluster.checker.starts;
   cluster.submit(plainJob("wk-000009", { shards: 1, cpus: 1, sizeGb: 0.1 }));
@@ -91,7 +91,7 @@
   assert.ok(cluster.checker.starts > running, "nothing started within 2.5 s of the restart");
 });
 
-test("a holder that no worker can reach hands its block over before their leases are over", async () => {
+test("a shard leader that no worker can reach transfers its leadership before the workers' leases expire", async () => {
   const cluster = new Cluster(7);
   for (let at = 0; at < 4; at += 1) cluster.submit(plainJob(`wk-00000${at}`, { shards: 6 }), { runUs: 90 * S });
   await cluster.run(60 * S);
@@ -99,12 +99,12 @@
   assert.equal(started, 24);
   cluster.site.cutFromWorkers(cluster.holder(), 60 * S, "reset");
   await cluster.run(100 * S);
-  // All went on: nothing was deleted, and no lease ran out.
+  // All tasks kept running: no machine was deleted, and no lease expired.
   assert.equal(cluster.checker.starts, started);
   assert.deepEqual(cluster.unfinished(), []);
 });
 
-test("a gang starts together, and together anew when it loses a task", async () => {
+test("a gang starts all its tasks together, and restarts them together when it loses one", async () => {
   const cluster = new Cluster(11);
   const gang = plainJob("wk-000001", { shape: "ensemble", shards: 6, cpus: 4, flavors: ["big"] });
   cluster.submit(gang, { runUs: 60 * S });
@@ -116,7 +116,7 @@
   assert.equal(cluster.checker.finalOf("wk-000001"), "done");
 });
 
-test("a job of 100,000 tasks is accepted, placed bit by bit and cancelled", async () => {
+test("a job of 100,000 tasks is accepted, placed gradually and cancelled", async () => {
   const cluster = new Cluster(9);
   cluster.submit(plainJob("wk-000001", { shards: 100_000, cpus: 1 }), { runUs: 5 * S });
   cluster.submit(plainJob("wk-000002", { shards: 2, cpus: 1 }), { runUs: 5 * S });
@@ -129,9 +129,9 @@
   assert.deepEqual(cluster.errors, []);
 });
 
-test("after a holder is lost, replicas in a zone cut off before need not wait a whole lease from its loss", async () => {
-  // A zone was cut off, and the holder ended when most of the workers' leases were over: the next one knew of no last
-  // answer and counted a whole lease (20 s here) from its own beginning.
+test("replicas in a zone that was cut off before a failover do not wait for a full worker lease after it", async () => {
+  // A zone was cut off, and the shard leader failed shortly before the workers' leases expired. The next leader did not
+  // know the time of the last response and counted a full lease (20 s here) from its own start.
   const cluster = new Cluster(21);
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0, late: 0 };
   const service = { shape: "daemon", rank: "prod", flavors: ["big"], cpus: 8, sizeGb: 0.1, shards: 8 } as const;
@@ -144,20 +144,20 @@
   await cluster.run(14 * S);
   for (const at of [0, 1, 2]) cluster.crash(at);
   await cluster.run(14 * S);
-  // What was in the zone is gone by now, and known to be: half of each job's tasks may be in the other zone.
-  const over = cluster.log.filter((line) => line.includes("worker lease over"));
-  assert.ok(over.length >= 5, `${over.length} leases known to be over 28 s after the last answer`);
+  // The leases in the zone have expired and the leader knows it. Up to half of each job's tasks may be in the other zone.
+  const expired = cluster.log.filter((line) => line.includes("worker lease over"));
+  assert.ok(expired.length >= 5, `${expired.length} leases known to have expired 28 s after the last response`);
   await cluster.run(80 * S);
   assert.deepEqual(cluster.missingReplicas(), []);
 });
 
-test("a zone that comes back is answered again once the record no longer says otherwise", async () => {
+test("a zone that is reachable again gets responses once it is off the record of unreachable zones", async () => {
   const cluster = new Cluster(22);
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0, late: 0 };
   const service = { shape: "daemon", rank: "prod", flavors: ["big"], cpus: 8, sizeGb: 0.1, shards: 8 } as const;
   for (let at = 1; at <= 3; at += 1) cluster.submit(plainJob(`wk-00000${at}`, { ...service, spread: true }));
   await cluster.run(60 * S);
-  // Shorter than the workers' lease: nothing may be lost by it, nor by the holder's end in the middle of it.
+  // Shorter than the workers' lease: no task may be lost by the partition or by the failover in the middle of it.
   cluster.site.cutZone("west", 9 * S, "hold");
   await cluster.run(6 * S);
   assert.ok(cluster.state.value("c/silence/0") !== undefined, "not on record");
@@ -170,9 +170,9 @@
   assert.deepEqual(cluster.missingReplicas(), []);
 });
 
-test("machines lost at a handover do not make the next holder give up all others", async () => {
-  // Known by name only, the lost ones had no zone yet; that zone was found cut off and went on record, and the holder
-  // after, which knows no machine's zone in its first moments, took all leases for over (docs/incidents).
+test("machines lost during a failover do not make the next shard leader expire the leases of all others", async () => {
+  // The lost machines were known by name only, without a zone. That empty zone was recorded as cut off, and the leader
+  // after, which at first knows no machine's zone, considered all leases expired (docs/incidents).
   const cluster = new Cluster(23);
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0, late: 0 };
   const service = { shape: "daemon", rank: "prod", flavors: ["big"], cpus: 8, sizeGb: 0.1, shards: 8 } as const;
@@ -180,11 +180,11 @@
   await cluster.run(60 * S);
   for (const at of [0, 1, 2]) cluster.crash(at);
   for (const { ref } of cluster.cloud.running().slice(0, 4)) cluster.cloud.take(ref);
-  // The lists that would tell the zones of the lost machines do not come.
+  // The cloud's machine lists, which have the zones of the lost machines, are not available.
   cluster.cloud.outageUntil = cluster.world.now + 60 * S;
   await cluster.run(28 * S);
   for (const at of [0, 1, 2]) cluster.crash(at);
   await cluster.run(25 * S);
-  const given = cluster.log.filter((line) => line.includes("worker lease over"));
-  assert.ok(given.length <= 4, `${given.length} machines given up, 4 were lost`);
+  const expired = cluster.log.filter((line) => line.includes("worker lease over"));
+  assert.ok(expired.length <= 4, `${expired.length} leases expired, 4 machines were lost`);
 });
