--- a/test/scenarios.test.ts
+++ b/test/scenarios.test.ts
@@ -5,8 +5,8 @@
 import { Cluster, plainJob } from "./sim/cluster.js";
 
 test("replicas of one team are not stopped to give another its guarantee", async () => {
-  // In a zone with a single on-demand machine, the services of two teams preempted each other every few seconds without
-  // end.
+  // In a zone with a single ordinary (non-spot) machine, the services of two teams preempted each other every few
+  // seconds without end.
   const cluster = new Cluster(3);
   cluster.rooms.ordinary = 1;
   const service = { shape: "daemon", rank: "prod", area: "west", flavors: ["small"] } as const;
@@ -18,8 +18,8 @@
 });
 
 test("a replica that can run elsewhere is moved to make room for one that cannot", async () => {
-  // In a zone with a single on-demand machine that was filled by jobs that could run elsewhere, the second replicas of
-  // spread jobs waited without end.
+  // In a zone with a single ordinary (non-spot) machine filled by jobs that could run elsewhere, the second
+  // replicas of spread jobs waited without end.
   const cluster = new Cluster(4);
   cluster.rooms.ordinary = 1;
   const service = { shape: "daemon", rank: "prod", flavors: ["big"] } as const;
