--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -166,7 +166,7 @@
     const silent = silentZones(up, limits, now);
     unreachableZones.markUnreachable(silent);
     const unanswered = this.zoneQueries.unansweredZones(now);
-    // Only silent zones go on record as unanswered. Workers in the other zones still send heartbeats and get responses.
+    // Only silent zones go on record as unanswered: from the other cut-off zones heartbeats still arrive.
     const cutOffZones = new Set([...silent, ...mostlyUnreachableZones(up, new Set(dead)), ...unanswered]);
     if (this.transferIfNothingReachable(up, new Set(unanswered))) return;
     autoscaler.unreachableZones = cutOffZones;
--- a/src/coordination/workers/unreachable-machine-removal.ts
+++ b/src/coordination/workers/unreachable-machine-removal.ts
@@ -1,4 +1,4 @@
-/** Rate-limited removal of machines that are unreachable or whose lease has expired. */
+/** Rate-limited removal of unreachable machines, and of silent ones on which a late start command may still take effect. */
 
 import { eventFieldsOf } from "../../cluster/events.js";
 import type { Machine } from "../../cluster/machine.js";
@@ -29,10 +29,10 @@
 }
 
 /**
- * Deletes machines that send heartbeats but do not receive commands or responses: the deletion is the fastest proof that
- * their tasks have ended. If many are affected at once, the likely cause is a partition and not the machines. Removals
- * are therefore bounded: the other machines keep their tasks until their lease expires, and another controller that
- * becomes the shard leader may reach them.
+ * Deletes machines that send heartbeats but receive neither commands nor responses, or no responses that renew their
+ * leases: the deletion is the fastest proof that their tasks have ended. If many are affected at once, the likely cause
+ * is a partition and not the machines. Removals are therefore bounded: the other machines keep their tasks until their
+ * lease expires, and another controller that becomes the shard leader may reach them.
  */
 export class UnreachableMachineRemoval {
   private recentRemovals: Micros[] = [];
--- a/test/unreachable-zones.test.ts
+++ b/test/unreachable-zones.test.ts
@@ -110,7 +110,7 @@
   const unreachableZones = fixture.startLeader([machine]);
   assert.equal(unreachableZones.mayAnswer("west"), true);
   unreachableZones.markUnreachable(new Set(["west"]));
-  assert.equal(unreachableZones.mayAnswer("west"), false, "answered while the write was under way");
+  assert.equal(unreachableZones.mayAnswer("west"), false, "responses allowed while the write is in flight");
   assert.equal(unreachableZones.mayAnswer("east"), true);
   await fixture.world.run(fixture.world.now + S, nothing);
   // The outcome of this write is unknown: the zone may still be on record.
@@ -167,17 +167,17 @@
 test("a new machine in a zone of dead machines keeps getting responses", async () => {
   const fixture = new RecordFixture();
   const unreachableZones = fixture.startLeader([machineIn("west", fixture.monotonicTime(1))]);
-  let answered = 0;
+  let responses = 0;
   for (let step = 0; step < 200; step += 1) {
     // The zone is silent apart from one new machine, which sends a heartbeat every three seconds.
     unreachableZones.markUnreachable(new Set(["west"]));
     if (step % 12 === 11) {
-      if (unreachableZones.mayAnswer("west")) answered += 1;
+      if (unreachableZones.mayAnswer("west")) responses += 1;
       unreachableZones.markReachable("west");
     }
     await fixture.world.run(fixture.world.now + 250_000, nothing);
   }
-  assert.ok(answered >= 14, `${answered} of 16 heartbeats got a response`);
+  assert.ok(responses >= 14, `${responses} of 16 heartbeats got a response`);
 });
 
 test("after lost, late and refused writes, no response was sent after the time that the next leader inherits", async () => {
@@ -187,7 +187,7 @@
       const fixture = new RecordFixture(random);
       fixture.outcome = () => random.pick(["ok", "ok", "lost", "late", "refused"]);
       /** True time of the last response in the zone, by any leader. */
-      let answered = fixture.world.now;
+      let lastResponseAt = fixture.world.now;
       let recorded = 0;
       for (let leader = 1; leader <= 5; leader += 1) {
         const machine = machineIn("west", 0);
@@ -197,7 +197,10 @@
         if (inheritedSince !== null) {
           recorded += 1;
           const trueTime = inheritedSince - leader * 1_000_000;
-          assert.ok(trueTime >= answered, `leader ${leader} inherits ${trueTime}, last response at ${answered}`);
+          assert.ok(
+            trueTime >= lastResponseAt,
+            `leader ${leader} inherits ${trueTime}, last response at ${lastResponseAt}`,
+          );
         }
         let cut = false;
         for (let step = random.int(1, 25); step > 0; step -= 1) {
@@ -206,7 +209,7 @@
           else {
             unreachableZones.markUnreachable(new Set());
             if (unreachableZones.mayAnswer("west")) {
-              answered = fixture.world.now;
+              lastResponseAt = fixture.world.now;
               machine.state = "up";
               machine.lease.renewedAt = fixture.monotonicTime(leader) as Micros;
             } else unreachableZones.markReachable("west");
