--- a/src/coordination/workers/concurrency-pools.ts
+++ b/src/coordination/workers/concurrency-pools.ts
@@ -6,8 +6,8 @@
 export type PoolName = "responsive" | "silent";
 
 /**
- * Runs an asynchronous operation for each added item, with a limit on concurrent runs in each pool. An item that is added
- * again while it is queued runs once. Without the limit, a failover or a burst of task starts sends requests to a
+ * Runs an asynchronous operation for each added item, with a limit on concurrent runs in each pool. An item that is
+ * added again while it is queued runs once. Without the limit, a failover or a burst of task starts sends requests to a
  * thousand machines at once and uses up the connections of the process. Slow items have their own pool so that they do
  * not delay the others.
  */
--- a/src/coordination/workers/detection-timeouts.ts
+++ b/src/coordination/workers/detection-timeouts.ts
@@ -15,7 +15,7 @@
 /** Time within which a worker then delivers the heartbeat to another controller. */
 const WORKER_FAILOVER_TIME = seconds(3);
 
-/** Maximum time in microseconds from a worker's last heartbeat to this controller until it has failed over to another one. */
+/** Maximum time in microseconds from a worker's last heartbeat to this controller until it reaches another one. */
 export const workerFailoverTime = (heartbeatInterval: Micros): number =>
   heartbeatInterval * MAX_HEARTBEAT_JITTER + WORKER_HEARTBEAT_TIMEOUT + WORKER_FAILOVER_TIME;
 
--- a/src/coordination/workers/failure-attribution.ts
+++ b/src/coordination/workers/failure-attribution.ts
@@ -33,9 +33,9 @@
 };
 
 /**
- * Records that the task failed on the machine, and returns the likely cause. A broken job fails on every machine, and all
- * its tasks on one machine fail in one heartbeat. Its failures on a machine at the same time therefore count once, and a
- * single failing job does not count against a machine unless it has run stably elsewhere. When every failed task
+ * Records that the task failed on the machine, and returns the likely cause. A broken job fails on every machine, and
+ * all its tasks on one machine fail in one heartbeat. Its failures on a machine at the same time therefore count once,
+ * and a single failing job does not count against a machine unless it has run stably elsewhere. When every failed task
  * counted, each broken job array had the first two machines that ran it deleted as faulty, although they had free
  * capacity for other jobs (test/failure-attribution.test.ts).
  */
@@ -70,7 +70,7 @@
       isStableElsewhere(failedJob, failedJob.longestFailedRun, machine, now)
     );
   });
-  // A machine full of long-running replicas may never run more than one new job, so repeated failures of one job suffice.
+  // Repeated failures of one job suffice: a machine full of long-running replicas may never run more than one new job.
   const faulty = (machine.lifecycle.recentFailures.size >= 2 && failsStableJob) || count >= (stableElsewhere ? 2 : 3);
   return faulty ? "machine" : "undecided";
 };
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -52,7 +52,7 @@
   readonly onUnreachable: () => Promise<void>;
 }
 
-/** Reachability of the fleet for operators: number of machines that are up, and names of affected machines and zones. */
+/** Reachability of the fleet for operators: number of machines that are up, names of affected machines and zones. */
 export interface FleetHealth {
   readonly up: number;
   readonly unresponsive: readonly string[];
@@ -104,15 +104,15 @@
     };
   }
 
-  /** Restarts the settling time after this process was paused: all machines seem silent until queued heartbeats are read. */
+  /** Restarts the settling time after a pause of this process: machines seem silent until queued heartbeats are read. */
   restartSettling(): void {
     this.settledAt = Math.max(this.settledAt, this.dependencies.context.clock.now() + SETTLING_TIME) as Micros;
   }
 
   /**
    * Extends the settling time while status queries are queued, since silence counts only after every machine has been
-   * queried once. The extension is bounded: a zone that is cut off is queried repeatedly and would otherwise postpone the
-   * detection of its silence for ever.
+   * queried once. The extension is bounded: a zone that is cut off is queried repeatedly and would otherwise postpone
+   * the detection of its silence for ever.
    */
   extendSettling(): void {
     const repliesDueAt = (this.dependencies.context.clock.now() + PROBE_TIMEOUT) as Micros;
@@ -141,8 +141,8 @@
   }
 
   /**
-   * For a machine without a heartbeat to this leader, limits the time of its last lease renewal to the one recorded by the
-   * previous leader.
+   * For a machine without a heartbeat to this leader, limits the time of its last lease renewal to the one recorded by
+   * the previous leader.
    */
   private applyInheritedLeaseRenewal(machine: Machine): void {
     const latestRenewalAt = this.dependencies.unreachableZones.unansweredSince(machine.zone);
@@ -202,8 +202,8 @@
   }
 
   /**
-   * Gives up leadership if all machines are silent: their workers cannot reach this controller but may reach another one.
-   * Their leases still run, and deleting the machines one by one as they miss heartbeats would end running tasks.
+   * Gives up leadership if all machines are silent: their workers cannot reach this controller but may reach another
+   * one. Their leases still run, and deleting the machines one by one as they miss heartbeats would end running tasks.
    */
   private transferIfAllSilent({ now, limits, up, lastHeartbeatAt, isCacheFresh }: SilenceSurvey): boolean {
     if (up.length < MIN_ZONE_MACHINES || now - lastHeartbeatAt <= limits.machineSilence || !isCacheFresh) return false;
@@ -263,9 +263,9 @@
   }
 
   /**
-   * Returns silent machines that did not reply to their probe. If no machine at all has sent a heartbeat since the probe,
-   * the controller itself may be cut off: with six machines, one was deleted 3.6 s into a partition from all of them,
-   * before the partition was detected.
+   * Returns silent machines that did not reply to their probe. If no machine at all has sent a heartbeat since the
+   * probe, the controller itself may be cut off: with six machines, one was deleted 3.6 s into a partition from all of
+   * them, before the partition was detected.
    */
   private findDead(
     { now, up, silent, lastHeartbeatAt }: SilenceSurvey,
@@ -303,9 +303,9 @@
   }
 
   /**
-   * Returns the time until which silence is not counted after the path to the workers changed. A worker that cannot reach
-   * this controller sends its next heartbeat through a peer after the direct attempt has timed out; without this wait,
-   * three machines were deleted that a peer could reach.
+   * Returns the time until which silence is not counted after the path to the workers changed. A worker that cannot
+   * reach this controller sends its next heartbeat through a peer after the direct attempt has timed out; without this
+   * wait, three machines were deleted that a peer could reach.
    */
   private alternatePathDeadline(): Micros {
     const { workerPathChangedAt, settings } = this.dependencies.context;
--- a/src/coordination/workers/graceful-eviction.ts
+++ b/src/coordination/workers/graceful-eviction.ts
@@ -31,9 +31,9 @@
 const NO_ACTIONS: readonly EvictionAction[] = [];
 
 /**
- * Actions for the tasks of a machine: on a draining machine, evicts those that will not end by themselves in time; on any
- * machine, resolves stop requests of tasks that were never started. Called for every machine four times a second, mostly
- * without any action; nothing is allocated then.
+ * Actions for the tasks of a machine: on a draining machine, evicts those that will not end by themselves in time; on
+ * any machine, resolves stop requests of tasks that were never started. Called for every machine four times a second,
+ * mostly without any action; nothing is allocated then.
  */
 export const decideEvictions = (machine: Machine, now: Micros): readonly EvictionAction[] => {
   const { reclaimAt } = machine.lifecycle;
--- a/src/coordination/workers/status-query-queue.ts
+++ b/src/coordination/workers/status-query-queue.ts
@@ -31,8 +31,8 @@
   constructor(private readonly dependencies: StatusQueryDependencies) {}
 
   /**
-   * Queues a status query. Concurrency is bounded: a thousand queries at once used up all sockets and all processor time
-   * of the process.
+   * Queues a status query. Concurrency is bounded: a thousand queries at once used up all sockets and all processor
+   * time of the process.
    */
   enqueue(machine: Machine): void {
     // Machines that may run tasks come first: each of their tasks either still runs or has to be placed again.
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Sends the leader's fencing token to the worker at once. Skipped at the concurrency limit or under load: the response
-   * to its next heartbeat carries the token as well, and the worker then sends another heartbeat within a second.
+   * Sends the leader's fencing token to the worker at once. Skipped at the concurrency limit or under load: the
+   * response to a heartbeat carries the token as well, and the worker then sends another heartbeat within a second.
    */
   announceFencingToken(machine: Machine): void {
     if (this.announcementsInFlight >= MAX_ANNOUNCEMENTS || this.dependencies.loadShedder.atLeast("reduced")) return;
--- a/src/coordination/workers/unreachable-machine-removal.ts
+++ b/src/coordination/workers/unreachable-machine-removal.ts
@@ -1,4 +1,4 @@
-/** Rate-limited removal of unreachable machines, and of silent ones on which a late start command may still take effect. */
+/** Rate-limited removal of unreachable machines, and of silent ones to which a start command may be in flight. */
 
 import { eventFieldsOf } from "../../cluster/events.js";
 import type { Machine } from "../../cluster/machine.js";
@@ -40,8 +40,8 @@
   constructor(private readonly dependencies: UnreachableMachineRemovalDependencies) {}
 
   /**
-   * Removes machines that have been unreachable for too long, or gives up leadership if most are. `machines`: those that
-   * count as up; `cutOffZones`: zones whose machines with replicas are kept.
+   * Removes machines that have been unreachable for too long, or gives up leadership if most are. `machines`: those
+   * that count as up; `cutOffZones`: zones whose machines with replicas are kept.
    */
   removeUnreachable(machines: readonly Machine[], cutOffZones: ReadonlySet<string>): void {
     const { clock, settings, log } = this.dependencies.context;
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Removes silent machines whose lease has expired and to which a start command may still be in flight: its task cannot
-   * be started elsewhere as long as the machine may come back. `fleetSize`: number of machines that count as up.
+   * Removes silent machines whose lease has expired and to which a start command may still be in flight: its task
+   * cannot be started elsewhere as long as the machine may come back. `fleetSize`: number of machines that count as up.
    */
   removeExpired(silent: readonly Machine[], fleetSize: number): void {
     const now = this.dependencies.context.clock.now();
@@ -80,9 +80,9 @@
   private isRemovable({ reachability }: Machine, now: Micros, minUnreachableTime: number): boolean {
     const { unreachableSince, probedAt } = reachability;
     if (unreachableSince === null || (!isOneWay(reachability) && responsesArrive(reachability))) return false;
-    // Responses are lost but queries are answered: the replies have already proven that, so there is nothing to wait for.
+    // No need to wait if responses are lost but queries are answered: the replies have already proven the loss.
     if (commandsArrive(reachability)) return true;
-    // A recent probe is required: after a pause of the detector, the first check would act on stale state of a partition.
+    // A recent probe is required: the first check after a pause of the detector would act on stale state.
     const sinceProbe = now - probedAt;
     return (
       now - unreachableSince > minUnreachableTime &&
--- a/src/coordination/workers/unreachable-zones.ts
+++ b/src/coordination/workers/unreachable-zones.ts
@@ -28,8 +28,8 @@
  * zone. While a zone may be on record (from before the write is sent until a write without the zone is confirmed), no
  * worker there gets a response and no task is started there: `mayAnswer` returns false. If a leader fails without a
  * confirmed write, the stored record stays as it is; a late write fails on the version of the shard's lease. The next
- * leader treats the recorded zones as on record from its start. `since` is wall-clock time, which every controller knows
- * within the error bound of the settings; the errors of both clocks are allowed for.
+ * leader treats the recorded zones as on record from its start. `since` is wall-clock time, which every controller
+ * knows within the error bound of the settings; the errors of both clocks are allowed for.
  */
 export class UnreachableZones {
   /** Zones that the stored record may contain, including those of an unconfirmed write. */
@@ -86,7 +86,7 @@
     return !this.recordedZones.has(zone);
   }
 
-  /** Time after which the previous leaders sent no response to a worker in the zone; null if there is no such record. */
+  /** Time after which previous leaders sent no response to a worker in the zone; null if there is no such record. */
   unansweredSince(zone: string): Micros | null {
     return this.inheritedSince.get(zone) ?? null;
   }
@@ -96,8 +96,8 @@
     const { wallClock } = this.services;
     if (wallClock === null) return;
     const now = this.services.clock.now();
-    // In a zone of dead machines, a machine that has just come up may be the only one that sends heartbeats. If the zone
-    // were put on record again after each of them, that machine would never get a response.
+    // In a zone of dead machines, a machine that has just come up may be the only one that sends heartbeats. If the
+    // zone were put on record again after each of them, that machine would never get a response.
     // Machines known only from stored records have no zone yet; for a new leader these are all machines.
     const newZones = [...zones].filter(
       (zone) =>
--- a/src/coordination/workers/zone-findings.ts
+++ b/src/coordination/workers/zone-findings.ts
@@ -4,7 +4,7 @@
 import { type Micros, seconds } from "../../transport/clock.js";
 import { isReachable } from "./reachability.js";
 
-/** A zone counts as silent when this many heartbeats of its machines are missing, but not before the minimum silence. */
+/** A zone counts as silent when this many heartbeats of its machines are missing, but not before the minimum time. */
 const MISSED_ZONE_HEARTBEATS = 8;
 const MIN_ZONE_SILENCE = seconds(1.5);
 /** With fewer machines in a zone, there are too few others to compare a machine with. */
--- a/src/coordination/workers/zone-queries.ts
+++ b/src/coordination/workers/zone-queries.ts
@@ -17,10 +17,10 @@
 }
 
 /**
- * Distinguishes a dead machine from a zone that is cut off: a failed probe is no evidence against a machine unless other
- * machines of its zone reply. When a machine of a zone is probed, the one with the latest heartbeat is probed too.
- * Without this, all seven machines of a site were deleted one after the other when their heartbeats arrived but requests
- * to them did not.
+ * Distinguishes a dead machine from a zone that is cut off: a failed probe is no evidence against a machine unless
+ * other machines of its zone reply. When a machine of a zone is probed, the one with the latest heartbeat is probed
+ * too. Without this, all seven machines of a site were deleted one after the other when their heartbeats arrived but
+ * requests to them did not.
  */
 export class ZoneQueries {
   private readonly openQueries = new Map<string, OpenZoneQuery>();
@@ -28,8 +28,8 @@
   constructor(private readonly probe: (machine: Machine) => void) {}
 
   /**
-   * Sends the queries that are due. `machines`: those that count as up; `probedZones`: zones in which a machine has just
-   * been probed. Returns the zones in which queries are still open.
+   * Sends the queries that are due. `machines`: those that count as up; `probedZones`: zones in which a machine has
+   * just been probed. Returns the zones in which queries are still open.
    */
   update(machines: readonly Machine[], probedZones: ReadonlySet<string>, now: Micros): ReadonlySet<string> {
     const contacts = zoneContacts(machines);
@@ -40,8 +40,8 @@
 
   private updateZone(zone: string, contact: ZoneContact, probedZones: ReadonlySet<string>, now: Micros): void {
     const query = this.openQueries.get(zone);
-    // With too few machines to compare, a query that was opened when there were more is closed as well: otherwise a zone
-    // that shrank to one machine is never queried again and counts as cut off for ever.
+    // With too few machines to compare, a query that was opened when there were more is closed as well: otherwise a
+    // zone that shrank to one machine is never queried again and counts as cut off for ever.
     const answered = query !== undefined && contact.lastResponseAt > query.since;
     if (contact.machines < MIN_ZONE_MACHINES || answered) {
       this.openQueries.delete(zone);
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -37,8 +37,8 @@
 const CANCELLED = ["wk-800002", "wk-800003", "wk-800004", "wk-810003", "wk-810004"];
 
 /**
- * The key-value store refuses requests of the shard leader only, while other controllers confirm cancellations. Then it is
- * unavailable to all for longer than `cancel_s`, while the workers go on sending heartbeats to the shard leader.
+ * The key-value store refuses requests of the shard leader only, while other controllers confirm cancellations. Then it
+ * is unavailable to all for longer than `cancel_s`, while the workers go on sending heartbeats to the shard leader.
  */
 const runRefusalAndOutage = async (
   setup: { mesh: boolean; seed?: number },
@@ -127,7 +127,7 @@
   await assert.rejects(cluster.run(100 * S), /ran_cancelled/);
 });
 
-test("no shard leader renews a worker's lease without the stop, not even before its fencing token is confirmed", async () => {
+test("no shard leader renews a lease without the stop command, even before its fencing token is confirmed", async () => {
   // The cloud cannot delete machines, commands to the worker are lost, and it gets one response from each new shard
   // leader. If these responses renew its lease without the stop command, tasks of a cancelled job run past `cancel_s`.
   const cluster = await playFaultyDay({ mesh: false, more: submitLongJobs });
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -12,12 +12,12 @@
 /** Maximum number per day of one-way losses, late copies of messages and similar faults. */
 const HARSH_FAULTS = Number(process.env.RAINRIDGE_NIGHTS ?? 4);
 
-/** Maximum number per day of refusals of the shard leader, late transactions, slow responses, delayed commands and similar. */
+/** Maximum number per day of refusals of the shard leader, late transactions, delayed commands and similar faults. */
 const COMBINATIONS = Number(process.env.RAINRIDGE_MET ?? 3);
 
 /**
- * Maximum number per day of job chains. Half of the days start on the version that does not support chains, and lower the
- * limits of the key-value store in the end.
+ * Maximum number per day of job chains. Half of the days start on the version that does not support chains, and lower
+ * the limits of the key-value store in the end.
  */
 const CHAINS = Number(process.env.RAINRIDGE_CHAINS ?? 5);
 
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -57,8 +57,8 @@
 };
 
 /**
- * Keys whose late writes do no harm because they are corrected periodically (docs/fault-combinations.md, "Late writes").
- * `c/full`: whether a shard leader accepts no more jobs, which its next tick corrects.
+ * Keys whose late writes do no harm because they are corrected periodically (docs/fault-combinations.md, "Late
+ * writes"). `c/full`: whether a shard leader accepts no more jobs, which its next tick corrects.
  */
 const SELF_CORRECTING_KINDS = ["c/full"];
 
--- a/test/overlapping-faults.test.ts
+++ b/test/overlapping-faults.test.ts
@@ -6,8 +6,8 @@
 import { assertRecovered, playFaultyDay } from "./sim/faulty-day.js";
 
 /**
- * Manual runs: RAINRIDGE_MEETINGS=all runs all pairs at all offsets with three seeds, RAINRIDGE_PART=2/8 the second eighth
- * of them (docs/results.md).
+ * Manual runs: RAINRIDGE_MEETINGS=all runs all pairs at all offsets with three seeds, RAINRIDGE_PART=2/8 the second
+ * eighth of them (docs/results.md).
  */
 const ALL = process.env.RAINRIDGE_MEETINGS === "all";
 const [PART = 1, PARTS = 1] = (process.env.RAINRIDGE_PART ?? "1/1").split("/").map(Number);
@@ -24,8 +24,8 @@
 );
 
 /**
- * Called when the last fault has begun. Runs until the longest fault has ended and delayed messages have been delivered,
- * and then through a period without faults in which the cluster must recover.
+ * Called when the last fault has begun. Runs until the longest fault has ended and delayed messages have been
+ * delivered, and then through a period without faults in which the cluster must recover.
  */
 const runToRecovery = async (cluster: Cluster): Promise<void> => {
   await cluster.run(65 * S);
--- a/test/scenarios.test.ts
+++ b/test/scenarios.test.ts
@@ -75,7 +75,7 @@
   assert.deepEqual(cluster.missingReplicas(), []);
 });
 
-test("after a restart of all controllers, the shard is acquired and its machines are discovered within seconds", async () => {
+test("after a crash of all controllers, a new leader knows the shard's machines within seconds", async () => {
   // Guards against a new leader that waits for its next lease renewal, and for heartbeats to discover the machines.
   // Each task uses three of four CPUs, so that there is free capacity on any type of machine.
   const cluster = new Cluster(5);
@@ -144,7 +144,7 @@
   await cluster.run(14 * S);
   for (const at of [0, 1, 2]) cluster.crash(at);
   await cluster.run(14 * S);
-  // The leases in the zone have expired and the leader knows it. Up to half of each job's tasks may be in the other zone.
+  // The leases in the zone have expired for the new leader too. Half of each job's tasks may be in the other zone.
   const expired = cluster.log.filter((line) => line.includes("worker lease over"));
   assert.ok(expired.length >= 5, `${expired.length} leases known to have expired 28 s after the last response`);
   await cluster.run(80 * S);
--- a/test/unreachable-zones.test.ts
+++ b/test/unreachable-zones.test.ts
@@ -128,8 +128,8 @@
 });
 
 test("machines whose zone is not known yet are not put on record as a zone", async () => {
-  // After a failover, machines known only from stored records have the zone "". When that went on record as cut off, the
-  // next leader, which at first knows no machine's zone, considered the leases of all machines expired.
+  // After a failover, machines known only from stored records have the zone "". When that went on record as cut off,
+  // the next leader, which at first knows no machine's zone, considered the leases of all machines expired.
   const fixture = new RecordFixture();
   const first = fixture.startLeader([
     machineIn("", fixture.monotonicTime(1)),
