--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -104,7 +104,7 @@
     };
   }
 
-  /** Restarts the settling time after a pause of this process: machines seem silent until queued heartbeats are read. */
+  /** Restarts the settling time after a process pause: machines seem silent until queued heartbeats are read. */
   restartSettling(): void {
     this.settledAt = Math.max(this.settledAt, this.dependencies.context.clock.now() + SETTLING_TIME) as Micros;
   }
--- a/test/failure-attribution.test.ts
+++ b/test/failure-attribution.test.ts
@@ -129,7 +129,7 @@
   );
 });
 
-test("broken jobs make no machine faulty, are rarely restarted, and do not keep other jobs from completing", async () => {
+test("broken jobs make no machine faulty, are rarely restarted, and do not prevent other jobs from completing", async () => {
   const cluster = new Cluster(21);
   cluster.rooms.ordinary = 20;
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0 };
--- a/test/unreachable-zones.test.ts
+++ b/test/unreachable-zones.test.ts
@@ -180,7 +180,7 @@
   assert.ok(responses >= 14, `${responses} of 16 heartbeats got a response`);
 });
 
-test("after lost, late and refused writes, no response was sent after the time that the next leader inherits", async () => {
+test("after lost, late and refused writes, no response is later than the time that the next leader inherits", async () => {
   const runs: Promise<void>[] = [];
   forSeeds(300, (random) => {
     const runLeaders = async (): Promise<void> => {
