--- a/src/coordination/leadership/cluster-leadership.ts
+++ b/src/coordination/leadership/cluster-leadership.ts
@@ -25,34 +25,34 @@
 import { LogEvent } from "../log-events.js";
 
 /**
- * This controller's part in leading the cluster. The cluster leader assigns each shard to a member, attached to that
- * member's own lease: losing the cluster leader takes no shard away.
+ * Takes part in the election of the cluster leader and, while elected, assigns shards. Each shard record is attached to
+ * the lease of the member that leads the shard, so that no shard is lost when the cluster leader fails.
  */
 export class ClusterLeadership {
   private leading = false;
   private leadAgain = false;
 
-  /** `memberLeaseId`: the lease under which this controller is a member; null: it is none. */
+  /** `memberLeaseId`: the lease of this controller's membership; null while it is not a member. */
   constructor(
     private readonly services: Services,
     private readonly incarnation: string,
     private readonly memberLeaseId: () => Uint64 | null,
   ) {}
 
-  /** Label of the member that leads the shard, as far as is known here; null: nobody does. */
+  /** Label of the member that leads the shard according to the watch cache; null: the shard has no leader. */
   leaderOf(shard: number): string | null {
     const entry = this.services.cache.entries.get(shardKey(shard));
     return entry === undefined ? null : decodeShardRecord(entry.value).label;
   }
 
   /**
-   * Assigns the shards that nobody leads where this controller is the cluster leader; where there is none, tries to become
-   * it. Calls made while one is under way lead to one more pass.
+   * Assigns the shards without a leader if this controller is the cluster leader; stands for election if there is no
+   * cluster leader. Calls made during a pass lead to one further pass after it.
    */
   async lead(): Promise<void> {
     const { cache, settings, log } = this.services;
     if (this.leading) {
-      // What changes meanwhile must not wait for the next renewal.
+      // Without a further pass, a change seen during this one would wait for the next lease renewal.
       this.leadAgain = true;
       return;
     }
@@ -117,7 +117,7 @@
     }
   }
 
-  /** The member that leads the fewest shards; the cluster leader itself where it is among these. */
+  /** The member that leads the fewest shards, preferring the cluster leader itself on a tie; null: no members. */
   private chooseShardLeader(): KeyValueEntry | null {
     const { cache, settings } = this.services;
     const count = new Map<string, number>();
--- a/src/coordination/leadership/controller-environment.ts
+++ b/src/coordination/leadership/controller-environment.ts
@@ -1,4 +1,4 @@
-/** What a controller runs on. */
+/** The environment that a controller is started with. */
 
 import type { ClusterEventListener } from "../../cluster/events.js";
 import type { Clock } from "../../transport/clock.js";
@@ -8,22 +8,22 @@
 import type { LoadSource } from "../overload/load-shedder.js";
 import type { MeshFactory } from "./mesh-port.js";
 
-/** What a controller runs on: clock, network, randomness, and what is optional. */
+/** Clock, network and randomness of a controller, and its optional parts. */
 export interface ControllerEnvironment {
   readonly clock: Clock;
   readonly log: Log;
   readonly http: HttpClient;
   readonly random: () => number;
-  /** Told what happens to the jobs and machines of the shards led here. */
+  /** Receives the events of jobs and machines in the shards that this controller leads. */
   readonly eventListener?: ClusterEventListener;
-  /** Time of day in milliseconds, true within the bound of the settings. */
+  /** Time of day in milliseconds, accurate to within `settings.clockError`. */
   readonly wallClock?: () => number;
-  /** How near this process is to its limits, where that can be read. */
+  /** Reads how near this process is to its memory and socket limits, where these can be read. */
   readonly load?: LoadSource;
-  /** Told how many machines and tasks each placement round and scaling plan inspected. */
+  /** Receives the number of machines and tasks that each placement round and scaling plan inspected. */
   readonly onInspected?: (looks: number) => void;
-  /** Adds jobs of its own, where that is switched on. */
+  /** Creates the extension, which submits jobs of its own; null or absent: disabled. */
   readonly extension?: ExtensionFactory | null;
-  /** Connections to the other controllers, where these are switched on. */
+  /** Creates the mesh of connections to the other controllers; null or absent: disabled. */
   readonly mesh?: MeshFactory | null;
 }
--- a/src/coordination/leadership/controller-services.ts
+++ b/src/coordination/leadership/controller-services.ts
@@ -1,4 +1,4 @@
-/** Builds the services that all parts of a controller share. */
+/** Builds the services shared by all parts of a controller. */
 
 import { DependencyGraph } from "../../cluster/dependency-graph.js";
 import type { OperatorOptions } from "../../settings/options.js";
@@ -14,24 +14,25 @@
 import type { ControllerEnvironment } from "./controller-environment.js";
 
 /**
- * Both limits of the key-value store are shared by all controllers, whose shares of the work differ: nearly all writes
- * are the shard leader's, which with less than this had its starts wait while a third of the budget was left.
+ * This controller's shares of the key-value store's request and write limits. All controllers share these limits, but
+ * nearly all writes are the shard leader's: with smaller shares, its task starts waited while a third of the budget was
+ * unused.
  */
 const REQUEST_SHARE = 0.7;
 const WRITE_SHARE = 0.85;
 
-/** What the services of one controller are built from. */
+/** Inputs of `createServices`. */
 export interface ServicesSetup {
   readonly environment: ControllerEnvironment;
   readonly settings: Settings;
   readonly options: OperatorOptions;
-  /** The mesh's client where there is a mesh, else the environment's. */
+  /** The mesh's client if there is a mesh, otherwise the environment's. */
   readonly http: HttpClient;
-  /** When the workers were last found to be cut off from here, or reachable again; null: never. */
+  /** When the path to the workers was last found cut or restored; null: never, or there is no mesh. */
   readonly workerPathChangedAt: () => Micros | null;
 }
 
-/** The services of one controller; the load shedder starts to take samples at once. */
+/** Creates the services of one controller; the load shedder starts sampling at once. */
 export const createServices = ({
   environment,
   settings,
@@ -62,7 +63,7 @@
     log,
     watchInterval: requestInterval(WATCH_REQUEST_SHARE, requestsPerS, settings.controllers),
     syncInterval: requestInterval(SYNC_REQUEST_SHARE, requestsPerS, settings.controllers),
-    // Polls may lag by seconds: under load they share longer intervals.
+    // Answers to job status polls may be seconds old: under load, more polls share one sync request.
     syncSlowdown: () => (loadShedder.atLeast("degraded") ? 5 : loadShedder.atLeast("reduced") ? 2 : 1),
   });
   const transactions = new TransactionBatcher(store, clock, random);
--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: wires its services, hands requests to their handlers and leads the shards that it holds. */
+/** One controller: wires its services, routes requests to their handlers and leads the shards assigned to it. */
 
 import type { Job } from "../../cluster/job.js";
 import { decodeMachineTypes, type MachineType } from "../../protocol/cloud.js";
@@ -23,7 +23,7 @@
 import type { MeshPort } from "./mesh-port.js";
 import { ShardLeader } from "./shard-leader.js";
 
-/** One controller: what `main` and the simulated clusters of the tests both start. */
+/** A controller process without its sockets; started by `main` and by the simulated clusters of the tests. */
 export class Controller {
   private readonly services: Services;
   private readonly machineTypes = new Map<string, MachineType>();
@@ -81,7 +81,7 @@
     });
   }
 
-  /** Machines and open tasks kept in memory for the shards led here. */
+  /** The numbers of machines and unfinished tasks in memory for the shards that this controller leads. */
   get leadershipSize(): { readonly machines: number; readonly tasks: number } {
     const sum = { machines: 0, tasks: 0 };
     for (const leader of this.shardLeaders.values()) {
@@ -92,7 +92,7 @@
     return sum;
   }
 
-  /** A job of a shard led here, as far as its place in the job order goes; null: unknown here. */
+  /** The scheduling priority of a job in a shard that this controller leads; null: no such current job. */
   findJob(id: string): Pick<Job, "effectiveRank" | "effectiveDeadline" | "awaitingDependencies"> | null {
     for (const leader of this.shardLeaders.values()) {
       const job = leader.findJob(id);
@@ -101,6 +101,7 @@
     return null;
   }
 
+  /** Starts the background loops; an error that ends one of them is logged. */
   start(): void {
     const { cache, log } = this.services;
     const keep = (name: string, work: Promise<unknown>): void => {
@@ -113,6 +114,7 @@
     keep("dependency outcomes", this.jobApi.dependencyResolver.run());
   }
 
+  /** Handles a request of a worker, user or operator. */
   async handle(request: HttpRequest): Promise<HttpResponse> {
     if (request.target === "/hello") {
       if (request.method !== "POST") return { status: 405, body: "{}" };
@@ -125,15 +127,19 @@
     return this.extension?.handle(request) ?? this.jobApi.handle(request);
   }
 
-  /** The response of a leader that no worker reaches, but that can be reached from here; null: none was relayed. */
+  /**
+   * Relays the heartbeat to the shard leader if the workers cannot reach it directly, but this controller can.
+   * Null: not relayed.
+   */
   private async relayToLeader(request: HttpRequest): Promise<HttpResponse | null> {
     if (this.mesh === null || this.shardLeaders.size > 0) return null;
-    // There is one shard; with several, the machine's name tells which one is meant.
+    // There is a single shard; with several, the machine's name determines the shard (`shardOf`).
     const leader = this.membership.leaderOf(0);
     if (leader === null || leader === this.services.settings.label) return null;
     return this.mesh.relayHeartbeat(leader, request);
   }
 
+  /** Up machines in the shards led here, and when the latest shard was acquired; null: no shard is led here. */
   private leadership(): { machines: number; since: Micros } | null {
     if (this.shardLeaders.size === 0) return null;
     let machines = 0;
@@ -145,7 +151,7 @@
     return { machines, since };
   }
 
-  /** `relayPeer`: the peer that the heartbeat came to; null: it came here. */
+  /** `relayPeer`: the peer that relayed the heartbeat; null: received directly from the worker. */
   private async handleHeartbeat(body: string, relayPeer: string | null): Promise<HttpResponse> {
     let heartbeat: Heartbeat;
     try {
@@ -169,7 +175,7 @@
     }
     if (relayPeer === null) this.mesh?.recordDirectHeartbeat(heartbeat.address);
     else this.mesh?.recordRelayedHeartbeat(heartbeat.address, relayPeer);
-    // A peer that relays a heartbeat waits for less than a worker does.
+    // No long poll for a relayed heartbeat: the relaying peer times out sooner than a worker does.
     const reply = await leader.handleHeartbeat(heartbeat, relayPeer === null);
     if (reply === null) return { status: 503, body: "{}" };
     return { status: 200, body: formatJson(encodeHeartbeatResponse(reply.token, reply.commands)) };
@@ -209,7 +215,7 @@
 
   private async fetchMachineTypes(): Promise<void> {
     const { clock, cache } = this.services;
-    // The record spares the cloud a request at every restart.
+    // Once the cache is loaded, a recorded list makes the cloud request at each restart unnecessary.
     while (!cache.loaded) await sleep(clock, seconds(0.05));
     while (this.machineTypes.size === 0) {
       const reply = await this.cloud.listMachineTypes();
--- a/src/coordination/leadership/failure-guard.ts
+++ b/src/coordination/leadership/failure-guard.ts
@@ -1,11 +1,11 @@
-/** The end of promises that nobody waits for: their failures are logged. */
+/** Logs the failures of promises that no caller awaits. */
 import { describeError, type Log } from "../../transport/log.js";
 import { LogEvent } from "../log-events.js";
 
-/** Waits for `work`; never rejects. */
+/** Settles once `work` has settled; never rejects. */
 export type FailureGuard = (work: Promise<unknown>) => Promise<void>;
 
-/** A guard that logs what the work throws as `leader step failed`. */
+/** Creates a guard that logs rejections as `leader step failed`. */
 export const createFailureGuard =
   (log: Log): FailureGuard =>
   (work) =>
--- a/src/coordination/leadership/heartbeat-responder.ts
+++ b/src/coordination/leadership/heartbeat-responder.ts
@@ -1,4 +1,4 @@
-/** Responses of a shard leader to heartbeats: whether the worker's lease is renewed, and with which commands. */
+/** Responses of a shard leader to heartbeats: whether the worker's lease is renewed, and which commands are sent. */
 import { createMachine, type Machine } from "../../cluster/machine.js";
 import type { MachineType } from "../../protocol/cloud.js";
 import type { Command, Heartbeat } from "../../protocol/worker.js";
@@ -16,18 +16,18 @@
 import { type PermittedReplies, pendingStops, permittedReplies } from "./lease-authority.js";
 
 const FROM_HEARTBEAT: HeartbeatSource = { kind: "heartbeat" };
-/** Whether a response has arrived at its worker is asked so long after it. */
+/** From a response that carries the probe token to the status query that checks whether it was delivered. */
 const PROBE_VERIFICATION_DELAY = seconds(1);
 const NO_WAIT = 0 as Micros;
 
-/** A response to a heartbeat: it renews the worker's lease. */
+/** A response to a heartbeat; its delivery renews the worker's lease. */
 export interface HeartbeatReply {
   /** The fencing token that the response carries. */
   readonly token: number;
   readonly commands: readonly Command[];
 }
 
-/** What a `HeartbeatResponder` needs. */
+/** Collaborators of a `HeartbeatResponder`. */
 export interface HeartbeatResponderDependencies {
   readonly context: ShardContext;
   readonly state: Readonly<LeaderState>;
@@ -38,13 +38,13 @@
   readonly machineTypes: ReadonlyMap<string, MachineType>;
 }
 
-/** Takes in the heartbeats of a shard's workers and responds to them. */
+/** Processes the heartbeats of a shard's workers and responds to them. */
 export class HeartbeatResponder {
   constructor(private readonly dependencies: HeartbeatResponderDependencies) {}
 
   /**
-   * The response to the heartbeat; null: nothing may be said in the shard's name. `mayWait`: the response may wait for a start
-   * (`longPollTime`).
+   * The response to the heartbeat; null: none may be sent, so that the worker's lease is not renewed. `mayWait`: the
+   * response may be held back as a long poll until a task is to be started (`longPollTime`).
    */
   async respond(heartbeat: Heartbeat, mayWait: boolean): Promise<HeartbeatReply | null> {
     const { context, heartbeats } = this.dependencies;
@@ -77,7 +77,7 @@
     return !state.stopped && context.lease.isValid() && !context.shard.deletedMachines.has(heartbeat.machine);
   }
 
-  /** Waits for longer where a round has placed a task meanwhile that is not on record yet. */
+  /** Extends the long poll if a task was placed during it whose placement is not recorded yet. */
   private async waitForStarts(machine: Machine, waitTime: Micros): Promise<void> {
     const { context, longPolls } = this.dependencies;
     const startedAt = context.clock.now();
@@ -86,17 +86,20 @@
     if (firstEnd === "time passed" && timeLeft > 0) await longPolls.wait(machine, timeLeft as Micros);
   }
 
-  /** Under load timers are late, and a worker that had no response in time would try another controller. */
+  /**
+   * How long the response may be held back; 0 under load, since timers then fire late and a worker without a response
+   * in time would try another controller.
+   */
   private waitTimeOf(machine: Machine): Micros {
     const { context, commands } = this.dependencies;
     if (context.loadShedder.atLeast("degraded") || commands.hasWaitingStarts(machine)) return NO_WAIT;
     const now = context.clock.now();
-    // A worker whose lease may end soon, as after a failover, gets its response at once.
+    // A worker whose lease may expire soon, as after a failover, gets its response at once.
     if (now - machine.lease.respondedAt > context.settings.workers.lease / 2) return NO_WAIT;
     return longPollTime(machine, now, context.shard.backlog);
   }
 
-  /** While its zone is on record as unreachable a worker gets no response; its heartbeat is noted. */
+  /** True: no response, as the zone is recorded as unreachable; the heartbeat then marks the zone as reachable. */
   private isInUnreachableZone(machine: Machine): boolean {
     const { context, unreachableZones } = this.dependencies;
     if (unreachableZones.mayAnswer(machine.zone)) return false;
@@ -125,7 +128,7 @@
     else if (commands.hasUrgentCommands(machine)) context.scheduleCommands(machine);
   }
 
-  /** Asks a moment later whether the response has arrived: a heartbeat may come a quarter of a lease later. */
+  /** Queries the worker for the probe token: its next heartbeat may be a quarter of a lease away. */
   private verifyProbe(machine: Machine): void {
     const { context, state } = this.dependencies;
     machine.reachability.probeSentAt = context.clock.now();
@@ -159,7 +162,7 @@
       { name: heartbeat.machine, typeName: heartbeat.type, type: null, zone: heartbeat.zone, spot: heartbeat.spot },
       clock.now(),
     );
-    // The machine may have been gone for long: it has no capacity until it is known from elsewhere.
+    // A delayed heartbeat may name a machine that no longer exists: no capacity until it is confirmed.
     machine.state = "unconfirmed";
     shard.machines.set(heartbeat.machine, machine);
     log.info(LogEvent.MachineReported, { machine: heartbeat.machine });
--- a/src/coordination/leadership/leader-checks.ts
+++ b/src/coordination/leadership/leader-checks.ts
@@ -13,11 +13,11 @@
 import type { MachineTypeRefresher } from "./machine-type-refresher.js";
 
 const CHECK_INTERVAL = ms(250);
-/** Checks further apart than this mean that this process stood still. */
+/** A longer time between two checks means that this process was stalled. */
 const STALL_THRESHOLD = seconds(1.5);
 const SUMMARY_INTERVAL = seconds(30);
 
-/** What `LeaderChecks` needs. */
+/** Collaborators of `LeaderChecks`. */
 export interface LeaderChecksDependencies {
   readonly context: ShardContext;
   readonly failureDetector: FailureDetector;
@@ -30,7 +30,7 @@
   readonly answeredStarts: AnsweredStarts;
 }
 
-/** Checks every 250 ms, from `start` to `stop`. */
+/** Runs the checks every 250 ms, from `start` to `stop`. */
 export class LeaderChecks {
   private stopped = false;
   private timer: Timer | null = null;
@@ -43,7 +43,7 @@
     this.lastSummaryAt = dependencies.context.clock.now();
   }
 
-  /** Checks at once, and from then on periodically. */
+  /** Runs the checks at once, and periodically from then on. */
   start(): void {
     this.run();
   }
@@ -88,7 +88,7 @@
     this.leaseWasValid = valid;
   }
 
-  /** After a stall of this process every worker seems silent until what has arrived meanwhile is read. */
+  /** After a stall of this process every worker seems silent until the heartbeats queued meanwhile are processed. */
   private detectStall(): void {
     const { context, failureDetector } = this.dependencies;
     const pause = context.clock.now() - this.lastCheckAt;
--- a/src/coordination/leadership/leader-state.ts
+++ b/src/coordination/leadership/leader-state.ts
@@ -1,10 +1,10 @@
-/** What changes in the life of a shard leader and is read by its collaborators. */
+/** Mutable state of a shard leader that its collaborators read. */
 import type { ShardExtension } from "../extension.js";
 
 /** Shared by a shard leader and its collaborators; written by the leader only. */
 export interface LeaderState {
-  /** The lease is over, or was given up: nothing more may be done in the shard's name. */
+  /** The shard's lease was lost or released: no further writes or commands for the shard. */
   stopped: boolean;
-  /** The extension's part for this shard; null before it is acquired, and where there is no extension. */
+  /** The extension's state for this shard; null until the extension has acquired it, and without an extension. */
   extension: ShardExtension | null;
 }
--- a/src/coordination/leadership/lease-authority.ts
+++ b/src/coordination/leadership/lease-authority.ts
@@ -1,49 +1,49 @@
-/** What a lease permits now: whether a shard may be acted for, and what a worker may be sent. Pure functions. */
+/** Whether a shard lease is valid, and which responses and commands it permits. Pure functions. */
 
 import type { Job } from "../../cluster/job.js";
 import type { Command, Heartbeat } from "../../protocol/worker.js";
 import type { Micros } from "../../transport/clock.js";
 import type { HeartbeatFreshness } from "../workers/heartbeat-freshness.js";
 
-/** What a controller's authority over a shard rests on, by its own steady clock (docs/fault-combinations.md). */
+/** The inputs to a shard lease's validity; times by the controller's steady clock (docs/fault-combinations.md). */
 export interface LeaseState {
-  /** It is the leader on record, under the lease that it renews, as far as it knows. */
+  /** According to the watch cache, this controller is the recorded leader, under the lease that it renews. */
   readonly isHolder: boolean;
-  /** From before the request was sent that last renewed the lease. */
+  /** When the last successful renewal request was sent, not when it was answered. */
   readonly renewedAt: Micros;
-  /** All that was decided before this moment is known here; null: nothing has been read yet. */
+  /** The watch cache contains all writes committed before this time; null: not loaded yet. */
   readonly cacheFreshAsOf: Micros | null;
-  /** For how long either is good. */
+  /** How long a renewal, and a view of the cache, keeps the lease valid. */
   readonly duration: Micros;
 }
 
-/** A cache that is no longer fresh hides cancellations, so it ends the authority as lease expiry does. */
+/** A stale cache may lack cancellations, so it invalidates the lease as expiry does. */
 export const isLeaseValid = ({ isHolder, renewedAt, cacheFreshAsOf, duration }: LeaseState, now: Micros): boolean =>
   isHolder && cacheFreshAsOf !== null && now < Math.min(renewedAt, cacheFreshAsOf) + duration;
 
-/** What is known of a worker once its heartbeat has been classified. */
+/** State of a worker after its heartbeat has been classified. */
 export interface WorkerStanding {
   readonly freshness: HeartbeatFreshness;
-  /** It has shown a fencing token of this leader. */
+  /** A message of the worker carried a fencing token of this leader. */
   readonly tokenSeen: boolean;
-  /** Neither commands nor answers get there. */
+  /** Heartbeats arrive, but neither commands nor responses are delivered. */
   readonly oneWay: boolean;
-  /** For how long all its heartbeats may have been from before this leader's time. */
+  /** How long all its heartbeats have been unverified: they may predate this leader. */
   readonly unverifiedFor: Micros;
   readonly workerLease: Micros;
 }
 
-/** What a leader may send to a worker now. */
+/** Messages that a leader may send to a worker now. */
 export interface PermittedReplies {
-  /** To answer, which renews the worker's lease. Every such response carries the pending stops (`pendingStops`). */
+  /** Respond to the heartbeat, which renews the worker's lease. Each response carries the `pendingStops`. */
   readonly renew: boolean;
-  /** To give commands that follow from what is believed of the machine. */
+  /** Send commands that follow from the leader's state of the machine. */
   readonly command: boolean;
 }
 
 /**
- * A worker whose heartbeats arrive while nothing gets there might accept any response: so that its lease, and with it what it
- * runs, is sure to end, it gets none until it has answered a status query.
+ * A one-way worker gets no response until it has answered a status query: any response that did arrive would renew its
+ * lease, while the leader counts on that lease, and the tasks under it, to end.
  */
 export const permittedReplies = ({
   freshness,
@@ -57,10 +57,11 @@
 };
 
 /**
- * Stops for all listed tasks whose job is cancelled or has ended, whatever else is known of the machine. A worker accepts a
- * response as a whole or not at all, so that no lease is renewed past a cancellation that the sender knows of. Each new
- * leader used to renew once without them, before its token had been seen: with a new leader in every lease, tasks of cancelled
- * jobs ran on for ever. An unknown job has ended: a leader has read every accepted job before it starts anything of it.
+ * Stop commands for all reported tasks whose job is cancelled or has ended, regardless of the machine's state. A worker
+ * applies a response as a whole or not at all, so no lease is renewed past a cancellation that the sender has read.
+ * Without this, each new leader renewed the lease once without stops, before its token had been seen: with a failover
+ * in every lease period, tasks of cancelled jobs never ended. A job not in memory has ended: a leader reads every
+ * accepted job before it starts any of its tasks.
  */
 export const pendingStops = (
   tasks: Heartbeat["tasks"],
--- a/src/coordination/leadership/machine-type-refresher.ts
+++ b/src/coordination/leadership/machine-type-refresher.ts
@@ -1,4 +1,4 @@
-/** Keeps the list of machine types as the cloud gives it, and its record in the key-value store. */
+/** Refreshes the machine types from the cloud API, and records them in the key-value store. */
 import type { MachineType } from "../../protocol/cloud.js";
 import { MACHINE_TYPES_KEY } from "../../storage/keys.js";
 import { type Micros, seconds } from "../../transport/clock.js";
@@ -8,22 +8,22 @@
 
 const REFRESH_INTERVAL = seconds(30);
 
-/** What a `MachineTypeRefresher` needs. */
+/** Collaborators of a `MachineTypeRefresher`. */
 export interface MachineTypeRefresherDependencies {
   readonly context: Pick<ShardContext, "clock" | "cache" | "transactions" | "settings" | "scheduleRound">;
   readonly cloud: CloudClient;
-  /** Filled anew by each refresh; shared with all that read machine types. */
+  /** Replaced in place by each refresh; shared with all readers of machine types. */
   readonly machineTypes: Map<string, MachineType>;
   readonly guard: FailureGuard;
 }
 
-/** Asks the cloud for its machine types now and then. */
+/** Periodically lists the machine types of the cloud. */
 export class MachineTypeRefresher {
   private refreshedAt: Micros = 0 as Micros;
 
   constructor(private readonly dependencies: MachineTypeRefresherDependencies) {}
 
-  /** Starts a refresh unless one was started within the last 30 s. */
+  /** Starts a refresh unless the last one started less than 30 s ago. */
   refreshIfDue(): void {
     const { context, guard } = this.dependencies;
     const { clock } = context;
@@ -42,7 +42,7 @@
     await this.record(reply.value.raw);
   }
 
-  /** Puts the list on record once, for controllers that start while the cloud cannot be asked. */
+  /** Records the list once, for controllers that start during a cloud outage. */
   private async record(rawTypes: unknown): Promise<void> {
     const { cache, transactions, settings } = this.dependencies.context;
     const fits = JSON.stringify(rawTypes).length < settings.store.valueBytes;
--- a/src/coordination/leadership/membership.ts
+++ b/src/coordination/leadership/membership.ts
@@ -1,4 +1,4 @@
-/** Membership of a controller: its member lease, and the shards that are assigned to it. */
+/** Cluster membership of a controller: its member lease, and the shards assigned to it. */
 
 import type { Uint64 } from "../../protocol/json.js";
 import type { KeyValueEntry } from "../../protocol/key-value-store.js";
@@ -19,27 +19,27 @@
 
 const RENEWALS_PER_LEASE = 12;
 const JOIN_RETRY_DELAY = ms(100);
-/** Time for the other members to take over the shards. */
+/** Leaves the other members time to take over the shards. */
 const REJOIN_DELAY = seconds(8);
 const CACHE_POLL_INTERVAL = ms(10);
-/** Steady clocks drift by half a thousandth at most; the rest is for slow timers. */
+/** Steady clocks drift by at most 0.05 %; the rest of the margin allows for late timers. */
 const LEASE_SAFETY_MARGIN = seconds(0.5);
 
 interface MemberLease {
   readonly id: Uint64;
-  /** When the request was sent that last renewed it. */
+  /** When the last successful grant or renewal request was sent. */
   renewedAt: Micros;
 }
 
-/** Told when this controller begins or ends leading a shard. */
+/** Called when this controller acquires or releases a shard. */
 export interface MembershipEvents {
   shardAcquired(lease: ShardLease): void;
   shardReleased(shard: number): void;
 }
 
 /**
- * Joins, renews this controller's member lease, and leads the shards that the records assign to it. Beside that it takes
- * part in the cluster's leadership (`ClusterLeadership`).
+ * Joins the cluster, renews this controller's member lease, and acquires the shards assigned to it on record. Also runs
+ * this controller's part of the cluster leadership (`ClusterLeadership`).
  */
 export class Membership {
   private memberLease: MemberLease | null = null;
@@ -62,11 +62,12 @@
     return this.services.clock;
   }
 
-  /** Label of the member that leads the shard, as far as is known here; null: nobody does. */
+  /** Label of the member that leads the shard according to the watch cache; null: the shard has no leader. */
   leaderOf(shard: number): string | null {
     return this.clusterLeadership.leaderOf(shard);
   }
 
+  /** Joins, then renews the member lease periodically; joins again whenever the lease is lost. */
   async run(): Promise<never> {
     const { log } = this.services;
     for (;;) {
@@ -93,8 +94,8 @@
     const old = await store.get(key);
     if (old.kind !== "ok" && old.kind !== "missing") return;
     if (old.kind === "ok") {
-      // This label's, from before a restart: there is one process a label. Revoked at once, its shards are assigned
-      // again within seconds; a request of the earlier process that is still under way fails on the shard's version.
+      // A single process runs under a label, so this is from before a restart. Once it is revoked, the shards are
+      // reassigned within seconds; a write of the earlier process still in flight fails on the shard's version.
       const ended = await store.revokeLease(decodeMemberRecord(old.value.value).leaseId);
       if (ended.kind !== "ok" && ended.kind !== "missing") return;
     }
@@ -118,7 +119,7 @@
     this.resign();
   }
 
-  /** For a leader that can do nothing with its shards: lets the other members lead them before it joins again. */
+  /** For a leader that reaches no workers: releases its shards, and joins again once others had time to take over. */
   async transferLeadership(): Promise<void> {
     const { memberLease } = this;
     if (memberLease === null) return;
@@ -127,18 +128,18 @@
     await this.services.store.revokeLease(memberLease.id);
   }
 
-  /** Releases all shards; joining again revokes the old lease, so that shards come back under fresh epochs. */
+  /** Releases all shards; joining again revokes the old lease, so that shards are reacquired under new epochs. */
   resign(): void {
     this.memberLease = null;
     for (const shard of [...this.heldShards.keys()]) this.release(shard);
   }
 
-  /** Works off the difference between the shards assigned on record and the ones led here. */
+  /** Acquires and releases shards until those led here match the recorded assignments. */
   private reconcileShards(): void {
     const { cache, settings } = this.services;
     const member = cache.entries.get(memberKey(settings.label));
-    // A join without a response, carried out late, records a member under a lease that nobody renews: what is assigned
-    // to that member ends with that lease, while the shard's lease would be counted from another one's renewals.
+    // A join whose response was lost may be applied late, recording a member under a lease that is not renewed. Shards
+    // assigned to that member end with its lease, while their validity would be computed from another lease's renewals.
     const renewed = member !== undefined && decodeMemberRecord(member.value).leaseId === this.memberLease?.id;
     for (let shard = 0; shard < SHARD_COUNT; shard += 1) {
       const entry = cache.entries.get(shardKey(shard));
@@ -176,7 +177,7 @@
     this.events.shardAcquired(lease);
   }
 
-  /** Also called by the shard's leader itself when a write shows that another member leads the shard. */
+  /** Also called by the shard leader when a rejected write shows that another member leads the shard. */
   release(shard: number): void {
     if (this.heldShards.delete(shard)) this.events.shardReleased(shard);
   }
--- a/src/coordination/leadership/mesh-port.ts
+++ b/src/coordination/leadership/mesh-port.ts
@@ -1,4 +1,4 @@
-/** What a controller and its mesh know of each other. */
+/** The interfaces between a controller and its mesh. */
 
 import type { LinkTable } from "../../protocol/links.js";
 import type { Micros } from "../../transport/clock.js";
@@ -6,30 +6,31 @@
 
 /** The mesh as the controller uses it. */
 export interface MeshPort {
-  /** Calls over the direct link, or through a peer where that link fails. */
+  /** Sends requests over the direct link, or through a peer if that link fails. */
   readonly client: HttpClient;
-  /** When the workers were last found to be cut off from here, or reachable again; null: never. */
+  /** When this controller's path to the workers was last found cut or restored; null: never. */
   readonly workerPathChangedAt: Micros | null;
+  /** Starts connecting to the peers. */
   start(): void;
-  /** The heartbeat of a worker that is led here has come over a direct link. */
+  /** Records that a heartbeat of a worker led here was received directly. */
   recordDirectHeartbeat(address: string): void;
-  /** The heartbeat of a worker that is led here has come through a peer. */
+  /** Records that a heartbeat of a worker led here was received through the peer. */
   recordRelayedHeartbeat(address: string, peer: string): void;
-  /** The leader's response to a worker's heartbeat that came here; null: redirect the worker to the leader. */
+  /** Relays a worker's heartbeat and returns the leader's response; null: redirect the worker to the leader. */
   relayHeartbeat(leader: string, request: HttpRequest): Promise<HttpResponse | null>;
   /** Status of all links, for operators. */
   linkTable(): LinkTable;
 }
 
-/** What the mesh asks of the controller. */
+/** Calls of the mesh to its controller. */
 export interface MeshCallbacks {
   /** 0 (normal) to 3 (saturated). */
   readonly loadLevel: () => number;
   /** Machines led here that are up, and when the latest shard was acquired; null: no shard is led here. */
   readonly leadership: () => { readonly machines: number; readonly since: Micros } | null;
-  /** Handles a worker's heartbeat that came through the peer `relayPeer`. */
+  /** Handles a worker's heartbeat relayed by the peer `relayPeer`. */
   readonly handleHeartbeat: (request: HttpRequest, relayPeer: string) => Promise<HttpResponse>;
 }
 
-/** Makes the mesh of one controller. */
+/** Creates the mesh of one controller. */
 export type MeshFactory = (callbacks: MeshCallbacks) => MeshPort;
--- a/src/coordination/leadership/round-timer.ts
+++ b/src/coordination/leadership/round-timer.ts
@@ -8,10 +8,10 @@
 export const MIN_ROUND_INTERVAL = ms(10);
 /** The shortest time between rounds from load level `degraded` on. */
 const ROUND_INTERVAL_UNDER_LOAD = ms(1_000);
-/** A round leaves this many times its own length to all else, above all to heartbeats. */
+/** After a round, the event loop is free for this many times its duration, above all for heartbeats. */
 const ROUND_REST_FACTOR = 4;
 
-/** Runs rounds when one is due, never closer together than load and the length of the last round allow. */
+/** Runs placement rounds when due, at intervals bounded below by the load level and the last round's duration. */
 export class RoundTimer {
   private stopped = false;
   private timer: Timer | null = null;
@@ -19,13 +19,13 @@
   private lastRoundAt: Micros = 0 as Micros;
   private interval: Micros = MIN_ROUND_INTERVAL;
 
-  /** @param runRound may throw: this is logged, and the next round comes when it is due */
+  /** @param runRound may throw: the error is logged, and the next round runs as scheduled */
   constructor(
     private readonly services: Pick<Services, "clock" | "log" | "loadShedder" | "options">,
     private readonly runRound: () => void,
   ) {}
 
-  /** Asks for a round after `delay` microseconds; one that is due sooner stands for it. */
+  /** Schedules a round after `delay`, unless one is due sooner; a new round supersedes a later one. */
   schedule(delay: Micros): void {
     if (this.stopped) return;
     const { clock } = this.services;
--- a/src/coordination/leadership/shard-collaborators.ts
+++ b/src/coordination/leadership/shard-collaborators.ts
@@ -1,4 +1,4 @@
-/** Builds the parts of a shard leader and connects them. Nothing here decides, reads or writes. */
+/** Builds the parts of a shard leader and wires them together; contains no logic of its own. */
 import type { Machine } from "../../cluster/machine.js";
 import { ShardState } from "../../cluster/shard-state.js";
 import type { MachineType } from "../../protocol/cloud.js";
@@ -28,33 +28,33 @@
 import { MachineTypeRefresher } from "./machine-type-refresher.js";
 import { MIN_ROUND_INTERVAL, RoundTimer } from "./round-timer.js";
 
-/** Machines that are sent commands at once: those with recent heartbeats, and others. */
+/** Concurrent command requests to machines with recent heartbeats, and to those without. */
 const RESPONSIVE_POOL_SIZE = 96;
 const SILENT_POOL_SIZE = 16;
-/** So many bytes of a range's value a task may take: attempt, machine name and punctuation. */
+/** Upper bound of a task's bytes in a range's value: attempt, machine name and punctuation. */
 const BYTES_PER_TASK = 48;
 const MAX_TASKS_PER_RANGE = 128;
 const AT_ONCE = 0 as Micros;
 
-/** How a shard leader gives up what it leads. */
+/** Calls by which a shard leader gives up its shard. */
 export interface LeaderEvents {
   /** Another controller leads the shard, or may lead it. */
   onFenced(): void;
-  /** The state in memory is wrong: the shard has to be acquired under a fresh epoch. */
+  /** The state in memory is wrong: the shard must be acquired again under a new epoch. */
   onInconsistent(): void;
   /** This controller reaches no workers: another one should lead. */
   onUnreachable(): Promise<void>;
 }
 
-/** What a shard leader is made for, and with. */
+/** The shard to be led, and the collaborators from outside it. */
 export interface ShardLeaderOptions {
   readonly services: Services;
   readonly lease: ShardLease;
   readonly cloud: CloudClient;
-  /** Shared by all of the controller; filled anew by refreshes. */
+  /** Shared by the whole controller; replaced in place by refreshes. */
   readonly machineTypes: Map<string, MachineType>;
   readonly events: LeaderEvents;
-  /** Null: none is switched on. */
+  /** Null: disabled. */
   readonly extension: Extension | null;
 }
 
@@ -72,7 +72,7 @@
   readonly checks: LeaderChecks;
 }
 
-/** The parts that other parts call through the context; read only after all are built. */
+/** Parts that others call through the context; first accessed once all are built. */
 interface ContextTargets {
   readonly taskStates: TaskStateWriter;
   readonly commandPools: ConcurrencyPools<Machine>;
@@ -172,7 +172,7 @@
   onTaskFailed: (task, reason) => state.extension?.onTaskFailed(task.job.spec, task.index, reason),
 });
 
-/** Machines that do not respond keep a slot for seconds: a zone of them must not delay commands elsewhere. */
+/** A silent machine occupies a slot for seconds until it times out: a silent zone must not delay commands elsewhere. */
 const createCommandPools = (
   { clock, settings, options }: ShardContext,
   commands: CommandDispatcher,
--- a/src/coordination/leadership/shard-leader.ts
+++ b/src/coordination/leadership/shard-leader.ts
@@ -1,4 +1,4 @@
-/** The leader of one shard: acts for its machines and jobs for as long as this process holds the shard's lease. */
+/** The leader of one shard: manages its machines and jobs for as long as this process holds the shard's lease. */
 import type { Job } from "../../cluster/job.js";
 import type { KeyChange } from "../../protocol/key-value-store.js";
 import type { MachineLinks } from "../../protocol/links.js";
@@ -9,7 +9,7 @@
 import { MIN_ROUND_INTERVAL } from "./round-timer.js";
 import { buildShardCollaborators, type ShardCollaborators, type ShardLeaderOptions } from "./shard-collaborators.js";
 
-/** Leads a shard from its construction to `stop`. All of its state ends with the lease. */
+/** Leads a shard from construction to `stop`. All of its state is discarded with the lease. */
 export class ShardLeader {
   /** When the shard was acquired, by this process's steady clock. */
   readonly acquiredAt: Micros;
@@ -22,7 +22,7 @@
     this.start(options);
   }
 
-  /** Restores the jobs on record first: the extension and the first checks see them. */
+  /** Restores the recorded jobs first, since the extension and the first checks need them. */
   private start({ extension }: ShardLeaderOptions): void {
     const { context, jobWatcher, checks, roundTimer, autoscaler } = this.parts;
     jobWatcher.restore();
@@ -37,7 +37,7 @@
     void autoscaler.run();
   }
 
-  /** Ends all loops and timers; nothing is done in the shard's name from now on. */
+  /** Ends all loops and timers: no further writes or commands for the shard. */
   stop(): void {
     this.state.stopped = true;
     this.parts.checks.stop();
@@ -47,12 +47,12 @@
     this.parts.longPolls.endAll();
   }
 
-  /** The response to the heartbeat; null: nothing may be said in the shard's name. `mayWait`: it may wait for a start. */
+  /** The response to the heartbeat; null: none may be sent. `mayWait`: it may be held back as a long poll. */
   handleHeartbeat(heartbeat: Heartbeat, mayWait: boolean): Promise<HeartbeatReply | null> {
     return this.parts.heartbeatResponder.respond(heartbeat, mayWait);
   }
 
-  /** The state of the machines for operators. */
+  /** The state of the machines and of the shard lease, for operators. */
   get fleetHealth(): MachineLinks {
     const { context, failureDetector, scheduler } = this.parts;
     return {
@@ -77,12 +77,12 @@
     return { machines: machines.size, tasks };
   }
 
-  /** The text of the machine's last task list, if a repetition of it would tell nothing new. */
+  /** The text of the machine's last task list, if an identical one needs no processing; else null. */
   knownTaskListOf(machine: string): string | null {
     return this.parts.context.shard.machines.get(machine)?.reported.taskListText ?? null;
   }
 
-  /** The job, if it is one of this shard that has not ended. */
+  /** The job, if it is a current job of this shard; else null. */
   findJob(id: string): Job | null {
     return this.parts.context.shard.jobs.get(id) ?? null;
   }
@@ -94,7 +94,7 @@
     return { done: job.completedTasks, running: job.runningTasks };
   }
 
-  /** Takes in a change of what is current below the watched prefix. */
+  /** Applies a change of a current record in the watch cache. */
   onChange(change: KeyChange): void {
     if (this.state.stopped) return;
     this.parts.jobWatcher.onChange(change);
@@ -108,7 +108,7 @@
     this.parts.dependencyTracker.jobCancelledByDependency(id);
   }
 
-  /** All dependencies of the job are on record as done. */
+  /** Called once all dependencies of the job are recorded as done. */
   jobReady(id: string): void {
     if (!this.state.stopped) this.parts.dependencyTracker.jobReady(id);
   }
