--- a/src/coordination/leadership/cluster-leadership.ts
+++ b/src/coordination/leadership/cluster-leadership.ts
@@ -29,8 +29,8 @@
  * the lease of the member that leads the shard, so that no shard is lost when the cluster leader fails.
  */
 export class ClusterLeadership {
-  private leading = false;
-  private leadAgain = false;
+  private passRunning = false;
+  private passRequested = false;
 
   /** `memberLeaseId`: the lease of this controller's membership; null while it is not a member. */
   constructor(
@@ -49,19 +49,19 @@
    * Assigns the shards without a leader if this controller is the cluster leader; stands for election if there is no
    * cluster leader. Calls made during a pass lead to one further pass after it.
    */
-  async lead(): Promise<void> {
+  async reconcile(): Promise<void> {
     const { cache, settings, log } = this.services;
-    if (this.leading) {
+    if (this.passRunning) {
       // Without a further pass, a change seen during this one would wait for the next lease renewal.
-      this.leadAgain = true;
+      this.passRequested = true;
       return;
     }
     const leaseId = this.memberLeaseId();
     if (leaseId === null || !cache.loaded) return;
     const ownMember = cache.entries.get(memberKey(settings.label));
     if (ownMember === undefined || decodeMemberRecord(ownMember.value).incarnation !== this.incarnation) return;
-    this.leading = true;
-    this.leadAgain = false;
+    this.passRunning = true;
+    this.passRequested = false;
     try {
       const leader = cache.entries.get(CLUSTER_LEADER_KEY);
       if (leader === undefined) await this.electClusterLeader(ownMember, leaseId);
@@ -69,9 +69,9 @@
     } catch (error) {
       log.error(LogEvent.ClusterLeadershipFailed, { error: describeError(error) });
     } finally {
-      this.leading = false;
+      this.passRunning = false;
     }
-    if (this.leadAgain) await this.lead();
+    if (this.passRequested) await this.reconcile();
   }
 
   private async electClusterLeader(ownMember: KeyValueEntry, leaseId: Uint64): Promise<void> {
@@ -120,15 +120,15 @@
   /** The member that leads the fewest shards, preferring the cluster leader itself on a tie; null: no members. */
   private chooseShardLeader(): KeyValueEntry | null {
     const { cache, settings } = this.services;
-    const count = new Map<string, number>();
+    const shardCounts = new Map<string, number>();
     for (let shard = 0; shard < SHARD_COUNT; shard += 1) {
       const label = this.leaderOf(shard);
-      if (label !== null) count.set(label, (count.get(label) ?? 0) + 1);
+      if (label !== null) shardCounts.set(label, (shardCounts.get(label) ?? 0) + 1);
     }
     const members = [...cache.entries.values()].filter((entry) => memberOfKey(entry.key) !== null);
     const load = (entry: KeyValueEntry): number => {
       const label = memberOfKey(entry.key) ?? "";
-      return (count.get(label) ?? 0) - (label === settings.label ? 0.5 : 0);
+      return (shardCounts.get(label) ?? 0) - (label === settings.label ? 0.5 : 0);
     };
     return members.sort((a, b) => load(a) - load(b))[0] ?? null;
   }
--- a/src/coordination/leadership/controller-environment.ts
+++ b/src/coordination/leadership/controller-environment.ts
@@ -21,7 +21,7 @@
   /** Reads how near this process is to its memory and socket limits, where these can be read. */
   readonly load?: LoadSource;
   /** Receives the number of machines and tasks that each placement round and scaling plan inspected. */
-  readonly onInspected?: (looks: number) => void;
+  readonly onInspected?: (inspected: number) => void;
   /** Creates the extension, which submits jobs of its own; null or absent: disabled. */
   readonly extension?: ExtensionFactory | null;
   /** Creates the mesh of connections to the other controllers; null or absent: disabled. */
--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -76,7 +76,7 @@
     };
     cache.onChangeFirst((change) => this.jobApi.dependencyResolver.onChange(change));
     cache.onChange((change) => {
-      if (change.key === MACHINE_TYPES_KEY && change.kind === "put") this.learnMachineTypes(change.value);
+      if (change.key === MACHINE_TYPES_KEY && change.kind === "put") this.applyMachineTypes(change.value);
       for (const leader of this.shardLeaders.values()) leader.onChange(change);
     });
   }
@@ -104,14 +104,14 @@
   /** Starts the background loops; an error that ends one of them is logged. */
   start(): void {
     const { cache, log } = this.services;
-    const keep = (name: string, work: Promise<unknown>): void => {
+    const runInBackground = (name: string, work: Promise<unknown>): void => {
       work.catch((error: unknown) => log.error(LogEvent.LoopFailed, { name, error: describeError(error) }));
     };
     this.mesh?.start();
-    keep("watch cache", cache.run());
-    keep("membership", this.membership.run());
-    keep("machine types", this.fetchMachineTypes());
-    keep("dependency outcomes", this.jobApi.dependencyResolver.run());
+    runInBackground("watch cache", cache.run());
+    runInBackground("membership", this.membership.run());
+    runInBackground("machine types", this.fetchMachineTypes());
+    runInBackground("dependency outcomes", this.jobApi.dependencyResolver.run());
   }
 
   /** Handles a request of a worker, user or operator. */
@@ -121,8 +121,8 @@
       return (await this.relayToLeader(request)) ?? this.handleHeartbeat(request.body, null);
     }
     if (request.target === "/links") {
-      const machines = [...this.shardLeaders.values()].map(({ fleetHealth }) => fleetHealth);
-      return { status: 200, body: formatJson(encodeLinks(this.mesh?.linkTable() ?? null, machines[0] ?? null)) };
+      const fleets = [...this.shardLeaders.values()].map(({ fleetHealth }) => fleetHealth);
+      return { status: 200, body: formatJson(encodeLinks(this.mesh?.linkTable() ?? null, fleets[0] ?? null)) };
     }
     return this.extension?.handle(request) ?? this.jobApi.handle(request);
   }
@@ -204,7 +204,7 @@
     this.shardLeaders.delete(shard);
   }
 
-  private learnMachineTypes(raw: unknown): void {
+  private applyMachineTypes(raw: unknown): void {
     try {
       const types = decodeMachineTypes(raw);
       if (this.machineTypes.size === 0) for (const type of types) this.machineTypes.set(type.name, type);
@@ -219,7 +219,7 @@
     while (!cache.loaded) await sleep(clock, seconds(0.05));
     while (this.machineTypes.size === 0) {
       const reply = await this.cloud.listMachineTypes();
-      if (reply.kind === "ok") this.learnMachineTypes(reply.value.raw);
+      if (reply.kind === "ok") this.applyMachineTypes(reply.value.raw);
       else await sleep(clock, seconds(1 + this.services.random()));
     }
   }
--- a/src/coordination/leadership/heartbeat-responder.ts
+++ b/src/coordination/leadership/heartbeat-responder.ts
@@ -55,7 +55,7 @@
     const freshness = heartbeats.process(machine, heartbeat, FROM_HEARTBEAT);
     if (freshness === "suspect" && !overtaken) return null;
     const permitted = this.permittedFor(machine, freshness);
-    this.scheduleSending(machine, permitted);
+    this.scheduleMessages(machine, permitted);
     if (!permitted.renew) return null;
     const waitTime = mayWait && freshness === "fenced" ? this.waitTimeOf(machine) : NO_WAIT;
     if (waitTime > 0) {
@@ -81,9 +81,9 @@
   private async waitForStarts(machine: Machine, waitTime: Micros): Promise<void> {
     const { context, longPolls } = this.dependencies;
     const startedAt = context.clock.now();
-    const firstEnd = await longPolls.wait(machine, waitTime);
+    const firstWaitEnd = await longPolls.wait(machine, waitTime);
     const timeLeft = this.waitTimeOf(machine) - (context.clock.now() - startedAt);
-    if (firstEnd === "time passed" && timeLeft > 0) await longPolls.wait(machine, timeLeft as Micros);
+    if (firstWaitEnd === "time passed" && timeLeft > 0) await longPolls.wait(machine, timeLeft as Micros);
   }
 
   /**
@@ -122,7 +122,7 @@
     });
   }
 
-  private scheduleSending(machine: Machine, permitted: PermittedReplies): void {
+  private scheduleMessages(machine: Machine, permitted: PermittedReplies): void {
     const { context, commands } = this.dependencies;
     if (!permitted.command) context.announceFencingToken(machine);
     else if (commands.hasUrgentCommands(machine)) context.scheduleCommands(machine);
--- a/src/coordination/leadership/lease-authority.ts
+++ b/src/coordination/leadership/lease-authority.ts
@@ -22,7 +22,7 @@
   isHolder && cacheFreshAsOf !== null && now < Math.min(renewedAt, cacheFreshAsOf) + duration;
 
 /** State of a worker after its heartbeat has been classified. */
-export interface WorkerStanding {
+export interface WorkerStatus {
   readonly freshness: HeartbeatFreshness;
   /** A message of the worker carried a fencing token of this leader. */
   readonly tokenSeen: boolean;
@@ -51,7 +51,7 @@
   oneWay,
   unverifiedFor,
   workerLease,
-}: WorkerStanding): PermittedReplies => {
+}: WorkerStatus): PermittedReplies => {
   const proven = freshness !== "unverified";
   return { renew: !oneWay && (proven || unverifiedFor < workerLease / 2), command: tokenSeen && proven };
 };
--- a/src/coordination/leadership/membership.ts
+++ b/src/coordination/leadership/membership.ts
@@ -45,7 +45,7 @@
   private memberLease: MemberLease | null = null;
   private readonly heldShards = new Map<number, ShardLease>();
   private readonly leaseDuration: Micros;
-  private earliestJoin: Micros = 0 as Micros;
+  private earliestJoinAt: Micros = 0 as Micros;
   private readonly clusterLeadership: ClusterLeadership;
 
   constructor(
@@ -72,7 +72,7 @@
     const { log } = this.services;
     for (;;) {
       try {
-        if (this.memberLease === null && this.clock.now() < this.earliestJoin)
+        if (this.memberLease === null && this.clock.now() < this.earliestJoinAt)
           await sleep(this.clock, JOIN_RETRY_DELAY);
         else if (this.memberLease === null) await this.join();
         else await this.renew(this.memberLease);
@@ -91,29 +91,29 @@
     const { store, cache, settings, log } = this.services;
     while (!cache.loaded) await sleep(this.clock, CACHE_POLL_INTERVAL);
     const key = memberKey(settings.label);
-    const old = await store.get(key);
-    if (old.kind !== "ok" && old.kind !== "missing") return;
-    if (old.kind === "ok") {
+    const previous = await store.get(key);
+    if (previous.kind !== "ok" && previous.kind !== "missing") return;
+    if (previous.kind === "ok") {
       // A single process runs under a label, so this is from before a restart. Once it is revoked, the shards are
       // reassigned within seconds; a write of the earlier process still in flight fails on the shard's version.
-      const ended = await store.revokeLease(decodeMemberRecord(old.value.value).leaseId);
-      if (ended.kind !== "ok" && ended.kind !== "missing") return;
+      const revoked = await store.revokeLease(decodeMemberRecord(previous.value.value).leaseId);
+      if (revoked.kind !== "ok" && revoked.kind !== "missing") return;
     }
-    const sent = this.clock.now();
+    const sentAt = this.clock.now();
     const lease = await store.grantLease(this.leaseDuration);
     if (lease.kind !== "ok") return;
     const value = encodeMemberRecord({ leaseId: lease.value, incarnation: this.incarnation });
     const written = await store.transact(new Map([[key, 0]]), [{ kind: "put", key, value, lease: lease.value }]);
     if (written.kind !== "ok") return;
-    this.memberLease = { id: lease.value, renewedAt: sent };
+    this.memberLease = { id: lease.value, renewedAt: sentAt };
     log.info(LogEvent.MemberJoined, { label: settings.label, leaseMs: this.leaseDuration / 1_000 });
     await cache.sync();
   }
 
   private async renew(memberLease: MemberLease): Promise<void> {
-    const sent = this.clock.now();
+    const sentAt = this.clock.now();
     const reply = await this.services.store.renewLease(memberLease.id);
-    if (reply.kind === "ok") memberLease.renewedAt = sent;
+    if (reply.kind === "ok") memberLease.renewedAt = sentAt;
     if (reply.kind !== "missing") return;
     this.services.log.info(LogEvent.MemberLeaseLost);
     this.resign();
@@ -124,7 +124,7 @@
     const { memberLease } = this;
     if (memberLease === null) return;
     this.resign();
-    this.earliestJoin = (this.clock.now() + REJOIN_DELAY) as Micros;
+    this.earliestJoinAt = (this.clock.now() + REJOIN_DELAY) as Micros;
     await this.services.store.revokeLease(memberLease.id);
   }
 
@@ -140,23 +140,23 @@
     const member = cache.entries.get(memberKey(settings.label));
     // A join whose response was lost may be applied late, recording a member under a lease that is not renewed. Shards
     // assigned to that member end with its lease, while their validity would be computed from another lease's renewals.
-    const renewed = member !== undefined && decodeMemberRecord(member.value).leaseId === this.memberLease?.id;
+    const isRenewedMember = member !== undefined && decodeMemberRecord(member.value).leaseId === this.memberLease?.id;
     for (let shard = 0; shard < SHARD_COUNT; shard += 1) {
       const entry = cache.entries.get(shardKey(shard));
       const record = entry === undefined ? null : decodeShardRecord(entry.value);
-      const mine = record !== null && record.incarnation === this.incarnation && renewed;
-      const held = this.heldShards.get(shard);
-      if (held !== undefined && (!mine || held.version !== entry?.version)) this.release(shard);
-      if (mine && entry !== undefined && !this.heldShards.has(shard))
+      const assignedHere = record !== null && record.incarnation === this.incarnation && isRenewedMember;
+      const heldLease = this.heldShards.get(shard);
+      if (heldLease !== undefined && (!assignedHere || heldLease.version !== entry?.version)) this.release(shard);
+      if (assignedHere && entry !== undefined && !this.heldShards.has(shard))
         this.acquire(shard, record, entry, this.memberLease);
     }
-    void this.clusterLeadership.lead();
+    void this.clusterLeadership.reconcile();
   }
 
   private acquire(shard: number, record: ShardRecord, entry: KeyValueEntry, memberLease: MemberLease | null): void {
     if (memberLease === null) return;
     const { cache } = this.services;
-    const span = (this.leaseDuration - LEASE_SAFETY_MARGIN - Math.ceil(this.leaseDuration * 0.001)) as Micros;
+    const validDuration = (this.leaseDuration - LEASE_SAFETY_MARGIN - Math.ceil(this.leaseDuration * 0.001)) as Micros;
     const lease: ShardLease = {
       shard,
       epoch: record.epoch,
@@ -168,7 +168,7 @@
             isHolder: this.heldShards.get(shard) === lease,
             renewedAt: memberLease.renewedAt,
             cacheFreshAsOf: cache.freshAsOf,
-            duration: span,
+            duration: validDuration,
           },
           this.clock.now(),
         ),
--- a/src/coordination/leadership/shard-collaborators.ts
+++ b/src/coordination/leadership/shard-collaborators.ts
@@ -34,7 +34,7 @@
 /** Upper bound of a task's bytes in a range's value: attempt, machine name and punctuation. */
 const BYTES_PER_TASK = 48;
 const MAX_TASKS_PER_RANGE = 128;
-const AT_ONCE = 0 as Micros;
+const NO_DELAY = 0 as Micros;
 
 /** Calls by which a shard leader gives up its shard. */
 export interface LeaderEvents {
@@ -125,14 +125,22 @@
     heartbeats,
     answeredStarts,
     extension,
-    scheduleRound: () => roundTimer.schedule(AT_ONCE),
+    scheduleRound: () => roundTimer.schedule(NO_DELAY),
   });
   const targets = { taskStates, commandPools, statusQueries, unreachableZones, dependencyTracker, roundTimer };
   const machineTypeRefresher = new MachineTypeRefresher({ context, cloud, machineTypes, guard });
-  const checked = { failureDetector, commands, machineTypeRefresher, backpressure, scheduler, heartbeats, taskStates };
-  const checks = new LeaderChecks({ context, answeredStarts, ...checked });
-  const responding = { heartbeats, commands, longPolls, unreachableZones, machineTypes };
-  const heartbeatResponder = new HeartbeatResponder({ context, state, ...responding });
+  const checkCollaborators = {
+    failureDetector,
+    commands,
+    machineTypeRefresher,
+    backpressure,
+    scheduler,
+    heartbeats,
+    taskStates,
+  };
+  const checks = new LeaderChecks({ context, answeredStarts, ...checkCollaborators });
+  const responderCollaborators = { heartbeats, commands, longPolls, unreachableZones, machineTypes };
+  const heartbeatResponder = new HeartbeatResponder({ context, state, ...responderCollaborators });
   const entryPoints = { jobWatcher, dependencyTracker, roundTimer, heartbeatResponder, longPolls, checks };
   return { context, scheduler, autoscaler, failureDetector, ...entryPoints };
 };
@@ -179,11 +187,11 @@
   state: Readonly<LeaderState>,
   guard: FailureGuard,
 ): ConcurrencyPools<Machine> => {
-  const silentAfter = settings.workers.heartbeatInterval * options.silentReports;
+  const silenceThreshold = settings.workers.heartbeatInterval * options.silentReports;
   return new ConcurrencyPools(
     clock,
     (machine) => guard(state.stopped ? Promise.resolve() : commands.send(machine)),
-    (machine) => (clock.now() - machine.reachability.lastHeartbeatAt > silentAfter ? "silent" : "responsive"),
+    (machine) => (clock.now() - machine.reachability.lastHeartbeatAt > silenceThreshold ? "silent" : "responsive"),
     { responsive: RESPONSIVE_POOL_SIZE, silent: SILENT_POOL_SIZE },
   );
 };
--- a/src/coordination/leadership/shard-leader.ts
+++ b/src/coordination/leadership/shard-leader.ts
@@ -14,17 +14,17 @@
   /** When the shard was acquired, by this process's steady clock. */
   readonly acquiredAt: Micros;
   private readonly state: LeaderState = { stopped: false, extension: null };
-  private readonly parts: ShardCollaborators;
+  private readonly collaborators: ShardCollaborators;
 
   constructor(options: ShardLeaderOptions) {
     this.acquiredAt = options.services.clock.now();
-    this.parts = buildShardCollaborators(options, this.state);
+    this.collaborators = buildShardCollaborators(options, this.state);
     this.start(options);
   }
 
   /** Restores the recorded jobs first, since the extension and the first checks need them. */
   private start({ extension }: ShardLeaderOptions): void {
-    const { context, jobWatcher, checks, roundTimer, autoscaler } = this.parts;
+    const { context, jobWatcher, checks, roundTimer, autoscaler } = this.collaborators;
     jobWatcher.restore();
     this.state.extension =
       extension?.acquireShard(context, {
@@ -40,21 +40,21 @@
   /** Ends all loops and timers: no further writes or commands for the shard. */
   stop(): void {
     this.state.stopped = true;
-    this.parts.checks.stop();
+    this.collaborators.checks.stop();
     this.state.extension?.stop();
-    this.parts.autoscaler.stop();
-    this.parts.roundTimer.stop();
-    this.parts.longPolls.endAll();
+    this.collaborators.autoscaler.stop();
+    this.collaborators.roundTimer.stop();
+    this.collaborators.longPolls.endAll();
   }
 
   /** The response to the heartbeat; null: none may be sent. `mayWait`: it may be held back as a long poll. */
   handleHeartbeat(heartbeat: Heartbeat, mayWait: boolean): Promise<HeartbeatReply | null> {
-    return this.parts.heartbeatResponder.respond(heartbeat, mayWait);
+    return this.collaborators.heartbeatResponder.respond(heartbeat, mayWait);
   }
 
   /** The state of the machines and of the shard lease, for operators. */
   get fleetHealth(): MachineLinks {
-    const { context, failureDetector, scheduler } = this.parts;
+    const { context, failureDetector, scheduler } = this.collaborators;
     return {
       ...failureDetector.fleetHealth(),
       leaseValid: context.lease.isValid(),
@@ -65,13 +65,13 @@
   /** The number of machines whose heartbeats this leader has verified. */
   get upMachines(): number {
     let count = 0;
-    for (const { state } of this.parts.context.shard.machines.values()) if (state === "up") count += 1;
+    for (const { state } of this.collaborators.context.shard.machines.values()) if (state === "up") count += 1;
     return count;
   }
 
   /** The numbers of machines and of unfinished tasks in memory. */
   get size(): { readonly machines: number; readonly tasks: number } {
-    const { machines, jobs } = this.parts.context.shard;
+    const { machines, jobs } = this.collaborators.context.shard;
     let tasks = 0;
     for (const { waitingTasks, placedTasks } of jobs.values()) tasks += waitingTasks.size + placedTasks.size;
     return { machines: machines.size, tasks };
@@ -79,12 +79,12 @@
 
   /** The text of the machine's last task list, if an identical one needs no processing; else null. */
   knownTaskListOf(machine: string): string | null {
-    return this.parts.context.shard.machines.get(machine)?.reported.taskListText ?? null;
+    return this.collaborators.context.shard.machines.get(machine)?.reported.taskListText ?? null;
   }
 
   /** The job, if it is a current job of this shard; else null. */
   findJob(id: string): Job | null {
-    return this.parts.context.shard.jobs.get(id) ?? null;
+    return this.collaborators.context.shard.jobs.get(id) ?? null;
   }
 
   /** The numbers of the job's completed and running tasks; null: not a current job of this shard. */
@@ -97,19 +97,19 @@
   /** Applies a change of a current record in the watch cache. */
   onChange(change: KeyChange): void {
     if (this.state.stopped) return;
-    this.parts.jobWatcher.onChange(change);
+    this.collaborators.jobWatcher.onChange(change);
     this.state.extension?.onChange(change);
   }
 
   /** Cancels the job because one that it depends on was cancelled. */
   cancelByDependency(id: string): void {
     if (this.state.stopped) return;
-    this.parts.jobWatcher.cancelByDependency(id);
-    this.parts.dependencyTracker.jobCancelledByDependency(id);
+    this.collaborators.jobWatcher.cancelByDependency(id);
+    this.collaborators.dependencyTracker.jobCancelledByDependency(id);
   }
 
   /** Called once all dependencies of the job are recorded as done. */
   jobReady(id: string): void {
-    if (!this.state.stopped) this.parts.dependencyTracker.jobReady(id);
+    if (!this.state.stopped) this.collaborators.dependencyTracker.jobReady(id);
   }
 }
