--- a/src/coordination/jobs/dependency-list.ts
+++ b/src/coordination/jobs/dependency-list.ts
@@ -1,5 +1,5 @@
 /**
- * Records of job dependency lists that are too long for the job's own record.
+ * Stores job dependency lists that are too long for the job record, split over several records.
  * @module
  */
 import { createHash } from "node:crypto";
@@ -8,25 +8,25 @@
 import { dependencyListKey } from "../../storage/keys.js";
 import type { Services } from "../context.js";
 
-/** Bytes of a part's value beside its ids. */
+/** Bytes of a part's value in addition to its ids. */
 const PART_OVERHEAD_BYTES = 16;
-/** Quotation marks and comma of an id as sent. */
+/** Quotation marks and comma of an id in the JSON text. */
 const ID_OVERHEAD_BYTES = 3;
-/** Hexadecimal digits of a list's digest that stand in its keys. */
+/** Hexadecimal digits of a list's digest that are part of its keys. */
 const DIGEST_LENGTH = 24;
-/** Conditions that a transaction may have for each write that it may have. */
+/** Conditions permitted in a transaction for each permitted write. */
 const CONDITIONS_PER_WRITE = 4;
-/** Conditions of the job's own acceptance. */
+/** Conditions of the transaction that accepts the job, besides those of the list. */
 const JOB_CONDITIONS = 2;
 
-/** A job record that fits, and the conditions under which it may be written. */
+/** A job record within the size limit, and the conditions for writing it. */
 export interface PreparedRecord {
   readonly record: JobRecord;
-  /** Versions that the parts of its dependency list must have. */
+  /** Required versions of the dependency list's parts, by key. */
   readonly conditions: ReadonlyMap<string, Uint64>;
 }
 
-/** Parts the ids so that each part's value has at most this many bytes. */
+/** Splits the ids into parts whose values have at most `maxBytes` bytes each. */
 const splitIntoParts = (dependencyIds: readonly string[], maxBytes: number): readonly (readonly string[])[] => {
   const parts: string[][] = [];
   let bytes = Number.POSITIVE_INFINITY;
@@ -45,13 +45,13 @@
 const digestOf = (dependencyIds: readonly string[]): string =>
   createHash("sha256").update(dependencyIds.join(" ")).digest("hex").slice(0, DIGEST_LENGTH);
 
-/** Writes long dependency lists in parts, each below a key of its own. */
+/** Writes long dependency lists in parts, each under its own key. */
 export class DependencyListWriter {
   constructor(private readonly services: Pick<Services, "transactions" | "store">) {}
 
   /**
-   * The record in a form of at most `maxBytes`: a list that is too long for it is written first, in parts. Null: the
-   * parts could not be written now.
+   * Returns the record in at most `maxBytes` bytes. A dependency list too long for that is written to the store first,
+   * in parts. Null: the parts could not be written.
    */
   async prepareRecord(record: JobRecord, maxBytes: number): Promise<PreparedRecord | null> {
     const { dependencies, ...spec } = record.spec;
@@ -74,7 +74,7 @@
     };
   }
 
-  /** The part's version; null: not known. The key holds the list's digest: a value that is there already is the same. */
+  /** The part's version; null: unknown. An existing value is identical, since the key contains the list's digest. */
   private async writePart(key: string, ids: readonly string[]): Promise<Uint64 | null> {
     const { transactions, store } = this.services;
     const result = await transactions.submit(new Map([[key, 0]]), [{ kind: "put", key, value: ids }], "user");
--- a/src/coordination/jobs/dependency-resolver.ts
+++ b/src/coordination/jobs/dependency-resolver.ts
@@ -1,5 +1,5 @@
 /**
- * Resolves the dependencies of jobs: reads how those that are no longer current ended.
+ * Resolves the dependencies of jobs: reads the outcomes of those that are no longer current.
  * @module
  */
 import type { JobSpec } from "../../protocol/job-spec.js";
@@ -13,21 +13,21 @@
 import { LogEvent } from "../log-events.js";
 import { DependencyListWriter, type PreparedRecord } from "./dependency-list.js";
 
-/** Outcomes looked up at once: the others wait here rather than in the queue that all requests share. */
+/** Concurrent outcome lookups; further ones wait here, not in the request queue shared by all callers. */
 const MAX_CONCURRENT_READS = 48;
-/** Between two passes over the dependencies that are not resolved. */
+/** Between two passes over the unresolved dependencies. */
 const RESOLVE_INTERVAL = ms(200);
-/** Dependencies of a job may end while they are read, so that others have to be read. */
+/** Dependencies of a job may end while others are read, so that further reads are needed. */
 const MAX_RESOLVE_ATTEMPTS = 4;
 
-/** How a job ended. `not-found`: it is neither current nor ended. `unknown`: it could not be read. */
+/** The outcome of a job. `not-found`: neither current nor ended. `unknown`: the outcome could not be read. */
 export type TerminalState =
   | { readonly kind: "ended"; readonly end: OutcomeRecord }
   | { readonly kind: "not-found" | "unknown" };
 
 /**
- * Whether a job with these dependencies may be accepted. `cancelled`: one of them is, and will remain so. `not-found`: no
- * such job was ever accepted. `unknown`: this can't be told now.
+ * Whether a job with these dependencies may be accepted. `cancelled`: at least one of them ended as cancelled, which is
+ * final. `not-found`: no job with this id was ever accepted. `unknown`: the records could not be read.
  */
 export type DependencyCheck =
   | { readonly kind: "resolved"; readonly cancelled: boolean }
@@ -35,7 +35,7 @@
   | { readonly kind: "unknown" };
 
 /**
- * Reads the outcomes on which the dependency graph of current jobs rests, at every controller, and answers whether a job's
+ * Reads the outcomes that the dependency graph of current jobs needs, on every controller, and checks whether a job's
  * dependencies permit its acceptance.
  */
 export class DependencyResolver {
@@ -63,11 +63,11 @@
     const dependencyIds = recordedDependencies(record, cache.entries);
     // The parts of a list are written before the job's record and deleted after it.
     if (dependencyIds === null) log.error(LogEvent.DependencyListIncomplete, { job: id });
-    // A job that depends on itself never starts.
+    // Without its list, the job is made to depend on itself, so that it never starts.
     dependencies.upsert(id, dependencyIds ?? [id], record.cancelled);
   }
 
-  /** Reads the outcomes on which the present state rests, for as long as the process lives. */
+  /** Periodically reads the outcomes of unresolved dependencies; never returns. */
   async run(): Promise<never> {
     const { dependencies, clock, log } = this.services;
     for (;;) {
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Reads all outcomes on which the job's state rests. False: some could not be read now. */
+  /** Reads all outcomes that determine the job's state. False: some could not be read. */
   async resolve(id: string): Promise<boolean> {
     const { dependencies } = this.services;
     for (let attempt = 0; attempt < MAX_RESOLVE_ATTEMPTS; attempt += 1) {
@@ -93,7 +93,7 @@
     return false;
   }
 
-  /** False: some could not be read. */
+  /** Reads the outcomes and applies them to the dependency graph. False: some could not be read. */
   private async readTerminalStates(ids: readonly string[]): Promise<boolean> {
     let allRead = true;
     for (let from = 0; from < ids.length; from += MAX_CONCURRENT_READS) {
@@ -107,7 +107,7 @@
     return allRead;
   }
 
-  /** False: the job's state is not known. */
+  /** Applies one outcome to the dependency graph. False: the job's state is unknown. */
   private applyTerminalState(id: string, terminalState: TerminalState): boolean {
     const { dependencies, cache } = this.services;
     if (terminalState.kind === "ended") {
@@ -116,14 +116,14 @@
     }
     if (cache.entries.has(jobKey(id))) return true;
     if (terminalState.kind === "unknown") return false;
-    // Accepted jobs never vanish: an older version, which ignores the field, has accepted a list that names a job which
-    // nobody submitted. Jobs that depend on it wait for ever, and status requests for them are answered all the same.
+    // Accepted jobs never vanish, so this one was never submitted: an older version, which ignores the field, accepted
+    // a list that names it. Its dependents wait forever, but must not block status requests for them.
     this.neverSubmitted.add(id);
     return true;
   }
 
-  /** Whether a job with these dependencies may be accepted; rests on reads that were sent after this call. */
-  // biome-ignore lint/complexity/noExcessiveCognitiveComplexity: batches are read one after the other and end at the first answer that decides
+  /** Whether a job with these dependencies may be accepted, based only on reads sent after this call. */
+  // biome-ignore lint/complexity/noExcessiveCognitiveComplexity: batches are read in turn until a result decides
   async check(dependencyIds: readonly string[]): Promise<DependencyCheck> {
     const { cache } = this.services;
     if (dependencyIds.length === 0) return { kind: "resolved", cancelled: false };
@@ -143,13 +143,13 @@
     return { kind: "resolved", cancelled };
   }
 
-  /** As `DependencyListWriter.prepareRecord`. */
+  /** See `DependencyListWriter.prepareRecord`. */
   prepareRecord(record: JobRecord, maxBytes: number): Promise<PreparedRecord | null> {
     return this.lists.prepareRecord(record, maxBytes);
   }
 }
 
-/** The specification without its dependencies, for the size of the record by itself. */
+/** The specification without its dependencies, to compute the size of the record without the list. */
 export const withoutDependencies = (spec: JobSpec): Omit<JobSpec, "dependencies"> => {
   const { dependencies: _, ...rest } = spec;
   return rest;
--- a/src/coordination/jobs/dependency-tracker.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps which jobs of a shard may start, as their dependencies permit.
+ * Tracks which jobs of a shard may start, given the state of their dependencies.
  * @module
  */
 import type { Job } from "../../cluster/job.js";
@@ -13,8 +13,8 @@
 const MICROS_PER_MS = 1_000;
 
 /**
- * Jobs of a shard with dependencies: which of them may start, and their effective ranks and deadlines, which follow from
- * the jobs that depend on them. Works along the dependency graph by change; nothing of it is on record.
+ * Maintains for the jobs of a shard whether they may start, and their effective ranks and deadlines, which they inherit
+ * from their dependents. Updated incrementally along the dependency graph; not stored.
  */
 export class DependencyTracker {
   constructor(
@@ -22,11 +22,11 @@
       ShardContext,
       "shard" | "dependencies" | "clock" | "log" | "wallClock" | "scheduleRound"
     >,
-    /** Called with each job that may be placed from now on. */
+    /** Called with each job that becomes eligible for placement. */
     private readonly onReady: (job: Job) => void,
   ) {}
 
-  /** A job has come to the shard. `acceptedMs`: time of day of its acceptance; null: not recorded. */
+  /** Adds a job of the shard. `acceptedMs`: time of day of its acceptance in milliseconds; null: not recorded. */
   jobAdded(job: Job, acceptedMs: number | null): void {
     const { dependencies, clock, wallClock } = this.context;
     const { id, deadlineS } = job.spec;
@@ -40,7 +40,7 @@
     this.updateEffectivePriorities([id, ...dependencies.dependenciesOf(id)]);
   }
 
-  /** All dependencies of the job are on record as done; it waits for placement from now on. */
+  /** Called once all dependencies of the job are recorded as done: makes it eligible for placement. */
   jobReady(id: string): void {
     const job = this.context.shard.jobs.get(id);
     if (job === undefined || !job.awaitingDependencies || job.cancelled) return;
@@ -51,7 +51,7 @@
     this.context.scheduleRound();
   }
 
-  /** The job's outcome is on record; its dependencies may have a lower effective rank without it. */
+  /** Called once the job's outcome is recorded: its dependencies no longer inherit its rank and deadline. */
   jobEnded(job: Job, outcome: OutcomeRecord): void {
     const { dependencies } = this.context;
     const dependencyIds = dependencies.dependenciesOf(job.spec.id);
@@ -59,12 +59,12 @@
     this.updateEffectivePriorities(dependencyIds);
   }
 
-  /** The job is cancelled with a dependency: the others no longer have its rank. */
+  /** Called when the job is cancelled by a dependency: its other dependencies no longer inherit its rank. */
   jobCancelledByDependency(id: string): void {
     this.updateEffectivePriorities(this.context.dependencies.dependenciesOf(id));
   }
 
-  /** The keys of the job's dependency list; none where it stands in the job's own record. */
+  /** The keys of the job's dependency list; empty if the list is part of the job record. */
   dependencyListKeys(job: Job): readonly string[] {
     const { dependencyList, spec } = job;
     if (dependencyList === null) return [];
@@ -73,7 +73,7 @@
     );
   }
 
-  /** Updates effective ranks and deadlines of these jobs and, where they change, of their dependencies. */
+  /** Updates the effective ranks and deadlines of these jobs and, if they change, of their dependencies. */
   private updateEffectivePriorities(ids: readonly string[]): void {
     const { shard, dependencies } = this.context;
     const stack = [...ids];
@@ -88,7 +88,10 @@
     }
   }
 
-  /** The highest rank and the earliest deadline of the job's own and those that its dependents leave it. */
+  /**
+   * The highest rank and the earliest deadline among the job's own and those inherited from its dependents: it must end
+   * by a dependent's deadline minus the dependent's estimated run time.
+   */
   private effectivePriorityOf(job: Job): { readonly rank: number; readonly deadline: Micros | null } {
     const { shard, dependencies } = this.context;
     let rank = priorityRank(job.spec.priority);
--- a/src/coordination/jobs/job-watcher.ts
+++ b/src/coordination/jobs/job-watcher.ts
@@ -1,5 +1,5 @@
 /**
- * Takes the jobs of a shard from their records into memory.
+ * Loads the jobs of a shard from their records and keeps them up to date.
  * @module
  */
 import type { Job } from "../../cluster/job.js";
@@ -19,12 +19,12 @@
 import type { TaskStateWriter } from "./task-state-writer.js";
 
 /**
- * A part of a dependency list is deleted this long after it was found without a job: no user waits for the acceptance of a
- * job for longer than a minute, and no transaction is as late as this.
+ * From finding a part of a dependency list without a job to its deletion: users wait at most a minute for a job's
+ * acceptance, and no transaction is applied as late as this.
  */
 const ORPHANED_LIST_AGE = seconds(600);
 
-/** What a `JobWatcher` works with. */
+/** Collaborators of a `JobWatcher`. */
 export interface JobWatcherDependencies {
   readonly context: ShardContext;
   readonly taskStates: Pick<TaskStateWriter, "finishIfComplete" | "deleteKeys">;
@@ -42,7 +42,7 @@
   readonly key: string;
 }
 
-/** Keeps the shard's jobs as their records are: all of them at the beginning, then each change. */
+/** Keeps the shard's jobs in memory in line with their records: loads all of them once, then applies each change. */
 export class JobWatcher {
   private readonly context: ShardContext;
   private readonly taskStates: JobWatcherDependencies["taskStates"];
@@ -63,7 +63,7 @@
     this.scheduleRound = dependencies.scheduleRound;
   }
 
-  /** Takes all of the shard's jobs and task ranges from the cache. Throws where a record is malformed. */
+  /** Loads all of the shard's jobs and task ranges from the cache. Throws if a record is malformed. */
   restore(): void {
     const { shard, lease, log } = this.context;
     const { jobs, ranges } = this.listRecords();
@@ -76,7 +76,7 @@
     log.info(LogEvent.ShardAcquired, { shard: lease.shard, epoch: lease.epoch, jobs: shard.jobs.size });
   }
 
-  /** Job records in the order of acceptance, and the keys of range records in the order of their indexes. */
+  /** The job records in order of acceptance, and the keys of range records in order of their indexes. */
   private listRecords(): { readonly jobs: readonly KeyValueEntry[]; readonly ranges: readonly TaskRangeEntry[] } {
     const ranges: TaskRangeEntry[] = [];
     const jobs: KeyValueEntry[] = [];
@@ -85,13 +85,13 @@
       const range = taskRangeOfKey(key);
       if (range !== null) ranges.push({ ...range, key });
     }
-    // The cache is in the order of the keys, while guarantees go to the jobs that were accepted first.
+    // The cache is ordered by key, but guaranteed capacity goes to the jobs that were accepted first.
     jobs.sort((a, b) => (a.version < b.version ? -1 : 1));
     ranges.sort((a, b) => a.range - b.range);
     return { jobs, ranges };
   }
 
-  /** Returns the keys of ranges without a job: it has ended, and they have not been deleted yet. */
+  /** Returns the keys of ranges without a job: the job has ended, and its ranges are not deleted yet. */
   private restoreTaskRanges(ranges: readonly TaskRangeEntry[]): readonly string[] {
     const { cache, shard, lease } = this.context;
     const orphanedKeys: string[] = [];
@@ -105,12 +105,13 @@
       }
       const restored = shard.restoreTaskRange(job, range, entry.version, entry.value, firstFencingToken(lease) - 1);
       this.confirmAnsweredStarts(restored);
-      // All its dependencies were on record as done before any task of it was placed.
+      // A range exists: all dependencies were recorded as done before any task of the job was placed.
       job.awaitingDependencies = false;
     }
     return orphanedKeys;
   }
 
+  /** Restores the started state of tasks whose start command the previous leader recorded as answered. */
   private confirmAnsweredStarts({ version, tasks }: TaskRange): void {
     for (const task of tasks)
       if (task.machine !== null && this.answeredStarts.wasAnswered(version, task.machine.name))
@@ -118,9 +119,8 @@
   }
 
   /**
-   * Deletes parts of lists whose job was never accepted, or has ended. An acceptance is conditional on the parts' versions,
-   * so that one that comes late can't stand without them; only parts that have been there for long are deleted, since an
-   * acceptance may be under way.
+   * Deletes parts of dependency lists whose job was never accepted, or has ended. The delay leaves an acceptance in
+   * flight time to commit; one applied later still fails, since it is conditional on the parts' versions.
    */
   private deleteOrphanedDependencyLists(): void {
     const { cache, clock } = this.context;
@@ -146,7 +146,7 @@
     void transactions.submit(conditions, [{ kind: "delete", key }], "maintenance");
   }
 
-  /** Applies a change of a job's record; other keys are ignored. Throws where the record is malformed. */
+  /** Applies a change of a job record; ignores other keys. Throws if the record is malformed. */
   onChange(change: KeyChange): void {
     if (jobOfKey(change.key) !== null) this.applyJobChange(change);
   }
@@ -159,7 +159,7 @@
     this.cancel(job);
   }
 
-  /** Cancels the job because a dependency of it is cancelled. */
+  /** Cancels the job because one of its dependencies is cancelled. */
   cancelByDependency(id: string): void {
     const job = this.context.shard.jobs.get(id);
     if (job !== undefined && !job.cancelled) this.cancel(job);
@@ -189,7 +189,7 @@
     job.dependencyList = record.dependencyList ?? null;
     this.dependencyTracker.jobAdded(job, record.acceptedMs ?? null);
     job.cancellationReason = isWithdrawn ? "graph" : (record.cancellationReason ?? null);
-    // `restore` calls `finishIfComplete` for all jobs when their ranges are there.
+    // During `restore`, `finishIfComplete` is called for all jobs once their ranges are loaded.
     if (job.cancelled && this.restored) this.taskStates.finishIfComplete(job);
     eventListener?.({ kind: "job seen", spec: record.spec });
     this.scheduleRound();
--- a/src/coordination/jobs/outcome-reader.ts
+++ b/src/coordination/jobs/outcome-reader.ts
@@ -9,14 +9,14 @@
 import type { Log } from "../../transport/log.js";
 import { LogEvent } from "../log-events.js";
 
-/** A lookup that would wait for longer than this is refused, to be asked again: users give up after two seconds anyhow. */
+/** A lookup expected to wait longer than this returns `unknown`, to be retried: user requests time out after 2 s. */
 const MAX_QUEUE_DELAY_S = 30;
-/** Where at least this many lookups wait, a page of records is read instead of one at a time. */
+/** With at least this many waiting lookups, a page of records is read instead of a single one. */
 const MIN_LOOKUPS_FOR_PAGE = 8;
 const PAGE_SIZE = 200;
 const MICROS_PER_SECOND = 1_000_000;
 
-/** The record of an outcome. `missing`: there is none. `unknown`: it could not be read. */
+/** Result of a lookup. `missing`: there is no outcome record. `unknown`: it could not be read. */
 export type OutcomeLookup =
   | { readonly kind: "ok"; readonly value: KeyValueEntry }
   | { readonly kind: "missing" | "unknown" };
@@ -31,18 +31,18 @@
   readonly lookup: PendingLookup;
 }
 
-/** The key just before this one: a page begins after the key that it is given. */
+/** A key that sorts just before this one, since a page starts after the key passed to it. */
 const keyBefore = (key: string): string =>
   `${key.slice(0, -1)}${String.fromCharCode(key.charCodeAt(key.length - 1) - 1)}~`;
 
 /**
- * Looks up the outcomes of jobs that are not current, in the order in which they were first requested, within a share of
- * the state service's requests. What waits is looked up even if nobody waits for it any more, so that the next request
- * finds it and no job goes without an answer for ever. One read for each request took the whole request budget from the
- * watch cache, and with it the shard lease of the leader.
+ * Looks up the outcomes of jobs that are not current, in the order of their first request, within a share of the
+ * key-value store's request limit. A lookup is carried out even after its callers timed out: the next request then
+ * finds the result, and no job stays unanswered forever. With one read per request, lookups used up the request budget
+ * of the watch cache, and the leader lost its shard lease.
  */
 export class OutcomeReader {
-  /** In the order of request; none has been sent yet, so that a further request for the same job may share its answer. */
+  /** In order of request. Not sent yet, so that further requests for the same job share the lookup. */
   private readonly waiting = new Map<string, PendingLookup>();
   private draining = false;
 
@@ -55,7 +55,7 @@
     private readonly onFound: (id: string, entry: KeyValueEntry) => void,
   ) {}
 
-  /** `unknown`: neither found nor surely missing; to be requested again. Never rejects. */
+  /** Looks up the job's outcome; on `unknown`, the caller should retry. Never rejects. */
   find(id: string): Promise<OutcomeLookup> {
     return new Promise((resolve) => {
       const pending = this.waiting.get(id);
@@ -92,7 +92,7 @@
     return id ?? null;
   }
 
-  /** The lookup is no longer to be shared: its request is sent now. */
+  /** Removes the lookup from the queue just before its request is sent, so that no later request shares it. */
   private take(id: string): PendingLookup {
     const lookup = this.waiting.get(id) ?? { resolvers: [] };
     this.waiting.delete(id);
@@ -111,7 +111,7 @@
     else this.resolve(lookup, { kind: reply.kind === "missing" ? "missing" : "unknown" });
   }
 
-  /** Answers all lookups that lie within the page, also those whose records it proves missing. */
+  /** Reads a page and resolves all waiting lookups within it, including those whose records it shows to be missing. */
   private async readPage(firstId: string): Promise<void> {
     const requested = [...this.waiting.keys()].map((id) => ({ id, key: outcomeKey(id), lookup: this.take(id) }));
     const firstKey = outcomeKey(firstId);
@@ -136,7 +136,7 @@
     this.requeue(beyondPage);
   }
 
-  /** Puts lookups beyond the page that was read back, before those that have come meanwhile. */
+  /** Puts lookups beyond the page back into the queue, ahead of those added meanwhile. */
   private requeue(outcomes: readonly RequestedOutcome[]): void {
     const newcomers = [...this.waiting];
     this.waiting.clear();
--- a/src/coordination/jobs/outcome-writer.ts
+++ b/src/coordination/jobs/outcome-writer.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the outcome records of ended jobs and deletes what was recorded of their tasks.
+ * Writes the outcome records of ended jobs and deletes their task ranges.
  * @module
  */
 import type { Job } from "../../cluster/job.js";
@@ -15,23 +15,23 @@
 import { keyOfTaskRange } from "./task-range-write.js";
 import { writeConditionsOf, writeRetryDelay } from "./write-conditions.js";
 
-/** Ranges of ended jobs that may wait to be deleted. */
+/** Up to this many deletions of ended jobs' ranges may be pending. */
 const MAX_PENDING_DELETIONS = 200;
-/** Writes of an outcome transaction beside its ranges: the outcome record and the deletion of the job's. */
+/** Writes of an outcome transaction besides its ranges: the outcome record and the deletion of the job record. */
 const OUTCOME_WRITES = 2;
 
-/** The transaction that ends a job. */
+/** The transaction that records a job's outcome. */
 interface OutcomeTransaction {
   readonly record: OutcomeRecord;
   readonly conditions: Map<string, Uint64>;
   readonly writes: readonly WriteOperation[];
-  /** Ranges whose versions are conditions of it. */
+  /** Ranges whose versions are conditions of the transaction. */
   readonly checkedRanges: readonly TaskRange[];
-  /** Ranges to be deleted once it is carried out. */
+  /** Ranges to be deleted after the transaction has committed. */
   readonly remainingRanges: readonly TaskRange[];
 }
 
-/** How the job ended; the reason only where it was cancelled and not by its user. */
+/** The job's outcome; it has a reason only if the job was cancelled other than by its user. */
 const outcomeOf = (job: Job, isDone: boolean): OutcomeRecord => {
   const { completedTasks, cancellationReason } = job;
   const phase = isDone ? "done" : "cancelled";
@@ -39,23 +39,23 @@
   return { phase, completedTasks, cancellationReason };
 };
 
-/** Ends jobs whose tasks are all done or, after a cancellation, all gone. */
+/** Records the outcomes of jobs whose tasks are all done or, after a cancellation, no longer placed. */
 export class OutcomeWriter {
   constructor(
     private readonly context: ShardContext,
-    /** Writes a range that is dirty. */
+    /** Writes a dirty range. */
     private readonly writeRange: (range: TaskRange) => void,
   ) {}
 
-  /** Writes the job's outcome once no task of it is left. */
+  /** Writes the job's outcome if all tasks are done or, for a cancelled job, none is placed any more. */
   finishIfComplete(job: Job): void {
     const allDone = job.completedTasks >= job.spec.tasks;
     const allGone = job.cancelled && job.placedTasks.size === 0;
     if (job.outcomePending || !(allDone || allGone)) return;
     const rangesInWriting = job.ranges.filter((range) => range.writing);
     if (rangesInWriting.length > 0) {
-      // The outcome, for which the job's user waits, comes after what is being written of the job, and says all that a
-      // deferred write of a range could.
+      // The outcome is written after the writes in flight. Deferred writes that are not sent yet are cancelled: the
+      // outcome, for which the user waits, supersedes them.
       for (const range of rangesInWriting) this.context.transactions.cancelPending(keyOfTaskRange(range));
       return;
     }
@@ -83,7 +83,7 @@
       }
       await context.cache.sync();
       if (result.keys.includes(outcomeKey(job.spec.id))) {
-        // An earlier attempt, to which there was no response, has been carried out.
+        // An earlier attempt whose response was lost has committed.
         context.shard.jobs.delete(job.spec.id);
         context.onJobEnded(job, record);
         return;
@@ -108,7 +108,7 @@
       { kind: "put", key, value: encodeOutcomeRecord(record) },
       { kind: "delete", key: jobKey(job.spec.id) },
     ];
-    // Ranges without a job mean nothing: they may be deleted later, as long as they do not pile up.
+    // Ranges without a job are ignored, so their deletion may be deferred unless too many deletions are pending.
     const deleteLater = transactions.pendingCount("maintenance") < MAX_PENDING_DELETIONS;
     for (const range of checkedRanges) {
       const rangeKey = keyOfTaskRange(range);
@@ -135,7 +135,7 @@
     });
   }
 
-  /** Deletes records that no longer mean anything, such as ranges of ended jobs, each in a transaction of its own. */
+  /** Deletes obsolete records, such as ranges of ended jobs, each in its own transaction. */
   deleteKeys(keys: readonly string[]): void {
     const { transactions, lease } = this.context;
     for (const key of keys) {
--- a/src/coordination/jobs/placement-delays.ts
+++ b/src/coordination/jobs/placement-delays.ts
@@ -1,16 +1,16 @@
 /**
- * Statistics of how long placements wait to be on record.
+ * Statistics of the delay from placements to their confirmed records.
  * @module
  */
 import type { Micros } from "../../transport/clock.js";
 
 const MICROS_PER_MS = 1_000;
 
-/** Delays of one reporting period, as they are logged. */
+/** Delays of one reporting period, in the form in which they are logged. */
 export interface PlacementDelaySummary {
   /** Writes that recorded at least one placement. */
   readonly placements: number;
-  /** In milliseconds; 0 where there were none. */
+  /** In milliseconds; 0 if there were none. */
   readonly meanMs: number;
   readonly mostMs: number;
 }
@@ -28,7 +28,7 @@
     this.most = Math.max(this.most, delay);
   }
 
-  /** The delays since this was last called; they are counted from zero again after it. */
+  /** Returns the statistics since the last call, and resets them. */
   take(): PlacementDelaySummary {
     const summary = {
       placements: this.count,
--- a/src/coordination/jobs/task-range-conflicts.ts
+++ b/src/coordination/jobs/task-range-conflicts.ts
@@ -1,5 +1,5 @@
 /**
- * Resolves conflicts between a task range in memory and its record, and applies what is on record to the tasks.
+ * Resolves conflicts between a task range in memory and its record, and applies recorded states to the tasks.
  * @module
  */
 import { isPlacementRecorded, type TaskRange } from "../../cluster/task.js";
@@ -9,7 +9,7 @@
 import { LogEvent } from "../log-events.js";
 import { keyOfTaskRange } from "./task-range-write.js";
 
-/** Whether the record holds a placement that this leader has not decided on. */
+/** Whether the record contains a placement that this leader did not make. */
 const isUnknownPlacement = (record: TaskRecord, desired: TaskRecord | undefined): boolean => {
   if (record.kind !== "placed") return false;
   if (desired === undefined) return true;
@@ -18,7 +18,7 @@
   return desired.kind === "placed" && record.attempt === desired.attempt && record.machine !== desired.machine;
 };
 
-/** Sets the recorded states of a range's tasks, and schedules the start commands that may be sent now. */
+/** Sets the recorded states of a range's tasks, and schedules the start commands that they permit. */
 export const applyRecordedStates = (
   context: Pick<ShardContext, "scheduleCommands">,
   range: TaskRange,
@@ -32,9 +32,9 @@
 };
 
 /**
- * Finds out why a conditional write of the range failed. `failedKeys`: the keys whose conditions did not hold. A lost
- * lease and a record that can't be this leader's are reported to the context; a record that is an own write without a
- * response is adopted. Throws `MalformedMessageError` where the record can't be read.
+ * Handles a conflict in a conditional write of the range. `failedKeys`: the keys whose conditions failed. A lost shard
+ * lease, and a record that another leader wrote, are reported to the context; a record from an earlier write of this
+ * leader whose response was lost is adopted. Throws `MalformedMessageError` if the record is malformed.
  */
 export const resolveTaskRangeConflict = async (
   context: ShardContext,
@@ -53,12 +53,12 @@
   if (reply.kind !== "ok") return;
   const records = decodeTaskRange(reply.value.value);
   if (records.some((record, index) => isUnknownPlacement(record, range.tasks[index]?.desired))) {
-    // Written by another leader: the state here lacks it, and overwriting it would start its tasks a second time.
+    // Written by another leader. It is missing in memory here, and overwriting it would start its tasks a second time.
     context.log.error(LogEvent.TaskRangeConflicting, { key });
     context.onInconsistent();
     return;
   }
-  // An own write to which there was no response.
+  // An earlier write of this leader whose response was lost.
   context.log.info(LogEvent.TaskRangeAdopted, { key });
   range.version = reply.value.version;
   applyRecordedStates(context, range, records);
--- a/src/coordination/jobs/task-range-write.ts
+++ b/src/coordination/jobs/task-range-write.ts
@@ -12,21 +12,21 @@
 export const keyOfTaskRange = (range: TaskRange): string => taskRangeKey(range.job.spec.id, range.index);
 
 /**
- * A write of a range from its submission to its result. The desired task states are taken when the transaction is sent:
- * what changes while it waits for the write budget needs no further write.
+ * A write of a range, from submission to result. The desired task states are read only when the transaction is sent, so
+ * that changes made while it waits for the write budget need no further write.
  */
 export class TaskRangeWrite {
   readonly key: string;
-  /** The task states that were sent; empty until then. */
+  /** The task states as sent; empty until the transaction is sent. */
   records: readonly TaskRecord[] = [];
-  /** Since when a placement among them waited to be on record; null: none did. */
+  /** Since when the oldest unrecorded placement among them has been waiting; null: there was none. */
   placementPendingSince: Micros | null = null;
 
   constructor(readonly range: TaskRange) {
     this.key = keyOfTaskRange(range);
   }
 
-  /** Takes the desired states of the range's tasks: the range counts as clean from now on. */
+  /** Reads the desired states of the range's tasks, and marks the range as clean. */
   buildOperations(): readonly WriteOperation[] {
     const { range } = this;
     this.records = range.tasks.map((task) => task.desired);
@@ -36,7 +36,7 @@
     return [{ kind: "put", key: this.key, value: encodeTaskRange(this.records) }];
   }
 
-  /** The write was not confirmed: its placements go on waiting from when they began to. */
+  /** After an unconfirmed write: its placements keep waiting, counted from the original time. */
   restorePlacementTime(): void {
     this.range.placementPendingSince ??= this.placementPendingSince;
   }
--- a/src/coordination/jobs/task-state-writer.ts
+++ b/src/coordination/jobs/task-state-writer.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the states of tasks to the key-value store.
+ * Writes the states of tasks to the key-value store, one record a range of tasks.
  * @module
  */
 import type { Job } from "../../cluster/job.js";
@@ -15,19 +15,19 @@
 import { keyOfTaskRange, TaskRangeWrite } from "./task-range-write.js";
 import { writeConditionsOf, writeRetryDelay } from "./write-conditions.js";
 
-/** Recording what has ended takes about this share of the state service's writes, each range in turn. */
+/** Recording ended tasks takes about this share of the key-value store's write limit, in turn for all jobs. */
 const END_WRITE_SHARE = 0.3;
 const MIN_END_WRITE_DELAY = seconds(0.5);
 const MAX_END_WRITE_DELAY = seconds(15);
-/** Until a range whose value is too large is looked at again. */
+/** Delay before a range whose value is too large is checked again. */
 const OVERSIZED_RETRY_DELAY = seconds(1);
-/** Placements of one round are recorded together. */
+/** Lets all placements of one round go into the same write. */
 const PLACEMENT_WRITE_DELAY = ms(1);
 
 /**
- * Makes the desired states of tasks durable: each range is written when they differ from what is on record, one write
- * at a time, conditional on the range's version, the job's and the shard lease's. Commands follow only from what has
- * been confirmed.
+ * Records the desired states of tasks: a range is written when they differ from its record, with one write in flight at
+ * a time, conditional on the versions of the range, the job record and the shard lease. Commands are sent only for
+ * confirmed records.
  */
 export class TaskStateWriter {
   private readonly placementDelays = new PlacementDelays();
@@ -37,7 +37,7 @@
     this.outcomes = new OutcomeWriter(context, (range) => void this.write(range));
   }
 
-  /** A placement is to be recorded: its start command waits for that. */
+  /** Records a new placement, for which the start command waits. */
   recordPlacement(range: TaskRange): void {
     const { clock, settings, transactions } = this.context;
     range.dirty = true;
@@ -48,14 +48,14 @@
     this.scheduleWrite(range, PLACEMENT_WRITE_DELAY);
   }
 
-  /** How long placements waited to be on record since this was last called. */
+  /** Delays of placements from decision to confirmed record since the last call. */
   takePlacementDelays(): PlacementDelaySummary {
     return this.placementDelays.take();
   }
 
   /**
-   * What has ended may be recorded a little later, together with what ends meanwhile: until then the worker
-   * goes on reporting it. One write for each end would take all of the budget that starts need.
+   * Records ended tasks after a delay, together with those that end meanwhile; until then the worker keeps reporting
+   * them. One write per ended task would use up the write budget that task starts need.
    */
   recordSoon(range: TaskRange): void {
     range.dirty = true;
@@ -65,12 +65,12 @@
     this.scheduleWrite(range, Math.min(MAX_END_WRITE_DELAY, delay) as Micros);
   }
 
-  /** Writes the job's outcome once no task of it is left. */
+  /** Writes the job's outcome if all tasks are done or, for a cancelled job, none is placed any more. */
   finishIfComplete(job: Job): void {
     this.outcomes.finishIfComplete(job);
   }
 
-  /** Deletes records that no longer mean anything, such as ranges of ended jobs. */
+  /** Deletes obsolete records, such as ranges of ended jobs. */
   deleteKeys(keys: readonly string[]): void {
     this.outcomes.deleteKeys(keys);
   }
@@ -81,7 +81,7 @@
     if (range.writeDueAt !== null && range.writeDueAt <= dueAt) return;
     range.writeDueAt = dueAt;
     clock.after(delay, () => {
-      // An earlier time has been set since.
+      // Rescheduled to an earlier time since.
       if (range.writeDueAt !== dueAt) return;
       range.writeDueAt = null;
       void this.write(range);
@@ -108,19 +108,19 @@
     else {
       write.restorePlacementTime();
       if (result.kind === "conflict") await resolveTaskRangeConflict(context, range, result.keys);
-      // A lost one may still come to be applied; the same condition lets only one of the two through.
+      // A write whose response was lost may still be applied: both have the same condition, so only one commits.
       this.retry(range);
     }
     this.finishIfComplete(job);
   }
 
-  /** Whether the range is to be written now; takes care of it where it is not. */
+  /** Whether the range is to be written now; otherwise schedules the next step if one is needed. */
   private isWriteDue(range: TaskRange): boolean {
     const { shard, lease, transactions } = this.context;
     const { job } = range;
     if (range.writing || !range.dirty || shard.jobs.get(job.spec.id) !== job || job.outcomePending) return false;
     if (job.cancelled) {
-      // What was placed stays on record until all of it is gone; then the job's outcome replaces it.
+      // Placements stay recorded until none of the tasks is placed any more; then the job's outcome replaces them.
       this.finishIfComplete(job);
       return false;
     }
@@ -132,7 +132,7 @@
       range.dirty = false;
       return false;
     }
-    // Written before the limits were lowered: it can be read and ended, and is written again once enough of it is over.
+    // Recorded before the value limit was lowered: not writable until enough of its tasks have ended.
     if (taskRangeBytes(range.tasks.map((task) => task.desired)) > transactions.maxValueBytes) {
       this.scheduleWrite(range, OVERSIZED_RETRY_DELAY);
       return false;
--- a/src/coordination/jobs/write-conditions.ts
+++ b/src/coordination/jobs/write-conditions.ts
@@ -1,5 +1,5 @@
 /**
- * Conditions that every write about a job has.
+ * Conditions common to all writes that concern a job.
  * @module
  */
 import type { Job } from "../../cluster/job.js";
@@ -8,7 +8,7 @@
 import { type Micros, ms } from "../../transport/clock.js";
 import type { ShardContext } from "../context.js";
 
-/** The shard lease and the job's record are as this leader knows them. A new map, to which a caller may add. */
+/** The versions of the shard lease and of the job record are unchanged. Returns a new map, to which callers may add. */
 export const writeConditionsOf = ({ lease }: Pick<ShardContext, "lease">, job: Job): Map<string, Uint64> =>
   new Map([
     [lease.key, lease.version],
@@ -18,6 +18,6 @@
 const MIN_RETRY_DELAY_MS = 50;
 const RETRY_JITTER_MS = 100;
 
-/** Until a write that was not confirmed is tried again; draws one random number. */
+/** Delay before an unconfirmed write is retried; draws one random number. */
 export const writeRetryDelay = ({ random }: Pick<ShardContext, "random">): Micros =>
   ms(MIN_RETRY_DELAY_MS + RETRY_JITTER_MS * random());
