--- a/src/coordination/jobs/dependency-resolver.ts
+++ b/src/coordination/jobs/dependency-resolver.ts
@@ -41,13 +41,13 @@
 export class DependencyResolver {
   /** Dependencies of current jobs that are neither current nor ended. */
   private readonly neverSubmitted = new Set<string>();
-  private readonly lists: DependencyListWriter;
+  private readonly listWriter: DependencyListWriter;
 
   constructor(
     private readonly services: Services,
     private readonly readTerminalState: (id: string) => Promise<TerminalState>,
   ) {
-    this.lists = new DependencyListWriter(services);
+    this.listWriter = new DependencyListWriter(services);
   }
 
   /** Applies a change of the current jobs' records to the dependency graph. Throws where a record is malformed. */
@@ -145,7 +145,7 @@
 
   /** See `DependencyListWriter.prepareRecord`. */
   prepareRecord(record: JobRecord, maxBytes: number): Promise<PreparedRecord | null> {
-    return this.lists.prepareRecord(record, maxBytes);
+    return this.listWriter.prepareRecord(record, maxBytes);
   }
 }
 
--- a/src/coordination/jobs/outcome-reader.ts
+++ b/src/coordination/jobs/outcome-reader.ts
@@ -138,10 +138,10 @@
 
   /** Puts lookups beyond the page back into the queue, ahead of those added meanwhile. */
   private requeue(outcomes: readonly RequestedOutcome[]): void {
-    const newcomers = [...this.waiting];
+    const newerLookups = [...this.waiting];
     this.waiting.clear();
     for (const { id, lookup } of outcomes) this.waiting.set(id, lookup);
-    for (const [id, lookup] of newcomers) {
+    for (const [id, lookup] of newerLookups) {
       const pending = this.waiting.get(id);
       if (pending === undefined) this.waiting.set(id, lookup);
       else pending.resolvers.push(...lookup.resolvers);
--- a/src/coordination/jobs/outcome-writer.ts
+++ b/src/coordination/jobs/outcome-writer.ts
@@ -50,8 +50,8 @@
   /** Writes the job's outcome if all tasks are done or, for a cancelled job, none is placed any more. */
   finishIfComplete(job: Job): void {
     const allDone = job.completedTasks >= job.spec.tasks;
-    const allGone = job.cancelled && job.placedTasks.size === 0;
-    if (job.outcomePending || !(allDone || allGone)) return;
+    const nonePlaced = job.cancelled && job.placedTasks.size === 0;
+    if (job.outcomePending || !(allDone || nonePlaced)) return;
     const rangesInWriting = job.ranges.filter((range) => range.writing);
     if (rangesInWriting.length > 0) {
       // The outcome is written after the writes in flight. Deferred writes that are not sent yet are cancelled: the
@@ -109,13 +109,13 @@
       { kind: "delete", key: jobKey(job.spec.id) },
     ];
     // Ranges without a job are ignored, so their deletion may be deferred unless too many deletions are pending.
-    const deleteLater = transactions.pendingCount("maintenance") < MAX_PENDING_DELETIONS;
+    const deferDeletion = transactions.pendingCount("maintenance") < MAX_PENDING_DELETIONS;
     for (const range of checkedRanges) {
       const rangeKey = keyOfTaskRange(range);
       conditions.set(rangeKey, range.version);
-      if (!deleteLater) writes.push({ kind: "delete", key: rangeKey });
+      if (!deferDeletion) writes.push({ kind: "delete", key: rangeKey });
     }
-    const remainingRanges = deleteLater ? recordedRanges : recordedRanges.slice(checkedRanges.length);
+    const remainingRanges = deferDeletion ? recordedRanges : recordedRanges.slice(checkedRanges.length);
     return { record, conditions, writes, checkedRanges, remainingRanges };
   }
 
--- a/src/coordination/jobs/placement-delays.ts
+++ b/src/coordination/jobs/placement-delays.ts
@@ -19,13 +19,13 @@
 export class PlacementDelays {
   private count = 0;
   private sum = 0;
-  private most = 0;
+  private max = 0;
 
   /** Adds one delay. */
   record(delay: Micros): void {
     this.count += 1;
     this.sum += delay;
-    this.most = Math.max(this.most, delay);
+    this.max = Math.max(this.max, delay);
   }
 
   /** Returns the statistics since the last call, and resets them. */
@@ -33,11 +33,11 @@
     const summary = {
       placements: this.count,
       meanMs: this.count === 0 ? 0 : Math.round(this.sum / this.count / MICROS_PER_MS),
-      mostMs: Math.round(this.most / MICROS_PER_MS),
+      mostMs: Math.round(this.max / MICROS_PER_MS),
     };
     this.count = 0;
     this.sum = 0;
-    this.most = 0;
+    this.max = 0;
     return summary;
   }
 }
--- a/src/coordination/jobs/task-state-writer.ts
+++ b/src/coordination/jobs/task-state-writer.ts
@@ -16,9 +16,9 @@
 import { writeConditionsOf, writeRetryDelay } from "./write-conditions.js";
 
 /** Recording ended tasks takes about this share of the key-value store's write limit, in turn for all jobs. */
-const END_WRITE_SHARE = 0.3;
-const MIN_END_WRITE_DELAY = seconds(0.5);
-const MAX_END_WRITE_DELAY = seconds(15);
+const TASK_END_WRITE_SHARE = 0.3;
+const MIN_TASK_END_WRITE_DELAY = seconds(0.5);
+const MAX_TASK_END_WRITE_DELAY = seconds(15);
 /** Delay before a range whose value is too large is checked again. */
 const OVERSIZED_RETRY_DELAY = seconds(1);
 /** Lets all placements of one round go into the same write. */
@@ -31,10 +31,10 @@
  */
 export class TaskStateWriter {
   private readonly placementDelays = new PlacementDelays();
-  private readonly outcomes: OutcomeWriter;
+  private readonly outcomeWriter: OutcomeWriter;
 
   constructor(private readonly context: ShardContext) {
-    this.outcomes = new OutcomeWriter(context, (range) => void this.write(range));
+    this.outcomeWriter = new OutcomeWriter(context, (range) => void this.write(range));
   }
 
   /** Records a new placement, for which the start command waits. */
@@ -60,19 +60,19 @@
   recordSoon(range: TaskRange): void {
     range.dirty = true;
     const { shard, settings } = this.context;
-    const endWritesPerS = Math.max(1, settings.store.writesPerS * END_WRITE_SHARE);
-    const delay = Math.max(MIN_END_WRITE_DELAY, seconds(shard.jobs.size / endWritesPerS));
-    this.scheduleWrite(range, Math.min(MAX_END_WRITE_DELAY, delay) as Micros);
+    const taskEndWritesPerS = Math.max(1, settings.store.writesPerS * TASK_END_WRITE_SHARE);
+    const delay = Math.max(MIN_TASK_END_WRITE_DELAY, seconds(shard.jobs.size / taskEndWritesPerS));
+    this.scheduleWrite(range, Math.min(MAX_TASK_END_WRITE_DELAY, delay) as Micros);
   }
 
   /** Writes the job's outcome if all tasks are done or, for a cancelled job, none is placed any more. */
   finishIfComplete(job: Job): void {
-    this.outcomes.finishIfComplete(job);
+    this.outcomeWriter.finishIfComplete(job);
   }
 
   /** Deletes obsolete records, such as ranges of ended jobs. */
   deleteKeys(keys: readonly string[]): void {
-    this.outcomes.deleteKeys(keys);
+    this.outcomeWriter.deleteKeys(keys);
   }
 
   private scheduleWrite(range: TaskRange, delay: Micros): void {
