--- a/test/lease-authority.test.ts
+++ b/test/lease-authority.test.ts
@@ -4,7 +4,7 @@
 import { cancellationTerms } from "../src/settings/cancellation.js";
 import type { Micros } from "../src/transport/clock.js";
 
-test("nothing is allowed before anything was read, nor past the older of renewal and view", () => {
+test("a shard lease is invalid before the cache is loaded, and once the older of last renewal and cache view expires", () => {
   const right = { isHolder: true, renewedAt: 100 as Micros, cacheFreshAsOf: 90 as Micros, duration: 50 as Micros };
   assert.equal(isLeaseValid(right, 139 as Micros), true);
   assert.equal(isLeaseValid(right, 140 as Micros), false);
@@ -13,7 +13,7 @@
   assert.equal(isLeaseValid({ ...right, isHolder: false }, 100 as Micros), false);
 });
 
-test("stops are owed to all on the list whose job is withdrawn or over, and to nothing that has exited", () => {
+test("pending stops cover all reported tasks whose job is cancelled or has ended, except tasks that have exited", () => {
   const task = (name: string, state: "running" | "fetching" | "exited") => ({
     task: name,
     attempt: 2,
@@ -36,7 +36,7 @@
   );
 });
 
-// All orders of what may happen between a cancellation and the end of its last task ------------------------------
+// Exhaustive exploration of event orders between the cancellation of a job and the end of its last task ------------
 
 const S = 1_000_000;
 const TTL = 10 * S;
@@ -49,16 +49,16 @@
 
 const ACTIONS = [
   "renew",
-  "renewal and watch leave",
-  "their answers arrive",
+  "send renewal and watch",
+  "receive their responses",
   "watch",
-  "report to the old holder",
-  "report to the new holder",
-  "refuse the old holder",
-  "service away",
-  "service back",
-  "confirm",
-  "takeover",
+  "heartbeat to the old leader",
+  "heartbeat to the new leader",
+  "store refuses the old leader",
+  "store outage begins",
+  "store outage ends",
+  "confirm cancellation",
+  "failover",
   "long wait",
 ] as const;
 type Action = (typeof ACTIONS)[number];
@@ -67,9 +67,9 @@
   readonly number: number;
   readonly renewed: number;
   readonly viewed: number;
-  /** It has read that the job was withdrawn. */
+  /** The leader has read that the job was cancelled. */
   readonly knows: boolean;
-  /** A renewal and a watch that have left and not been answered yet, and whether the watch will tell of it. */
+  /** A renewal and a watch in flight, and whether the watch response will contain the cancellation. */
   readonly sent: { readonly at: number; readonly knows: boolean } | null;
 }
 
@@ -77,23 +77,23 @@
   readonly now: number;
   readonly old: Holder;
   readonly next: Holder | null;
-  /** When the holder's grant ends in the state service, and which number is on record. */
+  /** When the leader's lease expires in the key-value store, and the recorded shard epoch. */
   readonly grantUntil: number;
   readonly number: number;
   readonly away: boolean;
   readonly refused: boolean;
   readonly confirmedAt: number | null;
   readonly token: number;
-  /** When the worker's report left that was answered last; null: its lease is over, and the task with it. */
+  /** When the last answered heartbeat was sent; null: the worker's lease has expired, and its task has ended. */
   readonly leaseFrom: number | null;
 }
 
-/** The functions under test, or broken ones. */
+/** The functions under test, or deliberately faulty replacements. */
 interface Functions {
   readonly mayAct: typeof isLeaseValid;
   readonly allowedTo: typeof permittedReplies;
   readonly stopsOwed: typeof pendingStops;
-  /** From when a renewal counts. */
+  /** The time from which a renewal or a view counts. */
   readonly countsFrom: (sentAt: number, now: number) => number;
 }
 
@@ -140,9 +140,9 @@
   return { ...m, token: leader.number, leaseFrom: stopped ? null : m.now };
 };
 
-/** The same thing of the old holder is done by the new one once there is one: the old one is cut off from then on. */
+/** Leader events apply to the new leader once there is one: from then on the old leader is cut off from the store. */
 const apply = (f: Functions, before: Moment, action: Action): Moment => {
-  // What happens takes a moment; a lease, or a right, may run out between.
+  // Each event takes time, in which a lease may expire.
   const m = { ...before, now: before.now + (action === "long wait" ? 7 : 1.5) * S };
   if (m.leaseFrom !== null && m.now - m.leaseFrom > LEASE) m.leaseFrom = null;
   const ended = !m.away && m.now > m.grantUntil;
@@ -154,37 +154,37 @@
     case "renew":
       if (!served || ended) return m;
       return { ...change({ renewed: m.now }), grantUntil: m.now + TTL };
-    case "renewal and watch leave":
+    case "send renewal and watch":
       if (!served || ended) return m;
       return { ...change({ sent: { at: m.now, knows: m.confirmedAt !== null } }), grantUntil: m.now + TTL };
-    case "their answers arrive": {
+    case "receive their responses": {
       if (leader.sent === null) return m;
       const from = f.countsFrom(leader.sent.at, m.now);
       const [renewed, viewed] = [Math.max(leader.renewed, from), Math.max(leader.viewed, from)];
       return change({ renewed, viewed, knows: leader.knows || leader.sent.knows, sent: null });
     }
     case "watch":
-      // The block's key is gone with the grant: it learns that, too, and drops the block.
+      // The shard's key is deleted with the expired lease: the leader reads that and releases the shard.
       if (!served) return m;
       if (ended) return change({ viewed: 0, renewed: 0 });
       return change({ viewed: m.now, knows: leader.knows || m.confirmedAt !== null });
-    case "report to the old holder":
+    case "heartbeat to the old leader":
       return report(f, m, m.old);
-    case "report to the new holder":
+    case "heartbeat to the new leader":
       return report(f, m, m.next);
-    case "refuse the old holder":
+    case "store refuses the old leader":
       return { ...m, refused: true };
-    case "service away":
+    case "store outage begins":
       return { ...m, away: true };
-    case "service back":
+    case "store outage ends":
       return m.away ? { ...m, away: false, grantUntil: m.now + TTL } : m;
-    case "confirm":
+    case "confirm cancellation":
       return m.away || m.confirmedAt !== null ? m : { ...m, confirmedAt: m.now };
-    case "takeover": {
+    case "failover": {
       if (!ended) return m;
       const number = m.number + 1;
       const next = { number, renewed: m.now, viewed: m.now, knows: m.confirmedAt !== null, sent: null };
-      // A second one: whoever held it before is the old holder now, and may go on as the first did.
+      // On a second failover, the previous leader becomes the old leader, which may continue as the first one did.
       return { ...m, old: m.next ?? m.old, next, number, grantUntil: m.now + TTL };
     }
     case "long wait":
@@ -193,14 +193,22 @@
 };
 
 const wrong = (f: Functions, m: Moment): string | null => {
-  if (m.next !== null && acts(f, m.old, m.now) && acts(f, m.next, m.now)) return "two may act";
-  // Whatever happens after this, the task is there until its worker's lease ends.
-  if (m.confirmedAt !== null && m.leaseFrom !== null && m.leaseFrom + LEASE > m.confirmedAt + BOUND) return "ran on";
+  if (m.next !== null && acts(f, m.old, m.now) && acts(f, m.next, m.now)) return "two leaders hold a valid lease";
+  // Without a further heartbeat response, the task runs until its worker's lease expires.
+  if (m.confirmedAt !== null && m.leaseFrom !== null && m.leaseFrom + LEASE > m.confirmedAt + BOUND)
+    return "task outlived the bound";
   return null;
 };
 
-/** A holder that was refused has been followed by another one, and may still act for a moment. */
-const FOLLOWED: readonly Action[] = ["refuse the old holder", "watch", "long wait", "renew", "long wait", "takeover"];
+/** Events after which a refused leader has been replaced, while its own lease may still be valid for a moment. */
+const FOLLOWED: readonly Action[] = [
+  "store refuses the old leader",
+  "watch",
+  "long wait",
+  "renew",
+  "long wait",
+  "failover",
+];
 
 const explore = (
   f: Functions,
@@ -225,10 +233,10 @@
   return { orders, broken };
 };
 
-/** Deeper by hand: RAINRIDGE_DEPTH=7 (docs/results.md). */
+/** Number of events in an order; a deeper run, started by hand: RAINRIDGE_DEPTH=7 (docs/results.md). */
 const DEPTH = Number(process.env.RAINRIDGE_DEPTH ?? 5);
 
-test(`whatever comes in which order, a withdrawn task is gone within the bound, and one holder acts (${DEPTH} events)`, {
+test(`in any order of events, a cancelled task ends within the bound, and at most one lease is valid (${DEPTH} events)`, {
   timeout: 3_600_000,
 }, () => {
   const { orders, broken } = explore(REAL, DEPTH);
@@ -236,10 +244,12 @@
   assert.equal(orders, ACTIONS.length ** DEPTH);
 });
 
-test(`the same after a takeover, so that a second one falls into it (${DEPTH} events)`, { timeout: 3_600_000 }, () => {
+test(`the same holds after a failover, with a second failover among the events (${DEPTH} events)`, {
+  timeout: 3_600_000,
+}, () => {
   const followed = FOLLOWED.reduce((m, action) => apply(REAL, m, action), BEGIN);
   assert.equal(followed.number, 2);
-  const twice = ["long wait", "long wait", "takeover"] as const;
+  const twice = ["long wait", "long wait", "failover"] as const;
   assert.equal(twice.reduce((m, action) => apply(REAL, m, action), followed).number, 3);
   const { orders, broken } = explore(REAL, DEPTH, followed);
   assert.equal(broken, null);
@@ -247,23 +257,26 @@
 });
 
 const BROKEN: Readonly<Record<string, Functions>> = {
-  "renewals and watches count from the arrival of their answers": { ...REAL, countsFrom: (_, now) => now },
-  "the right does not end with the view": {
+  "renewals and watches count from the receipt of their responses": { ...REAL, countsFrom: (_, now) => now },
+  "a stale cache view does not invalidate the lease": {
     ...REAL,
     mayAct: ({ renewedAt, duration }, now) => now < renewedAt + duration,
   },
-  "the right does not end with the grant": {
+  "an expired renewal does not invalidate the lease": {
     ...REAL,
     mayAct: ({ cacheFreshAsOf, duration }, now) => cacheFreshAsOf !== null && now < cacheFreshAsOf + duration,
   },
-  "an answer renews without the stops owed before the token is seen": { ...REAL, stopsOwed: () => [] },
+  "a response renews the worker's lease without the pending stops before the token is seen": {
+    ...REAL,
+    stopsOwed: () => [],
+  },
 };
 
 for (const [name, functions] of Object.entries(BROKEN)) {
-  test(`the exploration catches it where ${name}`, () => {
-    // The shortest order that shows it.
+  test(`the exploration detects the fault if ${name}`, () => {
+    // Finds the shortest order of events that shows the fault.
     let found: string | null = null;
     for (let depth = 1; found === null && depth <= 6; depth += 1) found = explore(functions, depth).broken;
-    assert.match(found ?? "nothing found", /two may act|ran on/);
+    assert.match(found ?? "nothing found", /two leaders hold a valid lease|task outlived the bound/);
   });
 }
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -12,9 +12,10 @@
 const settings = parseSettings(settingsText(0));
 const [ME, BLOCK] = [memberKey(settings.label), shardKey(0)];
 
-test("a block leased to a join that came late, under a grant that nobody renews, is not acted for", async () => {
-  // The first join has no answer; the second one stands. Then that one's key goes with an outage's end, and the first is carried
-  // out: what is leased to it ends with its grant, while the right would have been counted from renewals of the other.
+test("a shard assigned to a member whose late join carries a lease that is not renewed is not acquired", async () => {
+  // The response to the first join is lost, and the second join succeeds. At the end of an outage the second join's key is
+  // deleted, and the first join is applied late. Shards assigned to that member end with the first lease, while their
+  // validity would be computed from renewals of the second one.
   const world = new World();
   const clock = new HostClock(world, 1, 1_000_000);
   const entries = new Map<string, KeyValueEntry>();
@@ -65,7 +66,7 @@
   put(ME, { lease: 2, incarnation: "inc-1" }, 9);
   assert.equal(taken.length, 1);
   assert.equal(taken[0]?.isValid(), true);
-  // And given up when its member's key is that of another grant.
+  // The shard is released when the member record names another lease.
   put(ME, { lease: 1, incarnation: "inc-1" }, 10);
   assert.equal(taken[0]?.isValid(), false);
 });
