--- a/test/lease-authority.test.ts
+++ b/test/lease-authority.test.ts
@@ -5,12 +5,12 @@
 import type { Micros } from "../src/transport/clock.js";
 
 test("a shard lease is invalid before the cache is loaded, and once the older of last renewal and cache view expires", () => {
-  const right = { isHolder: true, renewedAt: 100 as Micros, cacheFreshAsOf: 90 as Micros, duration: 50 as Micros };
-  assert.equal(isLeaseValid(right, 139 as Micros), true);
-  assert.equal(isLeaseValid(right, 140 as Micros), false);
-  assert.equal(isLeaseValid({ ...right, cacheFreshAsOf: 300 as Micros }, 150 as Micros), false);
-  assert.equal(isLeaseValid({ ...right, cacheFreshAsOf: null }, 10 as Micros), false);
-  assert.equal(isLeaseValid({ ...right, isHolder: false }, 100 as Micros), false);
+  const lease = { isHolder: true, renewedAt: 100 as Micros, cacheFreshAsOf: 90 as Micros, duration: 50 as Micros };
+  assert.equal(isLeaseValid(lease, 139 as Micros), true);
+  assert.equal(isLeaseValid(lease, 140 as Micros), false);
+  assert.equal(isLeaseValid({ ...lease, cacheFreshAsOf: 300 as Micros }, 150 as Micros), false);
+  assert.equal(isLeaseValid({ ...lease, cacheFreshAsOf: null }, 10 as Micros), false);
+  assert.equal(isLeaseValid({ ...lease, isHolder: false }, 100 as Micros), false);
 });
 
 test("pending stops cover all reported tasks whose job is cancelled or has ended, except tasks that have exited", () => {
@@ -39,12 +39,12 @@
 // Exhaustive exploration of event orders between the cancellation of a job and the end of its last task ------------
 
 const S = 1_000_000;
-const TTL = 10 * S;
-const SPAN = (TTL - 0.51 * S) as Micros;
-const LEASE = 20 * S;
-const BOUND = cancellationTerms(
-  { heartbeatInterval: (3 * S) as Micros, lease: LEASE as Micros, cancellationBound: (45 * S) as Micros },
-  TTL as Micros,
+const SHARD_LEASE = 10 * S;
+const SHARD_LEASE_VALIDITY = (SHARD_LEASE - 0.51 * S) as Micros;
+const WORKER_LEASE = 20 * S;
+const CANCELLATION_BOUND = cancellationTerms(
+  { heartbeatInterval: (3 * S) as Micros, lease: WORKER_LEASE as Micros, cancellationBound: (45 * S) as Micros },
+  SHARD_LEASE as Micros,
 ).total;
 
 const ACTIONS = [
@@ -63,145 +63,170 @@
 ] as const;
 type Action = (typeof ACTIONS)[number];
 
-interface Holder {
-  readonly number: number;
-  readonly renewed: number;
-  readonly viewed: number;
+interface LeaderModel {
+  readonly epoch: number;
+  readonly renewedAt: number;
+  readonly viewedAt: number;
   /** The leader has read that the job was cancelled. */
-  readonly knows: boolean;
+  readonly cancellationRead: boolean;
   /** A renewal and a watch in flight, and whether the watch response will contain the cancellation. */
-  readonly sent: { readonly at: number; readonly knows: boolean } | null;
+  readonly inFlight: { readonly sentAt: number; readonly cancellationRead: boolean } | null;
 }
 
-interface Moment {
+interface ClusterModel {
   readonly now: number;
-  readonly old: Holder;
-  readonly next: Holder | null;
+  readonly old: LeaderModel;
+  readonly next: LeaderModel | null;
   /** When the leader's lease expires in the key-value store, and the recorded shard epoch. */
-  readonly grantUntil: number;
-  readonly number: number;
-  readonly away: boolean;
-  readonly refused: boolean;
-  readonly confirmedAt: number | null;
+  readonly leaseUntil: number;
+  readonly recordedEpoch: number;
+  readonly storeOutage: boolean;
+  readonly oldLeaderRefused: boolean;
+  readonly cancelledAt: number | null;
   readonly token: number;
   /** When the last answered heartbeat was sent; null: the worker's lease has expired, and its task has ended. */
-  readonly leaseFrom: number | null;
+  readonly workerLeaseFrom: number | null;
 }
 
 /** The functions under test, or deliberately faulty replacements. */
-interface Functions {
-  readonly mayAct: typeof isLeaseValid;
-  readonly allowedTo: typeof permittedReplies;
-  readonly stopsOwed: typeof pendingStops;
+interface LeaseFunctions {
+  readonly checkLease: typeof isLeaseValid;
+  readonly checkReplies: typeof permittedReplies;
+  readonly findStops: typeof pendingStops;
   /** The time from which a renewal or a view counts. */
-  readonly countsFrom: (sentAt: number, now: number) => number;
+  readonly effectiveTime: (sentAt: number, now: number) => number;
 }
 
-const REAL: Functions = {
-  mayAct: isLeaseValid,
-  allowedTo: permittedReplies,
-  stopsOwed: pendingStops,
-  countsFrom: (sentAt) => sentAt,
+const REAL: LeaseFunctions = {
+  checkLease: isLeaseValid,
+  checkReplies: permittedReplies,
+  findStops: pendingStops,
+  effectiveTime: (sentAt) => sentAt,
 };
 
-const BEGIN: Moment = {
+const INITIAL: ClusterModel = {
   now: 100 * S,
-  old: { number: 1, renewed: 100 * S, viewed: 100 * S, knows: false, sent: null },
+  old: { epoch: 1, renewedAt: 100 * S, viewedAt: 100 * S, cancellationRead: false, inFlight: null },
   next: null,
-  grantUntil: 110 * S,
-  number: 1,
-  away: false,
-  refused: false,
-  confirmedAt: null,
+  leaseUntil: 110 * S,
+  recordedEpoch: 1,
+  storeOutage: false,
+  oldLeaderRefused: false,
+  cancelledAt: null,
   token: 1,
-  leaseFrom: 100 * S,
+  workerLeaseFrom: 100 * S,
 };
 
-const acts = (f: Functions, { renewed, viewed }: Holder, now: number): boolean =>
-  f.mayAct(
-    { isHolder: true, renewedAt: renewed as Micros, cacheFreshAsOf: viewed as Micros, duration: SPAN },
+const holdsValidLease = (f: LeaseFunctions, { renewedAt, viewedAt }: LeaderModel, now: number): boolean =>
+  f.checkLease(
+    {
+      isHolder: true,
+      renewedAt: renewedAt as Micros,
+      cacheFreshAsOf: viewedAt as Micros,
+      duration: SHARD_LEASE_VALIDITY,
+    },
     now as Micros,
   );
 
-const report = (f: Functions, m: Moment, leader: Holder | null): Moment => {
-  if (m.leaseFrom === null || leader === null || !acts(f, leader, m.now) || leader.number < m.token) return m;
-  const tokenSeen = m.token >= leader.number;
-  const { renew, command } = f.allowedTo({
+const sendHeartbeat = (f: LeaseFunctions, m: ClusterModel, leader: LeaderModel | null): ClusterModel => {
+  if (m.workerLeaseFrom === null || leader === null || !holdsValidLease(f, leader, m.now) || leader.epoch < m.token)
+    return m;
+  const tokenSeen = m.token >= leader.epoch;
+  const { renew, command } = f.checkReplies({
     freshness: tokenSeen ? "fenced" : "unverified",
     tokenSeen,
     oneWay: false,
     unverifiedFor: 0 as Micros,
-    workerLease: LEASE as Micros,
+    workerLease: WORKER_LEASE as Micros,
   });
   if (!renew) return m;
-  const jobs = new Map([["wk-a", { cancelled: leader.knows }]]);
-  const owed = f.stopsOwed([{ task: "wk-a/0", attempt: 1, state: "running", reason: null }], jobs);
-  const stopped = owed.length > 0 || (command && leader.knows);
-  return { ...m, token: leader.number, leaseFrom: stopped ? null : m.now };
+  const jobs = new Map([["wk-a", { cancelled: leader.cancellationRead }]]);
+  const stops = f.findStops([{ task: "wk-a/0", attempt: 1, state: "running", reason: null }], jobs);
+  const stopped = stops.length > 0 || (command && leader.cancellationRead);
+  return { ...m, token: leader.epoch, workerLeaseFrom: stopped ? null : m.now };
 };
 
 /** Leader events apply to the new leader once there is one: from then on the old leader is cut off from the store. */
-const apply = (f: Functions, before: Moment, action: Action): Moment => {
+const apply = (f: LeaseFunctions, before: ClusterModel, action: Action): ClusterModel => {
   // Each event takes time, in which a lease may expire.
   const m = { ...before, now: before.now + (action === "long wait" ? 7 : 1.5) * S };
-  if (m.leaseFrom !== null && m.now - m.leaseFrom > LEASE) m.leaseFrom = null;
-  const ended = !m.away && m.now > m.grantUntil;
-  const served = !m.away && (m.next !== null || !m.refused);
+  if (m.workerLeaseFrom !== null && m.now - m.workerLeaseFrom > WORKER_LEASE) m.workerLeaseFrom = null;
+  const leaseExpired = !m.storeOutage && m.now > m.leaseUntil;
+  const storeReachable = !m.storeOutage && (m.next !== null || !m.oldLeaderRefused);
   const side = m.next === null ? "old" : "next";
   const leader = m.next ?? m.old;
-  const change = (fields: Partial<Holder>): Moment => ({ ...m, [side]: { ...leader, ...fields } });
+  const change = (fields: Partial<LeaderModel>): ClusterModel => ({ ...m, [side]: { ...leader, ...fields } });
   switch (action) {
     case "renew":
-      if (!served || ended) return m;
-      return { ...change({ renewed: m.now }), grantUntil: m.now + TTL };
+      if (!storeReachable || leaseExpired) return m;
+      return { ...change({ renewedAt: m.now }), leaseUntil: m.now + SHARD_LEASE };
     case "send renewal and watch":
-      if (!served || ended) return m;
-      return { ...change({ sent: { at: m.now, knows: m.confirmedAt !== null } }), grantUntil: m.now + TTL };
+      if (!storeReachable || leaseExpired) return m;
+      return {
+        ...change({ inFlight: { sentAt: m.now, cancellationRead: m.cancelledAt !== null } }),
+        leaseUntil: m.now + SHARD_LEASE,
+      };
     case "receive their responses": {
-      if (leader.sent === null) return m;
-      const from = f.countsFrom(leader.sent.at, m.now);
-      const [renewed, viewed] = [Math.max(leader.renewed, from), Math.max(leader.viewed, from)];
-      return change({ renewed, viewed, knows: leader.knows || leader.sent.knows, sent: null });
+      if (leader.inFlight === null) return m;
+      const from = f.effectiveTime(leader.inFlight.sentAt, m.now);
+      const [renewedAt, viewedAt] = [Math.max(leader.renewedAt, from), Math.max(leader.viewedAt, from)];
+      return change({
+        renewedAt,
+        viewedAt,
+        cancellationRead: leader.cancellationRead || leader.inFlight.cancellationRead,
+        inFlight: null,
+      });
     }
     case "watch":
       // The shard's key is deleted with the expired lease: the leader reads that and releases the shard.
-      if (!served) return m;
-      if (ended) return change({ viewed: 0, renewed: 0 });
-      return change({ viewed: m.now, knows: leader.knows || m.confirmedAt !== null });
+      if (!storeReachable) return m;
+      if (leaseExpired) return change({ viewedAt: 0, renewedAt: 0 });
+      return change({ viewedAt: m.now, cancellationRead: leader.cancellationRead || m.cancelledAt !== null });
     case "heartbeat to the old leader":
-      return report(f, m, m.old);
+      return sendHeartbeat(f, m, m.old);
     case "heartbeat to the new leader":
-      return report(f, m, m.next);
+      return sendHeartbeat(f, m, m.next);
     case "store refuses the old leader":
-      return { ...m, refused: true };
+      return { ...m, oldLeaderRefused: true };
     case "store outage begins":
-      return { ...m, away: true };
+      return { ...m, storeOutage: true };
     case "store outage ends":
-      return m.away ? { ...m, away: false, grantUntil: m.now + TTL } : m;
+      return m.storeOutage ? { ...m, storeOutage: false, leaseUntil: m.now + SHARD_LEASE } : m;
     case "confirm cancellation":
-      return m.away || m.confirmedAt !== null ? m : { ...m, confirmedAt: m.now };
+      return m.storeOutage || m.cancelledAt !== null ? m : { ...m, cancelledAt: m.now };
     case "failover": {
-      if (!ended) return m;
-      const number = m.number + 1;
-      const next = { number, renewed: m.now, viewed: m.now, knows: m.confirmedAt !== null, sent: null };
+      if (!leaseExpired) return m;
+      const epoch = m.recordedEpoch + 1;
+      const next = {
+        epoch,
+        renewedAt: m.now,
+        viewedAt: m.now,
+        cancellationRead: m.cancelledAt !== null,
+        inFlight: null,
+      };
       // On a second failover, the previous leader becomes the old leader, which may continue as the first one did.
-      return { ...m, old: m.next ?? m.old, next, number, grantUntil: m.now + TTL };
+      return { ...m, old: m.next ?? m.old, next, recordedEpoch: epoch, leaseUntil: m.now + SHARD_LEASE };
     }
     case "long wait":
       return m;
   }
 };
 
-const wrong = (f: Functions, m: Moment): string | null => {
-  if (m.next !== null && acts(f, m.old, m.now) && acts(f, m.next, m.now)) return "two leaders hold a valid lease";
+const findViolation = (f: LeaseFunctions, m: ClusterModel): string | null => {
+  if (m.next !== null && holdsValidLease(f, m.old, m.now) && holdsValidLease(f, m.next, m.now))
+    return "two leaders hold a valid lease";
   // Without a further heartbeat response, the task runs until its worker's lease expires.
-  if (m.confirmedAt !== null && m.leaseFrom !== null && m.leaseFrom + LEASE > m.confirmedAt + BOUND)
+  if (
+    m.cancelledAt !== null &&
+    m.workerLeaseFrom !== null &&
+    m.workerLeaseFrom + WORKER_LEASE > m.cancelledAt + CANCELLATION_BOUND
+  )
     return "task outlived the bound";
   return null;
 };
 
 /** Events after which a refused leader has been replaced, while its own lease may still be valid for a moment. */
-const FOLLOWED: readonly Action[] = [
+const FAILOVER_EVENTS: readonly Action[] = [
   "store refuses the old leader",
   "watch",
   "long wait",
@@ -211,14 +236,14 @@
 ];
 
 const explore = (
-  f: Functions,
+  f: LeaseFunctions,
   depth: number,
-  from: Moment = BEGIN,
+  from: ClusterModel = INITIAL,
 ): { readonly orders: number; readonly broken: string | null } => {
   let orders = 0;
-  const visit = (m: Moment, path: readonly Action[]): string | null => {
-    const what = wrong(f, m);
-    if (what !== null) return `${what}: ${path.join(", ")}`;
+  const visit = (m: ClusterModel, path: readonly Action[]): string | null => {
+    const violation = findViolation(f, m);
+    if (violation !== null) return `${violation}: ${path.join(", ")}`;
     if (path.length === depth) {
       orders += 1;
       return null;
@@ -247,28 +272,28 @@
 test(`the same holds after a failover, with a second failover among the events (${DEPTH} events)`, {
   timeout: 3_600_000,
 }, () => {
-  const followed = FOLLOWED.reduce((m, action) => apply(REAL, m, action), BEGIN);
-  assert.equal(followed.number, 2);
-  const twice = ["long wait", "long wait", "failover"] as const;
-  assert.equal(twice.reduce((m, action) => apply(REAL, m, action), followed).number, 3);
-  const { orders, broken } = explore(REAL, DEPTH, followed);
+  const afterFailover = FAILOVER_EVENTS.reduce((m, action) => apply(REAL, m, action), INITIAL);
+  assert.equal(afterFailover.recordedEpoch, 2);
+  const secondFailover = ["long wait", "long wait", "failover"] as const;
+  assert.equal(secondFailover.reduce((m, action) => apply(REAL, m, action), afterFailover).recordedEpoch, 3);
+  const { orders, broken } = explore(REAL, DEPTH, afterFailover);
   assert.equal(broken, null);
   assert.equal(orders, ACTIONS.length ** DEPTH);
 });
 
-const BROKEN: Readonly<Record<string, Functions>> = {
-  "renewals and watches count from the receipt of their responses": { ...REAL, countsFrom: (_, now) => now },
+const BROKEN: Readonly<Record<string, LeaseFunctions>> = {
+  "renewals and watches count from the receipt of their responses": { ...REAL, effectiveTime: (_, now) => now },
   "a stale cache view does not invalidate the lease": {
     ...REAL,
-    mayAct: ({ renewedAt, duration }, now) => now < renewedAt + duration,
+    checkLease: ({ renewedAt, duration }, now) => now < renewedAt + duration,
   },
   "an expired renewal does not invalidate the lease": {
     ...REAL,
-    mayAct: ({ cacheFreshAsOf, duration }, now) => cacheFreshAsOf !== null && now < cacheFreshAsOf + duration,
+    checkLease: ({ cacheFreshAsOf, duration }, now) => cacheFreshAsOf !== null && now < cacheFreshAsOf + duration,
   },
   "a response renews the worker's lease without the pending stops before the token is seen": {
     ...REAL,
-    stopsOwed: () => [],
+    findStops: () => [],
   },
 };
 
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -10,7 +10,7 @@
 import { nothing, quiet } from "./shard-fixtures.js";
 
 const settings = parseSettings(settingsText(0));
-const [ME, BLOCK] = [memberKey(settings.label), shardKey(0)];
+const [MEMBER_KEY, SHARD_KEY] = [memberKey(settings.label), shardKey(0)];
 
 test("a shard assigned to a member whose late join carries a lease that is not renewed is not acquired", async () => {
   // The response to the first join is lost, and the second join succeeds. At the end of an outage the second join's key is
@@ -33,7 +33,7 @@
     },
     renewLease: async () => ({ kind: "ok", value: true }),
   };
-  let changed: () => void = nothing;
+  let notifyChange: () => void = nothing;
   const cache = {
     entries,
     loaded: true,
@@ -41,14 +41,14 @@
       return clock.now();
     },
     onChange: (listener: () => void) => {
-      changed = listener;
+      notifyChange = listener;
     },
     sync: async () => true,
   };
-  const taken: ShardLease[] = [];
+  const acquired: ShardLease[] = [];
   const services = { clock, log: quiet, settings, store, cache } as unknown as Services;
   const membership = new Membership(services, "inc-1", {
-    shardAcquired: (lease) => taken.push(lease),
+    shardAcquired: (lease) => acquired.push(lease),
     shardReleased: nothing,
   });
   void membership.run();
@@ -57,16 +57,16 @@
   assert.equal(grants, 2);
   const put = (key: string, value: unknown, version: number): void => {
     entries.set(key, { key, value, version });
-    changed();
+    notifyChange();
   };
   put("c/leader", { label: "ctl-1", incarnation: "inc-9" }, 6);
-  put(ME, { lease: 1, incarnation: "inc-1" }, 7);
-  put(BLOCK, { label: "ctl-0", incarnation: "inc-1", number: 3 }, 8);
-  assert.equal(taken.length, 0);
-  put(ME, { lease: 2, incarnation: "inc-1" }, 9);
-  assert.equal(taken.length, 1);
-  assert.equal(taken[0]?.isValid(), true);
+  put(MEMBER_KEY, { lease: 1, incarnation: "inc-1" }, 7);
+  put(SHARD_KEY, { label: "ctl-0", incarnation: "inc-1", number: 3 }, 8);
+  assert.equal(acquired.length, 0);
+  put(MEMBER_KEY, { lease: 2, incarnation: "inc-1" }, 9);
+  assert.equal(acquired.length, 1);
+  assert.equal(acquired[0]?.isValid(), true);
   // The shard is released when the member record names another lease.
-  put(ME, { lease: 1, incarnation: "inc-1" }, 10);
-  assert.equal(taken[0]?.isValid(), false);
+  put(MEMBER_KEY, { lease: 1, incarnation: "inc-1" }, 10);
+  assert.equal(acquired[0]?.isValid(), false);
 });
