--- a/test/dependency-event-orders.test.ts
+++ b/test/dependency-event-orders.test.ts
@@ -3,9 +3,10 @@
 import { DependencyGraph, type TerminalPhase } from "../src/cluster/dependency-graph.js";
 
 /**
- * All orders of what may happen to three jobs, of which the second awaits the first and the third both: checks before acceptance
- * and acceptances carried out later, cancellations, begins and ends decided by a holder that may be behind, takeovers. After each step
- * what any node would tell is held against what has been told before. By hand: RAINRIDGE_DEPTH=12.
+ * Explores all orders of events for three jobs, of which the second depends on the first and the third on both:
+ * dependency checks, acceptances applied later, cancellations, failovers, and starts and outcomes decided by a leader
+ * with a stale view. Guards against a job that starts before its dependencies are done, and against a controller that reports a state that
+ * contradicts an earlier report. A deeper run, started by hand: RAINRIDGE_DEPTH=12.
  */
 const DEPTH = Number(process.env.RAINRIDGE_DEPTH ?? 8);
 
@@ -19,9 +20,9 @@
   readonly current: Records;
   readonly ended: Ends;
   readonly version: number;
-  /** Checked, and not yet carried out: whether an awaited job was known to be cancelled. */
+  /** Jobs whose dependencies were checked: whether a dependency was cancelled at that time. */
   readonly checked: Readonly<Record<string, boolean>>;
-  /** What the holder has read of either. */
+  /** The job records and the outcomes that the leader has read. */
   readonly seen: Records;
   readonly learnt: Ends;
   readonly begun: readonly string[];
@@ -39,7 +40,7 @@
   told: {},
 };
 
-/** What a node concludes that has read these. */
+/** The dependency graph of a controller that has read these records and outcomes. */
 const chainsOf = (current: Records, ends: Ends): DependencyGraph => {
   const dependencies = new DependencyGraph();
   for (const [id, { cancelled }] of Object.entries(current)) dependencies.upsert(id, AWAITS[id] ?? [], cancelled);
@@ -49,13 +50,13 @@
 
 interface Functions {
   readonly mayBegin: (dependencies: DependencyGraph, id: string) => boolean;
-  /** Whether last words are looked up before a state is told. */
+  /** Whether outcomes are looked up before a state is reported. */
   readonly settles: boolean;
 }
 
 const REAL: Functions = { mayBegin: (dependencies, id) => dependencies.isReady(id), settles: true };
 
-/** What any node tells: from all that is current, and the last words on which that rests. */
+/** The state that any controller reports, from all current records and the outcomes that they depend on. */
 const tell = (f: Functions, m: Moment, id: string): string => {
   const end = m.ended[id];
   if (end !== undefined) return end;
@@ -98,7 +99,7 @@
     if (seen !== undefined && !m.begun.includes(id) && !seen.cancelled && !leader.isCancelled(id)) {
       if (f.mayBegin(leader, id)) found.push([`begin ${id}`, { ...m, begun: [...m.begun, id] }]);
     }
-    // Both ends are conditional on the version that the holder has seen.
+    // Both outcomes are written on condition that the record still has the version that the leader has read.
     if (record !== undefined && record.version === seen?.version) {
       const called = seen.cancelled || leader.isCancelled(id);
       const end: TerminalPhase | null = called ? "cancelled" : m.begun.includes(id) ? "done" : null;
@@ -119,15 +120,16 @@
 
 const wrong = (f: Functions, m: Moment): string | null => {
   for (const id of m.begun) {
-    for (const other of AWAITS[id] ?? []) if (m.ended[other] !== "done") return `${id} begun before ${other} was done`;
+    for (const other of AWAITS[id] ?? [])
+      if (m.ended[other] !== "done") return `${id} started before ${other} was done`;
   }
   for (const id of JOBS) {
     const now = tell(f, m, id);
     const before = m.told[id];
     if ((before === "cancelled" || before === "done") && now !== before) return `${id}: ${before}, then ${now}`;
-    if (before === "open" && now === "unknown") return `${id}: forgotten`;
+    if (before === "open" && now === "unknown") return `${id}: reported as open, then as unknown`;
     const needed = (AWAITS[id] ?? []).some((other) => tell(f, m, other) === "cancelled");
-    if (needed && now !== "cancelled" && now !== "unknown") return `${id} is ${now} though what it needs is cancelled`;
+    if (needed && now !== "cancelled" && now !== "unknown") return `${id} is ${now} although a dependency is cancelled`;
   }
   return null;
 };
@@ -155,20 +157,20 @@
   return { found: walk(BEGIN, []), orders };
 };
 
-test("in no order of events does a job start too early, or is a state reported that contradicts an earlier report", () => {
+test("in any order of events, no job starts before its dependencies and no report contradicts an earlier one", () => {
   const { found, orders } = explore(REAL);
   assert.equal(found, null);
   assert.ok(orders > 1_000, `${orders} orders`);
 });
 
-test("a leader that takes a missing job for done is caught, and so is an answer without the outcomes", () => {
+test("the exploration detects a leader that takes a missing job for done, and reports made without outcome lookups", () => {
   const gone: Functions = {
     ...REAL,
     mayBegin: (dependencies, id) => dependencies.dependenciesOf(id).every((other) => !known(dependencies, other)),
   };
-  assert.match(explore(gone).found ?? "", /begun before/);
+  assert.match(explore(gone).found ?? "", /started before/);
   assert.match(explore({ ...REAL, settles: false }).found ?? "", /cancelled/);
 });
 
-/** Whether the chains have the job as a current one. */
+/** Whether the job is current or its outcome is known to the graph. */
 const known = (dependencies: DependencyGraph, id: string): boolean => !dependencies.unresolved().includes(id);
--- a/test/job-dependencies.test.ts
+++ b/test/job-dependencies.test.ts
@@ -20,7 +20,7 @@
 const idOf = (number: number): string => `wk-${String(700_000 + number)}`;
 const RUN = { runUs: 5 * S };
 
-/** Submits the jobs one after the other, each as soon as those that it needs are accepted. */
+/** Submits the jobs in order, each once all its dependencies are accepted. */
 const submitInTurn = (cluster: Cluster, jobs: readonly Submission[], runUs = 5 * S): void => {
   const wait = [...jobs];
   const next = (): void => {
@@ -35,7 +35,7 @@
   next();
 };
 
-test("a job starts once all its dependencies are done, in a diamond as in a line", async () => {
+test("a job starts once all its dependencies are done, in a diamond and in a chain", async () => {
   const cluster = new Cluster(31);
   submitInTurn(cluster, [
     dependentJob(0, []),
@@ -48,7 +48,7 @@
   assert.deepEqual(cluster.unfinished(), []);
   const first = (number: number): number =>
     cluster.begun.find(({ task }) => task.startsWith(`${idOf(number)}/`))?.at ?? 0;
-  // Machines differ in speed by a tenth.
+  // 4 s instead of 5 s: machines differ in speed by 10 %.
   assert.ok(first(1) > first(0) + 4 * S && first(3) > Math.max(first(1), first(2)) + 4 * S);
   assert.deepEqual(cluster.errors, []);
 });
@@ -83,7 +83,7 @@
   await cluster.run(15 * S);
   cluster.users.cancel(idOf(1));
   await cluster.run(8 * S);
-  // Told at once by every node, whatever of it is on record by then.
+  // Every controller reports the cancellation at once, before all outcomes are recorded.
   for (const node of cluster.site.addresses.controllers) cluster.users.askOnce(idOf(42), node);
   await cluster.run(2 * S);
   assert.equal(cluster.checker.finalOf(idOf(42)), "withdrawn");
@@ -107,7 +107,7 @@
   );
 });
 
-test("a cancellation that is answered with done cancels no dependent", async () => {
+test("cancelling a job that is already done cancels no dependent", async () => {
   const cluster = new Cluster(36);
   cluster.submit(dependentJob(0, []), RUN);
   await cluster.run(30 * S);
@@ -128,7 +128,7 @@
   return answer;
 };
 
-test("an invalid dependency list is answered in one line that names the field", async () => {
+test("an invalid dependency list is rejected with an error line that names the field", async () => {
   const cluster = new Cluster(37);
   cluster.submit(dependentJob(0, []), { runUs: 100 * S });
   await cluster.run(10 * S);
@@ -146,21 +146,21 @@
     assert.equal(got, status, text);
     assert.match((JSON.parse(text) as { error: string }).error, says);
   }
-  // Accepted through another node a moment before.
+  // A dependency that another controller has just accepted is known.
   const [first] = await submitDirectly(cluster, dependentJob(2, []), 1);
   assert.equal(first, 201);
   assert.equal((await submitDirectly(cluster, dependentJob(3, [2]), 2))[0], 201);
-  // A repeat is answered with the state, whatever it names by then.
+  // A repeated submission is answered with the job's state, even if its dependency list differs.
   assert.equal((await submitDirectly(cluster, { ...dependentJob(3, []), awaits: [idOf(99)] }, 0))[0], 200);
   cluster.state.outage(20 * S);
   assert.equal((await submitDirectly(cluster, { ...job, awaits: [idOf(9)] }))[0], 503);
 });
 
-test("a dependency list too long for one value is kept in parts, survives a failover, and is deleted with its job", async () => {
+test("a dependency list too long for one value is stored in parts, survives a failover, and is deleted with its job", async () => {
   const cluster = new Cluster(38);
   const count = 900;
   for (let number = 0; number < count; number += 1) {
-    // All but one have ended long ago.
+    // All dependencies except the one submitted below ended earlier.
     cluster.state.put(outcomeKey(idOf(number)), { phase: "done", done: 2 });
     cluster.checker.jobs.set(idOf(number), { ...endedJob, id: idOf(number) });
     cluster.users.heardOf(dependentJob(number, []));
@@ -199,7 +199,7 @@
 };
 
 test("the state of a dependency graph follows from records alone, in any order in which they are read", () => {
-  // Accept, end and cancel in all orders that records allow, read in any order by two nodes.
+  // Acceptances, outcomes and cancellations, applied in orders in which a controller may read their records.
   const dependencies = new DependencyGraph();
   const cancelledIds: string[] = [];
   const readyIds: string[] = [];
@@ -220,14 +220,14 @@
   dependencies.remove("b");
   dependencies.upsert("d", ["c"], false);
   assert.equal(dependencies.isCancelled("d"), true);
-  // A chain of a hundred thousand, walked without recursion.
+  // A chain of 100,000 jobs does not overflow the stack.
   const deep = new DependencyGraph();
   for (let at = 0; at < 100_000; at += 1) deep.upsert(`j${at}`, at === 0 ? [] : [`j${at - 1}`], false);
   deep.upsert("j0", [], true);
   assert.equal(deep.isCancelled("j99999"), true);
 });
 
-test("a job has the rank of its dependents while they are current, and the deadline that they leave it", async () => {
+test("a job inherits the rank and the deadline of its dependents while they are current", async () => {
   const cluster = new Cluster(39);
   const due = { rank: "high", dueS: 300, guessS: 10 } as const;
   submitInTurn(
@@ -245,7 +245,7 @@
   assert.deepEqual([job(0)?.effectiveRank, job(0)?.effectiveDeadline], [3, null]);
 });
 
-test("the fast model keeps dependencies, too, and cancels dependents with a cancelled job", () => {
+test("the fast model respects dependencies and cancels the dependents of a cancelled job", () => {
   const ended = new Map<string, string>();
   const began = new Map<string, number>();
   const site = new FastSite({
@@ -293,7 +293,7 @@
   assert.ok(at(1) > at(0) + 4 * S && at(2) > at(1) + 4 * S);
 });
 
-test("a job that an older version accepted with a dependency that nobody submitted waits, and is answered", async () => {
+test("a job that an older version accepted with a never-submitted dependency stays pending, and its status is reported", async () => {
   const cluster = new Cluster(40);
   await cluster.run(5 * S);
   const job = dependentJob(1, [9]);
@@ -311,7 +311,7 @@
   assert.equal(cluster.checker.starts, 0);
 });
 
-test("a failover with hundreds of half-done dependencies: starts without lookups come first, lookups go by pages", async () => {
+test("after a failover with hundreds of resolved dependencies, starts do not wait for lookups, which read pages", async () => {
   const cluster = new Cluster(41);
   cluster.rooms.ordinary = 40;
   const pairs = 300;
@@ -333,7 +333,7 @@
     if (target.startsWith("/kv/e/") || target.startsWith("/kv?under=e/")) lookups += 1;
   };
   for (let at = 0; at < 300 && cluster.begun.length === 0; at += 1) await cluster.run(S / 10);
-  // Three controllers, 300 last words each: by single reads that were 900.
+  // Single reads would be 900 lookups: 300 outcomes on each of three controllers.
   assert.ok(cluster.begun.length > 0 && lookups <= 60, `${lookups} lookups before the first start`);
   await cluster.run(120 * S);
   const begun = new Set(cluster.begun.map(({ task }) => task.split("/")[0]));
