--- a/test/job-dependencies.test.ts
+++ b/test/job-dependencies.test.ts
@@ -8,13 +8,13 @@
 import { jobKey, outcomeKey } from "../src/storage/keys.js";
 import { Cluster, plainJob, type Submission, trueJob } from "./sim/cluster.js";
 
-const dependentJob = (number: number, awaits: readonly number[], fields: Partial<Submission> = {}): Submission =>
+const dependentJob = (number: number, dependencies: readonly number[], fields: Partial<Submission> = {}): Submission =>
   plainJob(idOf(number), {
     shards: 2,
     cpus: 1,
     sizeGb: 0.1,
     rank: "best_effort",
-    ...(awaits.length === 0 ? {} : { awaits: awaits.map(idOf) }),
+    ...(dependencies.length === 0 ? {} : { awaits: dependencies.map(idOf) }),
     ...fields,
   });
 const idOf = (number: number): string => `wk-${String(700_000 + number)}`;
@@ -22,11 +22,11 @@
 
 /** Submits the jobs in order, each once all its dependencies are accepted. */
 const submitInTurn = (cluster: Cluster, jobs: readonly Submission[], runUs = 5 * S): void => {
-  const wait = [...jobs];
+  const pending = [...jobs];
   const next = (): void => {
     const accepted = new Set(cluster.checker.accepted());
-    while (wait[0]?.awaits === undefined || wait[0].awaits.every((id) => accepted.has(id))) {
-      const job = wait.shift();
+    while (pending[0]?.awaits === undefined || pending[0].awaits.every((id) => accepted.has(id))) {
+      const job = pending.shift();
       if (job === undefined) return;
       cluster.submit(job, { runUs });
     }
