--- a/test/sim/rollout.ts
+++ b/test/sim/rollout.ts
@@ -3,18 +3,18 @@
 import type { HttpRequest } from "../../src/transport/http.js";
 import { Cluster, plainJob, type Submission, settingsAt } from "./cluster.js";
 
-/** Limits that the state service will have from some moment on. */
+/** Settings that announce future, lower limits of the key-value store. */
 export const ANNOUNCED_LIMITS =
   "[deployment.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 6\n\n[deployment.cloud]";
 export const withAnnouncedLimits = (text: string): string => text.replace("[deployment.cloud]", ANNOUNCED_LIMITS);
 export const LOWER_LIMITS = { writeRps: 28, valueBytes: 2_048, txnOps: 6 };
 
-/** A controller that knows nothing of `awaits`, of lower limits or of any field that came with them. */
+/** Rewrites a request to that of an old controller, without dependency lists and the record fields added since. */
 const asOld = (request: HttpRequest): HttpRequest => {
   if (request.target !== "/txn") return request;
   const transaction = JSON.parse(request.body) as { writes: { set?: string; value?: Record<string, unknown> }[] };
   for (const { set, value } of transaction.writes) {
-    if (set?.startsWith("c/awaits/") === true) throw new Error("a list of awaited jobs of the old version");
+    if (set?.startsWith("c/awaits/") === true) throw new Error("old version wrote a dependency list");
     if (set?.startsWith("c/job/") !== true || value === undefined) continue;
     delete value.acceptedMs;
     delete value.awaited;
@@ -24,12 +24,12 @@
 
 export interface Rollout {
   readonly cluster: Cluster;
-  /** That process ends and comes back new. */
+  /** Restarts the controller as the new version. */
   upgrade(at: number): void;
   isNew(at: number): boolean;
 }
 
-/** Three old controllers under the new settings page, of which they know what the old version knew. */
+/** Three old controllers, in a cluster whose new settings apply to each controller from its upgrade on. */
 export const playRollout = (
   seed: number,
   mesh: boolean,
@@ -38,7 +38,7 @@
 ): Rollout => {
   const upgraded = new Set<number>();
   const { controllers } = cluster.site.addresses;
-  // From their first moment on: nothing has happened yet.
+  // Restarted before the simulation runs, so that they are old versions from the start.
   for (const at of [0, 1, 2]) cluster.site.restartWith(at, parseSettings(settingsAt(at, (text) => text)), 1);
   cluster.network.rewrite = (from, _to, request) => {
     const at = controllers.indexOf(from);
@@ -54,7 +54,7 @@
   };
 };
 
-/** Chains of five with a diamond, one every four seconds, some of them called off. */
+/** Submits a diamond of four dependent jobs every 4 s, some of them cancelled; returns the ids of the last jobs. */
 export const submitDependencyChains = (cluster: Cluster, from: number, until: number): readonly string[] => {
   const last: string[] = [];
   let number = 0;
--- a/test/status-polling.test.ts
+++ b/test/status-polling.test.ts
@@ -14,7 +14,7 @@
 import type { Micros } from "../src/transport/clock.js";
 import { Cluster, plainJob, SMALL } from "./sim/cluster.js";
 
-test("a storm of questions takes no more than its share of the state service, and submissions go on at once", async () => {
+test("a flood of status requests stays within its share of key-value store requests, and submissions stay fast", async () => {
   const cluster = new Cluster(41);
   for (let at = 0; at < 30; at += 1) {
     const ref = `wk-0000${String(at).padStart(2, "0")}`;
@@ -25,7 +25,7 @@
   const before = requests();
   await cluster.run(20 * S);
   const calm = (requests() - before) / 20;
-  // Ten times as many questions as before, and more.
+  // 600 status requests a second, more than ten times the rate before.
   for (let at = 0; at < 30; at += 1) {
     for (let user = 0; user < 10; user += 1) {
       const ref = `wk-0000${String(at).padStart(2, "0")}`;
@@ -55,8 +55,8 @@
   assert.ok(storm - calm < 0.3 * state.rps, `${storm} requests a second, ${calm} without, of ${state.rps}`);
 });
 
-test("a large job's records are read once for each of their versions, not once for each question", async () => {
-  // 25,000 tasks on record were parsed for every question about them at the controllers that do not hold the block.
+test("a large job's records are decoded once per version, not once per status request", async () => {
+  // Controllers that do not lead the shard decoded all 25,000 recorded tasks of a job at every status request for it.
   const job = plainJob("wk-000001", { shards: 256 });
   let reads = 0;
   const range = (version: number): KeyValueEntry => ({
@@ -126,14 +126,14 @@
   return { world, ended, lookups, learnt, requests: () => requests };
 };
 
-test("whoever asks about an ended job is answered in the order of asking, within a share of the requests", async () => {
+test("lookups of ended jobs are answered in the order of requests, within their share of store requests", async () => {
   const { world, ended, lookups, learnt, requests } = lookupsOn(() => true);
   for (let at = 0; at < 4_000; at += 1) ended.add(`e/wk-${String(at).padStart(6, "0")}`);
   const answers = new Map<string, string>();
   const ask = (id: string): void => {
     void lookups.find(id).then(({ kind }) => answers.set(id, kind));
   };
-  // 20 a second, among them some that nobody submitted, each asked again and again until it is answered.
+  // 20 jobs a second, some of them never submitted; each request is retried until it is answered.
   const asked: string[] = [];
   for (let at = 0; at < 400; at += 1) {
     const id = `wk-${String(at % 10 === 9 ? 900_000 + at : at * 9).padStart(6, "0")}`;
@@ -151,7 +151,7 @@
   assert.ok(learnt.size >= 360);
 });
 
-test("a lookup that failed is answered as unknown, and the next one is a new one", async () => {
+test("a failed lookup is answered as unknown, and the next request starts a new lookup", async () => {
   let good = false;
   const { world, ended, lookups } = lookupsOn(() => good);
   ended.add("e/wk-1");
@@ -165,8 +165,8 @@
   assert.deepEqual(kinds, ["unknown", "ok", "missing"]);
 });
 
-test("a storm of questions about jobs that nobody submitted does not cost the holder its right", async () => {
-  // Each was a request of its own beside the watch, which waited its turn among them.
+test("a flood of status requests for jobs that were never submitted does not expire the shard lease", async () => {
+  // Each status request led to a store request of its own, behind which the watch request was queued.
   const cluster = new Cluster(43);
   for (let at = 0; at < 10; at += 1) {
     cluster.submit(plainJob(`wk-00000${at}`, { shards: 2, cpus: 1 }), { runUs: 20 * S });
@@ -188,16 +188,16 @@
 });
 
 const STORMS: Readonly<Record<string, (cluster: Cluster) => void>> = {
-  "by itself": () => undefined,
-  "with a takeover": (cluster) => cluster.crash(cluster.holder(), 15 * S),
-  "with a restart of all": (cluster) => {
+  "without a fault": () => undefined,
+  "with a failover": (cluster) => cluster.crash(cluster.holder(), 15 * S),
+  "with a restart of all controllers": (cluster) => {
     for (const at of [0, 1, 2]) cluster.crash(at);
   },
-  "with a state outage": (cluster) => cluster.state.outage(15 * S),
+  "with a store outage": (cluster) => cluster.state.outage(15 * S),
 };
 
 for (const [beside, trouble] of Object.entries(STORMS)) {
-  test(`after a storm of questions, ${beside}, no job is without an answer for long`, async () => {
+  test(`after a flood of status requests, ${beside}, every job's status is answered soon`, async () => {
     const cluster = new Cluster(44, { mesh: true }, undefined, SMALL);
     const refs = Array.from({ length: 60 }, (_, at) => `wk-0000${String(at).padStart(2, "0")}`);
     for (const [at, ref] of refs.entries()) {
@@ -206,7 +206,7 @@
       );
     }
     await cluster.run(40 * S);
-    // Some times what these controllers can answer; what has come in is worked off even if nobody waits for it any more.
+    // Several times what these controllers can answer; requests received are processed even if their callers time out.
     for (let at = 0; at < 12_000; at += 1) {
       cluster.world.after(at * 2_500, () => cluster.users.askOnce(cluster.random.pick(refs)));
     }
@@ -215,7 +215,7 @@
     cluster.checker.calmFrom = cluster.world.now;
     const from = cluster.world.now;
     for (const [at, ref] of refs.entries()) cluster.world.after(at * 80_000, () => cluster.users.keepAsking(ref));
-    // Far less than the 75 s after which a job counts as forgotten.
+    // Far below the 75 s after which the checker reports a job as forgotten.
     await cluster.run(40 * S);
     const accepted = cluster.checker.accepted();
     assert.ok(accepted.length > 40, `${accepted.length} accepted`);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -14,7 +14,7 @@
 import { assertRecovered, type Fault } from "./sim/faulty-day.js";
 import { LOWER_LIMITS, playRollout, type Rollout, submitDependencyChains, withAnnouncedLimits } from "./sim/rollout.js";
 
-// What both versions share, as the old one wrote it (docs/compatibility.md) ---------------------------------------------
+// Records shared by both versions, as the old version writes them (docs/compatibility.md) ---------------------------
 
 const SPEC =
   '{"id":"wk-000412","jobClass":"train","team":"vision","shape":"array","priority":"high","tasks":16,"demand":{"cpu":8000,"gpu":1000,"ram":64000},"types":["g8"],"zone":null,"oneZone":true,"spread":false,"spot":true,"image":"img-07","imageGb":6.2,"estimateS":240,"checkpointS":30,"saveS":4,"deadlineS":900}';
@@ -40,7 +40,7 @@
   deadlineS: 900,
 };
 
-test("records of the old version are read as they were meant", () => {
+test("records of the old version are decoded correctly", () => {
   const job = decodeJobRecord(JSON.parse(`{"spec":${SPEC},"block":0,"cancelled":true}`));
   assert.deepEqual(job, { spec: SPEC_IN_MEMORY, shard: 0, cancelled: true });
   assert.deepEqual(decodeTaskRange(JSON.parse('{"t":[0,3,-1,[2,"n-000231"]]}')), [
@@ -69,7 +69,7 @@
   });
 });
 
-test("what the new version writes is what the old one reads, and more only where the old one never looks", async () => {
+test("records of the new version have the fields that the old one reads, and others only where it ignores them", async () => {
   const cluster = new Cluster(51, {}, withAnnouncedLimits);
   cluster.submit(plainJob("wk-000001", { dueS: 100 }), { runUs: 200 * S });
   cluster.submit(plainJob("wk-000002"), { runUs: 3 * S });
@@ -87,7 +87,7 @@
   assert.deepEqual(encodeTaskRange([{ kind: "placed", attempt: 2, machine: "n-1" }]), { t: [[2, "n-1"]] });
 });
 
-// Side by side ----------------------------------------------------------------------------------------------------------
+// Mixed versions during a rolling upgrade ---------------------------------------------------------------------------
 
 const stream = (cluster: Cluster, from: number, until: number): void => {
   let number = 0;
@@ -105,12 +105,12 @@
   "one by one": ({ cluster, upgrade }) => {
     for (const at of [0, 1, 2]) cluster.world.at((40 + at * 12) * S, () => upgrade(at));
   },
-  "the holder first, then takeovers old to new and back": ({ cluster, upgrade, isNew }) => {
+  "the leader first, then failovers from old to new and back": ({ cluster, upgrade, isNew }) => {
     cluster.world.at(40 * S, () => upgrade(cluster.holder()));
     for (const at of [50, 58]) cluster.world.at(at * S, () => cluster.crash(cluster.holder(), 2 * S));
     for (const at of [0, 1, 2]) cluster.world.at((66 + at * 4) * S, () => (isNew(at) ? undefined : upgrade(at)));
   },
-  "one dies before its turn and comes back old, a state outage in the middle": ({ cluster, upgrade }) => {
+  "one crashes before its upgrade and restarts old, a store outage meanwhile": ({ cluster, upgrade }) => {
     cluster.world.at(40 * S, () => upgrade(0));
     cluster.world.at(44 * S, () => cluster.crash(1, 2 * S));
     cluster.world.at(48 * S, () => cluster.state.outage(12 * S));
@@ -120,14 +120,14 @@
 };
 
 const TROUBLES: Readonly<Record<string, Fault>> = {
-  "no trouble": () => undefined,
-  "writes late": (c) => c.world.at(42 * S, () => c.state.lateWrites(0.2, 60 * S)),
-  "a zone cut, the holder ends": (c) => {
+  "no fault": () => undefined,
+  "delayed writes": (c) => c.world.at(42 * S, () => c.state.lateWrites(0.2, 60 * S)),
+  "a zone partitioned, the leader crashes": (c) => {
     c.world.at(60 * S, () => c.site.cutZone("west", 30 * S, "hold"));
     c.world.at(100 * S, () => c.crash(c.holder(), 3 * S));
     c.world.at(112 * S, () => c.crash(c.holder(), 0.5 * S));
   },
-  "answers lost, an outage while chains go on": (c) => {
+  "responses lost, a store outage during dependency chains": (c) => {
     c.world.at(95 * S, () => c.state.loseAnswers(0.3, 30 * S));
     c.world.at(125 * S, () => c.state.outage(20 * S));
   },
@@ -135,7 +135,7 @@
 
 for (const [way, [name, upgrade]] of Object.entries(UPGRADES).entries()) {
   for (const [at, [other, trouble]] of Object.entries(TROUBLES).entries()) {
-    test(`both versions serve side by side: ${name}; ${other}; then chains and lower limits`, async () => {
+    test(`both versions serve in one cluster: ${name}; ${other}; then dependency chains and lower limits`, async () => {
       const r = playRollout(61 + way * 4 + at, (way + at) % 2 === 0);
       const { cluster } = r;
       cluster.rooms.ordinary = 12;
@@ -146,7 +146,7 @@
       const last = submitDependencyChains(cluster, 84 * S, 140 * S);
       cluster.world.at(105 * S, () => cluster.state.lower(LOWER_LIMITS));
       await cluster.run(160 * S);
-      for (const node of [0, 1, 2]) assert.ok(r.isNew(node), "not all are new");
+      for (const node of [0, 1, 2]) assert.ok(r.isNew(node), "not all controllers are upgraded");
       cluster.checker.calmFrom = cluster.world.now;
       await cluster.run(170 * S);
       assertRecovered(cluster);
@@ -157,12 +157,12 @@
         finals.filter((final) => final === null),
         [],
       );
-      assert.equal(cluster.state.tooLarge, 0, "sent something that is larger than it may be");
+      assert.equal(cluster.state.tooLarge, 0, "requests above the size limit");
     });
   }
 }
 
-test("a record of the old version that is larger than the new limit is read, shrinks and ends", async () => {
+test("a task range of the old version above the new value limit is read, shrinks and is deleted as its job ends", async () => {
   const r = playRollout(81, false, (text) => withAnnouncedLimits(text).replace("value_kb = 2.0", "value_kb = 1.0"));
   const { cluster, upgrade } = r;
   cluster.rooms.ordinary = 60;
@@ -178,7 +178,7 @@
   cluster.state.lower({ ...LOWER_LIMITS, valueBytes: 1_024 });
   cluster.submit(plainJob("wk-000003", { shards: 40, cpus: 1, sizeGb: 0.1 }), { runUs: 5 * S });
   await cluster.run(20 * S);
-  // The long one is called off while its record can't be written again as it is.
+  // The long job is cancelled while its record is too large to be rewritten.
   cluster.users.cancel("wk-000002");
   await cluster.run(120 * S);
   for (const id of ["wk-000001", "wk-000003"]) assert.equal(cluster.checker.finalOf(id), "done", id);
@@ -186,7 +186,7 @@
   assert.equal(cluster.state.value("c/job/wk-000002"), undefined);
 });
 
-test("a job whose own record is larger than the new limit can be called off, and asked about, and ends", async () => {
+test("a job whose record is above the new value limit can be cancelled and queried, and ends", async () => {
   const r = playRollout(83, false);
   const { cluster, upgrade } = r;
   const flavors = ["big", ...Array.from({ length: 300 }, (_, at) => `none-${at}`)];
@@ -201,12 +201,12 @@
   await cluster.run(80 * S);
   const finals = ["wk-000001", "wk-000002"].map((id) => cluster.checker.finalOf(id));
   assert.deepEqual([finals, cluster.state.tooLarge], [["withdrawn", "done"], 0]);
-  // Its repeat is answered with its state, though nothing as large is taken any more.
+  // A repeated submission is answered with the job's state, although a new job of this size would be rejected.
   for (const job of cluster.users.known().all) void cluster.users.resubmit(job);
   await cluster.run(5 * S);
 });
 
-test("limits that are lower than anybody said are learnt, and nothing is sent again as it is", async () => {
+test("limits lowered without announcement are detected, and oversized requests are not repeated unchanged", async () => {
   const cluster = new Cluster(82);
   cluster.rooms.ordinary = 40;
   stream(cluster, 5 * S, 60 * S);
@@ -219,7 +219,7 @@
   assert.ok(cluster.state.tooLarge > 0 && cluster.state.tooLarge < 60, `${cluster.state.tooLarge} refused`);
 });
 
-test("settings: the lower limits hold, and what leaves too little is refused with the field's name", () => {
+test("settings: the lower of two limits applies, and limits that are too low are rejected with the field's name", () => {
   const { store } = parseSettings(withAnnouncedLimits(settingsText(0)));
   assert.deepEqual(store, {
     requestsPerS: 150,
