--- a/test/job-dependencies.test.ts
+++ b/test/job-dependencies.test.ts
@@ -53,14 +53,14 @@
   assert.deepEqual(cluster.errors, []);
 });
 
-test("the checker detects a task that starts too early, and a job that outlives its dependency", async () => {
-  const early = new Cluster(32);
-  early.users.alter = (request) => {
+test("the checker detects a task that starts too startsEarly, and a job that outlives its dependency", async () => {
+  const startsEarly = new Cluster(32);
+  startsEarly.users.alter = (request) => {
     if (request.method !== "POST" || request.target !== "/v2/runs") return request;
     return { ...request, body: JSON.stringify({ ...(JSON.parse(request.body) as object), awaits: undefined }) };
   };
-  submitInTurn(early, [dependentJob(0, []), dependentJob(1, [0])]);
-  await assert.rejects(early.run(60 * S), /too_early/);
+  submitInTurn(startsEarly, [dependentJob(0, []), dependentJob(1, [0])]);
+  await assert.rejects(startsEarly.run(60 * S), /too_early/);
   const orphan = new Cluster(33);
   submitInTurn(orphan, [dependentJob(0, []), dependentJob(1, [0])], 300 * S);
   orphan.network.tamper = (from, _, { method, target }, response) =>
@@ -133,7 +133,7 @@
   cluster.submit(dependentJob(0, []), { runUs: 100 * S });
   await cluster.run(10 * S);
   const job = dependentJob(1, []);
-  const wrong: [unknown, number, RegExp][] = [
+  const invalidLists: [unknown, number, RegExp][] = [
     ["wk-700000", 400, /^awaits: not a list$/],
     [["x"], 400, /^awaits: not a list of job ids$/],
     [[7], 400, /^awaits: not a list of job ids$/],
@@ -141,10 +141,10 @@
     [[idOf(1)], 400, /^awaits: names the job itself$/],
     [[idOf(0), idOf(9)], 422, /^awaits: wk-700009 was never accepted$/],
   ];
-  for (const [awaits, status, says] of wrong) {
+  for (const [awaits, status, expectedError] of invalidLists) {
     const [got, text] = await submitDirectly(cluster, { ...job, awaits });
     assert.equal(got, status, text);
-    assert.match((JSON.parse(text) as { error: string }).error, says);
+    assert.match((JSON.parse(text) as { error: string }).error, expectedError);
   }
   // A dependency that another controller has just accepted is known.
   const [first] = await submitDirectly(cluster, dependentJob(2, []), 1);
@@ -315,7 +315,7 @@
   const cluster = new Cluster(41);
   cluster.rooms.ordinary = 40;
   const pairs = 300;
-  const on = (job: Submission): void => {
+  const addRecordedJob = (job: Submission): void => {
     cluster.state.put(jobKey(job.ref), encodeJobRecord({ spec: decodeSubmission(job), shard: 0, cancelled: false }));
     cluster.checker.jobs.set(job.ref, trueJob(job));
     cluster.site.truth.behaviours.set(job.ref, { ...jobBehaviour(job), ...RUN });
@@ -325,9 +325,9 @@
     cluster.state.put(outcomeKey(first), { phase: "done", done: 2 });
     cluster.checker.jobs.set(first, { ...endedJob, id: first });
     for (const task of [0, 1]) cluster.checker.taskDone(`${first}/${task}`);
-    on(dependentJob(2 * at + 1, [2 * at], { shards: 1 }));
+    addRecordedJob(dependentJob(2 * at + 1, [2 * at], { shards: 1 }));
   }
-  on(dependentJob(9_000, [], { rank: "high" }));
+  addRecordedJob(dependentJob(9_000, [], { rank: "high" }));
   let lookups = 0;
   cluster.network.onRequest = (_, __, { target }) => {
     if (target.startsWith("/kv/e/") || target.startsWith("/kv?under=e/")) lookups += 1;
--- a/test/sim/rollout.ts
+++ b/test/sim/rollout.ts
@@ -10,7 +10,7 @@
 export const LOWER_LIMITS = { writeRps: 28, valueBytes: 2_048, txnOps: 6 };
 
 /** Rewrites a request to that of an old controller, without dependency lists and the record fields added since. */
-const asOld = (request: HttpRequest): HttpRequest => {
+const asOldVersion = (request: HttpRequest): HttpRequest => {
   if (request.target !== "/txn") return request;
   const transaction = JSON.parse(request.body) as { writes: { set?: string; value?: Record<string, unknown> }[] };
   for (const { set, value } of transaction.writes) {
@@ -33,7 +33,7 @@
 export const playRollout = (
   seed: number,
   mesh: boolean,
-  altered = withAnnouncedLimits,
+  alterSettings = withAnnouncedLimits,
   cluster = new Cluster(seed, { mesh }, withAnnouncedLimits),
 ): Rollout => {
   const upgraded = new Set<number>();
@@ -42,13 +42,13 @@
   for (const at of [0, 1, 2]) cluster.site.restartWith(at, parseSettings(settingsAt(at, (text) => text)), 1);
   cluster.network.rewrite = (from, _to, request) => {
     const at = controllers.indexOf(from);
-    return at < 0 || upgraded.has(at) ? request : asOld(request);
+    return at < 0 || upgraded.has(at) ? request : asOldVersion(request);
   };
   return {
     cluster,
     upgrade: (at) => {
       upgraded.add(at);
-      cluster.site.restartWith(at, parseSettings(settingsAt(at, altered)));
+      cluster.site.restartWith(at, parseSettings(settingsAt(at, alterSettings)));
     },
     isNew: (at) => upgraded.has(at),
   };
@@ -56,10 +56,10 @@
 
 /** Submits a diamond of four dependent jobs every 4 s, some of them cancelled; returns the ids of the last jobs. */
 export const submitDependencyChains = (cluster: Cluster, from: number, until: number): readonly string[] => {
-  const last: string[] = [];
+  const lastJobIds: string[] = [];
   let number = 0;
   const id = (stage: number): string => `wk-${60 + stage}${String(number).padStart(4, "0")}`;
-  const more = (): void => {
+  const submitNextChain = (): void => {
     number += 1;
     const stages: Submission[] = [
       plainJob(id(0), { shards: 3, cpus: 1, sizeGb: 0.1, rank: "best_effort" }),
@@ -67,21 +67,22 @@
       plainJob(id(2), { shards: 2, cpus: 1, sizeGb: 0.1, owner: "capped", awaits: [id(0)] }),
       plainJob(id(3), { shards: 1, cpus: 1, sizeGb: 0.1, rank: "high", dueS: 90, awaits: [id(1), id(2)] }),
     ];
-    last.push(id(3));
-    const middle = number % 5 === 0 ? id(1) : null;
+    lastJobIds.push(id(3));
+    const cancelledId = number % 5 === 0 ? id(1) : null;
     const submit = (): void => {
       const accepted = new Set(cluster.checker.accepted());
       while (stages[0]?.awaits === undefined || stages[0].awaits.every((ref) => accepted.has(ref))) {
         const stage = stages.shift();
         if (stage === undefined) return;
         cluster.submit(stage, { runUs: 4 * S });
-        if (stage.ref === middle) cluster.world.after(cluster.random.int(0, 9 * S), () => cluster.users.cancel(middle));
+        if (stage.ref === cancelledId)
+          cluster.world.after(cluster.random.int(0, 9 * S), () => cluster.users.cancel(cancelledId));
       }
       cluster.world.after(S / 10, submit);
     };
     submit();
-    if (cluster.world.now < until) cluster.world.after(4 * S, more);
+    if (cluster.world.now < until) cluster.world.after(4 * S, submitNextChain);
   };
-  cluster.world.at(from, more);
-  return last;
+  cluster.world.at(from, submitNextChain);
+  return lastJobIds;
 };
--- a/test/status-polling.test.ts
+++ b/test/status-polling.test.ts
@@ -24,7 +24,7 @@
   const requests = (): number => cluster.state.received;
   const before = requests();
   await cluster.run(20 * S);
-  const calm = (requests() - before) / 20;
+  const baselineRate = (requests() - before) / 20;
   // 600 status requests a second, more than ten times the rate before.
   for (let at = 0; at < 30; at += 1) {
     for (let user = 0; user < 10; user += 1) {
@@ -33,26 +33,29 @@
         cluster.world.after((half * 0.5 + user * 0.05) * S, () => cluster.users.askOnce(ref));
     }
   }
-  const took: number[] = [];
+  const submitTimes: number[] = [];
   for (let at = 0; at < 20; at += 1) {
     const ref = `wk-0001${String(at).padStart(2, "0")}`;
     cluster.world.after(at * S, () => {
-      const since = cluster.world.now;
+      const submittedAt = cluster.world.now;
       cluster.submit(plainJob(ref, { shards: 1, cpus: 1 }), { runUs: 5 * S });
-      const look = (): void => {
-        if (cluster.state.value(jobKey(ref)) !== undefined) took.push(cluster.world.now - since);
-        else cluster.world.after(10_000, look);
+      const checkRecord = (): void => {
+        if (cluster.state.value(jobKey(ref)) !== undefined) submitTimes.push(cluster.world.now - submittedAt);
+        else cluster.world.after(10_000, checkRecord);
       };
-      look();
+      checkRecord();
     });
   }
   const start = requests();
   await cluster.run(20 * S);
-  const storm = (requests() - start) / 20;
-  assert.equal(took.length, 20);
-  assert.ok(Math.max(...took) < S, `the longest took ${Math.max(...took) / S} s`);
+  const floodRate = (requests() - start) / 20;
+  assert.equal(submitTimes.length, 20);
+  assert.ok(Math.max(...submitTimes) < S, `the longest took ${Math.max(...submitTimes) / S} s`);
   const { state } = cluster.site.setup.spec;
-  assert.ok(storm - calm < 0.3 * state.rps, `${storm} requests a second, ${calm} without, of ${state.rps}`);
+  assert.ok(
+    floodRate - baselineRate < 0.3 * state.rps,
+    `${floodRate} requests a second, ${baselineRate} without, of ${state.rps}`,
+  );
 });
 
 test("a large job's records are decoded once per version, not once per status request", async () => {
@@ -81,13 +84,13 @@
   ]);
   const settings = { store: { requestsPerS: 150 }, controllers: 3 };
   const services = { cache: { entries, sync: async () => true }, settings } as unknown as Services;
-  const door = new JobApi(services, new Map(), {
+  const jobApi = new JobApi(services, new Map(), {
     taskCounts: () => null,
     isLeader: () => false,
     isWithdrawn: () => false,
   });
   const ask = async (): Promise<unknown> =>
-    JSON.parse((await door.handle({ method: "GET", target: `/v2/runs/${job.ref}`, body: "" })).body);
+    JSON.parse((await jobApi.handle({ method: "GET", target: `/v2/runs/${job.ref}`, body: "" })).body);
   for (let at = 0; at < 50; at += 1) {
     assert.deepEqual(await ask(), { ref: job.ref, phase: "running", done: 0, running: 256 });
   }
@@ -97,7 +100,7 @@
   assert.equal(reads, 3);
 });
 
-const lookupsOn = (pages: () => boolean) => {
+const createOutcomeReader = (storeAvailable: () => boolean) => {
   const world = new World();
   const clock = new HostClock(world, 1, 0);
   const ended = new Set<string>();
@@ -108,30 +111,30 @@
     get: async (key: string) => {
       requests += 1;
       await wait();
-      if (!pages()) return { kind: "refused" };
+      if (!storeAvailable()) return { kind: "refused" };
       return ended.has(key) ? { kind: "ok", value: entry(key) } : { kind: "missing" };
     },
     page: async (prefix: string, from: string, count: number) => {
       requests += 1;
       await wait();
-      if (!pages()) return { kind: "refused" };
+      if (!storeAvailable()) return { kind: "refused" };
       const keys = [...ended].filter((key) => key.startsWith(prefix) && key > from).sort();
       const entries = keys.slice(0, count).map(entry);
       return { kind: "ok", value: { entries, more: keys.length > count, revision: 1 } };
     },
   } as unknown as KeyValueStore;
-  const learnt = new Set<string>();
+  const found = new Set<string>();
   const log = { error: () => undefined, info: () => undefined, debug: () => undefined };
-  const lookups = new OutcomeReader(store, clock, log, 100_000 as Micros, (id) => learnt.add(id));
-  return { world, ended, lookups, learnt, requests: () => requests };
+  const reader = new OutcomeReader(store, clock, log, 100_000 as Micros, (id) => found.add(id));
+  return { world, ended, reader, found, requests: () => requests };
 };
 
 test("lookups of ended jobs are answered in the order of requests, within their share of store requests", async () => {
-  const { world, ended, lookups, learnt, requests } = lookupsOn(() => true);
+  const { world, ended, reader, found, requests } = createOutcomeReader(() => true);
   for (let at = 0; at < 4_000; at += 1) ended.add(`e/wk-${String(at).padStart(6, "0")}`);
   const answers = new Map<string, string>();
   const ask = (id: string): void => {
-    void lookups.find(id).then(({ kind }) => answers.set(id, kind));
+    void reader.find(id).then(({ kind }) => answers.set(id, kind));
   };
   // 20 jobs a second, some of them never submitted; each request is retried until it is answered.
   const asked: string[] = [];
@@ -148,19 +151,19 @@
   await world.run(60 * S, () => undefined);
   for (const id of asked) assert.equal(answers.get(id), id >= "wk-900000" ? "missing" : "ok", id);
   assert.ok(requests() < 600, `${requests()} requests in a minute`);
-  assert.ok(learnt.size >= 360);
+  assert.ok(found.size >= 360);
 });
 
 test("a failed lookup is answered as unknown, and the next request starts a new lookup", async () => {
-  let good = false;
-  const { world, ended, lookups } = lookupsOn(() => good);
+  let storeAvailable = false;
+  const { world, ended, reader } = createOutcomeReader(() => storeAvailable);
   ended.add("e/wk-1");
   const kinds: string[] = [];
-  void lookups.find("wk-1").then(({ kind }) => kinds.push(kind));
+  void reader.find("wk-1").then(({ kind }) => kinds.push(kind));
   await world.run(S, () => undefined);
-  good = true;
-  void lookups.find("wk-1").then(({ kind }) => kinds.push(kind));
-  void lookups.find("wk-2").then(({ kind }) => kinds.push(kind));
+  storeAvailable = true;
+  void reader.find("wk-1").then(({ kind }) => kinds.push(kind));
+  void reader.find("wk-2").then(({ kind }) => kinds.push(kind));
   await world.run(2 * S, () => undefined);
   assert.deepEqual(kinds, ["unknown", "ok", "missing"]);
 });
@@ -187,7 +190,7 @@
   assert.deepEqual(cluster.unfinished(), []);
 });
 
-const STORMS: Readonly<Record<string, (cluster: Cluster) => void>> = {
+const FAULTS_DURING_FLOOD: Readonly<Record<string, (cluster: Cluster) => void>> = {
   "without a fault": () => undefined,
   "with a failover": (cluster) => cluster.crash(cluster.holder(), 15 * S),
   "with a restart of all controllers": (cluster) => {
@@ -196,8 +199,8 @@
   "with a store outage": (cluster) => cluster.state.outage(15 * S),
 };
 
-for (const [beside, trouble] of Object.entries(STORMS)) {
-  test(`after a flood of status requests, ${beside}, every job's status is answered soon`, async () => {
+for (const [faultName, injectFault] of Object.entries(FAULTS_DURING_FLOOD)) {
+  test(`after a flood of status requests, ${faultName}, every job's status is answered soon`, async () => {
     const cluster = new Cluster(44, { mesh: true }, undefined, SMALL);
     const refs = Array.from({ length: 60 }, (_, at) => `wk-0000${String(at).padStart(2, "0")}`);
     for (const [at, ref] of refs.entries()) {
@@ -210,7 +213,7 @@
     for (let at = 0; at < 12_000; at += 1) {
       cluster.world.after(at * 2_500, () => cluster.users.askOnce(cluster.random.pick(refs)));
     }
-    cluster.world.after(8 * S, () => trouble(cluster));
+    cluster.world.after(8 * S, () => injectFault(cluster));
     await cluster.run(30 * S);
     cluster.checker.calmFrom = cluster.world.now;
     const from = cluster.world.now;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -89,19 +89,19 @@
 
 // Mixed versions during a rolling upgrade ---------------------------------------------------------------------------
 
-const stream = (cluster: Cluster, from: number, until: number): void => {
+const submitJobStream = (cluster: Cluster, from: number, until: number): void => {
   let number = 0;
-  const more = (): void => {
+  const submitNext = (): void => {
     number += 1;
     const ref = `wk-${String(number).padStart(6, "0")}`;
     cluster.submit(plainJob(ref, { shards: 1 + (number % 4), cpus: 1, loaner: true }), { runUs: 6 * S });
     if (number % 5 === 0) cluster.world.after(2 * S, () => cluster.users.cancel(ref));
-    if (cluster.world.now < until) cluster.world.after(S, more);
+    if (cluster.world.now < until) cluster.world.after(S, submitNext);
   };
-  cluster.world.at(from, more);
+  cluster.world.at(from, submitNext);
 };
 
-const UPGRADES: Readonly<Record<string, (r: Rollout) => void>> = {
+const UPGRADES: Readonly<Record<string, (rollout: Rollout) => void>> = {
   "one by one": ({ cluster, upgrade }) => {
     for (const at of [0, 1, 2]) cluster.world.at((40 + at * 12) * S, () => upgrade(at));
   },
@@ -119,7 +119,7 @@
   },
 };
 
-const TROUBLES: Readonly<Record<string, Fault>> = {
+const FAULTS: Readonly<Record<string, Fault>> = {
   "no fault": () => undefined,
   "delayed writes": (c) => c.world.at(42 * S, () => c.state.lateWrites(0.2, 60 * S)),
   "a zone partitioned, the leader crashes": (c) => {
@@ -133,20 +133,20 @@
   },
 };
 
-for (const [way, [name, upgrade]] of Object.entries(UPGRADES).entries()) {
-  for (const [at, [other, trouble]] of Object.entries(TROUBLES).entries()) {
-    test(`both versions serve in one cluster: ${name}; ${other}; then dependency chains and lower limits`, async () => {
-      const r = playRollout(61 + way * 4 + at, (way + at) % 2 === 0);
-      const { cluster } = r;
+for (const [upgradeIndex, [name, upgrade]] of Object.entries(UPGRADES).entries()) {
+  for (const [faultIndex, [faultName, injectFault]] of Object.entries(FAULTS).entries()) {
+    test(`both versions serve in one cluster: ${name}; ${faultName}; then dependency chains and lower limits`, async () => {
+      const rollout = playRollout(61 + upgradeIndex * 4 + faultIndex, (upgradeIndex + faultIndex) % 2 === 0);
+      const { cluster } = rollout;
       cluster.rooms.ordinary = 12;
       submitLongJobs(cluster);
-      stream(cluster, 5 * S, 140 * S);
-      upgrade(r);
-      trouble(cluster);
+      submitJobStream(cluster, 5 * S, 140 * S);
+      upgrade(rollout);
+      injectFault(cluster);
       const last = submitDependencyChains(cluster, 84 * S, 140 * S);
       cluster.world.at(105 * S, () => cluster.state.lower(LOWER_LIMITS));
       await cluster.run(160 * S);
-      for (const node of [0, 1, 2]) assert.ok(r.isNew(node), "not all controllers are upgraded");
+      for (const node of [0, 1, 2]) assert.ok(rollout.isNew(node), "not all controllers are upgraded");
       cluster.checker.calmFrom = cluster.world.now;
       await cluster.run(170 * S);
       assertRecovered(cluster);
@@ -163,8 +163,10 @@
 }
 
 test("a task range of the old version above the new value limit is read, shrinks and is deleted as its job ends", async () => {
-  const r = playRollout(81, false, (text) => withAnnouncedLimits(text).replace("value_kb = 2.0", "value_kb = 1.0"));
-  const { cluster, upgrade } = r;
+  const rollout = playRollout(81, false, (text) =>
+    withAnnouncedLimits(text).replace("value_kb = 2.0", "value_kb = 1.0"),
+  );
+  const { cluster, upgrade } = rollout;
   cluster.rooms.ordinary = 60;
   cluster.cloud.boots = { never: 0, late: 0, early: 0 };
   const large = plainJob("wk-000001", { shards: 150, cpus: 1, sizeGb: 0.1, guessS: 60 });
@@ -187,8 +189,8 @@
 });
 
 test("a job whose record is above the new value limit can be cancelled and queried, and ends", async () => {
-  const r = playRollout(83, false);
-  const { cluster, upgrade } = r;
+  const rollout = playRollout(83, false);
+  const { cluster, upgrade } = rollout;
   const flavors = ["big", ...Array.from({ length: 300 }, (_, at) => `none-${at}`)];
   cluster.submit(plainJob("wk-000001", { flavors, shards: 2, guessS: 300 }), { runUs: 300 * S });
   cluster.submit(plainJob("wk-000002", { flavors, shards: 2, guessS: 40 }), { runUs: 40 * S });
@@ -209,7 +211,7 @@
 test("limits lowered without announcement are detected, and oversized requests are not repeated unchanged", async () => {
   const cluster = new Cluster(82);
   cluster.rooms.ordinary = 40;
-  stream(cluster, 5 * S, 60 * S);
+  submitJobStream(cluster, 5 * S, 60 * S);
   cluster.submit(plainJob("wk-900001", { shards: 100, cpus: 1, sizeGb: 0.1, guessS: 30 }), { runUs: 30 * S });
   await cluster.run(15 * S);
   cluster.state.lower({ valueBytes: 1_000, txnOps: 4 });
@@ -233,11 +235,11 @@
       .writesPerS,
     40,
   );
-  for (const [from, to, says] of [
+  for (const [from, to, expectedError] of [
     ["value_kb = 2.0", "value_kb = 0.5", /deployment\.state\.next\.value_kb: must be at least 1$/],
     ["txn_ops = 6", "txn_ops = 1", /deployment\.state\.next\.txn_ops: must be at least 2$/],
     ["write_rps = 28.0", "write_rps = 0.2", /deployment\.state\.next\.write_rps: must be at least 1$/],
   ] as const) {
-    assert.throws(() => parseSettings(withAnnouncedLimits(settingsText(0)).replace(from, to)), says);
+    assert.throws(() => parseSettings(withAnnouncedLimits(settingsText(0)).replace(from, to)), expectedError);
   }
 });
