--- a/test/job-dependencies.test.ts
+++ b/test/job-dependencies.test.ts
@@ -53,14 +53,14 @@
   assert.deepEqual(cluster.errors, []);
 });
 
-test("the checker detects a task that starts too startsEarly, and a job that outlives its dependency", async () => {
-  const startsEarly = new Cluster(32);
-  startsEarly.users.alter = (request) => {
+test("the checker detects a task that starts before its dependencies, and a job that is not cancelled with its dependency", async () => {
+  const startsTooEarly = new Cluster(32);
+  startsTooEarly.users.alter = (request) => {
     if (request.method !== "POST" || request.target !== "/v2/runs") return request;
     return { ...request, body: JSON.stringify({ ...(JSON.parse(request.body) as object), awaits: undefined }) };
   };
-  submitInTurn(startsEarly, [dependentJob(0, []), dependentJob(1, [0])]);
-  await assert.rejects(startsEarly.run(60 * S), /too_early/);
+  submitInTurn(startsTooEarly, [dependentJob(0, []), dependentJob(1, [0])]);
+  await assert.rejects(startsTooEarly.run(60 * S), /too_early/);
   const orphan = new Cluster(33);
   submitInTurn(orphan, [dependentJob(0, []), dependentJob(1, [0])], 300 * S);
   orphan.network.tamper = (from, _, { method, target }, response) =>
