--- a/src/coordination/jobs/placement-delays.ts
+++ b/src/coordination/jobs/placement-delays.ts
@@ -19,13 +19,13 @@
 export class PlacementDelays {
   private count = 0;
   private sum = 0;
-  private max = 0;
+  private longest = 0;
 
   /** Adds one delay. */
   record(delay: Micros): void {
     this.count += 1;
     this.sum += delay;
-    this.max = Math.max(this.max, delay);
+    this.longest = Math.max(this.longest, delay);
   }
 
   /** Returns the statistics since the last call, and resets them. */
@@ -33,11 +33,11 @@
     const summary = {
       placements: this.count,
       meanMs: this.count === 0 ? 0 : Math.round(this.sum / this.count / MICROS_PER_MS),
-      mostMs: Math.round(this.max / MICROS_PER_MS),
+      mostMs: Math.round(this.longest / MICROS_PER_MS),
     };
     this.count = 0;
     this.sum = 0;
-    this.max = 0;
+    this.longest = 0;
     return summary;
   }
 }
--- a/src/coordination/leadership/cluster-leadership.ts
+++ b/src/coordination/leadership/cluster-leadership.ts
@@ -49,7 +49,7 @@
    * Assigns the shards without a leader if this controller is the cluster leader; stands for election if there is no
    * cluster leader. Calls made during a pass lead to one further pass after it.
    */
-  async reconcile(): Promise<void> {
+  async lead(): Promise<void> {
     const { cache, settings, log } = this.services;
     if (this.passRunning) {
       // Without a further pass, a change seen during this one would wait for the next lease renewal.
@@ -71,7 +71,7 @@
     } finally {
       this.passRunning = false;
     }
-    if (this.passRequested) await this.reconcile();
+    if (this.passRequested) await this.lead();
   }
 
   private async electClusterLeader(ownMember: KeyValueEntry, leaseId: Uint64): Promise<void> {
--- a/test/dependency-event-orders.test.ts
+++ b/test/dependency-event-orders.test.ts
@@ -106,8 +106,8 @@
     }
     // Both outcomes are written on condition that the record still has the version that the leader has read.
     if (record !== undefined && record.version === recordRead?.version) {
-      const isCancelled = recordRead.cancelled || leader.isCancelled(id);
-      const outcome: TerminalPhase | null = isCancelled ? "cancelled" : m.started.includes(id) ? "done" : null;
+      const endsAsCancelled = recordRead.cancelled || leader.isCancelled(id);
+      const outcome: TerminalPhase | null = endsAsCancelled ? "cancelled" : m.started.includes(id) ? "done" : null;
       if (outcome !== null) {
         const outcomesRead = { ...m.outcomesRead, [id]: outcome };
         found.push([
