--- a/src/coordination/jobs/dependency-resolver.ts
+++ b/src/coordination/jobs/dependency-resolver.ts
@@ -50,7 +50,7 @@
     this.listWriter = new DependencyListWriter(services);
   }
 
-  /** Applies a change of the current jobs' records to the dependency graph. Throws where a record is malformed. */
+  /** Applies a change of the current jobs' records to the dependency graph. Throws if a record is malformed. */
   onChange(change: KeyChange): void {
     const { dependencies, cache, log } = this.services;
     const id = jobOfKey(change.key);
--- a/src/coordination/leadership/round-timer.ts
+++ b/src/coordination/leadership/round-timer.ts
@@ -8,8 +8,8 @@
 export const MIN_ROUND_INTERVAL = ms(10);
 /** The shortest time between rounds from load level `degraded` on. */
 const ROUND_INTERVAL_UNDER_LOAD = ms(1_000);
-/** After a round, the event loop is free for this many times its duration, above all for heartbeats. */
-const ROUND_IDLE_FACTOR = 4;
+/** Interval between round starts, as a multiple of the last round's duration: leaves time for heartbeats. */
+const ROUND_INTERVAL_FACTOR = 4;
 
 /** Runs placement rounds when due, at intervals bounded below by the load level and the last round's duration. */
 export class RoundTimer {
@@ -52,7 +52,7 @@
       log.error(LogEvent.RoundFailed, { error: describeError(error) });
     }
     const minInterval = loadShedder.atLeast("degraded") ? ROUND_INTERVAL_UNDER_LOAD : MIN_ROUND_INTERVAL;
-    this.interval = Math.max(minInterval, ROUND_IDLE_FACTOR * (clock.now() - this.lastRoundAt)) as Micros;
+    this.interval = Math.max(minInterval, ROUND_INTERVAL_FACTOR * (clock.now() - this.lastRoundAt)) as Micros;
     this.schedule(ms(options.roundMs));
   }
 }
