--- a/src/coordination/leadership/cluster-leadership.ts
+++ b/src/coordination/leadership/cluster-leadership.ts
@@ -25,43 +25,43 @@
 import { LogEvent } from "../log-events.js";
 
 /**
- * This controller's part in leading the cluster. The cluster leader assigns each shard to a member, attached to that
- * member's own lease: losing the cluster leader takes no shard away.
+ * Takes part in the election of the cluster leader and, while elected, assigns shards. Each shard record is attached to
+ * the lease of the member that leads the shard, so that no shard is lost when the cluster leader fails.
  */
 export class ClusterLeadership {
-  private leading = false;
-  private leadAgain = false;
+  private passRunning = false;
+  private passRequested = false;
 
-  /** `memberLeaseId`: the lease under which this controller is a member; null: it is none. */
+  /** `memberLeaseId`: the lease of this controller's membership; null while it is not a member. */
   constructor(
     private readonly services: Services,
     private readonly incarnation: string,
     private readonly memberLeaseId: () => Uint64 | null,
   ) {}
 
-  /** Label of the member that leads the shard, as far as is known here; null: nobody does. */
+  /** Label of the member that leads the shard according to the watch cache; null: the shard has no leader. */
   leaderOf(shard: number): string | null {
     const entry = this.services.cache.entries.get(shardKey(shard));
     return entry === undefined ? null : decodeShardRecord(entry.value).label;
   }
 
   /**
-   * Assigns the shards that nobody leads where this controller is the cluster leader; where there is none, tries to become
-   * it. Calls made while one is under way lead to one more pass.
+   * Assigns the shards without a leader if this controller is the cluster leader; stands for election if there is no
+   * cluster leader. Calls made during a pass lead to one further pass after it.
    */
   async lead(): Promise<void> {
     const { cache, settings, log } = this.services;
-    if (this.leading) {
-      // What changes meanwhile must not wait for the next renewal.
-      this.leadAgain = true;
+    if (this.passRunning) {
+      // Without a further pass, a change seen during this one would wait for the next lease renewal.
+      this.passRequested = true;
       return;
     }
     const leaseId = this.memberLeaseId();
     if (leaseId === null || !cache.loaded) return;
     const ownMember = cache.entries.get(memberKey(settings.label));
     if (ownMember === undefined || decodeMemberRecord(ownMember.value).incarnation !== this.incarnation) return;
-    this.leading = true;
-    this.leadAgain = false;
+    this.passRunning = true;
+    this.passRequested = false;
     try {
       const leader = cache.entries.get(CLUSTER_LEADER_KEY);
       if (leader === undefined) await this.electClusterLeader(ownMember, leaseId);
@@ -69,9 +69,9 @@
     } catch (error) {
       log.error(LogEvent.ClusterLeadershipFailed, { error: describeError(error) });
     } finally {
-      this.leading = false;
+      this.passRunning = false;
     }
-    if (this.leadAgain) await this.lead();
+    if (this.passRequested) await this.lead();
   }
 
   private async electClusterLeader(ownMember: KeyValueEntry, leaseId: Uint64): Promise<void> {
@@ -117,18 +117,18 @@
     }
   }
 
-  /** The member that leads the fewest shards; the cluster leader itself where it is among these. */
+  /** The member that leads the fewest shards, preferring the cluster leader itself on a tie; null: no members. */
   private chooseShardLeader(): KeyValueEntry | null {
     const { cache, settings } = this.services;
-    const count = new Map<string, number>();
+    const shardCounts = new Map<string, number>();
     for (let shard = 0; shard < SHARD_COUNT; shard += 1) {
       const label = this.leaderOf(shard);
-      if (label !== null) count.set(label, (count.get(label) ?? 0) + 1);
+      if (label !== null) shardCounts.set(label, (shardCounts.get(label) ?? 0) + 1);
     }
     const members = [...cache.entries.values()].filter((entry) => memberOfKey(entry.key) !== null);
     const load = (entry: KeyValueEntry): number => {
       const label = memberOfKey(entry.key) ?? "";
-      return (count.get(label) ?? 0) - (label === settings.label ? 0.5 : 0);
+      return (shardCounts.get(label) ?? 0) - (label === settings.label ? 0.5 : 0);
     };
     return members.sort((a, b) => load(a) - load(b))[0] ?? null;
   }
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -10,11 +10,12 @@
 import { nothing, quiet } from "./shard-fixtures.js";
 
 const settings = parseSettings(settingsText(0));
-const [ME, BLOCK] = [memberKey(settings.label), shardKey(0)];
+const [MEMBER_KEY, SHARD_KEY] = [memberKey(settings.label), shardKey(0)];
 
-test("a block leased to a join that came late, under a grant that nobody renews, is not acted for", async () => {
-  // The first join has no answer; the second one stands. Then that one's key goes with an outage's end, and the first is carried
-  // out: what is leased to it ends with its grant, while the right would have been counted from renewals of the other.
+test("a shard assigned to a member whose late join carries a lease that is not renewed is not acquired", async () => {
+  // The response to the first join is lost, and the second join succeeds. At the end of an outage the second join's key is
+  // deleted, and the first join is applied late. Shards assigned to that member end with the first lease, while their
+  // validity would be computed from renewals of the second one.
   const world = new World();
   const clock = new HostClock(world, 1, 1_000_000);
   const entries = new Map<string, KeyValueEntry>();
@@ -32,7 +33,7 @@
     },
     renewLease: async () => ({ kind: "ok", value: true }),
   };
-  let changed: () => void = nothing;
+  let notifyChange: () => void = nothing;
   const cache = {
     entries,
     loaded: true,
@@ -40,14 +41,14 @@
       return clock.now();
     },
     onChange: (listener: () => void) => {
-      changed = listener;
+      notifyChange = listener;
     },
     sync: async () => true,
   };
-  const taken: ShardLease[] = [];
+  const acquired: ShardLease[] = [];
   const services = { clock, log: quiet, settings, store, cache } as unknown as Services;
   const membership = new Membership(services, "inc-1", {
-    shardAcquired: (lease) => taken.push(lease),
+    shardAcquired: (lease) => acquired.push(lease),
     shardReleased: nothing,
   });
   void membership.run();
@@ -56,16 +57,16 @@
   assert.equal(grants, 2);
   const put = (key: string, value: unknown, version: number): void => {
     entries.set(key, { key, value, version });
-    changed();
+    notifyChange();
   };
   put("c/leader", { label: "ctl-1", incarnation: "inc-9" }, 6);
-  put(ME, { lease: 1, incarnation: "inc-1" }, 7);
-  put(BLOCK, { label: "ctl-0", incarnation: "inc-1", number: 3 }, 8);
-  assert.equal(taken.length, 0);
-  put(ME, { lease: 2, incarnation: "inc-1" }, 9);
-  assert.equal(taken.length, 1);
-  assert.equal(taken[0]?.isValid(), true);
-  // And given up when its member's key is that of another grant.
-  put(ME, { lease: 1, incarnation: "inc-1" }, 10);
-  assert.equal(taken[0]?.isValid(), false);
+  put(MEMBER_KEY, { lease: 1, incarnation: "inc-1" }, 7);
+  put(SHARD_KEY, { label: "ctl-0", incarnation: "inc-1", number: 3 }, 8);
+  assert.equal(acquired.length, 0);
+  put(MEMBER_KEY, { lease: 2, incarnation: "inc-1" }, 9);
+  assert.equal(acquired.length, 1);
+  assert.equal(acquired[0]?.isValid(), true);
+  // The shard is released when the member record names another lease.
+  put(MEMBER_KEY, { lease: 1, incarnation: "inc-1" }, 10);
+  assert.equal(acquired[0]?.isValid(), false);
 });
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -14,7 +14,7 @@
 import { assertRecovered, type Fault } from "./sim/faulty-day.js";
 import { LOWER_LIMITS, playRollout, type Rollout, submitDependencyChains, withAnnouncedLimits } from "./sim/rollout.js";
 
-// What both versions share, as the old one wrote it (docs/compatibility.md) ---------------------------------------------
+// Records shared by both versions, as the old version writes them (docs/compatibility.md) ---------------------------
 
 const SPEC =
   '{"id":"wk-000412","jobClass":"train","team":"vision","shape":"array","priority":"high","tasks":16,"demand":{"cpu":8000,"gpu":1000,"ram":64000},"types":["g8"],"zone":null,"oneZone":true,"spread":false,"spot":true,"image":"img-07","imageGb":6.2,"estimateS":240,"checkpointS":30,"saveS":4,"deadlineS":900}';
@@ -40,7 +40,7 @@
   deadlineS: 900,
 };
 
-test("records of the old version are read as they were meant", () => {
+test("records of the old version are decoded correctly", () => {
   const job = decodeJobRecord(JSON.parse(`{"spec":${SPEC},"block":0,"cancelled":true}`));
   assert.deepEqual(job, { spec: SPEC_IN_MEMORY, shard: 0, cancelled: true });
   assert.deepEqual(decodeTaskRange(JSON.parse('{"t":[0,3,-1,[2,"n-000231"]]}')), [
@@ -69,7 +69,7 @@
   });
 });
 
-test("what the new version writes is what the old one reads, and more only where the old one never looks", async () => {
+test("records of the new version have the fields that the old one reads, and others only where it ignores them", async () => {
   const cluster = new Cluster(51, {}, withAnnouncedLimits);
   cluster.submit(plainJob("wk-000001", { dueS: 100 }), { runUs: 200 * S });
   cluster.submit(plainJob("wk-000002"), { runUs: 3 * S });
@@ -87,30 +87,30 @@
   assert.deepEqual(encodeTaskRange([{ kind: "placed", attempt: 2, machine: "n-1" }]), { t: [[2, "n-1"]] });
 });
 
-// Side by side ----------------------------------------------------------------------------------------------------------
+// Mixed versions during a rolling upgrade ---------------------------------------------------------------------------
 
-const stream = (cluster: Cluster, from: number, until: number): void => {
+const submitJobStream = (cluster: Cluster, from: number, until: number): void => {
   let number = 0;
-  const more = (): void => {
+  const submitNext = (): void => {
     number += 1;
     const ref = `wk-${String(number).padStart(6, "0")}`;
     cluster.submit(plainJob(ref, { shards: 1 + (number % 4), cpus: 1, loaner: true }), { runUs: 6 * S });
     if (number % 5 === 0) cluster.world.after(2 * S, () => cluster.users.cancel(ref));
-    if (cluster.world.now < until) cluster.world.after(S, more);
+    if (cluster.world.now < until) cluster.world.after(S, submitNext);
   };
-  cluster.world.at(from, more);
+  cluster.world.at(from, submitNext);
 };
 
-const UPGRADES: Readonly<Record<string, (r: Rollout) => void>> = {
+const UPGRADES: Readonly<Record<string, (rollout: Rollout) => void>> = {
   "one by one": ({ cluster, upgrade }) => {
     for (const at of [0, 1, 2]) cluster.world.at((40 + at * 12) * S, () => upgrade(at));
   },
-  "the holder first, then takeovers old to new and back": ({ cluster, upgrade, isNew }) => {
+  "the leader first, then failovers from old to new and back": ({ cluster, upgrade, isNew }) => {
     cluster.world.at(40 * S, () => upgrade(cluster.holder()));
     for (const at of [50, 58]) cluster.world.at(at * S, () => cluster.crash(cluster.holder(), 2 * S));
     for (const at of [0, 1, 2]) cluster.world.at((66 + at * 4) * S, () => (isNew(at) ? undefined : upgrade(at)));
   },
-  "one dies before its turn and comes back old, a state outage in the middle": ({ cluster, upgrade }) => {
+  "one crashes before its upgrade and restarts old, a store outage meanwhile": ({ cluster, upgrade }) => {
     cluster.world.at(40 * S, () => upgrade(0));
     cluster.world.at(44 * S, () => cluster.crash(1, 2 * S));
     cluster.world.at(48 * S, () => cluster.state.outage(12 * S));
@@ -119,34 +119,34 @@
   },
 };
 
-const TROUBLES: Readonly<Record<string, Fault>> = {
-  "no trouble": () => undefined,
-  "writes late": (c) => c.world.at(42 * S, () => c.state.lateWrites(0.2, 60 * S)),
-  "a zone cut, the holder ends": (c) => {
+const FAULTS: Readonly<Record<string, Fault>> = {
+  "no fault": () => undefined,
+  "delayed writes": (c) => c.world.at(42 * S, () => c.state.lateWrites(0.2, 60 * S)),
+  "a zone partitioned, the leader crashes": (c) => {
     c.world.at(60 * S, () => c.site.cutZone("west", 30 * S, "hold"));
     c.world.at(100 * S, () => c.crash(c.holder(), 3 * S));
     c.world.at(112 * S, () => c.crash(c.holder(), 0.5 * S));
   },
-  "answers lost, an outage while chains go on": (c) => {
+  "responses lost, a store outage during dependency chains": (c) => {
     c.world.at(95 * S, () => c.state.loseAnswers(0.3, 30 * S));
     c.world.at(125 * S, () => c.state.outage(20 * S));
   },
 };
 
-for (const [way, [name, upgrade]] of Object.entries(UPGRADES).entries()) {
-  for (const [at, [other, trouble]] of Object.entries(TROUBLES).entries()) {
-    test(`both versions serve side by side: ${name}; ${other}; then chains and lower limits`, async () => {
-      const r = playRollout(61 + way * 4 + at, (way + at) % 2 === 0);
-      const { cluster } = r;
+for (const [upgradeIndex, [name, upgrade]] of Object.entries(UPGRADES).entries()) {
+  for (const [faultIndex, [faultName, injectFault]] of Object.entries(FAULTS).entries()) {
+    test(`both versions serve in one cluster: ${name}; ${faultName}; then dependency chains and lower limits`, async () => {
+      const rollout = playRollout(61 + upgradeIndex * 4 + faultIndex, (upgradeIndex + faultIndex) % 2 === 0);
+      const { cluster } = rollout;
       cluster.rooms.ordinary = 12;
       submitLongJobs(cluster);
-      stream(cluster, 5 * S, 140 * S);
-      upgrade(r);
-      trouble(cluster);
+      submitJobStream(cluster, 5 * S, 140 * S);
+      upgrade(rollout);
+      injectFault(cluster);
       const last = submitDependencyChains(cluster, 84 * S, 140 * S);
       cluster.world.at(105 * S, () => cluster.state.lower(LOWER_LIMITS));
       await cluster.run(160 * S);
-      for (const node of [0, 1, 2]) assert.ok(r.isNew(node), "not all are new");
+      for (const node of [0, 1, 2]) assert.ok(rollout.isNew(node), "not all controllers are upgraded");
       cluster.checker.calmFrom = cluster.world.now;
       await cluster.run(170 * S);
       assertRecovered(cluster);
@@ -157,14 +157,16 @@
         finals.filter((final) => final === null),
         [],
       );
-      assert.equal(cluster.state.tooLarge, 0, "sent something that is larger than it may be");
+      assert.equal(cluster.state.tooLarge, 0, "requests above the size limit");
     });
   }
 }
 
-test("a record of the old version that is larger than the new limit is read, shrinks and ends", async () => {
-  const r = playRollout(81, false, (text) => withAnnouncedLimits(text).replace("value_kb = 2.0", "value_kb = 1.0"));
-  const { cluster, upgrade } = r;
+test("a task range of the old version above the new value limit is read, shrinks and is deleted as its job ends", async () => {
+  const rollout = playRollout(81, false, (text) =>
+    withAnnouncedLimits(text).replace("value_kb = 2.0", "value_kb = 1.0"),
+  );
+  const { cluster, upgrade } = rollout;
   cluster.rooms.ordinary = 60;
   cluster.cloud.boots = { never: 0, late: 0, early: 0 };
   const large = plainJob("wk-000001", { shards: 150, cpus: 1, sizeGb: 0.1, guessS: 60 });
@@ -178,7 +180,7 @@
   cluster.state.lower({ ...LOWER_LIMITS, valueBytes: 1_024 });
   cluster.submit(plainJob("wk-000003", { shards: 40, cpus: 1, sizeGb: 0.1 }), { runUs: 5 * S });
   await cluster.run(20 * S);
-  // The long one is called off while its record can't be written again as it is.
+  // The long job is cancelled while its record is too large to be rewritten.
   cluster.users.cancel("wk-000002");
   await cluster.run(120 * S);
   for (const id of ["wk-000001", "wk-000003"]) assert.equal(cluster.checker.finalOf(id), "done", id);
@@ -186,9 +188,9 @@
   assert.equal(cluster.state.value("c/job/wk-000002"), undefined);
 });
 
-test("a job whose own record is larger than the new limit can be called off, and asked about, and ends", async () => {
-  const r = playRollout(83, false);
-  const { cluster, upgrade } = r;
+test("a job whose record is above the new value limit can be cancelled and queried, and ends", async () => {
+  const rollout = playRollout(83, false);
+  const { cluster, upgrade } = rollout;
   const flavors = ["big", ...Array.from({ length: 300 }, (_, at) => `none-${at}`)];
   cluster.submit(plainJob("wk-000001", { flavors, shards: 2, guessS: 300 }), { runUs: 300 * S });
   cluster.submit(plainJob("wk-000002", { flavors, shards: 2, guessS: 40 }), { runUs: 40 * S });
@@ -201,15 +203,15 @@
   await cluster.run(80 * S);
   const finals = ["wk-000001", "wk-000002"].map((id) => cluster.checker.finalOf(id));
   assert.deepEqual([finals, cluster.state.tooLarge], [["withdrawn", "done"], 0]);
-  // Its repeat is answered with its state, though nothing as large is taken any more.
+  // A repeated submission is answered with the job's state, although a new job of this size would be rejected.
   for (const job of cluster.users.known().all) void cluster.users.resubmit(job);
   await cluster.run(5 * S);
 });
 
-test("limits that are lower than anybody said are learnt, and nothing is sent again as it is", async () => {
+test("limits lowered without announcement are detected, and oversized requests are not repeated unchanged", async () => {
   const cluster = new Cluster(82);
   cluster.rooms.ordinary = 40;
-  stream(cluster, 5 * S, 60 * S);
+  submitJobStream(cluster, 5 * S, 60 * S);
   cluster.submit(plainJob("wk-900001", { shards: 100, cpus: 1, sizeGb: 0.1, guessS: 30 }), { runUs: 30 * S });
   await cluster.run(15 * S);
   cluster.state.lower({ valueBytes: 1_000, txnOps: 4 });
@@ -219,7 +221,7 @@
   assert.ok(cluster.state.tooLarge > 0 && cluster.state.tooLarge < 60, `${cluster.state.tooLarge} refused`);
 });
 
-test("settings: the lower limits hold, and what leaves too little is refused with the field's name", () => {
+test("settings: the lower of two limits applies, and limits that are too low are rejected with the field's name", () => {
   const { store } = parseSettings(withAnnouncedLimits(settingsText(0)));
   assert.deepEqual(store, {
     requestsPerS: 150,
@@ -233,11 +235,11 @@
       .writesPerS,
     40,
   );
-  for (const [from, to, says] of [
+  for (const [from, to, expectedError] of [
     ["value_kb = 2.0", "value_kb = 0.5", /deployment\.state\.next\.value_kb: must be at least 1$/],
     ["txn_ops = 6", "txn_ops = 1", /deployment\.state\.next\.txn_ops: must be at least 2$/],
     ["write_rps = 28.0", "write_rps = 0.2", /deployment\.state\.next\.write_rps: must be at least 1$/],
   ] as const) {
-    assert.throws(() => parseSettings(withAnnouncedLimits(settingsText(0)).replace(from, to)), says);
+    assert.throws(() => parseSettings(withAnnouncedLimits(settingsText(0)).replace(from, to)), expectedError);
   }
 });
