--- a/src/coordination/workers/answered-starts.ts
+++ b/src/coordination/workers/answered-starts.ts
@@ -1,6 +1,6 @@
 /**
- * The record of answered start commands, kept for the next leader of a shard. Only leaders of the version before start tasks by
- * direct commands, so that it concerns tasks that they have placed.
+ * The record of answered start commands, kept for the next leader of a shard. Only leaders of the previous version
+ * start tasks by direct commands, so the record concerns only tasks that they have placed.
  */
 
 import type { ShardState } from "../../cluster/shard-state.js";
@@ -17,10 +17,10 @@
 import type { Services, ShardLease } from "../context.js";
 
 const WRITE_INTERVAL = seconds(2);
-/** The record names no more machines, so that its value stays small. */
+/** Maximum number of machines that the record names, so that its value stays small. */
 const MAX_MACHINES = 256;
 
-/** What the record says, whoever wrote it. */
+/** The content of a record, whichever leader wrote it. */
 type Claims = Pick<AnsweredStartsRecord, "revision" | "unansweredMachines">;
 
 const isSameClaims = (a: Claims, b: Claims): boolean =>
@@ -28,7 +28,7 @@
   a.unansweredMachines.length === b.unansweredMachines.length &&
   a.unansweredMachines.every((name, index) => name === b.unansweredMachines[index]);
 
-/** The worker has listed the attempt, and no start without a response may be delivered any more. */
+/** Whether the worker has listed the attempt and no start command without a response can still be delivered. */
 export const isStartAnswered = (task: Task, now: Micros): boolean =>
   task.startCommand.kind === "observed" && !mayStartLate(task, now);
 
@@ -36,19 +36,19 @@
  * Keeps on record which placed tasks have no start command without a response, so that the next leader holds only the
  * others on their machines (docs/heartbeat-evidence.md).
  *
- * The argument. A task that a leader of the version before has placed is in `ShardState.unconfirmedStarts` of each leader
- * after it. It leaves the set when it counts as answered, just before a write says so, and never comes back: whatever
- * starts it once more is a response to a heartbeat, which is never carried out late. Whatever is
- * placed after the record was built gets a higher version than its `revision`. So what a record says stays true as long
- * as its writer leads, however late it is applied, and while the next leader goes by the same rule. A leader in between of
- * an older version does not: the record is believed only from the leader just before.
+ * Correctness: a task placed by a leader of the previous version is in `ShardState.unconfirmedStarts` of each later
+ * leader. It leaves the set when it counts as answered, just before a write records that, and never returns: any
+ * further start is sent in a response to a heartbeat, which a worker never executes late. A placement made after the
+ * record was built gets a higher version than its `revision`. So a record stays true while its writer leads, however
+ * late the write is applied, and while the next leader follows the same rule. A leader of an older version in between
+ * does not, so a record is trusted only from the immediately preceding leader.
  */
 export class AnsweredStarts {
-  /** What the leader before left on record; null: nothing that is to be believed. */
+  /** The record of the immediately preceding leader; null: none that can be trusted. */
   private readonly inherited: Claims | null;
-  /** The machines that it excepts, for a lookup by each placed task of the shard. */
+  /** The machines that it names, as a set: looked up for each placed task of the shard. */
   private readonly inheritedExceptions: ReadonlySet<string>;
-  /** What this leader has on record; null: nothing. */
+  /** The content that this leader last wrote; null: none yet. */
   private recordedClaims: Claims | null = null;
   private version: Uint64;
   private writing = false;
@@ -71,13 +71,13 @@
     return answeredStartsKey(this.lease.shard);
   }
 
-  /** Whether it is on record that every start was answered of a placement in a range record of this version. */
+  /** Whether all starts of a placement on `machine`, in a range record of `version`, are on record as answered. */
   wasAnswered(version: Uint64, machine: string): boolean {
     if (this.inherited === null) return false;
     return version <= this.inherited.revision && !this.inheritedExceptions.has(machine);
   }
 
-  /** Writes the record where it has changed; called again and again. */
+  /** Writes the record if it has changed and no earlier write is too recent; called periodically. */
   publish(): void {
     const { clock, cache } = this.services;
     const now = clock.now();
@@ -92,17 +92,17 @@
     });
   }
 
-  /** What can be said now; with too many machines to be named, what was said before. Null: nothing. */
+  /** The content to write now; with too many machines to name, the last content. Null: nothing to write. */
   private buildClaims(revision: Uint64, now: Micros): Claims | null {
     const { recordedClaims } = this;
     const unansweredMachines = this.unansweredMachines(now);
     if (unansweredMachines === null) return recordedClaims ?? this.inherited;
-    // Up to this leader's own last write, nothing is on record that it did not know of then.
+    // Nothing has been written to the store since this leader's own last write.
     const isUnchanged = recordedClaims !== null && revision <= this.version;
     return { revision: isUnchanged ? recordedClaims.revision : revision, unansweredMachines };
   }
 
-  /** The machines of tasks that do not count as answered, in order of their names; null: too many to be named. */
+  /** Names of the machines with tasks that do not count as answered, sorted; null: too many to name. */
   private unansweredMachines(now: Micros): readonly string[] | null {
     const { unconfirmedStarts } = this.shard;
     const machines = new Set<string>();
@@ -124,14 +124,15 @@
       revision: claims.revision,
       unansweredMachines: claims.unansweredMachines,
     };
-    // Never a deletion: under version 0 an earlier write without a response could be applied later.
+    // The record is never deleted: its version would be 0 again, so an earlier write without a response could be
+    // applied.
     const put = { kind: "put", key: this.key, value: encodeAnsweredStarts(record) } as const;
     const result: SubmissionResult = await transactions.submit(conditions, [put], "normal");
     if (result.kind === "ok") {
       this.version = result.version;
       this.recordedClaims = claims;
     } else if (result.kind === "conflict" && (await cache.sync())) {
-      // One of this controller's own writes without an answer may have been applied.
+      // An earlier write of this controller without a response may have been applied.
       this.version = cache.entries.get(this.key)?.version ?? 0;
     }
   }
--- a/src/coordination/workers/command-dispatcher.ts
+++ b/src/coordination/workers/command-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Commands to workers: which are due, and what becomes of those that were sent. */
+/** Commands to workers: determines which are due, sends them and processes the replies. */
 
 import { isBeingEmptied, type Machine } from "../../cluster/machine.js";
 import { attemptOf, isActive, isPlacementRecorded, type Task } from "../../cluster/task.js";
@@ -16,11 +16,11 @@
 import { recordResponse, recordTimeout } from "./reachability.js";
 
 const RETRY_DELAY = ms(500);
-/** No answer within this time is a message that got lost, not a connection that was refused. */
+/** A request that fails sooner was refused a connection or not sent; one that fails later was lost. */
 const IMMEDIATE_FAILURE = ms(200);
-/** Keeps a request well below the limit of a body. */
+/** Commands in one request or response, to keep it well below the size limit of a body. */
 const MAX_COMMANDS = 200;
-/** Beyond half of its lease, for a worker whose clock is slow. */
+/** Added to half of the worker's lease, for a worker whose clock is slow. */
 const TOKEN_REPORT_MARGIN = ms(100);
 
 interface CommandRequest {
@@ -35,16 +35,16 @@
   readonly body: string;
   /** False: the worker dropped the commands. */
   readonly accepted: boolean;
-  /** When the request left. */
+  /** When the request was sent. */
   readonly askedAt: Micros;
 }
 
 const startOf = (task: Task): Command => ({ op: "start", task: task.name, attempt: attemptOf(task.desired) });
 
 /**
- * Sends workers the difference between what is wanted on a machine and what it has reported. Tasks are started by responses to
- * heartbeats only: a worker carries out neither a late one nor a copy of one, while a direct command may be delivered
- * in a later life of it (docs/heartbeat-evidence.md).
+ * Sends workers the difference between the desired and the reported tasks of a machine. Tasks are started by responses
+ * to heartbeats only: a worker executes neither a late response nor a copy of one, while a direct command may be
+ * delivered and executed after the worker's counters were reset (docs/heartbeat-evidence.md).
  */
 export class CommandDispatcher {
   constructor(
@@ -54,7 +54,8 @@
   ) {}
 
   /**
-   * Commands that may be repeated at any time, for the response to a heartbeat. `pendingStops`: stops that go first, whatever else there is.
+   * Stop commands, which may be repeated at any time, for the response to a heartbeat. `pendingStops`: stops that come
+   * first and are never cut off by the limit.
    */
   repeatableCommands(machine: Machine, pendingStops: readonly Command[] = []): Command[] {
     const commands = [...pendingStops];
@@ -72,7 +73,7 @@
     return commands.slice(0, Math.max(MAX_COMMANDS, pendingStops.length));
   }
 
-  /** Attempts that have ended and are on record, for the response to a heartbeat that shows this leader's token. */
+  /** Forgets of attempts whose end is on record, for the response to a heartbeat that shows this leader's token. */
   forgetCommands(machine: Machine): Command[] {
     const commands: Command[] = [];
     for (const [name, attempt] of machine.reported.exitedTasks) {
@@ -82,7 +83,7 @@
     return commands;
   }
 
-  /** Starts for the response to a fenced heartbeat. Repeated by each response until the worker lists the attempt. */
+  /** Starts for the response to a fenced heartbeat; each response repeats them until the worker lists the attempt. */
   startsForResponse(machine: Machine): Command[] {
     const tasks = this.startableTasks(machine);
     if (tasks.length === 0) return [];
@@ -92,7 +93,7 @@
     return tasks.map(startOf);
   }
 
-  /** Is there anything that cannot wait for the response to the next heartbeat? */
+  /** Whether there are stop commands, which cannot wait for the response to the next heartbeat. */
   hasUrgentCommands(machine: Machine): boolean {
     if (machine.reported.unexpectedTasks.size > 0) return true;
     for (const task of machine.tasks)
@@ -100,12 +101,12 @@
     return false;
   }
 
-  /** Whether the next response to a heartbeat of the machine is to start a task that none has started yet. */
+  /** Whether the next response to a heartbeat is to start a task for which no start command has been sent yet. */
   hasWaitingStarts(machine: Machine): boolean {
     return this.startableTasks(machine).some(({ startCommand }) => startCommand.kind === "none");
   }
 
-  /** Only what is on record may be forgotten by the worker. */
+  /** A worker may forget an attempt only once its end is on record. */
   private mayForget(name: string, attempt: unknown): boolean {
     const slash = name.lastIndexOf("/");
     const job = this.context.shard.jobs.get(name.slice(0, slash));
@@ -119,7 +120,7 @@
     return ranges[Math.floor(index / size)]?.tasks[index % size] ?? null;
   }
 
-  /** What the next response to a heartbeat of the machine is to start. */
+  /** The tasks that the next response to a heartbeat of the machine is to start. */
   private startableTasks(machine: Machine): Task[] {
     const starts: Task[] = [];
     if (!this.isTrusted(machine) || !this.context.mayStartTasks(machine) || isBeingEmptied(machine)) return starts;
@@ -134,14 +135,14 @@
     const { startCommand, job } = task;
     if (startCommand.kind !== "none" && (startCommand.kind !== "uncertain" || task.state !== null)) return false;
     if (!isPlacementRecorded(task) || job.cancelled || task.stopRequest !== null) return false;
-    // A held task counts against its team's limit; with what else a new leader takes over, that may be exceeded.
+    // A held task counts against its team's limit, which the tasks that a new leader restores may together exceed.
     return task.unansweredStartAt === null || this.context.shard.withinLimit(job.spec, 0);
   }
 
   /**
-   * Sends the machine its commands, unless a request to it is under way, and sees to it that a heartbeat of it is responded to
-   * soon where starts wait for that. `probe`: send even without commands, to learn the worker's state under this
-   * leader's token.
+   * Sends the machine its commands, unless a request to it is in flight. If starts wait for the response to a
+   * heartbeat, ends the wait of a held response, or raises the token so that the worker sends a heartbeat. `probe`:
+   * send even without commands, to learn the worker's state under this leader's token.
    */
   async send(machine: Machine, probe = false): Promise<void> {
     const startsWait = this.hasWaitingStarts(machine) && !this.longPolls.end(machine);
@@ -163,7 +164,7 @@
     else this.retryLater(machine);
   }
 
-  /** Null where nothing may or need be sent. */
+  /** Null: nothing may be sent, or there is nothing to send. */
   private buildRequest(machine: Machine, probe: boolean, startsWait: boolean): CommandRequest | null {
     const { address, counters } = machine;
     const { incarnation } = counters;
@@ -175,8 +176,8 @@
   }
 
   /**
-   * Raises the token of the next command, which the worker reports at once. It does so once per half of its lease; in between
-   * starts wait for its next heartbeat. Returns whether the token was raised.
+   * Raises the token of the next command, which the worker reports by an immediate heartbeat. A worker does so once per
+   * half of its lease; in between, starts wait for its next regular heartbeat. Returns whether the token was raised.
    */
   private raiseTokenForHeartbeat(machine: Machine): boolean {
     const { clock, lease, log, settings } = this.context;
@@ -200,8 +201,8 @@
   }
 
   /**
-   * What was inherited is not started again before the worker has been heard under this leader's token: until then the
-   * attempt may have ended and be waiting for its place in the records.
+   * Whether the worker has shown this leader's token. Inherited tasks are not started again before that: an attempt may
+   * have ended without its end being on record yet.
    */
   private isTrusted({ state, counters }: Machine): boolean {
     return (
@@ -209,7 +210,9 @@
     );
   }
 
-  /** The worker has accepted the commands, or refused them for their token or incarnation; its state is in the body. */
+  /**
+   * The worker has accepted the commands, or rejected them for their token or incarnation; the body holds its status.
+   */
   private handleAnswer(machine: Machine, { body, accepted, askedAt }: CommandAnswer): void {
     const { clock, log } = this.context;
     try {
@@ -229,7 +232,7 @@
     clock.after(RETRY_DELAY, () => this.context.scheduleCommands(machine));
   }
 
-  /** Asks a worker that has sent no heartbeat here for its state; its answer renews no lease. */
+  /** Requests the status of a worker; unlike a response to a heartbeat, this renews no lease. */
   async queryStatus(machine: Machine): Promise<void> {
     const { http, lease, log, clock } = this.context;
     const { address } = machine;
@@ -248,7 +251,7 @@
     }
   }
 
-  /** Records whether requests to the machine arrive. What fails at once says nothing: it has not left, or nobody listens yet. */
+  /** Records whether requests reach the machine. An immediate failure proves nothing: not sent, or no listener yet. */
   private updateReachability(machine: Machine, outcome: HttpOutcome, askedAt: Micros): void {
     const { clock, loadShedder } = this.context;
     if (outcome.kind === "answer") {
@@ -259,7 +262,7 @@
     recordTimeout(machine.reachability);
   }
 
-  /** Stops tasks that cannot end well where they are. */
+  /** Carries out the graceful evictions due on the machine: releases, keeps or stops its tasks. */
   evict(machine: Machine): void {
     for (const action of decideEvictions(machine, this.context.clock.now())) {
       switch (action.kind) {
--- a/src/coordination/workers/heartbeat-freshness.ts
+++ b/src/coordination/workers/heartbeat-freshness.ts
@@ -1,33 +1,36 @@
-/** How fresh a worker's message is, by its incarnation, sequence and fencing token: what may be concluded from it. */
+/** Classifies workers' messages by incarnation, sequence and fencing token: what may be concluded from each. */
 
 import type { WorkerCounters } from "../../cluster/machine.js";
 import type { Uint64 } from "../../protocol/json.js";
 import type { Micros } from "../../transport/clock.js";
 
-/** What is known of a worker by its own counters, as far as the freshness of a heartbeat depends on it. */
+/** The last known counters of a worker, as far as the freshness of a message depends on them. */
 export type KnownCounters = Readonly<
   Pick<WorkerCounters, "incarnation" | "sequence" | "highestToken" | "expiredIncarnation" | "learnedAt" | "verified">
 >;
 
-/** The counters that a message shows. */
+/** The counters that a message carries. */
 export interface HeartbeatCounters {
   readonly incarnation: Uint64;
   readonly sequence: Uint64;
   readonly token: Uint64;
 }
 
-/** A heartbeat may be a late copy; a reply to a status query was written after the query left, at `askedAt`. */
+/** A heartbeat may be a delayed copy; a status reply was written after its query was sent, at `askedAt`. */
 export type HeartbeatSource =
   | { readonly kind: "heartbeat" }
   | { readonly kind: "status-reply"; readonly askedAt: Micros };
 
 /**
- * What may follow from a worker's message (docs/heartbeat-evidence.md):
- * `stale`: nothing. `suspect`: nothing, but a worker whose counters were reset looks the same, so it is worth a
- * query. `unverified`: nothing but whom to ask, since it may be from before this leader's time. `counters-reset`: the counters were
- * reset; commands of before may still arrive. `verified`: written in this leader's time, so alive and in this incarnation; commands under
- * older tokens may still arrive, so that what is missing in its list is not gone. `new-incarnation`: verified, and its earlier incarnation
- * is over with all tasks and commands of it. `fenced`: verified, and only commands under this leader's own tokens can still arrive.
+ * What may be concluded from a worker's message (docs/heartbeat-evidence.md):
+ * - `stale`: nothing.
+ * - `suspect`: nothing, but a worker whose counters were reset looks the same, so a status query is worth its cost.
+ * - `unverified`: only where to send a status query, since the message may predate this leader's epoch.
+ * - `counters-reset`: the worker's counters were reset; earlier commands may still be delivered.
+ * - `verified`: written within this leader's epoch, so the worker is alive and in this incarnation. Commands under
+ *   older tokens may still be delivered, so an unlisted task is not proved absent.
+ * - `new-incarnation`: verified, and the earlier incarnation has ended with all its tasks and commands.
+ * - `fenced`: verified, and only commands under this leader's own tokens can still be delivered.
  */
 export type HeartbeatFreshness =
   | "stale"
@@ -38,7 +41,7 @@
   | "new-incarnation"
   | "fenced";
 
-/** Incarnations first, then sequences: negative where `heartbeat` was written before what is known. */
+/** Orders by incarnation, then by sequence; negative: `heartbeat` was written before the known counters. */
 const compareCounters = (known: KnownCounters, heartbeat: HeartbeatCounters): number => {
   if (known.incarnation === null) return 1;
   if (heartbeat.incarnation !== known.incarnation) return heartbeat.incarnation < known.incarnation ? -1 : 1;
@@ -46,7 +49,7 @@
   return heartbeat.sequence < known.sequence ? -1 : 1;
 };
 
-/** `neededToken`: the least token that only this leader can have given, since the worker's counters were last reset. */
+/** `neededToken`: lowest token that only this leader can have issued since the worker's counters were last reset. */
 export const classifyHeartbeat = (
   known: KnownCounters,
   heartbeat: HeartbeatCounters,
@@ -56,23 +59,23 @@
 ): HeartbeatFreshness => {
   const incarnationExpired = known.expiredIncarnation !== null && heartbeat.incarnation <= known.expiredIncarnation;
   const order = compareCounters(known, heartbeat);
-  // Neither sequences nor tokens ever go down in one life of a worker.
+  // Sequences and tokens never decrease unless the worker's counters are reset.
   if (incarnationExpired || order <= 0 || heartbeat.token < known.highestToken) {
     if (source.kind === "heartbeat") return order === 0 && heartbeat.token === known.highestToken ? "stale" : "suspect";
     return source.askedAt >= known.learnedAt ? "counters-reset" : "stale";
   }
   const showsNeededToken = heartbeat.token >= neededToken;
   if (!known.verified && source.kind === "heartbeat" && !showsNeededToken) return "unverified";
-  // A worker known to have been in an earlier incarnation in this leader's time has had no other leader's command since.
+  // A worker verified in an earlier incarnation within this epoch has executed no other leader's command since.
   if (known.verified && known.incarnation !== null && heartbeat.incarnation > known.incarnation)
     return "new-incarnation";
   return showsNeededToken ? "fenced" : "verified";
 };
 
 /**
- * A heartbeat that looks old may just have been overtaken by a status reply, and its worker waits for a response. Not where
- * it shows a lower token: shown this leader's, a worker whose counters were reset would look like the one before, with the
- * commands to that still under way.
+ * Whether a heartbeat that looks old may only have been overtaken by a status reply, so that its worker still waits for
+ * a response. Not with a lower token than known: once given this leader's token, a worker whose counters were reset
+ * would look as it did before the reset, while commands from before the reset may still be delivered.
  */
 export const mayBeOvertaken = (known: KnownCounters, leaseExpired: boolean, heartbeat: HeartbeatCounters): boolean =>
   !leaseExpired && heartbeat.incarnation === known.incarnation && heartbeat.token >= known.highestToken;
--- a/src/coordination/workers/heartbeat-processor.ts
+++ b/src/coordination/workers/heartbeat-processor.ts
@@ -1,4 +1,4 @@
-/** Takes in workers' heartbeats and status replies, each as far as its freshness lets conclusions be drawn from it. */
+/** Processes workers' heartbeats and status replies, and concludes from each only what its freshness supports. */
 
 import { eventFieldsOf } from "../../cluster/events.js";
 import type { Machine } from "../../cluster/machine.js";
@@ -17,12 +17,12 @@
 import { TaskExitHandler, type TaskExitStateWriter } from "./task-exit-handler.js";
 import { TaskListReconciler } from "./task-list-reconciliation.js";
 
-/** Heartbeats in a row that look older than what is known, before the worker is asked for its state. */
+/** Consecutive heartbeats that look older than the known counters before a status query is sent. */
 const MAX_SUSPECT_HEARTBEATS = 2;
-/** A worker that has had no answer waits for four seconds before it tries another controller. */
+/** A worker without a response waits for 4 s before it tries another controller. */
 const WORKER_FAILOVER_DELAY = seconds(3.5);
 
-/** What the processor needs of its shard. */
+/** The parts of the shard context that the processor uses. */
 export type HeartbeatProcessorContext = Pick<
   ShardContext,
   | "shard"
@@ -43,7 +43,7 @@
   machine.reported.exitedTasks = new Map();
 };
 
-/** Takes in what workers say and concludes from it which tasks are where, or surely nowhere. */
+/** Concludes from workers' messages which tasks run on a machine, have exited, or are proved absent from it. */
 export class HeartbeatProcessor {
   private readonly reachability: ReachabilityTracker;
   private readonly taskExits: TaskExitHandler;
@@ -60,7 +60,7 @@
     this.taskLists = new TaskListReconciler(context, this.taskExits);
   }
 
-  /** Nothing is concluded beyond what the message is evidence of (coordination/workers/heartbeat-freshness.ts). */
+  /** Updates the machine as far as the message's freshness allows (coordination/workers/heartbeat-freshness.ts). */
   process(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource): HeartbeatFreshness {
     const neededToken = Math.max(firstFencingToken(this.context.lease), machine.counters.resetToken);
     const freshness = classifyHeartbeat(machine.counters, heartbeat, source, neededToken);
@@ -87,7 +87,7 @@
     return freshness;
   }
 
-  /** One may have been overtaken on its way; a worker whose counters were reset goes on like that. */
+  /** A single one may have been overtaken in transit; a worker whose counters were reset keeps sending them. */
   private handleSuspect(machine: Machine): void {
     const { counters } = machine;
     this.suspectCount += 1;
@@ -98,7 +98,7 @@
     this.context.queryStatus(machine);
   }
 
-  /** Tells which address to ask and in which incarnation; it is no sign of life. */
+  /** Records the address and counters for a status query; the message is no proof that the worker is alive. */
   private handleUnverified(machine: Machine, heartbeat: Heartbeat): void {
     const { counters } = machine;
     this.unverifiedCount += 1;
@@ -108,7 +108,7 @@
     machine.address = heartbeat.address;
   }
 
-  /** The worker is alive and in this incarnation. */
+  /** The message proves that the worker is alive and in this incarnation. */
   private handleVerified(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource): void {
     const { clock } = this.context;
     const { counters } = machine;
@@ -116,8 +116,8 @@
     const firstVerified = !counters.verified || heartbeat.incarnation !== counters.incarnation;
     counters.verified = true;
     counters.suspectHeartbeats = 0;
-    // An incarnation begins with a whole lease, and may have begun just now: counted from when the machine was provisioned
-    // or found, or from an answer that never got there, the leases of workers seemed over while they ran tasks.
+    // An incarnation starts with a full lease and may have started just now. Counted from the machine's provisioning or
+    // discovery, or from a response that was never delivered, leases appeared expired while their workers ran tasks.
     if (firstVerified) machine.lease.renewedAt = clock.now();
     if (heartbeat.incarnation !== counters.incarnation || heartbeat.token !== counters.highestToken)
       machine.reported.taskListText = null;
@@ -130,15 +130,16 @@
     this.updateReclaimNotice(machine, heartbeat.reclaimNoticeS);
   }
 
-  /** Only commands under this leader's own tokens can still arrive: what its list lacks is not there. */
+  /** Only commands under this leader's own tokens can still take effect, so an unlisted task is not on the machine. */
   private handleFenced(machine: Machine, heartbeat: Heartbeat): void {
     machine.counters.resetToken = 0;
     if (!heartbeat.taskListUnchanged) this.taskLists.reconcile(machine, heartbeat);
   }
 
   /**
-   * Did heartbeats before this one go to another controller or get lost? What comes sooner than a worker's failover has
-   * overtaken the answer to a command: taken for a lost one, it cost a query and a token at every other start.
+   * Whether heartbeats before this one were lost or went to another controller. A gap that shows sooner than a worker
+   * fails over means that the heartbeat overtook the reply to a command: counted as a lost heartbeat, it cost a status
+   * query and a token at every other start.
    */
   private hasSkipped({ counters, commands }: Machine, heartbeat: Heartbeat): boolean {
     return (
@@ -159,7 +160,7 @@
     this.context.scheduleRound();
   }
 
-  /** `noticeS`: seconds until the cloud takes the machine back; null where it has not announced that, or no longer does. */
+  /** `noticeS`: seconds until the cloud reclaims the machine; null: no reclaim notice, or it was withdrawn. */
   private updateReclaimNotice(machine: Machine, noticeS: number | null): void {
     const { clock, log, eventListener } = this.context;
     if (noticeS === null) {
@@ -175,7 +176,7 @@
 
   private updateCounters(machine: Machine, heartbeat: Heartbeat): void {
     this.copyCounters(machine, heartbeat);
-    // Whatever token of this leader the worker shows, commands under a lower one are dropped there.
+    // The worker drops commands under a lower token than the highest it has shown.
     const sequence = Number(heartbeat.token) - firstFencingToken(this.context.lease);
     if (sequence > machine.fencing.sequence && sequence < FENCING_SEQUENCES) machine.fencing.sequence = sequence;
   }
@@ -189,8 +190,9 @@
   }
 
   /**
-   * The earlier incarnation is over, and with it all that was started in it and all commands that name it. A start that is
-   * still on its way would be carried out if the counters were reset some day: its task begins again on this machine.
+   * The earlier incarnation has ended, with all tasks started in it and all commands that name it. A start command
+   * still in flight would be executed if the worker's counters were reset later, so its task is started again on this
+   * machine.
    */
   private startNewIncarnation(machine: Machine, heartbeat: Heartbeat): void {
     this.noteInheritedStarts(machine);
@@ -212,7 +214,7 @@
     for (const task of machine.tasks) noteInheritedStart(this.context, task);
   }
 
-  /** The task does not run on its machine and stays placed there. */
+  /** Marks the task as not running; it stays placed on its machine. */
   private resetToUnstarted(task: Task): void {
     task.startCommand = { kind: "none" };
     this.context.shard.setReportedState(task, null);
@@ -220,9 +222,9 @@
   }
 
   /**
-   * The worker's counters were reset: nothing runs there, but commands of before may arrive once more, since the number of
-   * the incarnation may be the same and any token is accepted. So it is sent a higher one first, and what was there counts
-   * until it shows that one.
+   * The worker's counters were reset: nothing runs there, but earlier commands may still be delivered and executed,
+   * since the incarnation number may repeat and any token is accepted. A higher token is therefore announced first, and
+   * the tasks stay assigned to the machine until the worker shows it.
    */
   private handleCounterReset(machine: Machine, heartbeat: Heartbeat): void {
     const { clock, lease, log } = this.context;
@@ -263,7 +265,7 @@
     reachability.probeSentAt = null;
   }
 
-  /** For the log: heartbeats that came late or may have, since the last call, which sets both counts to zero. */
+  /** For the log: suspect (`late`) and unverified (`unproven`) heartbeats since the last call; resets both counts. */
   takeFreshnessCounts(): { readonly late: number; readonly unproven: number } {
     const { suspectCount, unverifiedCount } = this;
     this.suspectCount = 0;
@@ -271,12 +273,12 @@
     return { late: suspectCount, unproven: unverifiedCount };
   }
 
-  /** For the log: jobs on probation now, and starts that failed since the last call, which sets their count to zero. */
+  /** For the log: jobs on probation now, and starts that failed since the last call; resets the count of the latter. */
   takeFailureCounts(): { readonly jobsOnTrial: number; readonly failedStarts: number } {
     return this.taskExits.takeFailureCounts();
   }
 
-  /** The machine, its tasks and every command sent to it are surely gone. */
+  /** Releases all tasks of a machine that no longer exists; commands sent to it can no longer be delivered. */
   machineLost(machine: Machine, why: string): void {
     this.tasksLost(machine, [...machine.tasks], why);
     for (const task of [...machine.tasks]) {
@@ -288,9 +290,9 @@
   }
 
   /**
-   * The worker's lease has expired, and with it all that it ran has ended. The machine may be back with its counters reset,
-   * so a task whose start may still be delivered stays with it: until the machine is deleted, or heard again and the task
-   * started there.
+   * The worker's lease has expired, so all its tasks have ended. The machine may return with its counters reset, so a
+   * task whose start command may still be delivered stays assigned to it until the machine is deleted, or sends
+   * heartbeats again and starts the task.
    */
   leaseExpired(machine: Machine, why: string): void {
     this.noteInheritedStarts(machine);
@@ -308,7 +310,7 @@
       this.context.log.info(LogEvent.TasksLost, { machine: machine.name, why, tasks: tasks.length });
   }
 
-  /** The task is proved not to be on its machine. */
+  /** Releases a task that is proved absent from its machine. */
   taskGone(task: Task): void {
     this.taskExits.taskGone(task);
   }
--- a/src/coordination/workers/long-polls.ts
+++ b/src/coordination/workers/long-polls.ts
@@ -1,4 +1,4 @@
-/** Long polling by workers: responses to heartbeats that wait, so that a start reaches its machine at once. */
+/** Long polling by workers: responses to heartbeats are held back, so that a start command is delivered at once. */
 
 import { isBeingEmptied, type Machine } from "../../cluster/machine.js";
 import { type Clock, type Micros, seconds, type Timer } from "../../transport/clock.js";
@@ -6,7 +6,7 @@
 
 /** Well below the 4 s for which a worker waits for a response. */
 const MAX_WAIT = seconds(3);
-/** Where tasks wait for room, ends of tasks are to be reported soon. */
+/** Shorter while tasks wait for room: a held response delays the report of the next task exit. */
 const MAX_WAIT_UNDER_BACKLOG = seconds(1.5);
 const NO_WAIT = 0 as Micros;
 
@@ -19,9 +19,9 @@
 };
 
 /**
- * How long the response to a heartbeat of the machine may wait for a start; 0: it is to be sent at once. Meanwhile the worker
- * reports nothing, not even the end of a task, so that machines wait only where a start is likely. `backlog`: the last placement
- * round left tasks waiting.
+ * How long the response to a heartbeat of the machine may wait for a start command; 0: it is sent at once. Meanwhile
+ * the worker reports nothing, not even a task exit, so responses wait only where a start is likely. `backlog`: the last
+ * placement round left tasks waiting.
  */
 export const longPollTime = (machine: Machine, now: Micros, backlog: boolean): Micros => {
   const { state, lifecycle, reachability, tasks } = machine;
@@ -33,7 +33,7 @@
   return backlog ? MAX_WAIT_UNDER_BACKLOG : MAX_WAIT;
 };
 
-/** Why a wait is over: its time has passed, or the response is to be sent now. */
+/** Why a wait ended: its time has passed, or the response is to be sent now. */
 export type WaitEnd = "time passed" | "ended";
 
 interface LongPoll {
@@ -41,19 +41,19 @@
   readonly resolve: (end: WaitEnd) => void;
 }
 
-/** The responses that wait, at most one a machine. */
+/** The responses held back, at most one per machine. */
 export class LongPolls {
   private readonly waiting = new Map<Machine, LongPoll>();
 
-  /** `maxWaiting`: so many responses wait at once, since each takes a connection. */
+  /** `maxWaiting`: maximum number of responses held back at once, since each occupies a connection. */
   constructor(
     private readonly clock: Clock,
     private readonly maxWaiting: number,
   ) {}
 
   /**
-   * Waits until `end` is called for the machine, at most for `time`; not at all where too many wait already. An earlier wait for
-   * the machine ends now.
+   * Waits until `end` is called for the machine, at most for `time`; not at all if too many responses are held back
+   * already. Ends an earlier wait for the machine.
    */
   wait(machine: Machine, time: Micros): Promise<WaitEnd> {
     this.end(machine);
--- a/src/coordination/workers/reachability-tracker.ts
+++ b/src/coordination/workers/reachability-tracker.ts
@@ -1,4 +1,4 @@
-/** Keeps the two-way reachability of workers up to date from their heartbeats, and logs its changes. */
+/** Updates the two-way reachability of workers from their heartbeats and status replies, and logs its changes. */
 
 import type { Machine } from "../../cluster/machine.js";
 import type { Heartbeat } from "../../protocol/worker.js";
@@ -8,18 +8,18 @@
 import type { HeartbeatSource } from "./heartbeat-freshness.js";
 import { commandsArrive, isReachable, recordHeartbeat, recordStatusReply, responsesArrive } from "./reachability.js";
 
-/** What the tracker needs of its shard. */
+/** The parts of the shard context that the tracker uses. */
 export type ReachabilityContext = Pick<ShardContext, "clock" | "lease" | "log" | "loadShedder" | "scheduleRound">;
 
-/** What verified heartbeats tell of the responses before them, and the log of what follows from it. */
+/** Concludes from verified heartbeats whether earlier responses were delivered, and logs changes of reachability. */
 export class ReachabilityTracker {
   constructor(private readonly context: ReachabilityContext) {}
 
-  /** `skipped`: heartbeats before this one went to another controller or got lost. */
+  /** `skipped`: heartbeats before this one went to another controller or were lost. */
   update(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource, skipped: boolean): void {
     const { lease, loadShedder } = this.context;
     const { reachability } = machine;
-    // Answered late by this controller under load, the worker has gone elsewhere.
+    // Under load this controller responds late, and workers try another one although responses are delivered.
     if (loadShedder.atLeast("reduced")) return;
     if (source.kind === "status-reply") recordStatusReply(reachability, heartbeat.token, source.askedAt);
     const startProbe =
@@ -27,7 +27,7 @@
     if (startProbe) reachability.probeToken = fencingTokenOf(lease, machine) + 1;
   }
 
-  /** Logs once that a machine is heard and not reached, and once that it is reached again. */
+  /** Logs once when a machine that sends heartbeats becomes unreachable, and once when it is reachable again. */
   logChange(machine: Machine): void {
     const { clock, log } = this.context;
     const reachable = isReachable(machine.reachability);
--- a/src/coordination/workers/reachability.ts
+++ b/src/coordination/workers/reachability.ts
@@ -1,31 +1,35 @@
-/** Two-way reachability of a worker: do commands arrive there, and responses to its heartbeats? */
+/** Two-way reachability of a worker: whether commands and responses to its heartbeats are delivered. */
 
 import type { Reachability } from "../../cluster/machine.js";
 import type { Uint64 } from "../../protocol/json.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 
-/** So many in a row without an effect; one may get lost on any network. */
+/** Consecutive lost requests or responses from which a worker counts as not reached; any network may lose one. */
 const MAX_MISSES = 2;
 
-/** Do requests to the worker arrive? */
+/** Whether requests to the worker are delivered. */
 export const commandsArrive = ({ consecutiveTimeouts }: Reachability): boolean => consecutiveTimeouts < MAX_MISSES;
-/** Do responses to its heartbeats arrive, which renew its lease? */
+/** Whether responses to the worker's heartbeats, which renew its lease, are delivered. */
 export const responsesArrive = ({ heartbeatsWithoutProbe }: Reachability): boolean =>
   heartbeatsWithoutProbe < MAX_MISSES;
-/** Capacity counts only where commands arrive and where leases are renewed. */
+/** Whether the machine's capacity counts: commands are delivered and its worker's lease is renewed. */
 export const isReachable = (reachability: Reachability): boolean =>
   commandsArrive(reachability) && responsesArrive(reachability);
-/** Nothing gets there: one heartbeat without an effect of the answer before is enough, where commands fail as well. */
+/**
+ * Whether nothing sent to the worker is delivered. If commands fail, one heartbeat without the probe token suffices.
+ */
 export const isOneWay = (reachability: Reachability): boolean =>
   !commandsArrive(reachability) && reachability.heartbeatsWithoutProbe > 0;
 
-/** A response that was on its way when the query left may get there a little later. */
+/** A response in flight when a status query is sent may be delivered this much later. */
 const RESPONSE_IN_FLIGHT = seconds(0.7);
+/** The loss of an older response may be due to a partition that has ended. */
 const RECENT_RESPONSE = seconds(2.5);
 
-/** A query or command has been answered, at `now`. */
+/** Records that the worker answered a status query or command at `now`. */
 export const recordResponse = (reachability: Reachability, now: Micros): void => {
-  // Whatever was missed while nothing got there says nothing of now: machines were given up for it once a cut was over.
+  // Responses lost while requests failed are no evidence of the present: counting them, machines were deleted after a
+  // partition had ended.
   if (!commandsArrive(reachability)) {
     reachability.heartbeatsWithoutProbe = 0;
     reachability.probeSentAt = null;
@@ -34,11 +38,11 @@
   reachability.lastResponseAt = now;
 };
 
-/** A reply to a query that left at `askedAt`: where it does not show the token of an earlier response, that was lost. */
+/** Records the reply to a query sent at `askedAt`. Unless it shows the token of an earlier response, that was lost. */
 export const recordStatusReply = (reachability: Reachability, token: Uint64, askedAt: Micros): void => {
   if (reachability.probeToken === null || reachability.probeSentAt === null) return;
   if (token >= reachability.probeToken) confirmProbe(reachability);
-  // Of a response of long before it says nothing: that may have been lost in a cut that is over.
+  // A much older response may have been lost in a partition that has ended.
   else if (
     askedAt - reachability.probeSentAt > RESPONSE_IN_FLIGHT &&
     askedAt - reachability.probeSentAt < RECENT_RESPONSE
@@ -52,14 +56,15 @@
   reachability.heartbeatsWithoutProbe = 0;
 };
 
-/** A query or command has had no answer in time. */
+/** Records that a status query or command was not answered in time. */
 export const recordTimeout = (reachability: Reachability): void => {
   reachability.consecutiveTimeouts += 1;
 };
 
 /**
- * A heartbeat newer than all before. `skipped`: messages between it and the one before that never came here, mostly because
- * the worker had no answer here and tried elsewhere. Returns whether the next responses are to carry a token of their own.
+ * Records a heartbeat newer than all before. `skipped`: messages between it and the one before were not received here,
+ * mostly because the worker had no response and tried another controller. Returns whether the next responses are to
+ * carry a probe token.
  */
 export const recordHeartbeat = (reachability: Reachability, token: Uint64, skipped: boolean): boolean => {
   if (reachability.probeToken === null) return skipped || reachability.consecutiveTimeouts > 0;
--- a/src/coordination/workers/task-exit-handler.ts
+++ b/src/coordination/workers/task-exit-handler.ts
@@ -1,4 +1,4 @@
-/** What follows from the end of a task: its next attempt, the records, and who is blamed for a failure. */
+/** Handles the end of a task: its next attempt, its record, and the attribution of a failure to a machine or a job. */
 
 import { eventFieldsOf } from "../../cluster/events.js";
 import type { Machine } from "../../cluster/machine.js";
@@ -12,19 +12,21 @@
 
 const MIN_RETRY_DELAY = seconds(0.5);
 const MAX_RETRY_DELAY = seconds(30);
-/** A machine that refused a task for lack of room gets no other for so long: its next heartbeat is due by then. */
+/**
+ * A machine that refused a task for lack of room gets no new tasks for this long: its next heartbeat is due by then.
+ */
 const REFUSAL_QUARANTINE_TIME = seconds(1);
 
-/** What the handler needs of its shard. */
+/** The parts of the shard context that the handler uses. */
 export type TaskExitContext = Pick<
   ShardContext,
   "shard" | "clock" | "log" | "scheduleRound" | "eventListener" | "onTaskFailed"
 >;
 
-/** What the handler needs of the writer of task states. */
+/** The parts of the task state writer that the handler uses. */
 export type TaskExitStateWriter = Pick<TaskStateWriter, "recordSoon" | "finishIfComplete">;
 
-/** Takes in that tasks have ended, or are proved not to be on their machine. */
+/** Handles tasks that have exited or are proved absent from their machine. */
 export class TaskExitHandler {
   private failedStarts = 0;
 
@@ -33,11 +35,11 @@
     private readonly taskStates: TaskExitStateWriter,
   ) {}
 
-  /** The task is proved not to be on its machine: it waits for a place again, or ends with its cancelled job. */
+  /** Releases a task that is proved absent from its machine: it waits for placement, or ends with its cancelled job. */
   taskGone(task: Task): void {
     if (task.desired.kind === "placed") task.desired = { kind: "waiting", attempt: task.desired.attempt };
     const { job, unansweredStartAt } = task;
-    // It may run on that machine again until then.
+    // Until then its earlier start command may still be delivered and run it on that machine.
     if (unansweredStartAt !== null)
       task.earliestStart = Math.max(task.earliestStart, unansweredStartAt + MAX_START_DELAY) as Micros;
     this.context.shard.releaseTask(task);
@@ -46,7 +48,7 @@
     else this.taskStates.recordSoon(task.range);
   }
 
-  /** The worker lists the task's current attempt as exited. Called once for each: an unchanged list is not read again. */
+  /** Handles the listed exit of the task's current attempt, once: an unchanged list is not read again. */
   taskExited(machine: Machine, task: Task, reason: ExitReason): void {
     if (reason === "done") {
       this.completeTask(machine, task);
@@ -74,7 +76,7 @@
     this.context.scheduleRound();
   }
 
-  /** The next attempt is put off, and the machine is kept free of new work for a while. */
+  /** Delays the next attempt; an error is attributed to machine or job, a refusal quarantines the machine. */
   private recordFailure(machine: Machine, task: Task, reason: ExitReason, now: Micros): void {
     const { log } = this.context;
     log.info(LogEvent.TaskFailed, { task: task.name, machine: machine.name, reason });
@@ -86,12 +88,15 @@
       this.attributeFailure(machine, task, now);
       return;
     }
-    // A refusal for lack of room means that the machine's state as known here is off until the next heartbeat.
+    // A refusal for lack of room means that this leader's state of the machine is wrong until the next heartbeat.
     const { lifecycle } = machine;
     lifecycle.quarantinedUntil = Math.max(lifecycle.quarantinedUntil, now + REFUSAL_QUARANTINE_TIME) as Micros;
   }
 
-  /** Failing machines and failing jobs are both backed off, separately. */
+  /**
+   * Failing machines and failing jobs are backed off independently: a faulty machine is drained, a job put on
+   * probation.
+   */
   private attributeFailure(machine: Machine, task: Task, now: Micros): void {
     const { shard, log, eventListener } = this.context;
     const { job } = task;
@@ -106,7 +111,7 @@
     eventListener?.({ kind: "machine faulty", ...eventFieldsOf(machine) });
   }
 
-  /** For the log: jobs on probation now, and starts that failed since the last call, which sets their count to zero. */
+  /** For the log: jobs on probation now, and starts that failed since the last call; resets the count of the latter. */
   takeFailureCounts(): { readonly jobsOnTrial: number; readonly failedStarts: number } {
     const { failedStarts } = this;
     this.failedStarts = 0;
--- a/src/coordination/workers/task-list-reconciliation.ts
+++ b/src/coordination/workers/task-list-reconciliation.ts
@@ -12,10 +12,10 @@
 import { isReachable } from "./reachability.js";
 import type { TaskExitHandler } from "./task-exit-handler.js";
 
-/** Of the tasks that a worker lists and that are not placed there, so many are named in the log. */
+/** Maximum number of unexpected tasks (listed by the worker but not placed there) named in a log line. */
 const MAX_LOGGED_TASKS = 5;
 
-/** What the reconciler needs of its shard. */
+/** The parts of the shard context that the reconciler uses. */
 export type ReconciliationContext = Pick<
   ShardContext,
   "shard" | "clock" | "lease" | "log" | "scheduleCommands" | "announceFencingToken"
@@ -29,7 +29,7 @@
   return true;
 };
 
-/** Do the zone rules of its job, given where the other tasks may be, let the task stay where it is? */
+/** Whether the zone rules of its job allow the task in the zone, given where the job's other tasks may be. */
 const satisfiesZoneRules = ({ job }: Task, { zone }: Machine): boolean => {
   if (!job.spec.spread && !job.spec.singleZone) return true;
   const counts = zoneCounts(job);
@@ -42,17 +42,17 @@
   return statuses.get(task.name)?.find((candidate) => candidate.attempt === attempt);
 };
 
-/** Concludes from the task lists of fenced heartbeats which tasks run, have ended or are surely not there. */
+/** Concludes from the task lists of fenced heartbeats which tasks run, have exited or are proved absent. */
 export class TaskListReconciler {
   constructor(
     private readonly context: ReconciliationContext,
     private readonly taskExits: TaskExitHandler,
   ) {}
 
-  /** `heartbeat`: a fenced one with a list that may differ from the last one read. */
+  /** `heartbeat`: a fenced one whose task list may differ from the last one read. */
   reconcile(machine: Machine, heartbeat: Heartbeat): void {
     this.reconcileList(machine, heartbeat);
-    // Only what the list did itself is known to follow from it: a start not seen yet may still be called lost by it.
+    // An equal list is skipped later. While a start is not observed, the same list may yet prove that start lost.
     machine.reported.taskListText = allStartsObserved(machine) ? heartbeat.taskListText : null;
   }
 
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Takes placed tasks out of `unexpectedTasks`. Returns whether one that had been observed is listed no more. */
+  /** Removes placed tasks from `unexpectedTasks`. Returns whether a task observed before is no longer listed. */
   private reconcilePlacedTasks(
     machine: Machine,
     heartbeat: Heartbeat,
@@ -100,7 +100,7 @@
     return vanished;
   }
 
-  /** Shows the worker a token above that of every start sent so far. */
+  /** Announces to the worker a token higher than that of every start command sent so far. */
   private fenceVanished(machine: Machine): void {
     this.context.log.info(LogEvent.TasksVanished, { machine: machine.name });
     machine.fencing.sequence += 1;
@@ -112,15 +112,15 @@
       case "none":
         return;
       case "uncertain":
-        // Only a worker past the token under which the start was sent can no longer get it.
+        // Only a worker that has shown a higher token than the start command's rejects that command.
         if (token <= task.startCommand.token) return;
         task.startCommand = { kind: "none" };
         if (this.mayStartAgain(machine, task)) this.context.scheduleCommands(machine);
         else if (!this.isHeld(machine, task)) this.taskExits.taskGone(task);
         return;
       case "observed":
-        // Within one life of a worker no attempt vanishes that it was not told to forget. So its counters were reset, and the
-        // start may arrive there once more until a higher token is shown.
+        // Unless its counters are reset, a worker drops an attempt from its list only on a forget command. So they were
+        // reset, and the start command may be executed once more until the worker shows a higher token.
         task.startCommand = { kind: "uncertain", token: fencingTokenOf(this.context.lease, machine) };
         this.context.shard.setReportedState(task, null);
         task.runningSince = null;
@@ -128,10 +128,11 @@
   }
 
   /**
-   * Where commands do not arrive the task would wait for as long as they don't, unless a start that is still on its way binds
-   * it to the machine: then it is started by the response to a heartbeat. Beyond its team's limit, or where its job's
-   * other tasks keep it out of the zone, it must not be started: one record may be older than another that took its place,
-   * and a new leader takes over both.
+   * Whether a task whose start was lost may be started again on its machine. Not on an unreachable machine, where the
+   * task would wait until that is reachable, unless a start command that may still be delivered binds it to the
+   * machine: then the response to a heartbeat starts it. Nor beyond its team's limit, or where its job's other tasks
+   * rule out the zone: the record of this placement may be older than that of its replacement, and a new leader
+   * restores both.
    */
   private mayStartAgain(machine: Machine, task: Task): boolean {
     return (
@@ -144,8 +145,9 @@
   }
 
   /**
-   * Whether a task that must not be started on its machine now stays there nevertheless, since a start may still be
-   * delivered. Where the zone rules keep it out that would be for ever: it is placed elsewhere a minute after the start.
+   * Whether a task that must not be started on its machine now stays assigned to it, since a start command may still be
+   * delivered. Where the zone rules rule out the zone it would stay forever, so it is released, to be placed elsewhere
+   * a minute after the start.
    */
   private isHeld(machine: Machine, task: Task): boolean {
     if (mayRelease(task, this.context.clock.now())) return false;
