--- a/src/coordination/workers/answered-starts.ts
+++ b/src/coordination/workers/answered-starts.ts
@@ -21,9 +21,9 @@
 const MAX_MACHINES = 256;
 
 /** The content of a record, whichever leader wrote it. */
-type Claims = Pick<AnsweredStartsRecord, "revision" | "unansweredMachines">;
+type RecordContent = Pick<AnsweredStartsRecord, "revision" | "unansweredMachines">;
 
-const isSameClaims = (a: Claims, b: Claims): boolean =>
+const isSameContent = (a: RecordContent, b: RecordContent): boolean =>
   a.revision === b.revision &&
   a.unansweredMachines.length === b.unansweredMachines.length &&
   a.unansweredMachines.every((name, index) => name === b.unansweredMachines[index]);
@@ -45,11 +45,11 @@
  */
 export class AnsweredStarts {
   /** The record of the immediately preceding leader; null: none that can be trusted. */
-  private readonly inherited: Claims | null;
+  private readonly inherited: RecordContent | null;
   /** The machines that it names, as a set: looked up for each placed task of the shard. */
-  private readonly inheritedExceptions: ReadonlySet<string>;
+  private readonly inheritedUnansweredMachines: ReadonlySet<string>;
   /** The content that this leader last wrote; null: none yet. */
-  private recordedClaims: Claims | null = null;
+  private recordedContent: RecordContent | null = null;
   private version: Uint64;
   private writing = false;
   private nextWriteAt = 0 as Micros;
@@ -64,7 +64,7 @@
     this.version = entry?.version ?? 0;
     const record = entry === undefined ? null : decodeAnsweredStarts(entry.value);
     this.inherited = record !== null && record.epoch === lease.epoch - 1 ? record : null;
-    this.inheritedExceptions = new Set(this.inherited?.unansweredMachines);
+    this.inheritedUnansweredMachines = new Set(this.inherited?.unansweredMachines);
   }
 
   private get key(): string {
@@ -74,7 +74,7 @@
   /** Whether all starts of a placement on `machine`, in a range record of `version`, are on record as answered. */
   wasAnswered(version: Uint64, machine: string): boolean {
     if (this.inherited === null) return false;
-    return version <= this.inherited.revision && !this.inheritedExceptions.has(machine);
+    return version <= this.inherited.revision && !this.inheritedUnansweredMachines.has(machine);
   }
 
   /** Writes the record if it has changed and no earlier write is too recent; called periodically. */
@@ -84,22 +84,22 @@
     const revision = cache.currentRevision;
     if (this.writing || now < this.nextWriteAt || revision === null) return;
     this.nextWriteAt = (now + WRITE_INTERVAL) as Micros;
-    const claims = this.buildClaims(revision, now);
-    if (claims === null || (this.recordedClaims !== null && isSameClaims(claims, this.recordedClaims))) return;
+    const content = this.buildContent(revision, now);
+    if (content === null || (this.recordedContent !== null && isSameContent(content, this.recordedContent))) return;
     this.writing = true;
-    void this.guard(this.write(claims)).then(() => {
+    void this.guard(this.write(content)).then(() => {
       this.writing = false;
     });
   }
 
   /** The content to write now; with too many machines to name, the last content. Null: nothing to write. */
-  private buildClaims(revision: Uint64, now: Micros): Claims | null {
-    const { recordedClaims } = this;
+  private buildContent(revision: Uint64, now: Micros): RecordContent | null {
+    const { recordedContent } = this;
     const unansweredMachines = this.unansweredMachines(now);
-    if (unansweredMachines === null) return recordedClaims ?? this.inherited;
+    if (unansweredMachines === null) return recordedContent ?? this.inherited;
     // Nothing has been written to the store since this leader's own last write.
-    const isUnchanged = recordedClaims !== null && revision <= this.version;
-    return { revision: isUnchanged ? recordedClaims.revision : revision, unansweredMachines };
+    const isUnchanged = recordedContent !== null && revision <= this.version;
+    return { revision: isUnchanged ? recordedContent.revision : revision, unansweredMachines };
   }
 
   /** Names of the machines with tasks that do not count as answered, sorted; null: too many to name. */
@@ -113,7 +113,7 @@
     return machines.size > MAX_MACHINES ? null : [...machines].sort();
   }
 
-  private async write(claims: Claims): Promise<void> {
+  private async write(content: RecordContent): Promise<void> {
     const { transactions, cache } = this.services;
     const conditions = new Map([
       [this.lease.key, this.lease.version],
@@ -121,8 +121,8 @@
     ]);
     const record: AnsweredStartsRecord = {
       epoch: this.lease.epoch,
-      revision: claims.revision,
-      unansweredMachines: claims.unansweredMachines,
+      revision: content.revision,
+      unansweredMachines: content.unansweredMachines,
     };
     // The record is never deleted: its version would be 0 again, so an earlier write without a response could be
     // applied.
@@ -130,7 +130,7 @@
     const result: SubmissionResult = await transactions.submit(conditions, [put], "normal");
     if (result.kind === "ok") {
       this.version = result.version;
-      this.recordedClaims = claims;
+      this.recordedContent = content;
     } else if (result.kind === "conflict" && (await cache.sync())) {
       // An earlier write of this controller without a response may have been applied.
       this.version = cache.entries.get(this.key)?.version ?? 0;
--- a/src/coordination/workers/command-dispatcher.ts
+++ b/src/coordination/workers/command-dispatcher.ts
@@ -17,7 +17,7 @@
 
 const RETRY_DELAY = ms(500);
 /** A request that fails sooner was refused a connection or not sent; one that fails later was lost. */
-const IMMEDIATE_FAILURE = ms(200);
+const IMMEDIATE_FAILURE_TIME = ms(200);
 /** Commands in one request or response, to keep it well below the size limit of a body. */
 const MAX_COMMANDS = 200;
 /** Added to half of the worker's lease, for a worker whose clock is slow. */
@@ -31,15 +31,15 @@
   readonly commands: readonly Command[];
 }
 
-interface CommandAnswer {
+interface CommandReply {
   readonly body: string;
   /** False: the worker dropped the commands. */
   readonly accepted: boolean;
   /** When the request was sent. */
-  readonly askedAt: Micros;
+  readonly requestedAt: Micros;
 }
 
-const startOf = (task: Task): Command => ({ op: "start", task: task.name, attempt: attemptOf(task.desired) });
+const startCommandOf = (task: Task): Command => ({ op: "start", task: task.name, attempt: attemptOf(task.desired) });
 
 /**
  * Sends workers the difference between the desired and the reported tasks of a machine. Tasks are started by responses
@@ -90,7 +90,7 @@
     const token = responseTokenOf(this.context.lease, machine);
     for (const task of tasks)
       task.startCommand = { kind: "uncertain", token, answered: task.unansweredStartAt === null };
-    return tasks.map(startOf);
+    return tasks.map(startCommandOf);
   }
 
   /** Whether there are stop commands, which cannot wait for the response to the next heartbeat. */
@@ -123,7 +123,7 @@
   /** The tasks that the next response to a heartbeat of the machine is to start. */
   private startableTasks(machine: Machine): Task[] {
     const starts: Task[] = [];
-    if (!this.isTrusted(machine) || !this.context.mayStartTasks(machine) || isBeingEmptied(machine)) return starts;
+    if (!this.isFenced(machine) || !this.context.mayStartTasks(machine) || isBeingEmptied(machine)) return starts;
     for (const task of machine.tasks) {
       if (starts.length >= MAX_COMMANDS) break;
       if (this.isStartable(task)) starts.push(task);
@@ -145,32 +145,32 @@
    * send even without commands, to learn the worker's state under this leader's token.
    */
   async send(machine: Machine, probe = false): Promise<void> {
-    const startsWait = this.hasWaitingStarts(machine) && !this.longPolls.end(machine);
-    const request = this.buildRequest(machine, probe, startsWait);
+    const hasPendingStarts = this.hasWaitingStarts(machine) && !this.longPolls.end(machine);
+    const request = this.buildRequest(machine, probe, hasPendingStarts);
     if (request === null) return;
     const { clock, http } = this.context;
     machine.commands.inFlight = true;
     const body = formatJson(encodeCommandRequest(request.token, request.incarnation, request.commands));
-    const askedAt = clock.now();
+    const requestedAt = clock.now();
     const outcome = await http.call(
       request.address,
       { method: "POST", target: "/orders", body },
       WORKER_REQUEST_TIMEOUT,
     );
     machine.commands.inFlight = false;
-    this.updateReachability(machine, outcome, askedAt);
+    this.updateReachability(machine, outcome, requestedAt);
     if (outcome.kind === "answer" && (outcome.status === 200 || outcome.status === 409))
-      this.handleAnswer(machine, { body: outcome.body, accepted: outcome.status === 200, askedAt });
+      this.handleReply(machine, { body: outcome.body, accepted: outcome.status === 200, requestedAt });
     else this.retryLater(machine);
   }
 
   /** Null: nothing may be sent, or there is nothing to send. */
-  private buildRequest(machine: Machine, probe: boolean, startsWait: boolean): CommandRequest | null {
+  private buildRequest(machine: Machine, probe: boolean, hasPendingStarts: boolean): CommandRequest | null {
     const { address, counters } = machine;
     const { incarnation } = counters;
     if (address === null || incarnation === null || !this.maySend(machine, probe)) return null;
     const commands = this.repeatableCommands(machine);
-    const requestsHeartbeat = startsWait && this.raiseTokenForHeartbeat(machine);
+    const requestsHeartbeat = hasPendingStarts && this.raiseTokenForHeartbeat(machine);
     if (!requestsHeartbeat && !probe && commands.length === 0) return null;
     return { address, incarnation, token: fencingTokenOf(this.context.lease, machine), commands };
   }
@@ -204,7 +204,7 @@
    * Whether the worker has shown this leader's token. Inherited tasks are not started again before that: an attempt may
    * have ended without its end being on record yet.
    */
-  private isTrusted({ state, counters }: Machine): boolean {
+  private isFenced({ state, counters }: Machine): boolean {
     return (
       state === "up" && counters.highestToken >= firstFencingToken(this.context.lease) && counters.resetToken === 0
     );
@@ -213,12 +213,12 @@
   /**
    * The worker has accepted the commands, or rejected them for their token or incarnation; the body holds its status.
    */
-  private handleAnswer(machine: Machine, { body, accepted, askedAt }: CommandAnswer): void {
+  private handleReply(machine: Machine, { body, accepted, requestedAt }: CommandReply): void {
     const { clock, log } = this.context;
     try {
       const heartbeat = decodeHeartbeat(parseJson(body));
       if (heartbeat.machine !== machine.name) throw new MalformedMessageError("status of another machine");
-      this.heartbeats.process(machine, heartbeat, { kind: "status-reply", askedAt });
+      this.heartbeats.process(machine, heartbeat, { kind: "status-reply", requestedAt });
     } catch (error) {
       log.error(LogEvent.WorkerResponseMalformed, { machine: machine.name, error: String(error) });
     }
@@ -237,14 +237,14 @@
     const { http, lease, log, clock } = this.context;
     const { address } = machine;
     if (address === null || !lease.isValid()) return;
-    const askedAt = clock.now();
+    const requestedAt = clock.now();
     const outcome = await http.call(address, { method: "GET", target: "/status", body: "" }, WORKER_REQUEST_TIMEOUT);
-    this.updateReachability(machine, outcome, askedAt);
+    this.updateReachability(machine, outcome, requestedAt);
     if (outcome.kind !== "answer" || outcome.status !== 200) return;
     try {
       const heartbeat = decodeHeartbeat(parseJson(outcome.body));
       if (heartbeat.machine !== machine.name) return;
-      this.heartbeats.process(machine, heartbeat, { kind: "status-reply", askedAt });
+      this.heartbeats.process(machine, heartbeat, { kind: "status-reply", requestedAt });
       if (machine.counters.highestToken < firstFencingToken(lease)) await this.send(machine, true);
     } catch (error) {
       log.error(LogEvent.WorkerResponseMalformed, { machine: machine.name, error: String(error) });
@@ -252,13 +252,14 @@
   }
 
   /** Records whether requests reach the machine. An immediate failure proves nothing: not sent, or no listener yet. */
-  private updateReachability(machine: Machine, outcome: HttpOutcome, askedAt: Micros): void {
+  private updateReachability(machine: Machine, outcome: HttpOutcome, requestedAt: Micros): void {
     const { clock, loadShedder } = this.context;
     if (outcome.kind === "answer") {
       recordResponse(machine.reachability, clock.now());
       return;
     }
-    if (machine.state !== "up" || clock.now() - askedAt < IMMEDIATE_FAILURE || loadShedder.atLeast("reduced")) return;
+    if (machine.state !== "up" || clock.now() - requestedAt < IMMEDIATE_FAILURE_TIME || loadShedder.atLeast("reduced"))
+      return;
     recordTimeout(machine.reachability);
   }
 
--- a/src/coordination/workers/heartbeat-freshness.ts
+++ b/src/coordination/workers/heartbeat-freshness.ts
@@ -16,10 +16,10 @@
   readonly token: Uint64;
 }
 
-/** A heartbeat may be a delayed copy; a status reply was written after its query was sent, at `askedAt`. */
+/** A heartbeat may be a delayed copy; a status reply was written after its query was sent, at `requestedAt`. */
 export type HeartbeatSource =
   | { readonly kind: "heartbeat" }
-  | { readonly kind: "status-reply"; readonly askedAt: Micros };
+  | { readonly kind: "status-reply"; readonly requestedAt: Micros };
 
 /**
  * What may be concluded from a worker's message (docs/heartbeat-evidence.md):
@@ -62,7 +62,7 @@
   // Sequences and tokens never decrease unless the worker's counters are reset.
   if (incarnationExpired || order <= 0 || heartbeat.token < known.highestToken) {
     if (source.kind === "heartbeat") return order === 0 && heartbeat.token === known.highestToken ? "stale" : "suspect";
-    return source.askedAt >= known.learnedAt ? "counters-reset" : "stale";
+    return source.requestedAt >= known.learnedAt ? "counters-reset" : "stale";
   }
   const showsNeededToken = heartbeat.token >= neededToken;
   if (!known.verified && source.kind === "heartbeat" && !showsNeededToken) return "unverified";
--- a/src/coordination/workers/heartbeat-processor.ts
+++ b/src/coordination/workers/heartbeat-processor.ts
@@ -12,7 +12,7 @@
 import { LogEvent } from "../log-events.js";
 
 import { classifyHeartbeat, type HeartbeatFreshness, type HeartbeatSource } from "./heartbeat-freshness.js";
-import { noteInheritedStart } from "./inherited-starts.js";
+import { markInheritedStartUnanswered } from "./inherited-starts.js";
 import { ReachabilityTracker } from "./reachability-tracker.js";
 import { TaskExitHandler, type TaskExitStateWriter } from "./task-exit-handler.js";
 import { TaskListReconciler } from "./task-list-reconciliation.js";
@@ -112,7 +112,7 @@
   private handleVerified(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource): void {
     const { clock } = this.context;
     const { counters } = machine;
-    const skipped = this.hasSkipped(machine, heartbeat);
+    const missedHeartbeats = this.hasMissedHeartbeats(machine, heartbeat);
     const firstVerified = !counters.verified || heartbeat.incarnation !== counters.incarnation;
     counters.verified = true;
     counters.suspectHeartbeats = 0;
@@ -122,7 +122,7 @@
     if (heartbeat.incarnation !== counters.incarnation || heartbeat.token !== counters.highestToken)
       machine.reported.taskListText = null;
     this.updateCounters(machine, heartbeat);
-    this.reachability.update(machine, heartbeat, source, skipped);
+    this.reachability.update(machine, heartbeat, source, missedHeartbeats);
     machine.address = heartbeat.address;
     machine.reachability.lastHeartbeatAt = clock.now();
     this.reachability.logChange(machine);
@@ -141,7 +141,7 @@
    * fails over means that the heartbeat overtook the reply to a command: counted as a lost heartbeat, it cost a status
    * query and a token at every other start.
    */
-  private hasSkipped({ counters, commands }: Machine, heartbeat: Heartbeat): boolean {
+  private hasMissedHeartbeats({ counters, commands }: Machine, heartbeat: Heartbeat): boolean {
     return (
       counters.verified &&
       !commands.inFlight &&
@@ -195,7 +195,7 @@
    * machine.
    */
   private startNewIncarnation(machine: Machine, heartbeat: Heartbeat): void {
-    this.noteInheritedStarts(machine);
+    this.markInheritedStartsUnanswered(machine);
     const startedTasks = [...machine.tasks].filter(({ startCommand }) => startCommand.kind !== "none");
     this.context.log.info(LogEvent.WorkerIncarnationChanged, {
       machine: machine.name,
@@ -203,15 +203,15 @@
       tasks: startedTasks.length,
     });
     for (const task of startedTasks) {
-      if (mayRelease(task, this.context.clock.now())) this.taskExits.taskGone(task);
+      if (mayRelease(task, this.context.clock.now())) this.taskExits.releaseAbsentTask(task);
       else this.resetToUnstarted(task);
     }
     clearReportedTasks(machine);
     if (machine.tasks.size > 0) this.context.scheduleCommands(machine);
   }
 
-  private noteInheritedStarts(machine: Machine): void {
-    for (const task of machine.tasks) noteInheritedStart(this.context, task);
+  private markInheritedStartsUnanswered(machine: Machine): void {
+    for (const task of machine.tasks) markInheritedStartUnanswered(this.context, task);
   }
 
   /** Marks the task as not running; it stays placed on its machine. */
@@ -248,7 +248,7 @@
   }
 
   private markStartsUncertain(machine: Machine): void {
-    this.noteInheritedStarts(machine);
+    this.markInheritedStartsUnanswered(machine);
     const token: Uint64 = fencingTokenOf(this.context.lease, machine);
     for (const task of machine.tasks) {
       if (task.startCommand.kind === "none") continue;
@@ -280,10 +280,10 @@
 
   /** Releases all tasks of a machine that no longer exists; commands sent to it can no longer be delivered. */
   machineLost(machine: Machine, why: string): void {
-    this.tasksLost(machine, [...machine.tasks], why);
+    this.logLostTasks(machine, [...machine.tasks], why);
     for (const task of [...machine.tasks]) {
       task.unansweredStartAt = null;
-      this.taskExits.taskGone(task);
+      this.taskExits.releaseAbsentTask(task);
     }
     machine.reported.taskListText = null;
     clearReportedTasks(machine);
@@ -295,23 +295,23 @@
    * heartbeats again and starts the task.
    */
   leaseExpired(machine: Machine, why: string): void {
-    this.noteInheritedStarts(machine);
+    this.markInheritedStartsUnanswered(machine);
     const now = this.context.clock.now();
     const gone = [...machine.tasks].filter((task) => !mayStartLate(task, now));
-    this.tasksLost(machine, gone, why);
-    for (const task of gone) this.taskExits.taskGone(task);
+    this.logLostTasks(machine, gone, why);
+    for (const task of gone) this.taskExits.releaseAbsentTask(task);
     for (const task of machine.tasks) this.resetToUnstarted(task);
     machine.reported.taskListText = null;
     clearReportedTasks(machine);
   }
 
-  private tasksLost(machine: Machine, tasks: readonly Task[], why: string): void {
+  private logLostTasks(machine: Machine, tasks: readonly Task[], why: string): void {
     if (tasks.length > 0)
       this.context.log.info(LogEvent.TasksLost, { machine: machine.name, why, tasks: tasks.length });
   }
 
   /** Releases a task that is proved absent from its machine. */
   taskGone(task: Task): void {
-    this.taskExits.taskGone(task);
+    this.taskExits.releaseAbsentTask(task);
   }
 }
--- a/src/coordination/workers/inherited-starts.ts
+++ b/src/coordination/workers/inherited-starts.ts
@@ -9,7 +9,10 @@
  * answered. Must be called before any other conclusion about the task's start command: from then on `mayStartLate`
  * decides whether the task may be released.
  */
-export const noteInheritedStart = ({ lease, clock }: Pick<ShardContext, "lease" | "clock">, task: Task): void => {
+export const markInheritedStartUnanswered = (
+  { lease, clock }: Pick<ShardContext, "lease" | "clock">,
+  task: Task,
+): void => {
   const { startCommand } = task;
   if (startCommand.kind !== "uncertain" || startCommand.answered === true) return;
   const epoch = epochOfToken(startCommand.token);
--- a/src/coordination/workers/long-polls.ts
+++ b/src/coordination/workers/long-polls.ts
@@ -10,7 +10,7 @@
 const MAX_WAIT_UNDER_BACKLOG = seconds(1.5);
 const NO_WAIT = 0 as Micros;
 
-const hasRoom = ({ type, load }: Machine): boolean =>
+const hasFreeCapacity = ({ type, load }: Machine): boolean =>
   type !== null && load.used.cpu < type.capacity.cpu && load.used.ram < type.capacity.ram;
 
 const hasUnstartedTask = ({ tasks }: Machine): boolean => {
@@ -25,20 +25,20 @@
  */
 export const longPollTime = (machine: Machine, now: Micros, backlog: boolean): Micros => {
   const { state, lifecycle, reachability, tasks } = machine;
-  const takesTasks =
+  const acceptsTasks =
     state === "up" && !isBeingEmptied(machine) && lifecycle.drainReason === null && lifecycle.quarantinedUntil <= now;
-  if (!takesTasks || !isReachable(reachability) || reachability.probeToken !== null) return NO_WAIT;
+  if (!acceptsTasks || !isReachable(reachability) || reachability.probeToken !== null) return NO_WAIT;
   if (tasks.size === 0 || hasUnstartedTask(machine)) return MAX_WAIT;
-  if (!hasRoom(machine)) return NO_WAIT;
+  if (!hasFreeCapacity(machine)) return NO_WAIT;
   return backlog ? MAX_WAIT_UNDER_BACKLOG : MAX_WAIT;
 };
 
 /** Why a wait ended: its time has passed, or the response is to be sent now. */
-export type WaitEnd = "time passed" | "ended";
+export type WaitOutcome = "time passed" | "ended";
 
 interface LongPoll {
   readonly timer: Timer;
-  readonly resolve: (end: WaitEnd) => void;
+  readonly resolve: (end: WaitOutcome) => void;
 }
 
 /** The responses held back, at most one per machine. */
@@ -55,7 +55,7 @@
    * Waits until `end` is called for the machine, at most for `time`; not at all if too many responses are held back
    * already. Ends an earlier wait for the machine.
    */
-  wait(machine: Machine, time: Micros): Promise<WaitEnd> {
+  wait(machine: Machine, time: Micros): Promise<WaitOutcome> {
     this.end(machine);
     if (this.waiting.size >= this.maxWaiting) return Promise.resolve("ended");
     return new Promise((resolve) => {
--- a/src/coordination/workers/reachability-tracker.ts
+++ b/src/coordination/workers/reachability-tracker.ts
@@ -15,15 +15,17 @@
 export class ReachabilityTracker {
   constructor(private readonly context: ReachabilityContext) {}
 
-  /** `skipped`: heartbeats before this one went to another controller or were lost. */
-  update(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource, skipped: boolean): void {
+  /** `missedHeartbeats`: heartbeats before this one went to another controller or were lost. */
+  update(machine: Machine, heartbeat: Heartbeat, source: HeartbeatSource, missedHeartbeats: boolean): void {
     const { lease, loadShedder } = this.context;
     const { reachability } = machine;
     // Under load this controller responds late, and workers try another one although responses are delivered.
     if (loadShedder.atLeast("reduced")) return;
-    if (source.kind === "status-reply") recordStatusReply(reachability, heartbeat.token, source.askedAt);
+    if (source.kind === "status-reply") recordStatusReply(reachability, heartbeat.token, source.requestedAt);
     const startProbe =
-      source.kind === "status-reply" ? skipped : recordHeartbeat(reachability, heartbeat.token, skipped);
+      source.kind === "status-reply"
+        ? missedHeartbeats
+        : recordHeartbeat(reachability, heartbeat.token, missedHeartbeats);
     if (startProbe) reachability.probeToken = fencingTokenOf(lease, machine) + 1;
   }
 
--- a/src/coordination/workers/reachability.ts
+++ b/src/coordination/workers/reachability.ts
@@ -5,13 +5,14 @@
 import { type Micros, seconds } from "../../transport/clock.js";
 
 /** Consecutive lost requests or responses from which a worker counts as not reached; any network may lose one. */
-const MAX_MISSES = 2;
+const UNREACHABLE_THRESHOLD = 2;
 
 /** Whether requests to the worker are delivered. */
-export const commandsArrive = ({ consecutiveTimeouts }: Reachability): boolean => consecutiveTimeouts < MAX_MISSES;
+export const commandsArrive = ({ consecutiveTimeouts }: Reachability): boolean =>
+  consecutiveTimeouts < UNREACHABLE_THRESHOLD;
 /** Whether responses to the worker's heartbeats, which renew its lease, are delivered. */
 export const responsesArrive = ({ heartbeatsWithoutProbe }: Reachability): boolean =>
-  heartbeatsWithoutProbe < MAX_MISSES;
+  heartbeatsWithoutProbe < UNREACHABLE_THRESHOLD;
 /** Whether the machine's capacity counts: commands are delivered and its worker's lease is renewed. */
 export const isReachable = (reachability: Reachability): boolean =>
   commandsArrive(reachability) && responsesArrive(reachability);
@@ -22,9 +23,9 @@
   !commandsArrive(reachability) && reachability.heartbeatsWithoutProbe > 0;
 
 /** A response in flight when a status query is sent may be delivered this much later. */
-const RESPONSE_IN_FLIGHT = seconds(0.7);
+const MAX_RESPONSE_DELAY = seconds(0.7);
 /** The loss of an older response may be due to a partition that has ended. */
-const RECENT_RESPONSE = seconds(2.5);
+const MAX_RESPONSE_AGE = seconds(2.5);
 
 /** Records that the worker answered a status query or command at `now`. */
 export const recordResponse = (reachability: Reachability, now: Micros): void => {
@@ -38,16 +39,18 @@
   reachability.lastResponseAt = now;
 };
 
-/** Records the reply to a query sent at `askedAt`. Unless it shows the token of an earlier response, that was lost. */
-export const recordStatusReply = (reachability: Reachability, token: Uint64, askedAt: Micros): void => {
+/**
+ * Records the reply to a query sent at `requestedAt`. Unless it shows the token of an earlier response, that was lost.
+ */
+export const recordStatusReply = (reachability: Reachability, token: Uint64, requestedAt: Micros): void => {
   if (reachability.probeToken === null || reachability.probeSentAt === null) return;
   if (token >= reachability.probeToken) confirmProbe(reachability);
   // A much older response may have been lost in a partition that has ended.
   else if (
-    askedAt - reachability.probeSentAt > RESPONSE_IN_FLIGHT &&
-    askedAt - reachability.probeSentAt < RECENT_RESPONSE
+    requestedAt - reachability.probeSentAt > MAX_RESPONSE_DELAY &&
+    requestedAt - reachability.probeSentAt < MAX_RESPONSE_AGE
   )
-    reachability.heartbeatsWithoutProbe = Math.max(reachability.heartbeatsWithoutProbe, MAX_MISSES);
+    reachability.heartbeatsWithoutProbe = Math.max(reachability.heartbeatsWithoutProbe, UNREACHABLE_THRESHOLD);
 };
 
 const confirmProbe = (reachability: Reachability): void => {
@@ -62,12 +65,12 @@
 };
 
 /**
- * Records a heartbeat newer than all before. `skipped`: messages between it and the one before were not received here,
- * mostly because the worker had no response and tried another controller. Returns whether the next responses are to
- * carry a probe token.
+ * Records a heartbeat newer than all before. `missedHeartbeats`: messages between it and the one before were not
+ * received here, mostly because the worker had no response and tried another controller. Returns whether the next
+ * responses are to carry a probe token.
  */
-export const recordHeartbeat = (reachability: Reachability, token: Uint64, skipped: boolean): boolean => {
-  if (reachability.probeToken === null) return skipped || reachability.consecutiveTimeouts > 0;
+export const recordHeartbeat = (reachability: Reachability, token: Uint64, missedHeartbeats: boolean): boolean => {
+  if (reachability.probeToken === null) return missedHeartbeats || reachability.consecutiveTimeouts > 0;
   if (token >= reachability.probeToken) {
     confirmProbe(reachability);
     return reachability.consecutiveTimeouts > 0;
--- a/src/coordination/workers/task-exit-handler.ts
+++ b/src/coordination/workers/task-exit-handler.ts
@@ -36,7 +36,7 @@
   ) {}
 
   /** Releases a task that is proved absent from its machine: it waits for placement, or ends with its cancelled job. */
-  taskGone(task: Task): void {
+  releaseAbsentTask(task: Task): void {
     if (task.desired.kind === "placed") task.desired = { kind: "waiting", attempt: task.desired.attempt };
     const { job, unansweredStartAt } = task;
     // Until then its earlier start command may still be delivered and run it on that machine.
@@ -49,7 +49,7 @@
   }
 
   /** Handles the listed exit of the task's current attempt, once: an unchanged list is not read again. */
-  taskExited(machine: Machine, task: Task, reason: ExitReason): void {
+  handleTaskExit(machine: Machine, task: Task, reason: ExitReason): void {
     if (reason === "done") {
       this.completeTask(machine, task);
       return;
@@ -57,7 +57,7 @@
     const now = this.context.clock.now();
     if (task.runningSince !== null && now - task.runningSince > STABLE_RUN_TIME) task.failureCount = 0;
     if (reason !== "stopped") this.recordFailure(machine, task, reason, now);
-    this.taskGone(task);
+    this.releaseAbsentTask(task);
   }
 
   private completeTask(machine: Machine, task: Task): void {
--- a/src/coordination/workers/task-list-reconciliation.ts
+++ b/src/coordination/workers/task-list-reconciliation.ts
@@ -8,7 +8,7 @@
 import { fencingTokenOf } from "../fencing-token.js";
 import { LogEvent } from "../log-events.js";
 import { zoneAllowed, zoneCounts } from "../scheduling/eligibility.js";
-import { noteInheritedStart } from "./inherited-starts.js";
+import { markInheritedStartUnanswered } from "./inherited-starts.js";
 import { isReachable } from "./reachability.js";
 import type { TaskExitHandler } from "./task-exit-handler.js";
 
@@ -87,7 +87,7 @@
   ): boolean {
     let vanished = false;
     for (const task of [...machine.tasks]) {
-      noteInheritedStart(this.context, task);
+      markInheritedStartUnanswered(this.context, task);
       const status = findStatus(statuses, task);
       if (status === undefined) {
         vanished ||= task.startCommand.kind === "observed";
@@ -116,7 +116,7 @@
         if (token <= task.startCommand.token) return;
         task.startCommand = { kind: "none" };
         if (this.mayStartAgain(machine, task)) this.context.scheduleCommands(machine);
-        else if (!this.isHeld(machine, task)) this.taskExits.taskGone(task);
+        else if (!this.isHeld(machine, task)) this.taskExits.releaseAbsentTask(task);
         return;
       case "observed":
         // Unless its counters are reset, a worker drops an attempt from its list only on a forget command. So they were
@@ -158,7 +158,7 @@
     const { clock, shard } = this.context;
     task.startCommand = { kind: "observed" };
     if (status.state === "exited") {
-      this.taskExits.taskExited(machine, task, status.reason ?? "error");
+      this.taskExits.handleTaskExit(machine, task, status.reason ?? "error");
       return;
     }
     if (status.state === "running" && task.state !== "running") {
--- a/test/heartbeat-freshness.test.ts
+++ b/test/heartbeat-freshness.test.ts
@@ -60,7 +60,7 @@
   unknown(machine);
   heartbeats.process(machine, report({ incarnation: 2, sequence: 5, token: 7 }), REPORT);
   world.now += 19_000_000;
-  const answer = { kind: "status-reply", askedAt: context.clock.now() } as const;
+  const answer = { kind: "status-reply", requestedAt: context.clock.now() } as const;
   assert.equal(heartbeats.process(machine, report({ incarnation: 2, sequence: 9, token: 7 }), answer), "verified");
   assert.equal(machine.lease.renewedAt, context.clock.now());
 });
@@ -135,7 +135,7 @@
   for (const sequence of [1, 2]) heartbeats.process(machine, report({ incarnation: 1, sequence, token: 0 }), REPORT);
   assert.deepEqual(asked, [machine]);
   world.now += 10;
-  const answer = { kind: "status-reply", askedAt: context.clock.now() } as const;
+  const answer = { kind: "status-reply", requestedAt: context.clock.now() } as const;
   assert.equal(
     heartbeats.process(machine, report({ incarnation: 1, sequence: 3, token: 0 }), answer),
     "counters-reset",
@@ -155,10 +155,10 @@
 
 test("a status reply overtaken by a newer heartbeat is not taken for reset counters", () => {
   const { machine, heartbeats, world, context } = scene();
-  const askedAt = context.clock.now();
+  const requestedAt = context.clock.now();
   world.now += 1_000;
   heartbeats.process(machine, report({ sequence: 9 }), REPORT);
-  assert.equal(heartbeats.process(machine, report({ sequence: 8 }), { kind: "status-reply", askedAt }), "stale");
+  assert.equal(heartbeats.process(machine, report({ sequence: 8 }), { kind: "status-reply", requestedAt }), "stale");
   assert.equal(machine.counters.sequence, 9);
 });
 
@@ -192,11 +192,16 @@
               verified: timely,
             };
             const asReport = classifyHeartbeat(known, heartbeat, REPORT, 10);
-            const asAnswer = classifyHeartbeat(known, heartbeat, { kind: "status-reply", askedAt: 100 as Micros }, 10);
+            const asAnswer = classifyHeartbeat(
+              known,
+              heartbeat,
+              { kind: "status-reply", requestedAt: 100 as Micros },
+              10,
+            );
             const asOldAnswer = classifyHeartbeat(
               known,
               heartbeat,
-              { kind: "status-reply", askedAt: 99 as Micros },
+              { kind: "status-reply", requestedAt: 99 as Micros },
               10,
             );
             weighed += 1;
--- a/test/sim/direct-start-dispatcher.ts
+++ b/test/sim/direct-start-dispatcher.ts
@@ -82,7 +82,7 @@
     if (tasks.length > 0) this.startSequences.set(machine, machine.fencing.sequence);
     const body = formatJson(encodeCommandRequest(token, counters.incarnation, orders));
     const previous = new Map(tasks.map((task) => [task, task.startCommand]));
-    const askedAt = clock.now();
+    const requestedAt = clock.now();
     commands.inFlight = true;
     const outcome = await http.call(address, { method: "POST", target: "/orders", body }, WORKER_REQUEST_TIMEOUT);
     commands.inFlight = false;
@@ -96,7 +96,7 @@
     if (outcome.status === 200) commands.nextAt = clock.now();
     for (const [task, startCommand] of previous)
       if (task.machine === machine) task.startCommand = outcome.status === 200 ? { kind: "observed" } : startCommand;
-    this.processor.process(machine, decodeHeartbeat(parseJson(outcome.body)), { kind: "status-reply", askedAt });
+    this.processor.process(machine, decodeHeartbeat(parseJson(outcome.body)), { kind: "status-reply", requestedAt });
   }
 
   private startsUnanswered(machine: Machine, token: number, tasks: readonly Task[]): void {
