--- a/test/answered-starts.test.ts
+++ b/test/answered-starts.test.ts
@@ -1,6 +1,7 @@
 /**
- * The record of answered start commands. Without it a new leader knew no starts to which its predecessor had no response,
- * and placed their tasks elsewhere; a start that was delivered in the worker's next life ran one of them a second time.
+ * The record of answered start commands. Without it a new leader did not know which starts of its predecessor had no
+ * response, and placed their tasks elsewhere; a start delivered after a reset of the worker's counters ran such a task
+ * a second time.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -19,7 +20,7 @@
 const KEY = answeredStartsKey(0);
 const LATENCY = 5_000;
 
-/** A placed task, the version of its record, and until when a start without a response may be delivered. */
+/** A placed task, the version of its record, and the time until which an unanswered start may be delivered. */
 interface Placement {
   readonly task: Task;
   readonly version: number;
@@ -33,7 +34,7 @@
   readonly unconfirmedStarts: Set<Task>;
 }
 
-/** The key-value store with the placements on record, and leaders one after the other. */
+/** Simulates the key-value store with recorded placements, and successive leaders. */
 class Stage {
   readonly world = new World();
   readonly entries = new Map<string, KeyValueEntry>();
@@ -83,7 +84,7 @@
     const fate = this.fate();
     if (fate === "refused" || write?.kind !== "put") return { kind: "refused" };
     const apply = (): boolean => {
-      // A leader that was followed by another writes nothing.
+      // The lease condition rejects writes of a leader that has been replaced.
       if (epoch !== this.epoch || conditions.get(KEY) !== (this.entries.get(KEY)?.version ?? 0)) return false;
       this.revision += 1;
       this.entries.set(KEY, { key: KEY, value: JSON.parse(JSON.stringify(write.value)), version: this.revision });
@@ -110,7 +111,7 @@
     await this.world.run(this.world.now + us, nothing);
   }
 
-  /** Publishes what is due, and lets the write come through. */
+  /** Publishes the record if due, and runs until the write has completed. */
   async publish({ answeredStarts }: Leader): Promise<void> {
     await this.run(2 * S);
     answeredStarts.publish();
@@ -125,7 +126,7 @@
 const isAnswered = ({ answeredStarts }: Leader, { task, version }: Placement): boolean =>
   answeredStarts.wasAnswered(version, task.machine?.name ?? "");
 
-test("a new leader holds what was placed after the record or on a machine that it names, and nothing else", async () => {
+test("a new leader holds only tasks placed after the record or on a machine that the record names", async () => {
   const stage = new Stage();
   const first = stage.lead();
   const listed = stage.place(first, "n-1");
@@ -140,7 +141,7 @@
   assert.equal(isAnswered(second, later), false, "placed after the record was written");
 });
 
-test("an attempt that was listed counts as answered once an earlier start without a response can't arrive any more", async () => {
+test("a listed attempt counts as answered once an earlier start without a response can no longer be delivered", async () => {
   const stage = new Stage();
   const first = stage.lead();
   const placement = stage.place(first, "n-1");
@@ -155,7 +156,7 @@
   assert.equal(isAnswered(stage.lead(), placement), true);
 });
 
-test("a record is believed only from the leader just before: one of an older version starts tasks and writes none", async () => {
+test("a record is trusted only from the immediately preceding leader: a leader of an older version starts tasks and writes none", async () => {
   const stage = new Stage();
   const first = stage.lead();
   const placement = stage.place(first, "n-1");
@@ -165,7 +166,7 @@
   assert.equal(isAnswered(stage.lead(), placement), false);
 });
 
-test("with too many machines to be named, what is on record stands, under the epoch of the leader that believes it", async () => {
+test("with too many machines to name, the content on record is kept, under the epoch of the leader that trusts it", async () => {
   const stage = new Stage();
   const first = stage.lead();
   const placement = stage.place(first, "n-1");
@@ -182,7 +183,7 @@
   );
 });
 
-test("the record is written every two seconds at most, and not at all where nothing has changed", async () => {
+test("the record is written at most every two seconds, and not at all if unchanged", async () => {
   const stage = new Stage();
   const leader = stage.lead();
   for (let tick = 0; tick < 400; tick += 1) {
@@ -193,7 +194,7 @@
   assert.ok(stage.writes >= 20 && stage.writes <= 27, `${stage.writes} writes in 100 s, 50 s of them with placements`);
 });
 
-/** Goes on from what the new leader restores. Returns how many placements it does not hold. */
+/** Restores the placements in the new leader. Returns how many of them it does not hold. */
 const takeOver = (stage: Stage, leader: Leader): number => {
   let released = 0;
   for (const placement of stage.placements) {
@@ -208,7 +209,7 @@
   return released;
 };
 
-/** The worker lists the attempt: what had no response arrives within the bound. */
+/** The worker lists the attempt: an unanswered start is delivered within the maximum start delay. */
 const list = (placement: Placement): void => {
   observe(placement);
   const { unansweredStartAt } = placement.task;
@@ -216,7 +217,7 @@
     placement.lateUntil = Math.min(placement.lateUntil, unansweredStartAt + MAX_START_DELAY);
 };
 
-/** A direct start, which has a response, or none. */
+/** Sends a direct start, with or without a response. */
 const startDirectly = (stage: Stage, placement: Placement, isAnsweredNow: boolean): void => {
   const { task } = placement;
   if (isAnsweredNow) list(placement);
@@ -227,10 +228,10 @@
   }
 };
 
-/** Whether leaders go by the rule that a task whose starts are on record as answered is sent no direct one. */
+/** Whether leaders follow the rule that a task whose starts are on record as answered is sent no direct start. */
 type DirectStarts = "unconfirmed only" | "any";
 
-/** Returns how many placements new leaders did not hold. */
+/** Simulates random events and failovers. Returns how many placements new leaders did not hold. */
 const playRandomLeaders = async (random: Random, directStarts: DirectStarts): Promise<number> => {
   const stage = new Stage();
   const fates: readonly WriteFate[] = ["applied", "applied", "response lost", "applied late", "refused"];
@@ -255,7 +256,7 @@
   return released;
 };
 
-test("whatever is lost or late, no start that may still be delivered is on record as answered", async () => {
+test("with writes lost, late or refused, no start that may still be delivered is on record as answered", async () => {
   let released = 0;
   for (let seed = 1; seed <= 60; seed += 1) {
     try {
@@ -264,15 +265,15 @@
       throw new Error(`seed ${seed}`, { cause: error });
     }
   }
-  assert.ok(released > 100, `only ${released} placements were released: the test shows nothing`);
+  assert.ok(released > 100, `only ${released} placements were released, expected more than 100`);
 });
 
-test("a direct start of a task whose starts are on record as answered is caught", async () => {
+test("the simulation detects a direct start of a task whose starts are on record as answered", async () => {
   const plays = Array.from({ length: 60 }, (_, at) => playRandomLeaders(new Random(at + 1), "any"));
   await assert.rejects(Promise.all(plays), /on record as answered/);
 });
 
-test("the stored form names what a controller of another version has to know", async () => {
+test("the stored record holds the epoch, the revision and the machines that a controller of another version reads", async () => {
   const stage = new Stage();
   const leader = stage.lead();
   stage.place(leader, "n-1");
--- a/test/command-dispatcher.test.ts
+++ b/test/command-dispatcher.test.ts
@@ -13,8 +13,8 @@
   return { machine, task, dispatcher: new CommandDispatcher(context, heartbeats, { end: () => false }) };
 };
 
-test("an attempt that has ended is forgotten only once its end is on record", () => {
-  // Forgotten before, its end would be known to nobody once the leader ends: the next one would start it again.
+test("an ended attempt is forgotten only once its end is on record", () => {
+  // If it were forgotten sooner, its end would be lost with the leader, and the next leader would start it again.
   const { machine, task, dispatcher } = scene();
   machine.reported.exitedTasks = new Map([[task.name, 1]]);
   task.desired = { kind: "done" };
@@ -23,7 +23,7 @@
   assert.deepEqual(dispatcher.forgetCommands(machine), [{ op: "forget", task: task.name, attempt: 1 }]);
 });
 
-test("pending stops go first, are never cut off, and are not sent twice", () => {
+test("pending stops come first, are never cut off, and are not sent twice", () => {
   const { machine, task, dispatcher } = scene();
   const pendingStops = Array.from(
     { length: 300 },
@@ -44,30 +44,30 @@
   ]);
 });
 
-test("what a new leader takes over beyond a team's limit is not started again where it was", () => {
-  // The ends of one job's tasks were not on record yet, those that took their place were: after an outage and a takeover
-  // all of them were started, and the team used more than its limit (random day 2297).
+test("a new leader does not restart restored tasks beyond their team's limit", () => {
+  // The ends of one job's tasks were not on record yet, but the placements of the tasks that replaced them were: after
+  // an outage and a failover all of them were started, and the team exceeded its limit (random day 2297).
   const { shard, context, taskStates } = makeShard(1);
   const machine = [...shard.machines.values()][0] as Machine;
   const job = shard.addJob({ ...SPEC, team: "capped", tasks: 6 }, 1, false);
   const records = Array.from({ length: 6 }, () => [1, machine.name]);
   shard.restoreTaskRange(job, 0, 1, { t: records }, 65_535);
-  // Four tasks of four CPUs are the limit.
+  // The limit allows four tasks of 4 CPUs.
   assert.equal(shard.teamUsage("capped").cpu, 24_000);
   new HeartbeatProcessor(context, taskStates).process(machine, report({ sequence: 2 }), { kind: "heartbeat" });
   assert.equal(shard.teamUsage("capped").cpu, 16_000);
   assert.deepEqual([job.placedTasks.size, job.waitingTasks.size], [4, 2]);
 });
 
-test("what a new leader takes over is not started again where its job's other tasks keep it out of the zone", () => {
-  // Ranges of a large job are written one by one, so that a takeover may find two moments of it: by one all tasks had been in
-  // the east, by the other, newer one they are in the west.
+test("a new leader does not restart a restored task in a zone that its job's other tasks rule out", () => {
+  // Task ranges of a large job are written one by one, so a new leader may restore them from different times: from the
+  // older range all tasks were in the east, from the newer one they are in the west.
   for (const rule of [{ singleZone: true }, { spread: true, shape: "service" as const }]) {
     const { shard, context, taskStates } = makeShard(2);
     const [east, west] = [...shard.machines.values()] as [Machine, Machine];
     const job = shard.addJob({ ...SPEC, ...rule, tasks: 130, demand: { cpu: 100, gpu: 0, ram: 1 } }, 1, false);
     const at = (machine: Machine, count: number) => ({ t: Array.from({ length: count }, () => [1, machine.name]) });
-    // Spread over both zones as it should be, but for the one in the second range.
+    // Spread evenly over both zones, except for the second range.
     const first = "singleZone" in rule ? at(west, 128) : { t: [...at(east, 65).t, ...at(west, 63).t] };
     shard.restoreTaskRange(job, 0, 1, first, 65_535);
     shard.restoreTaskRange(job, 1, 1, at(east, 2), 65_535);
--- a/test/direct-starts.test.ts
+++ b/test/direct-starts.test.ts
@@ -1,4 +1,7 @@
-/** Leaders of the version before start tasks by direct commands, which may be delivered late: a leader of this version after one. */
+/**
+ * Direct start commands may be delivered late: a leader of this version after one of the previous version, which sends
+ * them.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { explore, Play } from "./sim/event-orders.js";
@@ -7,7 +10,7 @@
   ["a start of an earlier leader", "up to date"],
   ["a start of an earlier leader that is not on record", "none"],
 ] as const) {
-  test(`whatever comes in which order, ${name} runs nothing twice in a worker's next life, after a leader of the version before`, async () => {
+  test(`in every order of events, ${name} runs no task twice after a reset of the worker's counters, after a leader of the previous version`, async () => {
     const delivers = { inherited: true, answered: false };
     const { broken } = await explore(4, () => new Play(undefined, delivers, onRecord, "first leader"));
     assert.equal(broken, null);
--- a/test/heartbeat-freshness.test.ts
+++ b/test/heartbeat-freshness.test.ts
@@ -35,12 +35,13 @@
   return { shard, context, machine, asked, shown, world, heartbeats: new HeartbeatProcessor(context, taskStates) };
 };
 
-test("what may be a late copy is no sign of life, no room and no notice to a new leader", () => {
+test("to a new leader, a heartbeat that may be a delayed copy proves neither liveness nor capacity nor a reclaim notice", () => {
   const { machine, heartbeats, world, context } = scene();
   unknown(machine);
   const before = machine.reachability.lastHeartbeatAt;
   world.now += 20_000_000;
-  // From before the takeover: it was `up`, it was heard, and its notice drained a machine that had none any more.
+  // Sent before the failover. Taken as current, it marked the machine as up and heard from, and its reclaim notice
+  // drained a machine that no longer had one.
   assert.equal(heartbeats.process(machine, report({ token: 7, reclaimNoticeS: 10 }), REPORT), "unverified");
   assert.equal(machine.state, "booting");
   assert.equal(machine.reachability.lastHeartbeatAt, before);
@@ -53,9 +54,10 @@
   assert.notEqual(unready(machine, snapshot), null);
 });
 
-test("a worker first reached in an incarnation that heartbeats had named before has a whole lease from then on", () => {
-  // Heard and not reached for most of a lease, its incarnation had changed; the incarnation was known from what proved nothing, and
-  // what had been started in it was called lost a second later and started elsewhere.
+test("a worker's lease counts in full from the first verified message of an incarnation known from unverified heartbeats", () => {
+  // The worker's incarnation changed while it sent heartbeats and was unreachable for most of a lease. The new
+  // incarnation was known from unverified heartbeats only, so its tasks were declared lost a second later and started
+  // elsewhere.
   const { machine, heartbeats, world, context } = scene();
   unknown(machine);
   heartbeats.process(machine, report({ incarnation: 2, sequence: 5, token: 7 }), REPORT);
@@ -65,17 +67,18 @@
   assert.equal(machine.lease.renewedAt, context.clock.now());
 });
 
-test("what was missed while nothing got to a machine is not held against it once it answers again", () => {
+test("responses lost while requests failed do not count against a machine that answers again", () => {
   const { machine } = scene();
   const { reachability } = machine;
   Object.assign(reachability, { consecutiveTimeouts: 3, probeToken: TOKEN + 1, probeSentAt: 5 as Micros });
   for (let lost = 0; lost < 3; lost += 1) recordHeartbeat(reachability, TOKEN, true);
   assert.equal(isOneWay(reachability), true);
   recordResponse(reachability, 10 as Micros);
-  // Its answers have yet to be seen, but it is neither unreachable nor to be given up: it was, ten seconds after a cut.
+  // Its responses are not confirmed yet, but it is neither unreachable nor to be deleted: it was, 10 s after a
+  // partition.
   assert.equal(isOneWay(reachability), false);
   assert.equal(responsesArrive(reachability), true);
-  // Where questions are answered all the time, reports without the token go on counting.
+  // If queries are answered all the time, heartbeats without the probe token keep counting.
   recordHeartbeat(reachability, TOKEN, true);
   reachability.probeSentAt = 11 as Micros;
   for (let lost = 0; lost < 2; lost += 1) recordHeartbeat(reachability, TOKEN, true);
@@ -88,7 +91,7 @@
   counters: { ...machine.counters, suspectHeartbeats: 0, suspectedAt: 0 },
 });
 
-test("a late copy that finds newer evidence changes nothing", () => {
+test("a delayed copy of a heartbeat changes nothing once newer counters are known", () => {
   const { machine, heartbeats } = scene();
   heartbeats.process(machine, report({ incarnation: 2, sequence: 40 }), REPORT);
   const before = structuredClone(machine);
@@ -103,35 +106,36 @@
   assert.deepEqual(withoutSuspicion(machine), withoutSuspicion(before));
 });
 
-test("a job is not bound for ever to a machine whose incarnation changed while a start for it was lost", () => {
+test("a task is not tied forever to a machine whose incarnation changed after its start command was lost", () => {
   const { shard, machine, heartbeats } = scene();
   heartbeats.process(machine, report({ sequence: 1 }), REPORT);
   const task = placedTask(shard, machine);
   task.startCommand = { kind: "uncertain", token: TOKEN };
-  // No answer gets there, so its token never rises; it was waited for for ever.
+  // No response is delivered, so the worker's token never rises; the task waited for that forever.
   for (let sequence = 2; sequence < 5; sequence += 1) heartbeats.process(machine, report({ sequence }), REPORT);
   assert.equal(task.machine, machine);
   heartbeats.process(machine, report({ incarnation: 2, sequence: 5 }), REPORT);
   assert.equal(task.machine, null);
 });
 
-test("a start that commands cannot bring is given to another machine once it cannot arrive any more", () => {
+test("a task on a machine that commands do not reach is released once its lost start can no longer be delivered", () => {
   const { shard, machine, heartbeats } = scene();
   heartbeats.process(machine, report({ sequence: 1 }), REPORT);
   const task = placedTask(shard, machine);
   task.startCommand = { kind: "uncertain", token: TOKEN };
   machine.reachability.consecutiveTimeouts = 2;
-  // Answers to reports get there: the token rises. It was tried again on the same machine, for as long as that lasted.
+  // Responses to heartbeats are delivered, so the token rises. The start was retried on the same machine while commands
+  // failed.
   heartbeats.process(machine, report({ sequence: 2, token: TOKEN + 1 }), REPORT);
   assert.equal(task.machine, null);
 });
 
-test("a worker whose counters are reset is queried, fenced, and only then believed", () => {
+test("a worker whose counters are reset is queried and fenced before its task list is trusted", () => {
   const { shard, context, machine, asked, shown, heartbeats, world } = scene();
   heartbeats.process(machine, report({ incarnation: 3, sequence: 80 }), REPORT);
   const task = placedTask(shard, machine);
   task.startCommand = { kind: "observed" };
-  // Two reports that look old; they were dropped for ever.
+  // Two heartbeats that look old; without a status query, all later ones were dropped as well.
   for (const sequence of [1, 2]) heartbeats.process(machine, report({ incarnation: 1, sequence, token: 0 }), REPORT);
   assert.deepEqual(asked, [machine]);
   world.now += 10;
@@ -141,7 +145,7 @@
     "counters-reset",
   );
   assert.deepEqual(shown, [machine]);
-  // A start of before may land once more: the number of the incarnation is the same, and any token will do.
+  // An earlier start may still be executed: the incarnation number is the same, and any token is accepted.
   assert.equal(task.machine, machine);
   heartbeats.process(machine, report({ incarnation: 1, sequence: 4, token: TOKEN }), REPORT);
   assert.equal(task.machine, machine);
@@ -162,7 +166,7 @@
   assert.equal(machine.counters.sequence, 9);
 });
 
-test("no message is believed more when it is older, shows a lower token, or is not a status reply", () => {
+test("an older message, a lower token, or a heartbeat instead of a status reply never supports a stronger conclusion", () => {
   const rank = {
     stale: 0,
     suspect: 0,
@@ -205,7 +209,7 @@
               10,
             );
             weighed += 1;
-            assert.ok(rank[asAnswer] >= rank[asReport], JSON.stringify({ known, said: heartbeat }));
+            assert.ok(rank[asAnswer] >= rank[asReport], JSON.stringify({ known, heartbeat }));
             assert.ok(rank[asAnswer] >= rank[asOldAnswer]);
             assert.notEqual(asReport, "counters-reset");
             assert.notEqual(asOldAnswer, "counters-reset");
@@ -217,14 +221,14 @@
   assert.ok(weighed > 1_500);
 });
 
-/** Deeper by hand: RAINRIDGE_DEPTH=4 (docs/results.md). */
+/** Events per order; RAINRIDGE_DEPTH=4 explores deeper in a manual run (docs/results.md). */
 const DEPTH = Number(process.env.RAINRIDGE_DEPTH ?? 3);
 
 for (const [suffix, directStarts] of [
   ["", "none"],
-  [", after a leader of the version before", "first leader"],
+  [", after a leader of the previous version", "first leader"],
 ] as const) {
-  test(`whatever comes in which order, no task is called gone that runs or may yet run there (${DEPTH} events)${suffix}`, {
+  test(`in every order of ${DEPTH} events, no task is released that runs or may still run on its machine${suffix}`, {
     timeout: 3_600_000,
   }, async () => {
     const { plays, broken } = await explore(DEPTH, () => new Play(undefined, undefined, undefined, directStarts));
@@ -233,15 +237,16 @@
   });
 }
 
-// Once a task is freed, a start of it that is delivered in a later life of the worker runs it a second time. The first two guard
-// against a new leader that frees a task of which its predecessor had sent a start without a response, the third against a
-// direct start: an answered one looks delivered, and nothing says how long after it a copy may come.
+// Once a task is released, a start command that is delivered after a reset of the worker's counters runs it a second
+// time. The first two guard against a new leader that releases a task whose start, sent by its predecessor, had no
+// response; the third against direct starts: an answered one counts as delivered, but there is no bound on when a copy
+// of it may arrive.
 for (const [name, delivers, onRecord] of [
   ["a start of an earlier leader", { inherited: true, answered: false }, "up to date"],
   ["a start of an earlier leader of an older version", { inherited: true, answered: false }, "none"],
   ["a copy of an answered start", { inherited: false, answered: true }, "up to date"],
 ] as const) {
-  test(`whatever comes in which order, ${name} delivered in a worker's next life runs nothing twice`, async () => {
+  test(`in every order of events, ${name} delivered after a reset of the worker's counters runs no task twice`, async () => {
     const { broken } = await explore(4, () => new Play(undefined, delivers, onRecord));
     assert.equal(broken, null);
   });
--- a/test/late-starts.test.ts
+++ b/test/late-starts.test.ts
@@ -1,9 +1,8 @@
 /**
- * Direct start commands without a response, as leaders of the version before send them, which may be delivered in a later life
- * of their worker. Lease expiry, a higher token
- * and a new incarnation used to free the task; it was started elsewhere, and the start that a cut had held back ran it a
- * second time on the machine that was back with its counters reset ("worker lease over", then the launch under the old
- * token in the trace; docs/incidents/late-start.md).
+ * Direct start commands without a response, as leaders of the previous version send them, may be delivered after a
+ * reset of the worker's counters. When lease expiry, a higher token or a new incarnation released the task, it was
+ * started elsewhere, and the start command that a partition had delayed ran it a second time on the machine that had
+ * returned with its counters reset (docs/incidents/late-start.md).
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -26,7 +25,7 @@
 const TOKEN = 65_536;
 const NO_LONG_POLLS = { end: () => false };
 
-/** A task whose start was sent and had no response, and its machine. */
+/** A task whose start command had no response, and its machine. */
 const lostStart = async () => {
   const lost: HttpOutcome = { kind: "lost" };
   const { shard, context, taskStates, world } = makeShard(1, [lost, lost, lost]);
@@ -45,7 +44,7 @@
   assert.equal(task.desired.kind, "placed");
 };
 
-test("neither lease expiry nor a higher token nor a new incarnation frees a task whose start had no response", async () => {
+test("neither lease expiry nor a higher token nor a new incarnation releases a task whose start command had no response", async () => {
   const { machine, heartbeats, task } = await lostStart();
   assert.deepEqual(task.startCommand, { kind: "uncertain", token: TOKEN });
   heartbeats.leaseExpired(machine, "worker lease over");
@@ -59,7 +58,7 @@
   assert.equal(task.earliestStart, 0);
 });
 
-test("a task that a response has started stays where it is until its worker's lease has expired, and is free then", async () => {
+test("a task started by a response stays on its machine until the worker's lease has expired, and is released then", async () => {
   const { shard, context, taskStates } = makeShard(1);
   const machine = [...shard.machines.values()][0] as Machine;
   const heartbeats = new HeartbeatProcessor(context, taskStates);
@@ -68,18 +67,18 @@
   heartbeats.process(machine, report({ sequence: 1 }), HEARTBEAT);
   const start = [{ op: "start", task: task.name, attempt: 1 }];
   assert.deepEqual(dispatcher.startsForResponse(machine), start);
-  // The response was lost: the next one has the start again, and the task is neither freed nor placed elsewhere.
+  // The response was lost: the next one repeats the start, and the task is neither released nor placed elsewhere.
   heartbeats.process(machine, report({ sequence: 2 }), HEARTBEAT);
   isHeld(task, machine);
   assert.deepEqual(dispatcher.startsForResponse(machine), start);
   isHeld(task, machine);
-  // A worker drops what comes late, so that nothing of it can arrive in a later life.
+  // A worker drops a late response, so none can take effect after a reset of its counters.
   heartbeats.leaseExpired(machine, "worker lease over");
   assert.equal(task.machine, null);
   assert.equal(task.earliestStart, 0);
 });
 
-test("no direct command starts a task, whatever is sent beside it", async () => {
+test("no direct command starts a task, whatever other commands are sent", async () => {
   const { shard, context, taskStates, world } = makeShard(1);
   const machine = [...shard.machines.values()][0] as Machine;
   const sent: string[] = [];
@@ -101,14 +100,14 @@
   for (const body of sent) assert.ok(body.includes("halt") && !body.includes("launch"), body);
 });
 
-test("where commands do not arrive, a held task is started by the response to a heartbeat, and by no command", async () => {
+test("on a machine that commands do not reach, a held task is started by the response to a heartbeat and by no command", async () => {
   const { machine, heartbeats, dispatcher, task } = await lostStart();
   const start = [{ op: "start", task: task.name, attempt: 1 }];
-  assert.deepEqual(dispatcher.startsForResponse(machine), start, "a second one does no harm on the same machine");
+  assert.deepEqual(dispatcher.startsForResponse(machine), start, "a repeated start is harmless on the same machine");
   machine.reachability.consecutiveTimeouts = 2;
   heartbeats.process(machine, report({ sequence: 2, token: TOKEN + 1 }), HEARTBEAT);
   assert.deepEqual(dispatcher.startsForResponse(machine), start);
-  // The worker had no use for that response: the next one has it again.
+  // The worker did not execute that response's start: the next one repeats it.
   heartbeats.process(machine, report({ sequence: 3, token: TOKEN + 1 }), HEARTBEAT);
   assert.deepEqual(dispatcher.startsForResponse(machine), start);
   const sent: string[] = [];
@@ -125,7 +124,7 @@
   assert.deepEqual(dispatcher.startsForResponse(machine), []);
 });
 
-test("a task that ends where an earlier start may still be delivered begins no sooner than that can't be", async () => {
+test("a task that exits while an earlier start may still be delivered starts again only after the maximum start delay", async () => {
   const { shard, world, machine, heartbeats, task } = await lostStart();
   const sentAt = task.unansweredStartAt as Micros;
   world.now += 5_000_000;
@@ -133,11 +132,11 @@
   heartbeats.process(machine, report({ sequence: 2, token: TOKEN + 1, tasks: exited }), HEARTBEAT);
   assert.equal(task.machine, null);
   assert.equal(task.earliestStart, sentAt + MAX_START_DELAY);
-  // Nothing is held back for a job that is over where it ran.
+  // The exited task no longer counts against its team's limit.
   assert.equal(shard.teamUsage(SPEC.team).cpu, 0);
 });
 
-test("silent machines past their lease with held tasks are deleted first, at most a tenth of the fleet within a lease", () => {
+test("silent machines with an expired lease and held tasks are deleted first, at most a tenth of the fleet within a lease", () => {
   const { shard, context, world } = makeShard(40);
   Object.assign(context, { eventListener: null });
   const deleted: { names: string[]; priority: DeletionPriority | undefined }[] = [];
@@ -153,7 +152,7 @@
     onUnreachable: async () => undefined,
   });
   const machines = [...shard.machines.values()];
-  // Half of the fleet is cut off; to ten of its machines a start was on its way.
+  // Half of the fleet is partitioned; ten of its machines have a start command in flight.
   const silent = machines.slice(0, 20);
   for (const [at, machine] of silent.entries()) {
     machine.lease.expired = true;
@@ -181,7 +180,7 @@
     );
 });
 
-test("machines with held tasks go before all others that wait for their deletion", async () => {
+test("machines with held tasks are deleted before all others in the deletion queue", async () => {
   const { shard, context, taskStates } = makeShard(250);
   Object.assign(context, { eventListener: null });
   const batches: (readonly string[])[] = [];
@@ -213,7 +212,8 @@
   return chooseScaleIn(snapshot, []).map(({ machine }) => machine);
 };
 
-// These three guard against a held task that was placed elsewhere a minute after its start, without the machine's deletion.
+// These tests guard against a held task that was placed elsewhere a minute after its start, without the machine's
+// deletion.
 for (const [name, empty] of [
   ["for scale-in", ({ machine }) => Object.assign(machine.lifecycle, { drainReason: "scale-in" })],
   [
@@ -232,7 +232,7 @@
       isHeld(task, machine);
       machine.reachability.consecutiveTimeouts = 2;
       assert.deepEqual(dispatcher.startsForResponse(machine), [], "nothing more is started there");
-      assert.deepEqual(returnedMachines(scene), [machine], "nothing else would free the task");
+      assert.deepEqual(returnedMachines(scene), [machine], "only the machine's deletion releases the task");
       heartbeats.machineLost(machine, "deleted");
       assert.equal(task.machine, null);
       assert.equal(task.earliestStart, 0);
@@ -240,7 +240,7 @@
   }
 }
 
-test("a machine on which a task still runs is not returned for a held one beside it", async () => {
+test("a machine with a running task is not returned to the cloud because of a held task", async () => {
   const scene = await lostStart();
   const { machine, shard, task } = scene;
   machine.lifecycle.drainReason = "scale-in";
@@ -252,7 +252,7 @@
 });
 
 for (const order of ["before", "after"] as const) {
-  test(`a held task that was to be stopped ${order} it was found not running is started again on its machine`, async () => {
+  test(`a held task with a stop request made ${order} it was found not running is started again on its machine`, async () => {
     const scene = await lostStart();
     const { machine, dispatcher, task } = scene;
     if (order === "before") task.stopRequest = { graceS: 0 };
@@ -266,7 +266,7 @@
   });
 }
 
-test("a held task beyond its team's limit is counted on, and started again on its machine once there is room", async () => {
+test("a held task beyond its team's limit stays placed, and is started again on its machine once the limit allows it", async () => {
   const scene = await lostStart();
   const { machine, dispatcher, shard, task } = scene;
   let withinLimit = false;
--- a/test/long-polls.test.ts
+++ b/test/long-polls.test.ts
@@ -1,4 +1,6 @@
-/** Starts by responses to heartbeats: which responses wait for one, and how a heartbeat is brought about where none does. */
+/**
+ * Starts by responses to heartbeats: which responses are held back, and how the next heartbeat is triggered if none is.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Machine } from "../src/cluster/machine.js";
@@ -30,7 +32,7 @@
   return { shard, context, world, machine, heartbeats, longPolls, dispatcher, sent };
 };
 
-test("a response waits where a start is likely, and nowhere else", () => {
+test("a response waits only for a machine on which a start is likely", () => {
   const { shard, context, machine } = scene();
   const now = context.clock.now();
   const time = (backlog: boolean): number => longPollTime(machine, now, backlog);
@@ -38,14 +40,14 @@
   const task = placedTask(shard, machine);
   assert.equal(time(true), WAITS, "its placement is about to be on record");
   task.startCommand = { kind: "observed" };
-  assert.equal(time(false), WAITS, "what is submitted next may be placed in its room");
-  assert.equal(time(true), 1_500_000, "what waits does not fit: the next end is to be reported sooner");
+  assert.equal(time(false), WAITS, "the next job may be placed in its free capacity");
+  assert.equal(time(true), 1_500_000, "waiting tasks do not fit: the next exit is to be reported sooner");
   machine.load.used = { ...machine.load.used, cpu: machine.type?.capacity.cpu ?? 0 };
-  assert.equal(time(false), 0, "it has no room");
+  assert.equal(time(false), 0, "it has no free capacity");
   assert.equal(time(true), 0);
 });
 
-test("no response waits for a machine that takes no tasks, or that messages may not reach", () => {
+test("no response waits for a machine that takes no tasks or may be unreachable", () => {
   const changes: readonly ((machine: Machine) => void)[] = [
     (machine) => Object.assign(machine, { state: "unconfirmed" }),
     ({ lifecycle }) => Object.assign(lifecycle, { drainReason: "faulty" }),
@@ -61,7 +63,7 @@
   }
 });
 
-test("a wait ends with its time, when it is ended, or with a newer one, and beyond the bound there is none", async () => {
+test("a wait ends when its time has passed, when it is ended or when a newer one starts; beyond the maximum none starts", async () => {
   const { context, world, machine, longPolls } = scene();
   const ends: string[] = [];
   const wait = (name: string, target: Machine, time: number): void => {
@@ -83,7 +85,7 @@
   assert.ok(context.clock.now() > 0);
 });
 
-test("a start goes out with the response that waits, without a command", async () => {
+test("a start is sent with the held response, without a command", async () => {
   const { shard, machine, longPolls, dispatcher, sent, world } = scene();
   let ended = false;
   void longPolls.wait(machine, WAITS as Micros).then(() => {
@@ -98,7 +100,7 @@
   assert.deepEqual(dispatcher.startsForResponse(machine), [{ op: "start", task: task.name, attempt: 1 }]);
 });
 
-test("where no response waits a raised token brings a heartbeat about, once per half of a lease", async () => {
+test("if no response is held, a raised token triggers a heartbeat, once per half of a lease", async () => {
   const { shard, machine, heartbeats, dispatcher, sent, world, context } = scene();
   placedTask(shard, machine);
   await dispatcher.send(machine);
@@ -108,13 +110,13 @@
   assert.deepEqual(sent, [{ baton: 65_537, tenure: 1, orders: [] }]);
   world.now += 5_000_000;
   await dispatcher.send(machine);
-  assert.equal(sent.length, 1, "that would not be reported");
+  assert.equal(sent.length, 1, "the worker would not report another raise yet");
   heartbeats.process(machine, report({ sequence: 2, token: 65_537 }), HEARTBEAT);
   const [start] = dispatcher.startsForResponse(machine);
   assert.ok(start?.op === "start");
   world.now += 60_000_000;
   await dispatcher.send(machine);
-  assert.equal(sent.length, 1, "what a response has carried is repeated by the next one");
+  assert.equal(sent.length, 1, "a start sent in a response is repeated by the next response");
   const tasks: TaskStatus[] = [{ task: start.task, attempt: 1, state: "running", reason: null }];
   heartbeats.process(machine, report({ sequence: 3, token: 65_537, tasks }), HEARTBEAT);
   assert.deepEqual(dispatcher.startsForResponse(machine), []);
--- a/test/sim/direct-start-dispatcher.ts
+++ b/test/sim/direct-start-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the command dispatcher of the version before, whose leaders may serve beside those of this one. */
+/** Stand-in for the previous version's command dispatcher: during an upgrade, leaders of both versions may serve. */
 import { isBeingEmptied, type Machine } from "../../src/cluster/machine.js";
 import { attemptOf, isPlacementRecorded, type Task } from "../../src/cluster/task.js";
 import type { ShardContext } from "../../src/coordination/context.js";
@@ -65,7 +65,7 @@
     return commands;
   }
 
-  /** Starts are forgotten below the token that they were sent under: for a broken variant. */
+  /** Makes the next forget commands use a token no higher than that of the starts, for a variant with this fault. */
   forgetTooEarly(machine: Machine): void {
     this.startSequences.set(machine, -1);
   }
--- a/test/sim/event-orders.ts
+++ b/test/sim/event-orders.ts
@@ -1,4 +1,4 @@
-/** All orders of what may happen to one worker, one task and its leaders, played with the production code. */
+/** Runs every order of events of one worker, one task and its successive leaders through the production code. */
 import type { Machine } from "../../src/cluster/machine.js";
 import type { ShardState } from "../../src/cluster/shard-state.js";
 import type { Task } from "../../src/cluster/task.js";
@@ -17,7 +17,7 @@
 
 const REPORT = { kind: "heartbeat" } as const;
 
-/** As a new leader knows a machine: by name only. */
+/** Resets the machine to what a new leader knows of it: its name only. */
 export const unknown = (machine: Machine): void => {
   machine.state = "booting";
   Object.assign(machine.counters, { incarnation: null, highestToken: 0, verified: false });
@@ -47,12 +47,12 @@
   readonly commands: readonly { readonly verb: string; readonly shard: string }[];
 }
 
-/** A worker as the protocol has it, as far as sessions, ticks, tokens and starts go. */
+/** A minimal worker: incarnation, sequence, fencing token and attempts, as the protocol defines them. */
 class TinyWorker {
   session = 1;
   tick = 0;
   token = 0;
-  /** The attempts it knows; those that were stopped until they are forgotten. */
+  /** Its attempts by task; a stopped one is kept until a forget command. */
   readonly known = new Map<string, "running" | "exited">();
 
   get runs(): boolean {
@@ -97,18 +97,18 @@
     })),
   });
 
-/** Which starts may be delivered in a life of the worker that began after their task was freed. */
+/** Which starts may be delivered after a counter reset that followed the release of their task. */
 export interface LateStarts {
-  /** Those that an earlier leader had no response to. */
+  /** Those of an earlier leader without a response. */
   readonly inherited: boolean;
-  /** Copies of those that were carried out and answered. */
+  /** Copies of those that were executed and answered. */
   readonly answered: boolean;
 }
 
-/** How a new leader finds the record of answered starts: always up to date, or not there (an older version led before). */
+/** The record of answered starts at a failover: always up to date, or none (after a leader of an older version). */
 export type AnsweredStartsOnRecord = "up to date" | "none";
 
-/** Which leaders start tasks by direct commands, as those of the version before do. */
+/** Which leaders start tasks by direct commands, as those of the previous version do. */
 export type DirectStarts = "none" | "first leader" | "all leaders";
 
 export type HeartbeatWrapper = (
@@ -117,7 +117,7 @@
   shard: ShardState,
 ) => HeartbeatProcessor;
 
-/** Plays one order of events with the production code for evidence, observation and commands. */
+/** Runs one order of events through the production code for heartbeats, task lists and commands. */
 export class Play {
   readonly worker = new TinyWorker();
   private readonly past: Heartbeat[] = [];
@@ -160,7 +160,7 @@
     unknown(this.machine);
     this.task = placedTask(shard, this.machine);
     this.task.startCommand = startCommand ?? { kind: "none" };
-    // By the records it has been placed elsewhere since.
+    // According to the records it has been placed elsewhere since.
     if (this.freed) shard.releaseTask(this.task);
     this.heartbeats = this.believe(new HeartbeatProcessor(context, taskStates), this.machine, shard);
     this.commands = this.createDispatcher(shard);
@@ -198,14 +198,14 @@
     const overtaken = mayBeOvertaken(this.machine.counters, this.machine.lease.expired, said);
     const freshness = this.heartbeats.process(this.machine, said, REPORT);
     if (!answered || (freshness === "suspect" && !overtaken)) return;
-    // As the leader answers: commands that may be repeated, and what may be forgotten, under one token.
+    // The response as the leader builds it: repeatable commands and forget commands, under one token.
     const trusted =
       this.machine.counters.highestToken >= firstFencingToken(this.context.lease) && freshness !== "unverified";
     if (this.commands instanceof DirectStartDispatcher) this.beforeForgetting(this.commands, this.machine);
     const own = trusted
       ? [...this.commands.repeatableCommands(this.machine), ...this.commands.forgetCommands(this.machine)]
       : [];
-    // As the leader does, only in the response to a heartbeat that shows its own token.
+    // As in the leader, starts only in the response to a heartbeat that shows the leader's own token.
     const starts = freshness === "fenced" ? this.commands.startsForResponse(this.machine) : [];
     const verbs = { start: "launch", stop: "halt", forget: "forget" } as const;
     const commands = [...own, ...starts].map(({ op, task }) => ({ verb: verbs[op], shard: task }));
@@ -261,9 +261,9 @@
       case "counters reset":
         Object.assign(worker, { session: 1, tick: 0, token: 0 });
         worker.known.clear();
-        // What was freed before can't be fenced against a life of which nobody knew yet (docs/heartbeat-evidence.md). A start
-        // without a response keeps its task from being freed, whichever leader sent it. Copies of answered ones are assumed
-        // not to arrive any more; tests below do without that.
+        // A task released earlier cannot be fenced against a later counter reset (docs/heartbeat-evidence.md). A start
+        // without a response prevents the release of its task, whichever leader sent it. Copies of answered starts are
+        // assumed not to be delivered any more; tests with `LateStarts.answered` drop this assumption.
         if (this.freed && this.number > 1 && !this.delivers.inherited) this.late.length = 0;
         if (this.freed && !this.delivers.answered) this.carriedOut = null;
         break;
@@ -278,15 +278,15 @@
     }
     if (this.task.machine === null && this.task.earliestStart <= this.now) {
       this.freed = true;
-      // It is on record before anything follows from it.
+      // The release is recorded before the task is started elsewhere.
       this.task.recorded = this.task.desired;
     }
-    // Once free it is started elsewhere: from then on it must not be here, whatever still lands.
+    // Once released it is started elsewhere: from then on it must not run here, whatever is still delivered.
     if (this.freed && worker.runs) throw new Error("runs where it was called gone");
   }
 }
 
-/** A start has to have left for anything to go wrong: all orders begin with the ways to get there. */
+/** Faults need a start command that has been sent: every order begins with one of these ways to send it. */
 export const BEGINNINGS: readonly (readonly Action[])[] = [
   ["report", "report", "command"],
   ["report", "report", "command, no answer"],
@@ -309,7 +309,7 @@
   return null;
 };
 
-/** All orders of so many events after each of the beginnings. */
+/** Runs every order of `free` events after each of the prefixes, up to the first fault. */
 export const explore = async (free: number, make: () => Play): Promise<{ plays: number; broken: string | null }> => {
   let plays = 0;
   const visit = async (path: readonly Action[], left: number): Promise<string | null> => {
--- a/test/worker-start-lease.test.ts
+++ b/test/worker-start-lease.test.ts
@@ -5,7 +5,7 @@
 import { makeShard, nothing, placedTask, report } from "./shard-fixtures.js";
 import { DirectStartDispatcher } from "./sim/direct-start-dispatcher.js";
 
-test("a start command without a response still counts as under way when the next attempt is never sent", async () => {
+test("a start command without a response still counts as in flight when its retry is not sent", async () => {
   const { shard, context, taskStates } = makeShard(1, [{ kind: "lost" }, { kind: "unsent" }]);
   const machine = [...shard.machines.values()][0];
   assert.ok(machine !== undefined);
@@ -17,11 +17,11 @@
   assert.equal(task.startCommand.kind, "uncertain");
   machine.commands.nextAt = 0 as Micros;
   await commands.send(machine);
-  // Counted as not sent, the task was placed elsewhere while the first command could still arrive here.
+  // When it counted as not sent, the task was placed elsewhere while the first command could still be delivered here.
   assert.equal(task.startCommand.kind, "uncertain");
 });
 
-test("a worker that is heard before its first heartbeat was answered has a whole lease", async () => {
+test("a worker's lease counts in full from its first heartbeat", async () => {
   const { world, shard, context, taskStates } = makeShard(1);
   const machine = [...shard.machines.values()][0];
   assert.ok(machine !== undefined);
@@ -29,6 +29,6 @@
   machine.counters.incarnation = null;
   await world.run(20_000_000, nothing);
   new HeartbeatProcessor(context, taskStates).process(machine, report(), { kind: "heartbeat" });
-  // Counted from its provisioning, its lease would count as expired long before the worker ends anything.
+  // Counted from its provisioning, the lease would count as expired long before the worker stops its tasks.
   assert.equal(machine.lease.renewedAt, context.clock.now());
 });
