--- a/test/answered-starts.test.ts
+++ b/test/answered-starts.test.ts
@@ -27,7 +27,7 @@
   lateUntil: number;
 }
 
-type WriteFate = "applied" | "response lost" | "applied late" | "refused";
+type WriteOutcome = "applied" | "response lost" | "applied late" | "refused";
 
 interface Leader {
   readonly answeredStarts: AnsweredStarts;
@@ -35,14 +35,14 @@
 }
 
 /** Simulates the key-value store with recorded placements, and successive leaders. */
-class Stage {
+class LeaderSimulation {
   readonly world = new World();
   readonly entries = new Map<string, KeyValueEntry>();
   readonly placements: Placement[] = [];
   revision = 1;
   epoch = 0;
   writes = 0;
-  fate: () => WriteFate = () => "applied";
+  writeOutcome: () => WriteOutcome = () => "applied";
 
   constructor() {
     this.world.now = 1_000 * S;
@@ -52,7 +52,7 @@
     return this.world.now as Micros;
   }
 
-  lead(): Leader {
+  electLeader(): Leader {
     this.epoch += 1;
     const { epoch } = this;
     const revisionNow = (): number => this.revision;
@@ -81,8 +81,8 @@
   ): Promise<unknown> {
     this.writes += 1;
     await new Promise<void>((resolve) => this.world.after(LATENCY, resolve));
-    const fate = this.fate();
-    if (fate === "refused" || write?.kind !== "put") return { kind: "refused" };
+    const writeOutcome = this.writeOutcome();
+    if (writeOutcome === "refused" || write?.kind !== "put") return { kind: "refused" };
     const apply = (): boolean => {
       // The lease condition rejects writes of a leader that has been replaced.
       if (epoch !== this.epoch || conditions.get(KEY) !== (this.entries.get(KEY)?.version ?? 0)) return false;
@@ -90,12 +90,12 @@
       this.entries.set(KEY, { key: KEY, value: JSON.parse(JSON.stringify(write.value)), version: this.revision });
       return true;
     };
-    if (fate === "applied late") {
+    if (writeOutcome === "applied late") {
       this.world.after(7 * S, apply);
       return { kind: "lost" };
     }
     if (!apply()) return { kind: "conflict", keys: [KEY] };
-    return fate === "response lost" ? { kind: "lost" } : { kind: "ok", version: this.revision };
+    return writeOutcome === "response lost" ? { kind: "lost" } : { kind: "ok", version: this.revision };
   }
 
   place(leader: Leader, machine: string): Placement {
@@ -127,82 +127,85 @@
   answeredStarts.wasAnswered(version, task.machine?.name ?? "");
 
 test("a new leader holds only tasks placed after the record or on a machine that the record names", async () => {
-  const stage = new Stage();
-  const first = stage.lead();
-  const listed = stage.place(first, "n-1");
-  const pending = stage.place(first, "n-2");
+  const simulation = new LeaderSimulation();
+  const first = simulation.electLeader();
+  const listed = simulation.place(first, "n-1");
+  const pending = simulation.place(first, "n-2");
   observe(listed);
-  await stage.publish(first);
-  const later = stage.place(first, "n-1");
+  await simulation.publish(first);
+  const later = simulation.place(first, "n-1");
   observe(later);
-  const second = stage.lead();
+  const second = simulation.electLeader();
   assert.equal(isAnswered(second, listed), true);
   assert.equal(isAnswered(second, pending), false, "no response to its start");
   assert.equal(isAnswered(second, later), false, "placed after the record was written");
 });
 
 test("a listed attempt counts as answered once an earlier start without a response can no longer be delivered", async () => {
-  const stage = new Stage();
-  const first = stage.lead();
-  const placement = stage.place(first, "n-1");
-  placement.task.unansweredStartAt = stage.now;
+  const simulation = new LeaderSimulation();
+  const first = simulation.electLeader();
+  const placement = simulation.place(first, "n-1");
+  placement.task.unansweredStartAt = simulation.now;
   observe(placement);
-  await stage.publish(first);
-  assert.equal(isAnswered(stage.lead(), placement), false);
-  const third = stage.lead();
+  await simulation.publish(first);
+  assert.equal(isAnswered(simulation.electLeader(), placement), false);
+  const third = simulation.electLeader();
   third.unconfirmedStarts.add(placement.task);
-  await stage.run(MAX_START_DELAY);
-  await stage.publish(third);
-  assert.equal(isAnswered(stage.lead(), placement), true);
+  await simulation.run(MAX_START_DELAY);
+  await simulation.publish(third);
+  assert.equal(isAnswered(simulation.electLeader(), placement), true);
 });
 
 test("a record is trusted only from the immediately preceding leader: a leader of an older version starts tasks and writes none", async () => {
-  const stage = new Stage();
-  const first = stage.lead();
-  const placement = stage.place(first, "n-1");
+  const simulation = new LeaderSimulation();
+  const first = simulation.electLeader();
+  const placement = simulation.place(first, "n-1");
   observe(placement);
-  await stage.publish(first);
-  stage.epoch += 1;
-  assert.equal(isAnswered(stage.lead(), placement), false);
+  await simulation.publish(first);
+  simulation.epoch += 1;
+  assert.equal(isAnswered(simulation.electLeader(), placement), false);
 });
 
 test("with too many machines to name, the content on record is kept, under the epoch of the leader that trusts it", async () => {
-  const stage = new Stage();
-  const first = stage.lead();
-  const placement = stage.place(first, "n-1");
+  const simulation = new LeaderSimulation();
+  const first = simulation.electLeader();
+  const placement = simulation.place(first, "n-1");
   observe(placement);
-  await stage.publish(first);
-  const second = stage.lead();
-  const swamped = Array.from({ length: 257 }, (_, at) => stage.place(second, `m-${at}`));
-  await stage.publish(second);
-  const third = stage.lead();
+  await simulation.publish(first);
+  const second = simulation.electLeader();
+  const unanswered = Array.from({ length: 257 }, (_, at) => simulation.place(second, `m-${at}`));
+  await simulation.publish(second);
+  const third = simulation.electLeader();
   assert.equal(isAnswered(third, placement), true);
   assert.deepEqual(
-    swamped.filter((one) => isAnswered(third, one)),
+    unanswered.filter((placement) => isAnswered(third, placement)),
     [],
   );
 });
 
 test("the record is written at most every two seconds, and not at all if unchanged", async () => {
-  const stage = new Stage();
-  const leader = stage.lead();
+  const simulation = new LeaderSimulation();
+  const leader = simulation.electLeader();
   for (let tick = 0; tick < 400; tick += 1) {
-    if (tick < 200) observe(stage.place(leader, "n-1"));
+    if (tick < 200) observe(simulation.place(leader, "n-1"));
     leader.answeredStarts.publish();
-    await stage.run(S / 4);
+    await simulation.run(S / 4);
   }
-  assert.ok(stage.writes >= 20 && stage.writes <= 27, `${stage.writes} writes in 100 s, 50 s of them with placements`);
+  assert.ok(
+    simulation.writes >= 20 && simulation.writes <= 27,
+    `${simulation.writes} writes in 100 s, 50 s of them with placements`,
+  );
 });
 
 /** Restores the placements in the new leader. Returns how many of them it does not hold. */
-const takeOver = (stage: Stage, leader: Leader): number => {
+const failOver = (simulation: LeaderSimulation, leader: Leader): number => {
   let released = 0;
-  for (const placement of stage.placements) {
+  for (const placement of simulation.placements) {
     const { task, lateUntil } = placement;
     const answered = isAnswered(leader, placement);
-    assert.ok(!answered || lateUntil <= stage.now, "a start may still be delivered that is on record as answered");
+    assert.ok(!answered || lateUntil <= simulation.now, "a start may still be delivered that is on record as answered");
     task.startCommand = { kind: "uncertain", token: 0, answered };
-    task.unansweredStartAt = answered ? null : stage.now;
+    task.unansweredStartAt = answered ? null : simulation.now;
     if (answered) released += 1;
     else leader.unconfirmedStarts.add(task);
   }
@@ -210,7 +213,7 @@
 };
 
 /** The worker lists the attempt: an unanswered start is delivered within the maximum start delay. */
-const list = (placement: Placement): void => {
+const listAttempt = (placement: Placement): void => {
   observe(placement);
   const { unansweredStartAt } = placement.task;
   if (unansweredStartAt !== null)
@@ -218,12 +221,12 @@
 };
 
 /** Sends a direct start, with or without a response. */
-const startDirectly = (stage: Stage, placement: Placement, isAnsweredNow: boolean): void => {
+const startDirectly = (simulation: LeaderSimulation, placement: Placement, isAnsweredNow: boolean): void => {
   const { task } = placement;
-  if (isAnsweredNow) list(placement);
+  if (isAnsweredNow) listAttempt(placement);
   else {
     task.startCommand = { kind: "uncertain", token: 0 };
-    task.unansweredStartAt = stage.now;
+    task.unansweredStartAt = simulation.now;
     placement.lateUntil = Number.POSITIVE_INFINITY;
   }
 };
@@ -232,26 +235,26 @@
 type DirectStarts = "unconfirmed only" | "any";
 
 /** Simulates random events and failovers. Returns how many placements new leaders did not hold. */
-const playRandomLeaders = async (random: Random, directStarts: DirectStarts): Promise<number> => {
-  const stage = new Stage();
-  const fates: readonly WriteFate[] = ["applied", "applied", "response lost", "applied late", "refused"];
-  stage.fate = () => fates[random.int(0, fates.length - 1)] ?? "applied";
-  let leader = stage.lead();
+const simulateRandomLeaders = async (random: Random, directStarts: DirectStarts): Promise<number> => {
+  const simulation = new LeaderSimulation();
+  const writeOutcomes: readonly WriteOutcome[] = ["applied", "applied", "response lost", "applied late", "refused"];
+  simulation.writeOutcome = () => writeOutcomes[random.int(0, writeOutcomes.length - 1)] ?? "applied";
+  let leader = simulation.electLeader();
   let released = 0;
   for (let step = 0; step < 300; step += 1) {
-    const placement = stage.placements[random.int(0, Math.max(0, stage.placements.length - 1))];
+    const placement = simulation.placements[random.int(0, Math.max(0, simulation.placements.length - 1))];
     const event = random.int(0, 9);
-    if (event < 3) stage.place(leader, `n-${random.int(0, 6)}`);
+    if (event < 3) simulation.place(leader, `n-${random.int(0, 6)}`);
     else if (event < 6 && placement !== undefined) {
       if (directStarts === "any" || leader.unconfirmedStarts.has(placement.task))
-        startDirectly(stage, placement, random.chance(0.8));
-    } else if (event === 6 && placement !== undefined) list(placement);
+        startDirectly(simulation, placement, random.chance(0.8));
+    } else if (event === 6 && placement !== undefined) listAttempt(placement);
     else if (event === 7 && random.chance(0.2)) {
-      leader = stage.lead();
-      released += takeOver(stage, leader);
+      leader = simulation.electLeader();
+      released += failOver(simulation, leader);
     }
     leader.answeredStarts.publish();
-    await stage.run(random.int(0, 4 * S));
+    await simulation.run(random.int(0, 4 * S));
   }
   return released;
 };
@@ -260,7 +263,7 @@
   let released = 0;
   for (let seed = 1; seed <= 60; seed += 1) {
     try {
-      released += await playRandomLeaders(new Random(seed), "unconfirmed only");
+      released += await simulateRandomLeaders(new Random(seed), "unconfirmed only");
     } catch (error) {
       throw new Error(`seed ${seed}`, { cause: error });
     }
@@ -269,16 +272,16 @@
 });
 
 test("the simulation detects a direct start of a task whose starts are on record as answered", async () => {
-  const plays = Array.from({ length: 60 }, (_, at) => playRandomLeaders(new Random(at + 1), "any"));
-  await assert.rejects(Promise.all(plays), /on record as answered/);
+  const simulations = Array.from({ length: 60 }, (_, at) => simulateRandomLeaders(new Random(at + 1), "any"));
+  await assert.rejects(Promise.all(simulations), /on record as answered/);
 });
 
 test("the stored record holds the epoch, the revision and the machines that a controller of another version reads", async () => {
-  const stage = new Stage();
-  const leader = stage.lead();
-  stage.place(leader, "n-1");
-  await stage.publish(leader);
-  assert.deepEqual(decodeAnsweredStarts(stage.entries.get(KEY)?.value), {
+  const simulation = new LeaderSimulation();
+  const leader = simulation.electLeader();
+  simulation.place(leader, "n-1");
+  await simulation.publish(leader);
+  assert.deepEqual(decodeAnsweredStarts(simulation.entries.get(KEY)?.value), {
     epoch: 1,
     revision: 2,
     unansweredMachines: ["n-1"],
--- a/test/command-dispatcher.test.ts
+++ b/test/command-dispatcher.test.ts
@@ -5,7 +5,7 @@
 import { HeartbeatProcessor } from "../src/coordination/workers/heartbeat-processor.js";
 import { makeShard, placedTask, report, SPEC } from "./shard-fixtures.js";
 
-const scene = () => {
+const setUp = () => {
   const { shard, context, taskStates } = makeShard(1);
   const machine = [...shard.machines.values()][0] as Machine;
   const task = placedTask(shard, machine);
@@ -15,7 +15,7 @@
 
 test("an ended attempt is forgotten only once its end is on record", () => {
   // If it were forgotten sooner, its end would be lost with the leader, and the next leader would start it again.
-  const { machine, task, dispatcher } = scene();
+  const { machine, task, dispatcher } = setUp();
   machine.reported.exitedTasks = new Map([[task.name, 1]]);
   task.desired = { kind: "done" };
   assert.deepEqual(dispatcher.forgetCommands(machine), []);
@@ -24,7 +24,7 @@
 });
 
 test("pending stops come first, are never cut off, and are not sent twice", () => {
-  const { machine, task, dispatcher } = scene();
+  const { machine, task, dispatcher } = setUp();
   const pendingStops = Array.from(
     { length: 300 },
     (_, at) => ({ op: "stop", task: `wk-9/${at}`, attempt: 1, graceS: 0 }) as const,
--- a/test/direct-starts-throughout.test.ts
+++ b/test/direct-starts-throughout.test.ts
@@ -7,11 +7,11 @@
 import {
   ACTIONS,
   type Action,
-  BEGINNINGS,
   explore,
   type HeartbeatWrapper,
-  Play,
-  playOrder,
+  PREFIXES,
+  runOrder,
+  Scenario,
 } from "./sim/event-orders.js";
 
 for (const [name, onRecord] of [
@@ -19,72 +19,74 @@
   ["a start of an earlier leader that is not on record", "none"],
 ] as const) {
   test(`in every order of events, ${name} runs no task twice after a reset of the worker's counters, under leaders of the previous version`, async () => {
-    const delivers = { inherited: true, answered: false };
-    const { broken } = await explore(4, () => new Play(undefined, delivers, onRecord, "all leaders"));
-    assert.equal(broken, null);
+    const lateStarts = { inherited: true, answered: false };
+    const { fault } = await explore(4, () => new Scenario(undefined, lateStarts, onRecord, "all leaders"));
+    assert.equal(fault, null);
   });
 }
 
 test("the exploration detects a copy of an answered direct start that is executed after a reset of the worker's counters", async () => {
-  const delivers = { inherited: false, answered: true };
-  const { broken } = await explore(4, () => new Play(undefined, delivers, "up to date", "all leaders"));
-  assert.match(broken ?? "nothing found", /runs where it was called gone/);
+  const lateStarts = { inherited: false, answered: true };
+  const { fault } = await explore(4, () => new Scenario(undefined, lateStarts, "up to date", "all leaders"));
+  assert.match(fault ?? "nothing found", /runs on a machine that it was released from/);
 });
 
 test("in every order of events, no task is released that runs or may still run on its machine, under leaders of the previous version", async () => {
-  const { plays, broken } = await explore(3, () => new Play(undefined, undefined, undefined, "all leaders"));
-  assert.equal(broken, null);
-  assert.equal(plays, BEGINNINGS.length * ACTIONS.length ** 3);
+  const { runs, fault } = await explore(3, () => new Scenario(undefined, undefined, undefined, "all leaders"));
+  assert.equal(fault, null);
+  assert.equal(runs, PREFIXES.length * ACTIONS.length ** 3);
 });
 
 /** Alters machine state before each message is processed, under leaders that start tasks by direct commands. */
-const variant =
-  (alter: (machine: Machine, said: Heartbeat) => Parameters<HeartbeatProcessor["process"]>[2] | null) => (): Play => {
-    const believe: HeartbeatWrapper = (heartbeats, known) => {
-      const observe = heartbeats.process.bind(heartbeats);
-      heartbeats.process = (machine, said, source) => observe(machine, said, alter(known, said) ?? source);
+const variantWith =
+  (alter: (machine: Machine, heartbeat: Heartbeat) => Parameters<HeartbeatProcessor["process"]>[2] | null) =>
+  (): Scenario => {
+    const wrapHeartbeats: HeartbeatWrapper = (heartbeats, knownMachine) => {
+      const process = heartbeats.process.bind(heartbeats);
+      heartbeats.process = (machine, heartbeat, source) =>
+        process(machine, heartbeat, alter(knownMachine, heartbeat) ?? source);
       return heartbeats;
     };
-    return new Play(believe, undefined, undefined, "all leaders");
+    return new Scenario(wrapHeartbeats, undefined, undefined, "all leaders");
   };
 
-const BROKEN: Readonly<Record<string, () => Play>> = {
-  "an unanswered start counts as lost once a higher token is shown": variant((machine) => {
+const FAULTY_VARIANTS: Readonly<Record<string, () => Scenario>> = {
+  "an unanswered start counts as lost once a higher token is shown": variantWith((machine) => {
     for (const task of machine.tasks) task.unansweredStartAt = null;
     return null;
   }),
-  "delayed copies of heartbeats count as current": variant((machine) => {
+  "delayed copies of heartbeats count as current": variantWith((machine) => {
     machine.counters.verified = true;
     return null;
   }),
-  "an unanswered start counts as lost at the next heartbeat": variant((machine) => {
+  "an unanswered start counts as lost at the next heartbeat": variantWith((machine) => {
     for (const task of machine.tasks)
       if (task.startCommand.kind === "uncertain")
         Object.assign(task, { startCommand: { kind: "uncertain", token: -1 }, unansweredStartAt: null });
     return null;
   }),
-  "reset counters are trusted without fencing": variant((machine) => {
+  "reset counters are trusted without fencing": variantWith((machine) => {
     machine.counters.resetToken = 0;
     for (const task of machine.tasks)
       if (task.startCommand.kind === "uncertain") task.startCommand = { kind: "uncertain", token: -1 };
     return null;
   }),
   "attempts are forgotten without a token above that of their start": () =>
-    new Play(undefined, undefined, undefined, "all leaders", (dispatcher, machine) =>
+    new Scenario(undefined, undefined, undefined, "all leaders", (dispatcher, machine) =>
       dispatcher.forgetTooEarly(machine),
     ),
 };
 
-for (const [name, make] of Object.entries(BROKEN)) {
+for (const [name, createScenario] of Object.entries(FAULTY_VARIANTS)) {
   test(`the exploration detects the fault if ${name}`, async () => {
-    const { broken } = await explore(4, make);
-    assert.match(broken ?? "nothing found", /runs where it was called gone/);
+    const { fault } = await explore(4, createScenario);
+    assert.match(fault ?? "nothing found", /runs on a machine that it was released from/);
   });
 }
 
 /** Sends direct starts regardless of the record, but still relies on the record at each failover. */
-const startingDirectly = (): Play => {
-  const believe: HeartbeatWrapper = (heartbeats, machine, shard) => {
+const startingDirectlyDespiteRecord = (): Scenario => {
+  const wrapHeartbeats: HeartbeatWrapper = (heartbeats, machine, shard) => {
     const process = heartbeats.process.bind(heartbeats);
     heartbeats.process = (...message) => {
       const freshness = process(...message);
@@ -93,21 +95,30 @@
     };
     return heartbeats;
   };
-  return new Play(believe, undefined, undefined, "all leaders");
+  return new Scenario(wrapHeartbeats, undefined, undefined, "all leaders");
 };
 
 // Guards against a direct start of a task whose starts are on record as answered, which the next leader would not hold.
-const STARTED_AGAIN: readonly Action[] = [
-  ...["report", "report", "command", "counters reset", "ask", "report", "report", "command late"],
-  ...["failover", "report", "to be stopped", "report", "counters reset", "late command lands"],
+const RESTART_ORDER: readonly Action[] = [
+  ...[
+    "heartbeat",
+    "heartbeat",
+    "command",
+    "counters reset",
+    "status query",
+    "heartbeat",
+    "heartbeat",
+    "command delayed",
+  ],
+  ...["failover", "heartbeat", "stop requested", "heartbeat", "counters reset", "delayed command delivered"],
 ] as readonly Action[];
 
 test("a task whose starts are on record as answered is started again by responses to heartbeats only", async () => {
-  assert.equal(await playOrder(new Play(), STARTED_AGAIN), null);
-  const underOlderLeaders = new Play(undefined, undefined, undefined, "all leaders");
-  assert.equal(await playOrder(underOlderLeaders, STARTED_AGAIN), null);
+  assert.equal(await runOrder(new Scenario(), RESTART_ORDER), null);
+  const underPreviousVersion = new Scenario(undefined, undefined, undefined, "all leaders");
+  assert.equal(await runOrder(underPreviousVersion, RESTART_ORDER), null);
   assert.match(
-    (await playOrder(startingDirectly(), STARTED_AGAIN)) ?? "nothing found",
-    /runs where it was called gone/,
+    (await runOrder(startingDirectlyDespiteRecord(), RESTART_ORDER)) ?? "nothing found",
+    /runs on a machine that it was released from/,
   );
 });
--- a/test/late-starts.test.ts
+++ b/test/late-starts.test.ts
@@ -26,7 +26,7 @@
 const NO_LONG_POLLS = { end: () => false };
 
 /** A task whose start command had no response, and its machine. */
-const lostStart = async () => {
+const setUpLostStart = async () => {
   const lost: HttpOutcome = { kind: "lost" };
   const { shard, context, taskStates, world } = makeShard(1, [lost, lost, lost]);
   const machine = [...shard.machines.values()][0] as Machine;
@@ -39,20 +39,20 @@
   return { shard, context, world, machine, heartbeats, dispatcher, task };
 };
 
-const isHeld = (task: Task, machine: Machine): void => {
+const assertHeld = (task: Task, machine: Machine): void => {
   assert.equal(task.machine, machine);
   assert.equal(task.desired.kind, "placed");
 };
 
 test("neither lease expiry nor a higher token nor a new incarnation releases a task whose start command had no response", async () => {
-  const { machine, heartbeats, task } = await lostStart();
+  const { machine, heartbeats, task } = await setUpLostStart();
   assert.deepEqual(task.startCommand, { kind: "uncertain", token: TOKEN });
   heartbeats.leaseExpired(machine, "worker lease over");
-  isHeld(task, machine);
+  assertHeld(task, machine);
   heartbeats.process(machine, report({ sequence: 2, token: TOKEN + 1 }), HEARTBEAT);
-  isHeld(task, machine);
+  assertHeld(task, machine);
   heartbeats.process(machine, report({ incarnation: 2, sequence: 3, token: TOKEN + 1 }), HEARTBEAT);
-  isHeld(task, machine);
+  assertHeld(task, machine);
   heartbeats.machineLost(machine, "deleted");
   assert.equal(task.machine, null);
   assert.equal(task.earliestStart, 0);
@@ -69,9 +69,9 @@
   assert.deepEqual(dispatcher.startsForResponse(machine), start);
   // The response was lost: the next one repeats the start, and the task is neither released nor placed elsewhere.
   heartbeats.process(machine, report({ sequence: 2 }), HEARTBEAT);
-  isHeld(task, machine);
+  assertHeld(task, machine);
   assert.deepEqual(dispatcher.startsForResponse(machine), start);
-  isHeld(task, machine);
+  assertHeld(task, machine);
   // A worker drops a late response, so none can take effect after a reset of its counters.
   heartbeats.leaseExpired(machine, "worker lease over");
   assert.equal(task.machine, null);
@@ -101,7 +101,7 @@
 });
 
 test("on a machine that commands do not reach, a held task is started by the response to a heartbeat and by no command", async () => {
-  const { machine, heartbeats, dispatcher, task } = await lostStart();
+  const { machine, heartbeats, dispatcher, task } = await setUpLostStart();
   const start = [{ op: "start", task: task.name, attempt: 1 }];
   assert.deepEqual(dispatcher.startsForResponse(machine), start, "a repeated start is harmless on the same machine");
   machine.reachability.consecutiveTimeouts = 2;
@@ -125,7 +125,7 @@
 });
 
 test("a task that exits while an earlier start may still be delivered starts again only after the maximum start delay", async () => {
-  const { shard, world, machine, heartbeats, task } = await lostStart();
+  const { shard, world, machine, heartbeats, task } = await setUpLostStart();
   const sentAt = task.unansweredStartAt as Micros;
   world.now += 5_000_000;
   const exited: TaskStatus[] = [{ task: task.name, attempt: 1, state: "exited", reason: "stopped" }];
@@ -199,40 +199,40 @@
   assert.equal(batches[1]?.[0], "n-249");
 });
 
-type LostStart = Awaited<ReturnType<typeof lostStart>>;
+type LostStartFixture = Awaited<ReturnType<typeof setUpLostStart>>;
 
 /** The worker shows a token above the start's, and does not list the task. */
-const showHigherToken = ({ machine, heartbeats }: LostStart): void => {
+const showHigherToken = ({ machine, heartbeats }: LostStartFixture): void => {
   const reclaimNoticeS = machine.lifecycle.reclaimAt === null ? null : 20;
   heartbeats.process(machine, report({ sequence: 2, token: TOKEN + 1, reclaimNoticeS }), HEARTBEAT);
 };
 
-const returnedMachines = ({ shard, context }: LostStart): readonly Machine[] => {
+const scaleInCandidates = ({ shard, context }: LostStartFixture): readonly Machine[] => {
   const snapshot = { shard, now: context.clock.now(), options: context.options } as unknown as SchedulerSnapshot;
   return chooseScaleIn(snapshot, []).map(({ machine }) => machine);
 };
 
 // These tests guard against a held task that was placed elsewhere a minute after its start, without the machine's
 // deletion.
-for (const [name, empty] of [
+for (const [name, drain] of [
   ["for scale-in", ({ machine }) => Object.assign(machine.lifecycle, { drainReason: "scale-in" })],
   [
     "for its reclaim notice",
     ({ machine, context }) => Object.assign(machine.lifecycle, { reclaimAt: context.clock.now() + 20_000_000 }),
   ],
-] satisfies readonly [string, (scene: LostStart) => void][]) {
+] satisfies readonly [string, (fixture: LostStartFixture) => void][]) {
   for (const order of ["before", "after"] as const) {
     test(`a machine that is emptied ${name} ${order} its held task is found not running keeps the task until it is deleted`, async () => {
-      const scene = await lostStart();
-      const { machine, heartbeats, dispatcher, task } = scene;
-      if (order === "before") empty(scene);
-      showHigherToken(scene);
-      if (order === "after") empty(scene);
+      const fixture = await setUpLostStart();
+      const { machine, heartbeats, dispatcher, task } = fixture;
+      if (order === "before") drain(fixture);
+      showHigherToken(fixture);
+      if (order === "after") drain(fixture);
       dispatcher.evict(machine);
-      isHeld(task, machine);
+      assertHeld(task, machine);
       machine.reachability.consecutiveTimeouts = 2;
       assert.deepEqual(dispatcher.startsForResponse(machine), [], "nothing more is started there");
-      assert.deepEqual(returnedMachines(scene), [machine], "only the machine's deletion releases the task");
+      assert.deepEqual(scaleInCandidates(fixture), [machine], "only the machine's deletion releases the task");
       heartbeats.machineLost(machine, "deleted");
       assert.equal(task.machine, null);
       assert.equal(task.earliestStart, 0);
@@ -241,25 +241,25 @@
 }
 
 test("a machine with a running task is not returned to the cloud because of a held task", async () => {
-  const scene = await lostStart();
-  const { machine, shard, task } = scene;
+  const fixture = await setUpLostStart();
+  const { machine, shard, task } = fixture;
   machine.lifecycle.drainReason = "scale-in";
-  showHigherToken(scene);
+  showHigherToken(fixture);
   const other = [...task.job.waitingTasks][0] as Task;
   shard.assignTask(other, machine);
   other.startCommand = { kind: "observed" };
-  assert.deepEqual(returnedMachines(scene), []);
+  assert.deepEqual(scaleInCandidates(fixture), []);
 });
 
 for (const order of ["before", "after"] as const) {
   test(`a held task with a stop request made ${order} it was found not running is started again on its machine`, async () => {
-    const scene = await lostStart();
-    const { machine, dispatcher, task } = scene;
+    const fixture = await setUpLostStart();
+    const { machine, dispatcher, task } = fixture;
     if (order === "before") task.stopRequest = { graceS: 0 };
-    showHigherToken(scene);
+    showHigherToken(fixture);
     if (order === "after") task.stopRequest = { graceS: 0 };
     dispatcher.evict(machine);
-    isHeld(task, machine);
+    assertHeld(task, machine);
     assert.equal(task.stopRequest, null);
     machine.reachability.consecutiveTimeouts = 2;
     assert.deepEqual(dispatcher.startsForResponse(machine), [{ op: "start", task: task.name, attempt: 1 }]);
@@ -267,12 +267,12 @@
 }
 
 test("a held task beyond its team's limit stays placed, and is started again on its machine once the limit allows it", async () => {
-  const scene = await lostStart();
-  const { machine, dispatcher, shard, task } = scene;
+  const fixture = await setUpLostStart();
+  const { machine, dispatcher, shard, task } = fixture;
   let withinLimit = false;
   shard.withinLimit = () => withinLimit;
-  showHigherToken(scene);
-  isHeld(task, machine);
+  showHigherToken(fixture);
+  assertHeld(task, machine);
   machine.reachability.consecutiveTimeouts = 2;
   assert.deepEqual(dispatcher.startsForResponse(machine), []);
   withinLimit = true;
--- a/test/long-polls.test.ts
+++ b/test/long-polls.test.ts
@@ -13,10 +13,10 @@
 import { makeShard, nothing, placedTask, report } from "./shard-fixtures.js";
 
 const HEARTBEAT = { kind: "heartbeat" } as const;
-const WAITS = 3_000_000;
+const MAX_WAIT = 3_000_000;
 
 /** A machine that has shown this leader's token, and the commands that are sent to it. */
-const scene = () => {
+const setUp = () => {
   const { shard, context, taskStates, world } = makeShard(1);
   const machine = [...shard.machines.values()][0] as Machine;
   const sent: { readonly baton: number; readonly orders: readonly unknown[] }[] = [];
@@ -33,14 +33,14 @@
 };
 
 test("a response waits only for a machine on which a start is likely", () => {
-  const { shard, context, machine } = scene();
+  const { shard, context, machine } = setUp();
   const now = context.clock.now();
   const time = (backlog: boolean): number => longPollTime(machine, now, backlog);
-  assert.equal(time(true), WAITS, "an idle machine has nothing to report");
+  assert.equal(time(true), MAX_WAIT, "an idle machine has nothing to report");
   const task = placedTask(shard, machine);
-  assert.equal(time(true), WAITS, "its placement is about to be on record");
+  assert.equal(time(true), MAX_WAIT, "its placement is about to be on record");
   task.startCommand = { kind: "observed" };
-  assert.equal(time(false), WAITS, "the next job may be placed in its free capacity");
+  assert.equal(time(false), MAX_WAIT, "the next job may be placed in its free capacity");
   assert.equal(time(true), 1_500_000, "waiting tasks do not fit: the next exit is to be reported sooner");
   machine.load.used = { ...machine.load.used, cpu: machine.type?.capacity.cpu ?? 0 };
   assert.equal(time(false), 0, "it has no free capacity");
@@ -57,23 +57,23 @@
     ({ reachability }) => Object.assign(reachability, { probeToken: 65_537 }),
   ];
   for (const change of changes) {
-    const { machine, context } = scene();
+    const { machine, context } = setUp();
     change(machine);
     assert.equal(longPollTime(machine, context.clock.now(), false), 0);
   }
 });
 
 test("a wait ends when its time has passed, when it is ended or when a newer one starts; beyond the maximum none starts", async () => {
-  const { context, world, machine, longPolls } = scene();
+  const { context, world, machine, longPolls } = setUp();
   const ends: string[] = [];
   const wait = (name: string, target: Machine, time: number): void => {
     void longPolls.wait(target, time as Micros).then((end) => ends.push(`${name}: ${end}`));
   };
   const others = [...makeShard(3).shard.machines.values()];
-  wait("first", machine, WAITS);
+  wait("first", machine, MAX_WAIT);
   wait("newer", machine, 1_000_000);
-  wait("other", others[1] as Machine, WAITS);
-  wait("beyond", others[2] as Machine, WAITS);
+  wait("other", others[1] as Machine, MAX_WAIT);
+  wait("beyond", others[2] as Machine, MAX_WAIT);
   await world.run(world.now + 10, nothing);
   assert.deepEqual(ends.splice(0), ["first: ended", "beyond: ended"]);
   await world.run(world.now + 1_100_000, nothing);
@@ -86,9 +86,9 @@
 });
 
 test("a start is sent with the held response, without a command", async () => {
-  const { shard, machine, longPolls, dispatcher, sent, world } = scene();
+  const { shard, machine, longPolls, dispatcher, sent, world } = setUp();
   let ended = false;
-  void longPolls.wait(machine, WAITS as Micros).then(() => {
+  void longPolls.wait(machine, MAX_WAIT as Micros).then(() => {
     ended = true;
   });
   const task = placedTask(shard, machine);
@@ -101,7 +101,7 @@
 });
 
 test("if no response is held, a raised token triggers a heartbeat, once per half of a lease", async () => {
-  const { shard, machine, heartbeats, dispatcher, sent, world, context } = scene();
+  const { shard, machine, heartbeats, dispatcher, sent, world, context } = setUp();
   placedTask(shard, machine);
   await dispatcher.send(machine);
   assert.deepEqual(sent, [], "the worker has just reported a higher token");
--- a/test/sim/direct-start-dispatcher.ts
+++ b/test/sim/direct-start-dispatcher.ts
@@ -15,7 +15,7 @@
 const FORGET_INTERVAL = seconds(20);
 const NO_LONG_POLLS = { end: () => false };
 
-const startOf = (task: Task): Command => ({ op: "start", task: task.name, attempt: attemptOf(task.desired) });
+const startCommandOf = (task: Task): Command => ({ op: "start", task: task.name, attempt: attemptOf(task.desired) });
 
 /** Starts tasks by direct commands, and forgets ended attempts only under a token above that of every start. */
 export class DirectStartDispatcher extends CommandDispatcher {
@@ -51,7 +51,7 @@
     const token = responseTokenOf(this.shardContext.lease, machine);
     for (const task of tasks)
       task.startCommand = { kind: "uncertain", token, answered: task.unansweredStartAt === null };
-    return tasks.map(startOf);
+    return tasks.map(startCommandOf);
   }
 
   override forgetCommands(machine: Machine): Command[] {
@@ -76,7 +76,7 @@
     if (address === null || counters.incarnation === null || commands.inFlight || !lease.isValid()) return;
     if (!probe && (machine.state !== "up" || machine.lease.expired || clock.now() < commands.nextAt)) return;
     const tasks = this.tasksToStart(machine, "command");
-    const orders = [...this.repeatableCommands(machine), ...tasks.map(startOf)];
+    const orders = [...this.repeatableCommands(machine), ...tasks.map(startCommandOf)];
     if (orders.length === 0 && !probe) return;
     const token = fencingTokenOf(lease, machine);
     if (tasks.length > 0) this.startSequences.set(machine, machine.fencing.sequence);
@@ -89,7 +89,7 @@
     commands.nextAt = (clock.now() + RETRY_DELAY) as Micros;
     if (outcome.kind === "unsent") return;
     if (outcome.kind === "lost") {
-      this.startsUnanswered(machine, token, tasks);
+      this.markStartsUnanswered(machine, token, tasks);
       return;
     }
     recordResponse(machine.reachability, clock.now());
@@ -99,7 +99,7 @@
     this.processor.process(machine, decodeHeartbeat(parseJson(outcome.body)), { kind: "status-reply", requestedAt });
   }
 
-  private startsUnanswered(machine: Machine, token: number, tasks: readonly Task[]): void {
+  private markStartsUnanswered(machine: Machine, token: number, tasks: readonly Task[]): void {
     if (tasks.length === 0) return;
     for (const task of tasks) {
       task.unansweredStartAt = this.shardContext.clock.now();
--- a/test/sim/event-orders.ts
+++ b/test/sim/event-orders.ts
@@ -15,81 +15,81 @@
 import { makeShard, placedTask, report } from "../shard-fixtures.js";
 import { DirectStartDispatcher } from "./direct-start-dispatcher.js";
 
-const REPORT = { kind: "heartbeat" } as const;
+const HEARTBEAT = { kind: "heartbeat" } as const;
 
 /** Resets the machine to what a new leader knows of it: its name only. */
-export const unknown = (machine: Machine): void => {
+export const resetToUnknown = (machine: Machine): void => {
   machine.state = "booting";
   Object.assign(machine.counters, { incarnation: null, highestToken: 0, verified: false });
 };
 
 export const ACTIONS = [
-  "report",
-  "report, no answer",
+  "heartbeat",
+  "heartbeat, response lost",
   "oldest copy",
   "latest copy",
-  "ask",
+  "status query",
   "command",
-  "command, no answer",
-  "command late",
-  "late command lands",
+  "command, reply lost",
+  "command delayed",
+  "delayed command delivered",
   "command repeated",
-  "to be stopped",
+  "stop requested",
   "incarnation changes",
   "counters reset",
   "failover",
 ] as const;
 export type Action = (typeof ACTIONS)[number];
 
-interface Order {
+interface CommandRequest {
   readonly token: number;
-  readonly session: number;
+  readonly incarnation: number;
   readonly commands: readonly { readonly verb: string; readonly shard: string }[];
 }
 
 /** A minimal worker: incarnation, sequence, fencing token and attempts, as the protocol defines them. */
-class TinyWorker {
-  session = 1;
-  tick = 0;
+class WorkerModel {
+  incarnation = 1;
+  sequence = 0;
   token = 0;
   /** Its attempts by task; a stopped one is kept until a forget command. */
-  readonly known = new Map<string, "running" | "exited">();
+  readonly attempts = new Map<string, "running" | "exited">();
 
-  get runs(): boolean {
-    return [...this.known.values()].includes("running");
+  get isRunning(): boolean {
+    return [...this.attempts.values()].includes("running");
   }
 
   report(): Heartbeat {
-    this.tick += 1;
-    const tasks = [...this.known].map(([task, state]): TaskStatus => {
+    this.sequence += 1;
+    const tasks = [...this.attempts].map(([task, state]): TaskStatus => {
       return { task, attempt: 1, state, reason: state === "exited" ? "stopped" : null };
     });
-    return report({ incarnation: this.session, sequence: this.tick, token: this.token, tasks });
+    return report({ incarnation: this.incarnation, sequence: this.sequence, token: this.token, tasks });
   }
 
-  execute(order: Order): boolean {
-    if (order.token < this.token || order.session !== this.session) return false;
-    this.token = order.token;
-    for (const { verb, shard } of order.commands) {
-      const state = this.known.get(shard);
-      if (verb === "launch" && state === undefined) this.known.set(shard, "running");
-      if (verb === "halt" && state === "running") this.known.set(shard, "exited");
-      if (verb === "forget" && state === "exited") this.known.delete(shard);
+  execute(request: CommandRequest): boolean {
+    if (request.token < this.token || request.incarnation !== this.incarnation) return false;
+    this.token = request.token;
+    for (const { verb, shard } of request.commands) {
+      const state = this.attempts.get(shard);
+      if (verb === "launch" && state === undefined) this.attempts.set(shard, "running");
+      if (verb === "halt" && state === "running") this.attempts.set(shard, "exited");
+      if (verb === "forget" && state === "exited") this.attempts.delete(shard);
     }
     return true;
   }
 }
 
-const wire = (said: Heartbeat): string =>
+const encodeStatus = (heartbeat: Heartbeat): string =>
   JSON.stringify({
-    host: said.machine,
-    addr: said.address,
-    flavor: said.type,
-    area: said.zone,
-    tenure: said.incarnation,
-    tick: said.sequence,
-    baton: said.token,
-    shards: said.tasks.map(({ task, attempt, state }) => ({
+    host: heartbeat.machine,
+    addr: heartbeat.address,
+    flavor: heartbeat.type,
+    area: heartbeat.zone,
+    tenure: heartbeat.incarnation,
+    tick: heartbeat.sequence,
+    baton: heartbeat.token,
+    shards: heartbeat.tasks.map(({ task, attempt, state }) => ({
       shard: task,
       try: attempt,
       phase: state,
@@ -118,37 +118,37 @@
 ) => HeartbeatProcessor;
 
 /** Runs one order of events through the production code for heartbeats, task lists and commands. */
-export class Play {
-  readonly worker = new TinyWorker();
-  private readonly past: Heartbeat[] = [];
-  private readonly late: Order[] = [];
-  private carriedOut: Order | null = null;
-  private number = 0;
-  private fate: "ok" | "no answer" | "late" = "ok";
+export class Scenario {
+  readonly worker = new WorkerModel();
+  private readonly sentHeartbeats: Heartbeat[] = [];
+  private readonly delayedRequests: CommandRequest[] = [];
+  private lastExecutedRequest: CommandRequest | null = null;
+  private epoch = 0;
+  private requestOutcome: "ok" | "reply lost" | "delayed" = "ok";
   private now = 0;
   private context!: ShardContext;
   private machine!: Machine;
   private task!: Task;
   private heartbeats!: HeartbeatProcessor;
   private commands!: CommandDispatcher;
-  private freed = false;
+  private released = false;
   private answeredOnRecord = false;
 
   constructor(
-    private readonly believe: HeartbeatWrapper = (heartbeats) => heartbeats,
-    private readonly delivers: LateStarts = { inherited: true, answered: false },
+    private readonly wrapHeartbeats: HeartbeatWrapper = (heartbeats) => heartbeats,
+    private readonly lateStarts: LateStarts = { inherited: true, answered: false },
     private readonly onRecord: AnsweredStartsOnRecord = "up to date",
     private readonly directStarts: DirectStarts = "none",
-    private readonly beforeForgetting: (dispatcher: DirectStartDispatcher, machine: Machine) => void = () => undefined,
+    private readonly beforeForget: (dispatcher: DirectStartDispatcher, machine: Machine) => void = () => undefined,
   ) {
-    this.hold(null);
+    this.startLeader(null);
   }
 
-  private hold(startCommand: Task["startCommand"] | null): void {
-    this.number += 1;
+  private startLeader(startCommand: Task["startCommand"] | null): void {
+    this.epoch += 1;
     const { shard, context, taskStates, world } = makeShard(1);
     world.now = this.now;
-    const lease = { ...context.lease, epoch: this.number };
+    const lease = { ...context.lease, epoch: this.epoch };
     Object.assign(context, {
       lease,
       clock: { ...context.clock, now: () => this.now as Micros, after: () => ({ cancel: () => undefined }) },
@@ -157,17 +157,17 @@
     });
     this.context = context;
     this.machine = [...shard.machines.values()][0] as Machine;
-    unknown(this.machine);
+    resetToUnknown(this.machine);
     this.task = placedTask(shard, this.machine);
     this.task.startCommand = startCommand ?? { kind: "none" };
     // According to the records it has been placed elsewhere since.
-    if (this.freed) shard.releaseTask(this.task);
-    this.heartbeats = this.believe(new HeartbeatProcessor(context, taskStates), this.machine, shard);
+    if (this.released) shard.releaseTask(this.task);
+    this.heartbeats = this.wrapHeartbeats(new HeartbeatProcessor(context, taskStates), this.machine, shard);
     this.commands = this.createDispatcher(shard);
   }
 
   private createDispatcher(shard: ShardState): CommandDispatcher {
-    const startsDirectly = this.directStarts === "all leaders" || (this.directStarts !== "none" && this.number === 1);
+    const startsDirectly = this.directStarts === "all leaders" || (this.directStarts !== "none" && this.epoch === 1);
     if (!startsDirectly) return new CommandDispatcher(this.context, this.heartbeats, { end: () => false });
     if (this.task.machine !== null) shard.unconfirmedStarts.add(this.task);
     return new DirectStartDispatcher(this.context, this.heartbeats);
@@ -180,28 +180,28 @@
       tenure: number;
       orders: { verb: string; shard: string }[];
     };
-    const order = { token: baton, session: tenure, commands: orders };
-    if (this.fate === "late") {
-      this.late.push(order);
+    const request = { token: baton, incarnation: tenure, commands: orders };
+    if (this.requestOutcome === "delayed") {
+      this.delayedRequests.push(request);
       return { kind: "lost" };
     }
-    const done = this.worker.execute(order);
-    if (done && orders.some(({ verb }) => verb === "launch")) this.carriedOut = order;
-    return this.fate === "no answer" ? { kind: "lost" } : this.answer(done ? 200 : 409);
+    const done = this.worker.execute(request);
+    if (done && orders.some(({ verb }) => verb === "launch")) this.lastExecutedRequest = request;
+    return this.requestOutcome === "reply lost" ? { kind: "lost" } : this.answer(done ? 200 : 409);
   }
 
   private answer(status: number): HttpOutcome {
-    return { kind: "answer", retryAfterS: null, ...json(status, {}), body: wire(this.worker.report()) };
+    return { kind: "answer", retryAfterS: null, ...json(status, {}), body: encodeStatus(this.worker.report()) };
   }
 
-  private deliver(said: Heartbeat, answered: boolean): void {
-    const overtaken = mayBeOvertaken(this.machine.counters, this.machine.lease.expired, said);
-    const freshness = this.heartbeats.process(this.machine, said, REPORT);
+  private deliverHeartbeat(heartbeat: Heartbeat, answered: boolean): void {
+    const overtaken = mayBeOvertaken(this.machine.counters, this.machine.lease.expired, heartbeat);
+    const freshness = this.heartbeats.process(this.machine, heartbeat, HEARTBEAT);
     if (!answered || (freshness === "suspect" && !overtaken)) return;
     // The response as the leader builds it: repeatable commands and forget commands, under one token.
     const trusted =
       this.machine.counters.highestToken >= firstFencingToken(this.context.lease) && freshness !== "unverified";
-    if (this.commands instanceof DirectStartDispatcher) this.beforeForgetting(this.commands, this.machine);
+    if (this.commands instanceof DirectStartDispatcher) this.beforeForget(this.commands, this.machine);
     const own = trusted
       ? [...this.commands.repeatableCommands(this.machine), ...this.commands.forgetCommands(this.machine)]
       : [];
@@ -211,7 +211,7 @@
     const commands = [...own, ...starts].map(({ op, task }) => ({ verb: verbs[op], shard: task }));
     this.worker.execute({
       token: responseTokenOf(this.context.lease, this.machine),
-      session: Number(said.incarnation),
+      incarnation: Number(heartbeat.incarnation),
       commands,
     });
   }
@@ -220,55 +220,55 @@
     this.now += 2_000_000;
     const { worker } = this;
     switch (action) {
-      case "report":
-      case "report, no answer": {
-        const said = worker.report();
-        this.past.push(said);
-        this.deliver(said, action === "report");
+      case "heartbeat":
+      case "heartbeat, response lost": {
+        const heartbeat = worker.report();
+        this.sentHeartbeats.push(heartbeat);
+        this.deliverHeartbeat(heartbeat, action === "heartbeat");
         break;
       }
       case "oldest copy":
       case "latest copy": {
-        const said = action === "oldest copy" ? this.past[0] : this.past.at(-1);
-        if (said !== undefined) this.deliver(said, false);
+        const heartbeat = action === "oldest copy" ? this.sentHeartbeats[0] : this.sentHeartbeats.at(-1);
+        if (heartbeat !== undefined) this.deliverHeartbeat(heartbeat, false);
         break;
       }
-      case "ask":
-        this.fate = "ok";
+      case "status query":
+        this.requestOutcome = "ok";
         await this.commands.queryStatus(this.machine);
         break;
       case "command":
-      case "command, no answer":
-      case "command late":
-        this.fate = action === "command" ? "ok" : action === "command late" ? "late" : "no answer";
+      case "command, reply lost":
+      case "command delayed":
+        this.requestOutcome = action === "command" ? "ok" : action === "command delayed" ? "delayed" : "reply lost";
         await this.commands.send(this.machine, true);
         break;
-      case "late command lands": {
-        const order = this.late.shift();
-        if (order !== undefined) worker.execute(order);
+      case "delayed command delivered": {
+        const request = this.delayedRequests.shift();
+        if (request !== undefined) worker.execute(request);
         break;
       }
       case "command repeated":
-        if (this.carriedOut !== null) worker.execute(this.carriedOut);
+        if (this.lastExecutedRequest !== null) worker.execute(this.lastExecutedRequest);
         break;
       case "incarnation changes":
-        worker.session += 1;
-        worker.known.clear();
+        worker.incarnation += 1;
+        worker.attempts.clear();
         break;
-      case "to be stopped":
+      case "stop requested":
         if (this.task.machine !== null) this.task.stopRequest = { graceS: 0 };
         break;
       case "counters reset":
-        Object.assign(worker, { session: 1, tick: 0, token: 0 });
-        worker.known.clear();
+        Object.assign(worker, { incarnation: 1, sequence: 0, token: 0 });
+        worker.attempts.clear();
         // A task released earlier cannot be fenced against a later counter reset (docs/heartbeat-evidence.md). A start
         // without a response prevents the release of its task, whichever leader sent it. Copies of answered starts are
         // assumed not to be delivered any more; tests with `LateStarts.answered` drop this assumption.
-        if (this.freed && this.number > 1 && !this.delivers.inherited) this.late.length = 0;
-        if (this.freed && !this.delivers.answered) this.carriedOut = null;
+        if (this.released && this.epoch > 1 && !this.lateStarts.inherited) this.delayedRequests.length = 0;
+        if (this.released && !this.lateStarts.answered) this.lastExecutedRequest = null;
         break;
       case "failover": {
-        this.hold({ kind: "uncertain", token: firstFencingToken(this.context.lease) + 65_535 });
+        this.startLeader({ kind: "uncertain", token: firstFencingToken(this.context.lease) + 65_535 });
         if (this.answeredOnRecord) this.context.shard.confirmStart(this.task);
       }
     }
@@ -277,31 +277,31 @@
       this.answeredOnRecord = true;
     }
     if (this.task.machine === null && this.task.earliestStart <= this.now) {
-      this.freed = true;
+      this.released = true;
       // The release is recorded before the task is started elsewhere.
       this.task.recorded = this.task.desired;
     }
     // Once released it is started elsewhere: from then on it must not run here, whatever is still delivered.
-    if (this.freed && worker.runs) throw new Error("runs where it was called gone");
+    if (this.released && worker.isRunning) throw new Error("runs on a machine that it was released from");
   }
 }
 
 /** Faults need a start command that has been sent: every order begins with one of these ways to send it. */
-export const BEGINNINGS: readonly (readonly Action[])[] = [
-  ["report", "report", "command"],
-  ["report", "report", "command, no answer"],
-  ["report", "report", "command late"],
-  ["report", "report", "incarnation changes", "report", "command"],
-  ["report", "report", "command", "report", "to be stopped", "report", "report"],
-  ["report", "report", "command", "counters reset", "report", "report"],
-  ["report", "report", "command late", "report", "command", "to be stopped", "report"],
-  ["report", "report", "command late", "incarnation changes", "report", "report"],
+export const PREFIXES: readonly (readonly Action[])[] = [
+  ["heartbeat", "heartbeat", "command"],
+  ["heartbeat", "heartbeat", "command, reply lost"],
+  ["heartbeat", "heartbeat", "command delayed"],
+  ["heartbeat", "heartbeat", "incarnation changes", "heartbeat", "command"],
+  ["heartbeat", "heartbeat", "command", "heartbeat", "stop requested", "heartbeat", "heartbeat"],
+  ["heartbeat", "heartbeat", "command", "counters reset", "heartbeat", "heartbeat"],
+  ["heartbeat", "heartbeat", "command delayed", "heartbeat", "command", "stop requested", "heartbeat"],
+  ["heartbeat", "heartbeat", "command delayed", "incarnation changes", "heartbeat", "heartbeat"],
 ];
 
-export const playOrder = async (play: Play, order: readonly Action[]): Promise<string | null> => {
+export const runOrder = async (scenario: Scenario, order: readonly Action[]): Promise<string | null> => {
   for (const [at, action] of order.entries()) {
     try {
-      await play.step(action);
+      await scenario.step(action);
     } catch (error) {
       return `${order.slice(0, at + 1).join(", ")}: ${(error as Error).message}`;
     }
@@ -309,21 +309,24 @@
   return null;
 };
 
-/** Runs every order of `free` events after each of the prefixes, up to the first fault. */
-export const explore = async (free: number, make: () => Play): Promise<{ plays: number; broken: string | null }> => {
-  let plays = 0;
+/** Runs every order of `eventCount` events after each of the prefixes, up to the first fault. */
+export const explore = async (
+  eventCount: number,
+  createScenario: () => Scenario,
+): Promise<{ runs: number; fault: string | null }> => {
+  let runs = 0;
   const visit = async (path: readonly Action[], left: number): Promise<string | null> => {
     if (left > 0) {
       for (const action of ACTIONS) {
-        const broken = await visit([...path, action], left - 1);
-        if (broken !== null) return broken;
+        const fault = await visit([...path, action], left - 1);
+        if (fault !== null) return fault;
       }
       return null;
     }
-    plays += 1;
-    return playOrder(make(), path);
+    runs += 1;
+    return runOrder(createScenario(), path);
   };
-  let broken: string | null = null;
-  for (const path of BEGINNINGS) broken ??= await visit(path, free);
-  return { plays, broken };
+  let fault: string | null = null;
+  for (const path of PREFIXES) fault ??= await visit(path, eventCount);
+  return { runs, fault };
 };
