--- a/test/answered-starts.test.ts
+++ b/test/answered-starts.test.ts
@@ -178,7 +178,7 @@
   const third = simulation.electLeader();
   assert.equal(isAnswered(third, placement), true);
   assert.deepEqual(
-    unanswered.filter((placement) => isAnswered(third, placement)),
+    unanswered.filter((candidate) => isAnswered(third, candidate)),
     [],
   );
 });
