--- a/src/coordination/workers/answered-starts.ts
+++ b/src/coordination/workers/answered-starts.ts
@@ -77,7 +77,7 @@
     return version <= this.inherited.revision && !this.inheritedUnansweredMachines.has(machine);
   }
 
-  /** Writes the record if it has changed and no earlier write is too recent; called periodically. */
+  /** Writes the record if it has changed, at most once per `WRITE_INTERVAL`; called periodically. */
   publish(): void {
     const { clock, cache } = this.services;
     const now = clock.now();
--- a/src/coordination/workers/heartbeat-processor.ts
+++ b/src/coordination/workers/heartbeat-processor.ts
@@ -19,7 +19,7 @@
 
 /** Consecutive heartbeats that look older than the known counters before a status query is sent. */
 const MAX_SUSPECT_HEARTBEATS = 2;
-/** A worker without a response waits for 4 s before it tries another controller. */
+/** Less than the 4 s for which a worker waits for a response before it tries another controller. */
 const WORKER_FAILOVER_DELAY = seconds(3.5);
 
 /** The parts of the shard context that the processor uses. */
--- a/test/heartbeat-freshness.test.ts
+++ b/test/heartbeat-freshness.test.ts
@@ -48,8 +48,8 @@
   resetToUnknown(machine);
   const before = machine.reachability.lastHeartbeatAt;
   world.now += 20_000_000;
-  // Sent before the failover. Taken as current, it marked the machine as up and heard from, and its reclaim notice
-  // drained a machine that no longer had one.
+  // Sent before the failover. Taken as current, it marked the machine as up with a recent heartbeat, and its reclaim
+  // notice drained a machine that no longer had one.
   assert.equal(heartbeats.process(machine, report({ token: 7, reclaimNoticeS: 10 }), HEARTBEAT), "unverified");
   assert.equal(machine.state, "booting");
   assert.equal(machine.reachability.lastHeartbeatAt, before);
@@ -82,8 +82,8 @@
   for (let lost = 0; lost < 3; lost += 1) recordHeartbeat(reachability, TOKEN, true);
   assert.equal(isOneWay(reachability), true);
   recordResponse(reachability, 10 as Micros);
-  // Its responses are not confirmed yet, but it is neither unreachable nor to be deleted: it was, 10 s after a
-  // partition.
+  // Its responses are not confirmed yet, but it is neither unreachable nor due for deletion: it was deleted 10 s after a
+  // partition had ended.
   assert.equal(isOneWay(reachability), false);
   assert.equal(responsesArrive(reachability), true);
   // If queries are answered all the time, heartbeats without the probe token keep counting.
--- a/test/sim/event-orders.ts
+++ b/test/sim/event-orders.ts
@@ -17,7 +17,7 @@
 
 const HEARTBEAT = { kind: "heartbeat" } as const;
 
-/** Resets the machine to what a new leader knows of it: its name only. */
+/** Resets the machine to its state at a new leader, which has only its name. */
 export const resetToUnknown = (machine: Machine): void => {
   machine.state = "booting";
   Object.assign(machine.counters, { incarnation: null, highestToken: 0, verified: false });
