--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -1,9 +1,9 @@
 /**
- * Time: spans and moments in whole microseconds, and the clock that everything else is given. Moments of a clock are
- * steady (they never step back) and mean nothing outside the process.
+ * Durations and timestamps in whole microseconds, and the clock that all other modules use. Timestamps are monotonic
+ * (they never step back) and meaningless outside the process.
  */
 
-/** A span, or a moment of a steady clock, in whole microseconds. */
+/** A duration, or a timestamp of a monotonic clock, in whole microseconds. */
 export type Micros = number & { readonly __unit: "us" };
 
 /** Microseconds in a second. */
@@ -11,7 +11,7 @@
 /** Microseconds in a millisecond. */
 export const MICROS_PER_MILLISECOND = 1_000;
 
-/** Converts a number of microseconds, rounded to a whole one. */
+/** Converts a number of microseconds, rounded to whole microseconds. */
 export const us = (count: number): Micros => Math.round(count) as Micros;
 
 /** Converts a number of milliseconds, rounded to whole microseconds. */
@@ -20,31 +20,31 @@
 /** Converts a number of seconds, rounded to whole microseconds. */
 export const seconds = (count: number): Micros => us(count * MICROS_PER_SECOND);
 
-/** A callback that is due once, as `Clock.after` returns it. */
+/** A one-shot timer started by `Clock.after`. */
 export interface Timer {
-  /** Has no effect once the callback has run. */
+  /** Prevents the callback from running; has no effect once it has run. */
   cancel(): void;
 }
 
-/** The only source of time, so that whole clusters can run on a simulated one. */
+/** The only source of time, so that whole clusters can run on simulated time. */
 export interface Clock {
-  /** The present moment. */
+  /** The current time. */
   now(): Micros;
-  /** Runs `run` once, `delay` from now or later, never earlier. */
+  /** Calls `run` once, no earlier than `delay` from now. */
   after(delay: Micros, run: () => void): Timer;
 }
 
-/** Resolves after `delay` by this clock. */
+/** Resolves once `delay` has elapsed on this clock. */
 export const sleep = (clock: Clock, delay: Micros): Promise<void> =>
   new Promise((resolve) => {
     clock.after(delay, resolve);
   });
 
-/** The clock of the process. */
+/** The monotonic clock of the process. */
 export const systemClock: Clock = {
   now: () => Math.round(performance.now() * MICROS_PER_MILLISECOND) as Micros,
   after: (delay, run) => {
-    // Rounded up: a timer that fires early would let a lease be used past its own margin.
+    // Rounded up: a timer that fires early could let a lease be used beyond its safety margin.
     const handle = setTimeout(run, Math.max(0, Math.ceil(delay / MICROS_PER_MILLISECOND)));
     return { cancel: () => clearTimeout(handle) };
   },
--- a/src/transport/errors.ts
+++ b/src/transport/errors.ts
@@ -1,14 +1,14 @@
-/** The base class of errors. */
+/** The base class of operational errors. */
 
 /**
- * The base of all errors that can happen in operation. Subclasses stand in the lowest package that throws them, one for
- * each thing that a caller does about them.
+ * Base class of all errors that are expected in operation. Each subclass is declared in the lowest package that throws
+ * it; errors that callers handle in the same way share one subclass.
  */
 export abstract class RainridgeError extends Error {
-  /** A constant in SCREAMING_SNAKE_CASE by which logs and callers tell errors apart. */
+  /** Constant in SCREAMING_SNAKE_CASE that identifies the kind of error to callers and in logs. */
   abstract readonly code: string;
 
-  /** `message`: one line for an operator. `options.cause`: the error that led to this one, if there is one. */
+  /** `message`: one line for an operator. `options.cause`: the underlying error, if any. */
   constructor(message: string, options?: ErrorOptions) {
     super(message, options);
     this.name = new.target.name;
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,4 +1,4 @@
-/** HTTP/1.1 client over TCP, with connections kept open for the next request. */
+/** HTTP/1.1 client over TCP with a pool of keep-alive connections. */
 import { connect, type Socket } from "node:net";
 import { type Clock, type Micros, ms } from "./clock.js";
 import type { HttpClient, HttpOutcome, HttpRequest } from "./http.js";
@@ -6,13 +6,13 @@
 import { discardSocket, IdleConnections } from "./idle-connections.js";
 
 const CONNECT_TIMEOUT = ms(1_000);
-/** What is left for an exchange when connecting has taken the rest of the call's time. */
+/** Least time for sending the request and reading the response, even if connecting has used up the call's timeout. */
 const MIN_EXCHANGE_TIMEOUT = ms(1);
-/** Bounds of a response's head and body, in bytes. */
+/** Maximum sizes of a response's head and body, in bytes. */
 const RESPONSE_LIMITS: ParserLimits = { headBytes: 16_384, bodyBytes: 64 * 1024 * 1024 };
 const RETRY_AFTER_SECONDS = /^\d{1,6}$/;
 
-/** Parts of an address "host:port". The port is NaN where it is no number. */
+/** Splits an address "host:port" at its last colon. The port is NaN if it is not a number. */
 export const splitAddress = (address: string): { host: string; port: number } => {
   const colon = address.lastIndexOf(":");
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
@@ -23,7 +23,7 @@
   private readonly idle: IdleConnections;
   private callsInProgress = 0;
 
-  /** `maxIdle`: idle connections over all hosts; beyond it the connection that has been idle longest is closed. */
+  /** `maxIdle`: limit on idle connections in total; beyond it, one of the least recently used host is closed. */
   constructor(
     private readonly clock: Clock,
     maxIdle: number,
@@ -31,7 +31,7 @@
     this.idle = new IdleConnections(clock, maxIdle);
   }
 
-  /** Connections open or being opened now. */
+  /** Number of connections that are open or being opened. */
   get connections(): number {
     return this.idle.size + this.callsInProgress;
   }
@@ -50,7 +50,7 @@
     }
   }
 
-  /** A new connection; null: not within this time, or refused. */
+  /** Opens a connection; null if it fails or is not established within `timeout`. */
   private connect(address: string, timeout: Micros): Promise<Socket | null> {
     const { host, port } = splitAddress(address);
     return new Promise((resolve) => {
@@ -71,7 +71,7 @@
     });
   }
 
-  /** Sends a request and reads its response; the connection is kept for the next one where both sides allow it. */
+  /** Sends a request and reads its response; the connection is pooled afterwards if it can carry another request. */
   private exchange(address: string, socket: Socket, request: HttpRequest, timeout: Micros): Promise<HttpOutcome> {
     return new Promise((resolve) => {
       const parser = new HttpParser("response", RESPONSE_LIMITS);
@@ -97,7 +97,7 @@
   }
 }
 
-/** The responses that these bytes complete; null: they are malformed. */
+/** The responses completed by `data`; null if the data is malformed. */
 const parseResponses = (parser: HttpParser, data: Buffer): readonly HttpMessage[] | null => {
   try {
     return parser.push(data);
--- a/src/transport/http-error.ts
+++ b/src/transport/http-error.ts
@@ -1,11 +1,11 @@
-/** The error of an HTTP message that cannot be understood. */
+/** The error for malformed or unsupported HTTP messages. */
 import { RainridgeError } from "./errors.js";
 
-/** The framing of a connection is lost: its next bytes mean nothing, so it has to be closed. */
+/** Message framing is lost: later bytes on the connection cannot be interpreted, so it has to be closed. */
 export class HttpError extends RainridgeError {
   readonly code = "HTTP_MESSAGE_MALFORMED";
 
-  /** `status`: what a server answers before it closes the connection. */
+  /** `status`: the HTTP status that a server responds with before it closes the connection. */
   constructor(
     readonly status: number,
     message: string,
--- a/src/transport/http-parser.ts
+++ b/src/transport/http-parser.ts
@@ -1,6 +1,6 @@
 /**
- * Incremental HTTP/1.1 parser for both directions. Strict and bounded: the first thing that it does not understand
- * loses the framing, and the caller has to close the connection.
+ * Incremental HTTP/1.1 parser for requests and responses, strict and with bounded sizes. The first error loses the
+ * message framing, so the caller has to close the connection.
  */
 import { HttpError } from "./http-error.js";
 import {
@@ -12,22 +12,22 @@
   type StartLine,
 } from "./http-head.js";
 
-/** A message that has arrived in full. */
+/** A complete message. */
 export interface HttpMessage {
   readonly start: StartLine;
   readonly headers: ReadonlyMap<string, string>;
   readonly body: Buffer;
-  /** Whether the connection may carry another message. */
+  /** Whether the sender lets the connection carry another message. */
   readonly keepAlive: boolean;
 }
 
-/** Bounds of one message, in bytes. */
+/** Maximum sizes of one message, in bytes. */
 export interface ParserLimits {
   readonly headBytes: number;
   readonly bodyBytes: number;
 }
 
-/** Bound of a chunk's size line with its extensions, and of a trailer line. */
+/** Maximum length of a chunk's size line, with its extensions, and of a trailer line. */
 const MAX_CHUNK_LINE_BYTES = 1_024;
 const CHUNK_SIZE = /^[0-9A-Fa-f]{1,8}$/;
 
@@ -35,7 +35,7 @@
 const HEAD_END = "\r\n\r\n";
 const EMPTY = Buffer.alloc(0);
 
-/** A body that is still being read. */
+/** A body that has not been read completely. */
 type PendingBody = LengthBody | ChunkedBody;
 
 interface LengthBody {
@@ -46,17 +46,17 @@
 interface ChunkedBody {
   readonly kind: "chunked";
   readonly chunks: Buffer[];
-  /** Bytes of all `chunks`. */
+  /** Total bytes of `chunks`. */
   size: number;
-  /** Whether the last chunk has been read, so that only trailer lines are left. */
+  /** Whether the last chunk has been read, so that only trailer lines follow. */
   inTrailer: boolean;
 }
 
 /** Parser of one direction of one connection. */
 export class HttpParser {
-  /** Bytes that no complete message has taken in yet. */
+  /** Bytes received but not parsed yet. */
   private pending: Buffer = EMPTY;
-  /** Bytes of `pending` in which the end of the head has been looked for already. */
+  /** Leading bytes of `pending` already searched for the end of the head. */
   private scannedBytes = 0;
   private head: HttpHead | null = null;
   private body: PendingBody | null = null;
@@ -66,12 +66,12 @@
     private readonly limits: ParserLimits,
   ) {}
 
-  /** True between messages: nothing of a next one has arrived. */
+  /** True between messages: no byte of the next one has arrived. */
   get idle(): boolean {
     return this.head === null && this.pending.length === 0;
   }
 
-  /** Takes bytes in; returns the messages that they complete. Throws HttpError when framing is lost. */
+  /** Appends received bytes and returns the messages completed by them. Throws HttpError if the data is malformed. */
   push(data: Buffer): HttpMessage[] {
     this.pending = this.pending.length === 0 ? data : Buffer.concat([this.pending, data]);
     const messages: HttpMessage[] = [];
@@ -94,7 +94,7 @@
   private readHead(): HttpHead | null {
     const end = this.pending.indexOf(HEAD_END, Math.max(0, this.scannedBytes - HEAD_END.length + 1), "latin1");
     const headBytes = end < 0 ? this.pending.length : end;
-    if (headBytes > this.limits.headBytes) throw new HttpError(431, "head too large");
+    if (headBytes > this.limits.headBytes) throw new HttpError(431, "head exceeds the size limit");
     if (end < 0) {
       this.scannedBytes = this.pending.length;
       return null;
@@ -128,7 +128,7 @@
         continue;
       }
       const size = parseChunkSize(line);
-      if (body.size + size > this.limits.bodyBytes) throw new HttpError(413, "body too large");
+      if (body.size + size > this.limits.bodyBytes) throw new HttpError(413, "body exceeds the size limit");
       if (size === 0) {
         this.consume(dataStart);
         body.inTrailer = true;
@@ -144,12 +144,12 @@
     return end;
   }
 
-  /** False while the chunk has not arrived in full. */
+  /** Moves a chunk's data into `body`; false if the chunk is still incomplete. */
   private readChunk(body: ChunkedBody, dataStart: number, size: number): boolean {
     const dataEnd = dataStart + size;
     const chunkEnd = dataEnd + LINE_END.length;
     if (this.pending.length < chunkEnd) return false;
-    if (this.pending.toString("latin1", dataEnd, chunkEnd) !== LINE_END) throw new HttpError(400, "bad chunk end");
+    if (this.pending.toString("latin1", dataEnd, chunkEnd) !== LINE_END) throw new HttpError(400, "chunk without CRLF");
     body.chunks.push(Buffer.from(this.pending.subarray(dataStart, dataEnd)));
     body.size += size;
     this.consume(chunkEnd);
@@ -162,9 +162,9 @@
   }
 }
 
-/** The size that a chunk's first line states, without its extensions. */
+/** Parses the size in a chunk's size line, ignoring extensions. */
 const parseChunkSize = (line: string): number => {
   const digits = (line.split(";")[0] ?? "").trim();
-  if (!CHUNK_SIZE.test(digits)) throw new HttpError(400, "bad chunk size");
+  if (!CHUNK_SIZE.test(digits)) throw new HttpError(400, "malformed chunk size");
   return Number.parseInt(digits, 16);
 };
--- a/src/transport/http-response.ts
+++ b/src/transport/http-response.ts
@@ -1,4 +1,4 @@
-/** Writes the responses of this program's server. */
+/** Encodes responses of the HTTP server. */
 import type { HttpResponse } from "./http.js";
 
 const REASON_PHRASES: Readonly<Record<number, string>> = {
@@ -19,7 +19,7 @@
 };
 const OTHER_REASON_PHRASE = "Status";
 
-/** A response as it goes over the connection. Without `keepAlive` it says that the connection ends with it. */
+/** Encodes a response as HTTP/1.1. Without `keepAlive` it carries `Connection: close`. */
 export const encodeResponse = (response: HttpResponse, keepAlive: boolean): string => {
   const reason = REASON_PHRASES[response.status] ?? OTHER_REASON_PHRASE;
   const length = Buffer.byteLength(response.body);
--- a/src/transport/http-server-connection.ts
+++ b/src/transport/http-server-connection.ts
@@ -1,4 +1,4 @@
-/** One connection of the HTTP server: one request at a time, each within its time. */
+/** One connection of the HTTP server: one request at a time, with timeouts for receiving a request and for idling. */
 import type { Socket } from "node:net";
 import type { Clock, Micros, Timer } from "./clock.js";
 import type { HttpHandler, HttpResponse } from "./http.js";
@@ -6,31 +6,31 @@
 import { type HttpMessage, HttpParser, type ParserLimits } from "./http-parser.js";
 import { encodeResponse } from "./http-response.js";
 
-/** Bounds of a request's head and body, in bytes. */
+/** Maximum sizes of a request's head and body, in bytes. */
 const REQUEST_LIMITS: ParserLimits = { headBytes: 16_384, bodyBytes: 65_536 };
 const MALFORMED_REQUEST = '{"error":"malformed request"}';
-/** Status where something other than the framing went wrong. */
+/** Status for errors other than HttpError. */
 const DEFAULT_ERROR_STATUS = 400;
 
-/** What a connection needs of its server. */
+/** What the server provides to each of its connections. */
 export interface ServerConnectionOptions {
   readonly clock: Clock;
-  /** A request is complete within this time from its first byte, or the connection is closed. */
+  /** The connection is closed unless a request is complete within this time of its first byte. */
   readonly requestTimeout: Micros;
-  /** How long the connection may wait for its next request. */
+  /** The connection is closed after being idle for this time since its last response. */
   readonly idleTimeout: Micros;
   readonly handle: HttpHandler;
-  /** Whether the server has room to keep this connection open after the response. */
+  /** Whether the server's limits let this connection stay open after the response. */
   readonly mayKeepOpen: () => boolean;
   readonly onClose: (socket: Socket) => void;
   readonly onError: (error: unknown) => void;
 }
 
-/** Serves a socket until it closes. */
+/** Handles the requests on a socket until it closes. */
 export class ServerConnection {
   private readonly parser = new HttpParser("request", REQUEST_LIMITS);
   private handling = false;
-  /** Until the first response, the bound on the request runs from the beginning of the connection. */
+  /** Whether a response has been sent; until then the request timeout runs from the start of the connection. */
   private answered = false;
   private timer: Timer | null = null;
 
@@ -59,16 +59,16 @@
     }
   }
 
-  /** The request that these bytes complete; null: not complete yet. Throws HttpError. */
+  /** The request completed by `data`; null if it is still incomplete. Throws HttpError if malformed or pipelined. */
   private readRequest(data: Buffer): HttpMessage | null {
-    // One bound for the whole request: started anew with each byte, it let a client that sent one every few
-    // seconds keep its connection for ever.
+    // One timeout for the whole request: restarted with each byte, it let a client that sent one byte every few
+    // seconds hold its connection forever.
     if (!this.handling && this.parser.idle && this.answered) this.closeAfter(this.options.requestTimeout);
     const messages = this.parser.push(data);
     const message = messages[0];
     if (message === undefined) return null;
-    // The protocol has no pipelining; answering out of turn would be worse than refusing.
-    if (this.handling || messages.length > 1) throw new HttpError(400, "pipelined");
+    // Pipelining is not supported; rejecting it is better than responding out of order.
+    if (this.handling || messages.length > 1) throw new HttpError(400, "pipelined request");
     return message;
   }
 
@@ -99,7 +99,7 @@
     this.closeAfter(this.options.requestTimeout);
   }
 
-  /** Closes the connection after this time, in place of the time set before. */
+  /** Closes the connection after `delay`; replaces any earlier timeout. */
   private closeAfter(delay: Micros): void {
     this.timer?.cancel();
     this.timer = this.options.clock.after(delay, () => this.socket.destroy());
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,33 +1,33 @@
-/** HTTP/1.1 server with bounds on connections, on the time of a request, and on requests being handled at once. */
+/** HTTP/1.1 server that limits connections, the time to receive a request, and concurrent requests. */
 import { createServer, type Server, type Socket } from "node:net";
 import type { Clock, Micros } from "./clock.js";
 import type { HttpHandler, HttpRequest, HttpResponse } from "./http.js";
 import { ServerConnection, type ServerConnectionOptions } from "./http-server-connection.js";
 
-/** Bounds of a server. */
+/** Limits of a server. */
 export interface ServerLimits {
-  /** Connections open at once; a further one is closed as soon as it is accepted. */
+  /** Most open connections; further ones are closed as soon as they are accepted. */
   readonly maxConnections: number;
   /**
-   * With more connections than this, each is closed with its next response. More hosts than the limit can then take
-   * turns: with all connections kept open, whoever came late was refused time and again, and went round all
-   * controllers once a second until its worker's lease had expired.
+   * While more connections than this are open, each is closed after its next response, so that more hosts than
+   * `maxConnections` can take turns. With all connections kept open, late hosts were refused repeatedly and tried every
+   * controller once a second until their workers' leases expired.
    */
   readonly keepConnections: number;
-  /** A connection on which a begun request is not complete within this time, counted from its first byte, is closed. */
+  /** A connection is closed if a request is incomplete for this time after its first byte. */
   readonly requestTimeout: Micros;
-  /** A connection that waits for its next request for this time is closed. */
+  /** A connection is closed after being idle for this time since its last response. */
   readonly idleTimeout: Micros;
-  /** Requests being handled at once, over all connections; beyond it load is shed. */
+  /** Most requests handled concurrently over all connections; further ones are shed with status 503. */
   readonly maxBusy: number;
 }
 
-/** Connections that may wait to be accepted. */
+/** Length of the queue of connections waiting to be accepted. */
 const LISTEN_BACKLOG = 1_024;
 const OVERLOADED: HttpResponse = { status: 503, body: '{"error":"overloaded"}', retryAfterS: 1 };
 const INTERNAL_ERROR: HttpResponse = { status: 500, body: '{"error":"internal"}' };
 
-/** A listening server. `onError` is told of handlers' rejections and of errors while listening. */
+/** HTTP server. `onError` receives rejections of the handler, and socket errors after listening has begun. */
 export class HttpServer {
   private readonly server: Server;
   private readonly connectionOptions: ServerConnectionOptions;
@@ -53,7 +53,7 @@
     this.server.maxConnections = limits.maxConnections;
   }
 
-  /** Resolves once connections are accepted. Port 0: any free one. Rejects with the system's error. */
+  /** Resolves once the server is listening. Port 0: any free port. Rejects with the system's error. */
   listen(host: string, port: number): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once("error", reject);
@@ -65,12 +65,12 @@
     });
   }
 
-  /** Connections open now. */
+  /** Number of open connections. */
   get connections(): number {
     return this.openSockets.size;
   }
 
-  /** The port listened on, where any free one was asked for; 0 before. */
+  /** The port listened on, assigned by the system if `listen` was called with port 0; 0 while not listening. */
   get port(): number {
     const address = this.server.address();
     return address === null || typeof address === "string" ? 0 : address.port;
--- a/src/transport/idle-connections.ts
+++ b/src/transport/idle-connections.ts
@@ -1,9 +1,9 @@
-/** Connections of the HTTP client that wait for their next request, bounded by host and in all. */
+/** Pool of the HTTP client's idle keep-alive connections, limited per host and in total. */
 import type { Socket } from "node:net";
 import { type Clock, seconds, type Timer } from "./clock.js";
 
 const MAX_IDLE_PER_HOST = 8;
-/** Long enough to serve the next heartbeat, short enough that silent hosts do not hold sockets. */
+/** Long enough for the next heartbeat to reuse a connection, short enough that inactive hosts do not hold sockets. */
 const IDLE_TIMEOUT = seconds(20);
 
 interface IdleConnection {
@@ -12,31 +12,31 @@
   readonly close: () => void;
 }
 
-/** Closes a connection of which nothing is expected any more; later errors of it are ignored. */
+/** Closes a connection that is no longer needed and ignores its later errors. */
 export const discardSocket = (socket: Socket): void => {
   socket.removeAllListeners();
   socket.on("error", () => undefined);
   socket.destroy();
 };
 
-/** Pool of idle connections by address. */
+/** Pool of idle connections, keyed by address. */
 export class IdleConnections {
-  /** Addresses in the order in which they were last used. */
+  /** Connections by address, the least recently used address first. */
   private readonly byAddress = new Map<string, IdleConnection[]>();
   private count = 0;
 
-  /** `maxIdle`: over all hosts; beyond it the connection that has been idle longest is closed. */
+  /** `maxIdle`: limit over all hosts; beyond that, the oldest connection of the least recently used host is closed. */
   constructor(
     private readonly clock: Clock,
     private readonly maxIdle: number,
   ) {}
 
-  /** Idle connections over all hosts. */
+  /** Number of idle connections over all hosts. */
   get size(): number {
     return this.count;
   }
 
-  /** Removes and returns the connection to this address that was used last; null: there is none. */
+  /** Removes and returns the most recently used open connection to this address; null if there is none. */
   take(address: string): Socket | null {
     const connections = this.byAddress.get(address);
     if (connections === undefined) return null;
@@ -52,7 +52,7 @@
     return null;
   }
 
-  /** Takes over a connection whose last response has been read in full. */
+  /** Adds a connection whose last response has been read completely, or closes it if the host has enough of them. */
   put(address: string, socket: Socket): void {
     const connections = this.byAddress.get(address) ?? [];
     if (connections.length >= MAX_IDLE_PER_HOST) {
@@ -67,7 +67,7 @@
     if (this.count > this.maxIdle) this.closeOldest();
   }
 
-  /** Closes the connection when it is idle for too long, and when the other side does anything with it. */
+  /** Closes the connection on idle timeout, and on any event from the other side, such as unsolicited data. */
   private watch(address: string, socket: Socket, connections: IdleConnection[]): IdleConnection {
     const close = (): void => {
       timer.cancel();
--- a/src/transport/latency-histogram.ts
+++ b/src/transport/latency-histogram.ts
@@ -1,19 +1,19 @@
-/** A histogram of durations for the log, whose library is not loaded before a process has started. */
+/** Latency histograms for the log. Their library is loaded some time after the start of the process. */
 import type { Histogram } from "hdr-histogram-js";
 import { type Clock, seconds } from "./clock.js";
 import { describeError, type Log } from "./log.js";
 
-/** The first rush after a start is over by then; the library takes as long to load as a tenth of a start. */
+/** Loading the library takes a tenth of the start-up time, so it waits until the load peak after a start is over. */
 const LOAD_DELAY = seconds(20);
 const SIGNIFICANT_DIGITS = 2;
 
 type HistogramLibrary = typeof import("hdr-histogram-js");
 
-/** Makes histograms of durations; those recorded before the library is there are not counted. */
+/** Creates latency histograms once their library is loaded; earlier durations are not recorded. */
 export class LatencyHistograms {
   private library: HistogramLibrary | null = null;
 
-  /** Loads the library after a delay. */
+  /** Loads the library after `LOAD_DELAY`. If that fails, an error is logged and `create` keeps returning null. */
   constructor(clock: Clock, log: Log) {
     clock.after(LOAD_DELAY, () => {
       import("hdr-histogram-js").then(
@@ -25,7 +25,7 @@
     });
   }
 
-  /** A histogram of whole numbers from 1 to `highest`, whatever their unit; null while the library is not there. */
+  /** A histogram of whole numbers from 1 to `highest` in any unit; null while the library is not loaded. */
   create(highest: number): LatencyHistogram | null {
     if (this.library === null) return null;
     return new LatencyHistogram(
@@ -42,7 +42,7 @@
     private readonly histogram: Histogram,
   ) {}
 
-  /** Counts the duration, as 1 or as the highest value where it is beyond these. */
+  /** Records a duration, rounded up and clamped to the range from 1 to `highest`. */
   record(duration: number): void {
     this.histogram.recordValue(Math.min(this.highest, Math.max(1, Math.ceil(duration))));
   }
@@ -55,7 +55,7 @@
     return this.histogram.maxValue;
   }
 
-  /** The duration that this percentage of all does not exceed; 0 where none was recorded. */
+  /** Duration at this percentile (0 to 100); 0 if no durations were recorded. */
   percentile(percentage: number): number {
     return this.histogram.getValueAtPercentile(percentage);
   }
--- a/src/transport/log.ts
+++ b/src/transport/log.ts
@@ -1,18 +1,18 @@
-/** Structured log: one line an event. The program binds it to the real logger, tests bind it to a recorder. */
+/** Interface of the structured log, one line per event. The process writes it with pino; tests record the events. */
 
-/** Values that go with an event, by name. */
+/** Values logged with an event, by field name. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** A log with three levels. `event` is a constant text, in the form "subject verb". */
+/** A log with three levels. `event` is a constant text of the form "subject verb". */
 export interface Log {
-  /** What an operator has to look at. */
+  /** For events that an operator has to look into. */
   error(event: string, fields?: LogFields): void;
-  /** What happens rarely and matters later. */
+  /** For rare events that help to explain later ones. */
   info(event: string, fields?: LogFields): void;
-  /** What happens all the time. */
+  /** For frequent events. */
   debug(event: string, fields?: LogFields): void;
 }
 
-/** Text of anything that was thrown, with the stack where there is one. */
+/** Describes any thrown value: the stack of an error if present, else its message or the value as text. */
 export const describeError = (error: unknown): string =>
   error instanceof Error ? (error.stack ?? error.message) : String(error);
--- a/src/transport/pino-log.ts
+++ b/src/transport/pino-log.ts
@@ -1,4 +1,4 @@
-/** The program's log: one JSON line an event on standard error. */
+/** Log implementation that writes one JSON line per event to standard error. */
 import { destination, pino } from "pino";
 import type { Log } from "./log.js";
 
@@ -6,12 +6,12 @@
 const DEFAULT_LEVEL = "info";
 const STANDARD_ERROR = 2;
 
-/** Whether events are wanted that only this level shows. */
+/** Whether this log level includes debug events. */
 export const isDebug = (level: string | undefined): boolean => level === "debug";
 
 /**
- * Creates the log of the node `label`. Each line has the time of day in milliseconds and is written at once, so that
- * the last events of a killed process are kept. An unknown or absent `level` means "info".
+ * Creates the log of the controller `label`. Each line has the wall-clock time in milliseconds and is written
+ * synchronously, so that the last events of a killed process are not lost. An unknown or absent `level` means "info".
  */
 export const createLog = (label: string, level: string | undefined): Log => {
   const logger = pino(
--- a/src/transport/rate-limiter.ts
+++ b/src/transport/rate-limiter.ts
@@ -1,17 +1,17 @@
-/** Client-side rate limit whose rate adapts to refusals of the other side. */
+/** Client-side rate limiter that lowers its rate when the server refuses requests. */
 import { type Clock, MICROS_PER_SECOND, type Micros } from "./clock.js";
 
-/** After a refusal this share of the present rate is left. */
+/** Factor by which a refusal lowers the current rate. */
 const RATE_SHARE_AFTER_REFUSAL = 0.6;
-/** The rate never falls below this share of the full one. */
+/** Lower bound of the rate, as a share of the full rate. */
 const MIN_RATE_SHARE = 0.1;
-/** Share of the full rate that comes back each second. */
+/** Share of the full rate that the rate regains each second. */
 const RECOVERY_PER_SECOND = 0.08;
 
 /**
- * Token bucket holding up to one second's worth. The limit on the other side is shared with processes that this
- * one does not see, so the rate falls when the other side refuses and comes back slowly: without that, all of
- * them went on sending batches that the rest of the budget could never admit.
+ * Token bucket that holds at most the tokens of one second. The server's limit is shared with other processes, so the
+ * rate drops on a refusal and recovers slowly: without that, all processes kept sending batches that the rest of the
+ * shared budget could never admit.
  */
 export class RateLimiter {
   private tokens: number;
@@ -19,7 +19,7 @@
   private rate: number;
   private suspendedUntil = 0;
 
-  /** `perSecond`: the full rate. */
+  /** `perSecond`: the full rate, in tokens per second. */
   constructor(
     private readonly clock: Clock,
     private readonly perSecond: number,
@@ -29,32 +29,35 @@
     this.refilledAt = clock.now();
   }
 
-  /** What may be taken each second at present. */
+  /** The current rate, in tokens per second. */
   get currentRate(): number {
     return this.rate;
   }
 
-  /** What may be taken at once just now. */
+  /** Tokens available now; 0 while suspended, negative if `take` has overdrawn the bucket. */
   available(): number {
     this.refill();
     return this.suspendedUntil > this.refilledAt ? 0 : this.tokens;
   }
 
-  /** Microseconds until `count` may be taken; 0 now. */
+  /** Microseconds until `count` tokens may be taken; 0 if they are available now. */
   timeUntilAvailable(count: number): Micros {
     this.refill();
-    // More than a bucketful is let through once the bucket is full.
+    // A count larger than the bucket's capacity is admitted once the bucket is full.
     const missing = Math.min(count, this.rate) - this.tokens;
     const refillTime = missing <= 0 ? 0 : Math.ceil((missing * MICROS_PER_SECOND) / this.rate);
     return Math.max(refillTime, this.suspendedUntil - this.refilledAt, 0) as Micros;
   }
 
-  /** Takes `count`, which may leave a debt. */
+  /** Takes `count` tokens, which may make the balance negative. */
   take(count: number): void {
     this.tokens -= count;
   }
 
-  /** The other side refused because its own limit is passed, so other clients use the rest: cuts the rate and suspends. */
+  /**
+   * Called when the server refused a request because other clients have used up the shared limit: suspends for `delay`,
+   * and lowers the rate unless already suspended.
+   */
   backOff(delay: Micros): void {
     if (this.clock.now() >= this.suspendedUntil) {
       this.rate = Math.max(this.perSecond * MIN_RATE_SHARE, this.rate * RATE_SHARE_AFTER_REFUSAL);
@@ -63,7 +66,7 @@
     this.suspend(delay);
   }
 
-  /** Makes nothing available for `delay`, at an unchanged rate. */
+  /** Admits nothing for `delay`; the rate stays unchanged. */
   suspend(delay: Micros): void {
     this.suspendedUntil = Math.max(this.suspendedUntil, this.clock.now() + delay);
   }
--- a/src/transport/timeouts.ts
+++ b/src/transport/timeouts.ts
@@ -1,7 +1,7 @@
-/** Times that controllers and the terms of a cancellation share. */
+/** Timeouts used by the controllers and by the bound on cancellation time (settings/cancellation.ts). */
 import { ms } from "./clock.js";
 
-/** How long a worker has to answer a command or a status query. */
+/** Timeout for a worker's response to a command or a status query. */
 export const WORKER_REQUEST_TIMEOUT = ms(1_500);
-/** What a relay through another controller, there and back, may take beyond that. */
+/** Additional round-trip time allowed to a request relayed through another controller. */
 export const RELAY_ALLOWANCE = ms(300);
