--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -43,8 +43,8 @@
       const connectTimeout = Math.min(timeout, CONNECT_TIMEOUT) as Micros;
       const socket = this.idle.take(address) ?? (await this.connect(address, connectTimeout));
       if (socket === null) return { kind: "unsent" };
-      const left = Math.max(MIN_EXCHANGE_TIMEOUT, deadline - this.clock.now()) as Micros;
-      return await this.exchange(address, socket, request, left);
+      const exchangeTimeout = Math.max(MIN_EXCHANGE_TIMEOUT, deadline - this.clock.now()) as Micros;
+      return await this.exchange(address, socket, request, exchangeTimeout);
     } finally {
       this.callsInProgress -= 1;
     }
@@ -75,22 +75,22 @@
   private exchange(address: string, socket: Socket, request: HttpRequest, timeout: Micros): Promise<HttpOutcome> {
     return new Promise((resolve) => {
       const parser = new HttpParser("response", RESPONSE_LIMITS);
-      const lose = (): void => {
+      const settleAsLost = (): void => {
         timer.cancel();
         discardSocket(socket);
         resolve({ kind: "lost" });
       };
-      const timer = this.clock.after(timeout, lose);
-      for (const event of ["error", "close", "end"]) socket.on(event, lose);
+      const timer = this.clock.after(timeout, settleAsLost);
+      for (const event of ["error", "close", "end"]) socket.on(event, settleAsLost);
       socket.on("data", (data: Buffer) => {
         const messages = parseResponses(parser, data);
-        if (messages === null) return lose();
+        if (messages === null) return settleAsLost();
         const [message] = messages;
         if (message === undefined) return;
         timer.cancel();
         if (message.keepAlive && messages.length === 1 && parser.idle) this.idle.put(address, socket);
         else discardSocket(socket);
-        resolve(answerOf(message));
+        resolve(outcomeOf(message));
       });
       socket.write(encodeRequest(address, request));
     });
@@ -106,7 +106,7 @@
   }
 };
 
-const answerOf = (message: HttpMessage): HttpOutcome => {
+const outcomeOf = (message: HttpMessage): HttpOutcome => {
   const retryAfter = message.headers.get("retry-after");
   return {
     kind: "answer",
--- a/src/transport/http-head.ts
+++ b/src/transport/http-head.ts
@@ -80,16 +80,16 @@
 
 /** Body framing of this message. Throws HttpError if it is ambiguous, unsupported or longer than `maxBodyBytes`. */
 export const bodyFramingOf = (head: HttpHead, kind: HttpMessageKind, maxBodyBytes: number): BodyFraming => {
-  const length = head.headers.get("content-length");
-  const coding = head.headers.get("transfer-encoding");
-  if (coding !== undefined) {
-    if (length !== undefined) throw new HttpError(400, "both content-length and transfer-encoding present");
-    if (coding.toLowerCase() !== "chunked") throw new HttpError(501, "unsupported transfer coding");
+  const contentLength = head.headers.get("content-length");
+  const transferEncoding = head.headers.get("transfer-encoding");
+  if (transferEncoding !== undefined) {
+    if (contentLength !== undefined) throw new HttpError(400, "both content-length and transfer-encoding present");
+    if (transferEncoding.toLowerCase() !== "chunked") throw new HttpError(501, "unsupported transfer coding");
     return { kind: "chunked" };
   }
-  if (length !== undefined) {
-    if (!CONTENT_LENGTH.test(length)) throw new HttpError(400, "malformed content-length");
-    const bytes = Number(length);
+  if (contentLength !== undefined) {
+    if (!CONTENT_LENGTH.test(contentLength)) throw new HttpError(400, "malformed content-length");
+    const bytes = Number(contentLength);
     if (bytes > maxBodyBytes) throw new HttpError(413, "body exceeds the size limit");
     return { kind: "length", bytes };
   }
--- a/src/transport/http-server-connection.ts
+++ b/src/transport/http-server-connection.ts
@@ -31,7 +31,7 @@
   private readonly parser = new HttpParser("request", REQUEST_LIMITS);
   private handling = false;
   /** Whether a response has been sent; until then the request timeout runs from the start of the connection. */
-  private answered = false;
+  private responded = false;
   private timer: Timer | null = null;
 
   constructor(
@@ -63,7 +63,7 @@
   private readRequest(data: Buffer): HttpMessage | null {
     // One timeout for the whole request: restarted with each byte, it let a client that sent one byte every few
     // seconds hold its connection forever.
-    if (!this.handling && this.parser.idle && this.answered) this.closeAfter(this.options.requestTimeout);
+    if (!this.handling && this.parser.idle && this.responded) this.closeAfter(this.options.requestTimeout);
     const messages = this.parser.push(data);
     const message = messages[0];
     if (message === undefined) return null;
@@ -85,7 +85,7 @@
   private respond(response: HttpResponse, clientKeepsAlive: boolean): void {
     const { socket, options } = this;
     this.handling = false;
-    this.answered = true;
+    this.responded = true;
     if (socket.destroyed || socket.writableEnded) return;
     const keepAlive = clientKeepsAlive && response.close !== true && options.mayKeepOpen();
     if (keepAlive) socket.write(encodeResponse(response, true));
--- a/src/transport/idle-connections.ts
+++ b/src/transport/idle-connections.ts
@@ -64,7 +64,7 @@
     this.count += 1;
     this.byAddress.delete(address);
     this.byAddress.set(address, connections);
-    if (this.count > this.maxIdle) this.closeOldest();
+    if (this.count > this.maxIdle) this.closeLeastRecentlyUsed();
   }
 
   /** Closes the connection on idle timeout, and on any event from the other side, such as unsolicited data. */
@@ -87,7 +87,7 @@
     if (connections.length === 0 && this.byAddress.get(address) === connections) this.byAddress.delete(address);
   }
 
-  private closeOldest(): void {
+  private closeLeastRecentlyUsed(): void {
     for (const [, [oldest]] of this.byAddress) {
       if (oldest === undefined) continue;
       oldest.close();
--- a/src/transport/rate-limiter.ts
+++ b/src/transport/rate-limiter.ts
@@ -19,13 +19,13 @@
   private rate: number;
   private suspendedUntil = 0;
 
-  /** `perSecond`: the full rate, in tokens per second. */
+  /** `fullRate`: in tokens per second. */
   constructor(
     private readonly clock: Clock,
-    private readonly perSecond: number,
+    private readonly fullRate: number,
   ) {
-    this.tokens = perSecond;
-    this.rate = perSecond;
+    this.tokens = fullRate;
+    this.rate = fullRate;
     this.refilledAt = clock.now();
   }
 
@@ -60,7 +60,7 @@
    */
   backOff(delay: Micros): void {
     if (this.clock.now() >= this.suspendedUntil) {
-      this.rate = Math.max(this.perSecond * MIN_RATE_SHARE, this.rate * RATE_SHARE_AFTER_REFUSAL);
+      this.rate = Math.max(this.fullRate * MIN_RATE_SHARE, this.rate * RATE_SHARE_AFTER_REFUSAL);
     }
     this.tokens = Math.min(this.tokens, 0);
     this.suspend(delay);
@@ -75,7 +75,7 @@
     const now = this.clock.now();
     const elapsedSeconds = (now - this.refilledAt) / MICROS_PER_SECOND;
     this.refilledAt = now;
-    this.rate = Math.min(this.perSecond, this.rate + elapsedSeconds * RECOVERY_PER_SECOND * this.perSecond);
+    this.rate = Math.min(this.fullRate, this.rate + elapsedSeconds * RECOVERY_PER_SECOND * this.fullRate);
     this.tokens = Math.min(this.rate, this.tokens + elapsedSeconds * this.rate);
   }
 }
