--- a/src/settings/cancellation.ts
+++ b/src/settings/cancellation.ts
@@ -1,37 +1,37 @@
-/** How long the tasks of a cancelled job may still run, and of which parts that time consists. */
+/** Upper bound on how long the tasks of a cancelled job may still run, and the intervals that it consists of. */
 import { type Micros, seconds } from "../transport/clock.js";
 import { RELAY_ALLOWANCE, WORKER_REQUEST_TIMEOUT } from "../transport/timeouts.js";
 import type { WorkerSettings } from "./settings.js";
 
 /**
- * Time from the sending of a start command to the moment from which answers show a fencing token that drops it if it
- * still arrives.
+ * Time after sending a start command from which responses carry a newer fencing token, by which the worker rejects the
+ * command if it still arrives.
  */
 export const START_COMMAND_IN_FLIGHT = (WORKER_REQUEST_TIMEOUT + RELAY_ALLOWANCE) as Micros;
-/** A worker ends its tasks within this time after its lease. */
+/** A worker kills its tasks within this time after its lease has expired. */
 export const WORKER_KILL_DELAY = seconds(0.1);
 
-/** A worker measures its lease by a clock of its own, which may be slower than true time by this factor. */
+/** A worker measures its lease by its own clock, which may run slower than true time by this factor. */
 const MAX_CLOCK_DRIFT_FACTOR = 1.001;
 
-/** The longest that a worker's lease may last by the clock of anybody else. */
+/** Upper bound on the duration of a worker's lease as measured by any other clock. */
 export const maxWorkerLease = (lease: Micros): Micros => Math.ceil(lease * MAX_CLOCK_DRIFT_FACTOR) as Micros;
 
-/** The longest time from a confirmed cancellation to the end of the job's last task, by its terms (docs/fault-combinations.md). */
+/** Upper bound on the time from a confirmed cancellation to the job's last task ending (docs/fault-combinations.md). */
 export interface CancellationTerms {
-  /** A leader that has not learnt of it may answer workers for so long. */
+  /** A shard leader that is unaware of the cancellation may respond to workers until its shard lease expires. */
   readonly shardLease: Micros;
-  /** A start command of its last moment may still arrive. */
+  /** A start command sent just before that expiry may still be in flight. */
   readonly startCommand: Micros;
-  /** The worker that had the last answer ends its tasks by itself. */
+  /** The worker that received the last response kills its tasks when its own lease expires. */
   readonly workerLease: Micros;
-  /** Sum of the three. */
+  /** Sum of the three intervals. */
   readonly total: Micros;
-  /** What is left below `cancel_s`. */
+  /** `cancel_s` minus `total`. */
   readonly left: Micros;
 }
 
-/** The terms for a shard lease of this duration. */
+/** Computes the terms for a shard lease of this duration. */
 export const cancellationTerms = (workers: WorkerSettings, shardLease: Micros): CancellationTerms => {
   const workerLease = (maxWorkerLease(workers.lease) + WORKER_KILL_DELAY) as Micros;
   const total = (shardLease + START_COMMAND_IN_FLIGHT + workerLease) as Micros;
@@ -56,7 +56,7 @@
 /** Microseconds in a hundredth of a second. */
 const MICROS_PER_HUNDREDTH = 10_000;
 
-/** Converts the terms for operators. */
+/** Converts the terms to the form that operators are shown. */
 export const termsInSeconds = (terms: CancellationTerms): CancellationTermsInSeconds => {
   const inSeconds = (span: Micros): number => Math.round(span / MICROS_PER_HUNDREDTH) / 100;
   return {
--- a/src/settings/connections.ts
+++ b/src/settings/connections.ts
@@ -1,30 +1,30 @@
-/** How a controller divides the connections that its process may have. */
+/** Divides the connections that a controller's process may open among their uses. */
 
-/** Share for connections let in; the rest is for requests of the controller itself under way. */
+/** Share for incoming connections; the rest is for the controller's own outgoing requests. */
 const INCOMING_SHARE = 0.82;
-/** So many are kept open; what comes beyond is answered and closed, so there is always room for the next one. */
+/** Share for incoming keep-alive connections. Others are closed after a response, so there is room for new ones. */
 const KEPT_SHARE = 0.66;
 const IDLE_SHARE = 0.08;
-/** Less than what is kept open: others can take turns on the rest. */
+/** Share for long polls. Less than that of keep-alive connections, so that other hosts can take turns on the rest. */
 const WAITING_SHARE = 0.5;
 
 const MIN_INCOMING = 16;
 const MIN_KEPT = 12;
 const MIN_IDLE = 16;
 
-/** Numbers of connections. */
+/** Limits on the numbers of connections, by use. */
 export interface ConnectionAllocation {
-  /** Let in at most. */
+  /** Most incoming connections. */
   readonly incoming: number;
-  /** Of those let in, kept open between requests. */
+  /** Most incoming connections that are kept open between requests. */
   readonly kept: number;
-  /** Of those let in, on which a response may wait (coordination/workers/long-polls.ts). */
+  /** Most incoming connections with a response held back by a long poll (coordination/workers/long-polls.ts). */
   readonly waiting: number;
-  /** Of the controller's own, kept open between requests. */
+  /** Most outgoing connections that are kept open between requests. */
   readonly idle: number;
 }
 
-/** Divides `limit` connections. */
+/** Divides `limit` connections; each use but long polls has a minimum, also where `limit` is too small for all. */
 export const allocateConnections = (limit: number): ConnectionAllocation => ({
   incoming: Math.max(MIN_INCOMING, Math.floor(limit * INCOMING_SHARE)),
   kept: Math.max(MIN_KEPT, Math.floor(limit * KEPT_SHARE)),
--- a/src/settings/graph-options.ts
+++ b/src/settings/graph-options.ts
@@ -1,37 +1,37 @@
-/** Section `graphs` of the operators' options: types, defaults and schema. The names are those of the options file. */
+/** Section `graphs` of the operators' options: types, defaults and schema. Field names are those of the file. */
 
-/** Retries of the steps of one job class. */
+/** Retry policy for the steps of one job class. */
 export interface ClassRetries {
-  /** Attempts in all, the first one included. */
+  /** Most attempts, including the first one. */
   readonly attempts: number;
-  /** Pause before the second attempt, in seconds; doubled for each further one, up to `mostBackOffS`. */
+  /** Delay before the second attempt, in seconds; doubled for each further attempt, up to `mostBackOffS`. */
   readonly backOffS: number;
   readonly mostBackOffS: number;
-  /** Running time of an attempt, in seconds; null: no limit. */
+  /** Longest running time of an attempt, in seconds; null: no limit. */
   readonly timeoutS: number | null;
-  /** So many failures of one task, wherever it was placed, fail an attempt. */
+  /** Number of failures of one task, on any machines, after which the attempt fails. */
   readonly errors: number;
-  /** Which failures count. Lost machines and preemption never do. */
+  /** Failure reasons that count. Lost machines and preemption never count. */
   readonly counts: readonly ("error" | "no_such")[];
 }
 
-/** What is allowed to graphs of jobs. */
+/** Limits for graphs of dependent jobs. */
 export interface GraphOptions {
-  /** By job class. */
+  /** Retry policies by job class. */
   readonly classes: Readonly<Record<string, ClassRetries>>;
-  /** For classes that are not named. */
+  /** Retry policy of the job classes that are not in `classes`. */
   readonly otherClasses: ClassRetries;
-  /** Slots of each pool, over all graphs. Steps that name another pool are refused. */
+  /** Number of slots of each pool, shared by all graphs. Steps that name an unknown pool are rejected. */
   readonly pools: Readonly<Record<string, number>>;
-  /** Runs that may be under way at once. */
+  /** Most concurrent runs. */
   readonly mostRuns: number;
-  /** Steps of one run, mapped ones counted singly. */
+  /** Most steps of one run; each instance of a mapped step counts. */
   readonly mostSteps: number;
-  /** Accepted steps of one run that may wait or run at once, whatever its `max_active_tasks`. */
+  /** Most accepted steps of one run that are queued or running at once; applies besides its `max_active_tasks`. */
   readonly mostOpen: number;
 }
 
-/** Retries where the operators state nothing. */
+/** Default retry policy. */
 export const DEFAULT_RETRIES: ClassRetries = {
   attempts: 3,
   backOffS: 5,
@@ -41,7 +41,7 @@
   counts: ["error"],
 };
 
-/** What an empty section `graphs` means. */
+/** Values of an empty section `graphs`. */
 export const DEFAULT_GRAPHS: GraphOptions = {
   classes: {},
   otherClasses: DEFAULT_RETRIES,
@@ -64,7 +64,7 @@
   },
 } as const;
 
-/** JSON schema of the section; null: no graphs are taken. */
+/** JSON schema of the section; null: graphs are not accepted. */
 export const graphOptionsSchema = {
   anyOf: [
     { type: "null" },
@@ -87,10 +87,10 @@
   ],
 } as const;
 
-/** Parts of an options object, not yet typed field by field. */
+/** Some fields of an options object whose values are not typed yet. */
 type PartsOf<T> = { readonly [Name in keyof T]?: unknown };
 
-/** Adds the defaults to what the operators have stated; `value` has passed the schema. Null: no graphs are taken. */
+/** Fills in the defaults of a section that has passed the schema. Null: graphs are not accepted. */
 export const readGraphOptions = (value: PartsOf<GraphOptions> | null | undefined): GraphOptions | null => {
   if (value === null || value === undefined) return null;
   const stated = value as Partial<GraphOptions>;
--- a/src/settings/options.ts
+++ b/src/settings/options.ts
@@ -1,37 +1,37 @@
-/** The operators' options: types, defaults, schema and loading. The names are those of the options file. */
+/** The operators' options: types, defaults, schema and loading. Field names are those of the options file. */
 import { readFileSync } from "node:fs";
 import type { Schema } from "@cfworker/json-schema";
 import { SettingsError } from "./errors.js";
 import { type GraphOptions, graphOptionsSchema, readGraphOptions } from "./graph-options.js";
 
-/** What operators may set: a JSON file, checked against `optionsSchema`, all of it optional. */
+/** Options from the operators' JSON file, which is checked against `optionsSchema`. All of them are optional there. */
 export interface OperatorOptions {
-  /** Share of the candidate machines that stays on the shortlist, above 0 and up to 1 (κ in the paper on the method). */
+  /** Share of the candidate machines kept on the shortlist, above 0 and up to 1 (κ in the paper on the method). */
   readonly kappa: number;
   /** Longest time between two scheduling rounds, in milliseconds. */
   readonly roundMs: number;
-  /** Free capacity kept for the next job, as a multiple of a usual job of each class. */
+  /** Free capacity kept for the next job, as a multiple of a typical job of each class. */
   readonly headroom: number;
-  /** A machine that is empty and not needed is returned to the cloud after this time, in seconds. */
+  /** Idle time after which a machine that is not needed is returned to the cloud, in seconds. */
   readonly idleReturnS: number;
-  /** Missed heartbeats, in heartbeat intervals, after which a machine is probed and then given up. */
+  /** Time without a heartbeat after which a machine is probed and then declared failed, in heartbeat intervals. */
   readonly silentReports: number;
-  /** Where to record a trace for what-if questions; null: nowhere. */
+  /** Where to record a trace for what-if simulations; null: no trace is recorded. */
   readonly record: TraceOptions | null;
-  /** Graphs of dependent jobs; null: none are taken. */
+  /** Limits for graphs of dependent jobs; null: graphs are not accepted. */
   readonly graphs: GraphOptions | null;
-  /** Whether controllers connect to each other, and relay calls where a link is cut. */
+  /** Whether controllers connect to each other and relay requests around broken links. */
   readonly mesh: boolean;
 }
 
-/** The newest `files` files of at most `fileMb` MB each are kept in the folder. */
+/** The folder of the trace files, of which the newest `files` are kept, each of at most `fileMb` MB. */
 export interface TraceOptions {
   readonly folder: string;
   readonly fileMb: number;
   readonly files: number;
 }
 
-/** The options where there is no file. */
+/** Options used if there is no options file, and for fields that the file omits. */
 export const DEFAULT_OPTIONS: OperatorOptions = {
   kappa: 0.5,
   roundMs: 1_000,
@@ -75,7 +75,7 @@
   },
 } as const;
 
-/** Reads an options file; null: the defaults. Rejects with SettingsError. */
+/** Reads an options file; null: the defaults. Rejects with SettingsError if the file is unreadable or invalid. */
 export const loadOptions = async (file: string | null): Promise<OperatorOptions> => {
   if (file === null) return DEFAULT_OPTIONS;
   const stated = await checkOptions(file, readJsonFile(file));
@@ -91,17 +91,17 @@
   }
 };
 
-/** Interprets the schema: that takes a tenth of the time of compiling it, and a start must be quick. */
+/** Interprets the schema, which takes a tenth of the time of compiling it, to keep start-up short. */
 const matchesSchema = async (value: unknown): Promise<boolean> => {
   const { Validator } = await import("@cfworker/json-schema");
-  // Its type has mutable lists, which it doesn't change.
+  // The library's type declares mutable lists, but does not modify them.
   const schema: object = optionsSchema;
   return new Validator(schema as Schema, "7").validate(value).valid;
 };
 
 const checkOptions = async (file: string, value: unknown): Promise<Partial<OperatorOptions>> => {
   if (await matchesSchema(value)) return value as Partial<OperatorOptions>;
-  // Names the fault: whoever has to read it can wait.
+  // Compiling the schema is slower, but its error names the invalid field.
   const { Ajv } = await import("ajv");
   const validate = new Ajv().compile<Partial<OperatorOptions>>(optionsSchema);
   if (validate(value)) return value;
--- a/src/settings/parse-settings.ts
+++ b/src/settings/parse-settings.ts
@@ -1,4 +1,4 @@
-/** Reads the settings of a controller from TOML. The words of the file stand here and nowhere else. */
+/** Reads the settings of a controller from TOML. Only this module contains the field names of the file. */
 import { readFileSync } from "node:fs";
 import { parse } from "smol-toml";
 import { availableResources } from "../protocol/resources.js";
@@ -17,13 +17,13 @@
 import { failSetting, SettingsTable, type TomlTable } from "./settings-table.js";
 import { shardLeaseDuration } from "./shard-lease.js";
 
-/** A job's specification has to fit into one value. */
+/** A job's specification has to fit into one value of the store. */
 const MIN_VALUE_KB = 1;
-/** A job's outcome record takes two writes at once. */
+/** Storing a job's outcome record takes two writes in one transaction. */
 const MIN_TRANSACTION_WRITES = 2;
 const BYTES_PER_KB = 1_024;
 
-/** Reads a settings file. Throws SettingsError. */
+/** Reads a settings file. Throws SettingsError if the file is unreadable or invalid. */
 export const loadSettings = (file: string): Settings => {
   let source: string;
   try {
@@ -36,8 +36,8 @@
 };
 
 /**
- * Reads settings from TOML text. Unknown fields are ignored. Throws SettingsError for the first field that is missing or
- * invalid, and where the times leave no room for a shard lease.
+ * Reads settings from TOML text. Unknown fields are ignored. Throws SettingsError for the first missing or invalid
+ * field, and if `cancel_s` is too short to leave time for a shard lease.
  */
 export const parseSettings = (source: string): Settings => {
   const settings = readSettings(new SettingsTable(parseToml(source), ""));
@@ -55,7 +55,7 @@
 };
 
 const readSettings = (root: SettingsTable): Settings => {
-  // All tables first: that one is missing says more than that the first of its fields is.
+  // All tables are read first, so that the error names a missing table rather than the first field in it.
   const services = root.table("outside");
   const deployment = root.table("deployment");
   const workers = deployment.table("workers");
@@ -104,7 +104,7 @@
   };
 };
 
-/** In thousandths, rounded down as capacities are; null: no limit. */
+/** A team's limit in thousandths, rounded down like capacities; null: no limit. */
 const readTeamLimit = (team: SettingsTable, name: string): number | null => {
   const limit = team.optionalNumber(name);
   return limit === 0 ? null : Math.floor(limit * 1_000 + 1e-6);
@@ -129,7 +129,7 @@
   cancellationBound: workers.duration("cancel_s"),
 });
 
-/** Table `next` holds limits that the store will have from some moment on; what it does not name stays as it is. */
+/** Table `next` holds limits that will apply to the store at some later time; limits absent from it do not change. */
 const readStore = (store: SettingsTable): StoreSettings => {
   const nextPath = store.pathOf("next");
   const next = SettingsTable.from(store.value("next") ?? {}, `${nextPath}.`, nextPath);
--- a/src/settings/settings-table.ts
+++ b/src/settings/settings-table.ts
@@ -1,38 +1,38 @@
-/** Reads typed fields of the settings' TOML tables. Errors name the field by its whole path. */
+/** Reads typed fields of the TOML tables of the settings. Errors name the field by its full path. */
 import { type Micros, seconds } from "../transport/clock.js";
 import { SettingsError } from "./errors.js";
 
-/** A table as the TOML parser gives it. */
+/** A table as returned by the TOML parser. */
 export type TomlTable = Readonly<Record<string, unknown>>;
 
 const ENDPOINT = /^\d{1,3}(?:\.\d{1,3}){3}:(\d{1,5})$/;
 const MAX_PORT = 65_535;
 
-/** Throws a SettingsError that names the field. */
+/** Throws a SettingsError that names the field at `path` and its problem. */
 export const failSetting = (path: string, problem: string): never => {
   throw new SettingsError(`${path}: ${problem}`);
 };
 
-/** A table that knows where in the file it stands. All its methods throw SettingsError where a field is invalid. */
+/** A table with its path in the file. Typed getters throw SettingsError if the field is invalid. */
 export class SettingsTable {
-  /** `prefix`: what precedes the name of a field in its path; empty for the file itself. */
+  /** `prefix`: path that precedes field names, ending in a dot; empty for the root table. */
   constructor(
     private readonly fields: TomlTable,
     private readonly prefix: string,
   ) {}
 
-  /** The table in `value`, an entry of a list or an optional field. `path`: what an error names where it is none. */
+  /** The table in `value`, a list entry or an optional field. `path`: named in the error if it is not a table. */
   static from(value: unknown, prefix: string, path = prefix): SettingsTable {
     if (typeof value !== "object" || value === null) return failSetting(path, "not a table");
     return new SettingsTable(value as TomlTable, prefix);
   }
 
-  /** Whole path of a field of this table. */
+  /** Full path of a field of this table. */
   pathOf(name: string): string {
     return this.prefix + name;
   }
 
-  /** Whether the field is there at all. */
+  /** Whether the field is present. */
   has(name: string): boolean {
     return this.fields[name] !== undefined;
   }
@@ -42,7 +42,7 @@
     return this.fields[name];
   }
 
-  /** A table that has to be there. */
+  /** A required table. */
   table(name: string): SettingsTable {
     const value = this.fields[name];
     const path = this.pathOf(name);
@@ -52,13 +52,13 @@
     return new SettingsTable(value as TomlTable, `${path}.`);
   }
 
-  /** A list; empty where it is absent. */
+  /** A list; empty if the field is absent. */
   list(name: string): readonly unknown[] {
     const value = this.fields[name] ?? [];
     return Array.isArray(value) ? value : failSetting(this.pathOf(name), "not a list");
   }
 
-  /** A text that is not empty. */
+  /** A required non-empty string. */
   text(name: string): string {
     const value = this.fields[name];
     return typeof value === "string" && value !== ""
@@ -66,7 +66,7 @@
       : failSetting(this.pathOf(name), "missing or not a string");
   }
 
-  /** An IPv4 address with a port. */
+  /** A required IPv4 address with a port, "10.0.0.1:8080". */
   endpoint(name: string): string {
     const value = this.text(name);
     const port = Number(ENDPOINT.exec(value)?.[1] ?? Number.NaN);
@@ -74,7 +74,7 @@
     return failSetting(this.pathOf(name), "not an address like 10.0.0.1:8080");
   }
 
-  /** A finite number of at least `minimum`. */
+  /** A required finite number of at least `minimum`. */
   number(name: string, minimum: number): number {
     const value = this.fields[name];
     const plain = typeof value === "bigint" ? Number(value) : value;
@@ -84,18 +84,18 @@
     return plain >= minimum ? plain : failSetting(this.pathOf(name), `must be at least ${minimum}`);
   }
 
-  /** A whole number of at least 1. */
+  /** A required whole number of at least 1. */
   wholeNumber(name: string): number {
     const value = this.number(name, 1);
     return Number.isInteger(value) ? value : failSetting(this.pathOf(name), "not a whole number");
   }
 
-  /** A number of at least 0; 0 where it is absent. */
+  /** A number of at least 0; 0 if the field is absent. */
   optionalNumber(name: string): number {
     return this.has(name) ? this.number(name, 0) : 0;
   }
 
-  /** A time of at least 0, given in seconds. */
+  /** A required duration of at least 0, given in seconds. */
   duration(name: string): Micros {
     return seconds(this.number(name, 0));
   }
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of one controller and what it has to know of its deployment, as the rest of the program uses them. */
+/** Settings of one controller and of its deployment, in the form that the rest of the program uses. */
 import type { Resources } from "../protocol/resources.js";
 import type { Micros } from "../transport/clock.js";
 
@@ -6,7 +6,7 @@
 export interface PeerSettings {
   readonly label: string;
   readonly zone: string;
-  /** Where it is reached, "host:port". */
+  /** Address for requests to this peer, "host:port". */
   readonly address: string;
 }
 
@@ -14,49 +14,52 @@
 export interface Team {
   readonly name: string;
   readonly guaranteed: Resources;
-  /** In thousandths; null: no limit. Memory is never limited by a team. */
+  /** Quota limit, in thousandths of a CPU or GPU; null: no limit. Memory is not limited by team. */
   readonly limit: { readonly cpu: number | null; readonly gpu: number | null };
 }
 
-/** What the users expect of a class of jobs, as far as the scheduler makes use of it. */
+/** Service-level objective for one or all job classes, as far as the scheduler uses it. */
 export interface ServiceLevelObjective {
   readonly kind: string;
-  /** Null: all classes. */
+  /** Null: all job classes. */
   readonly jobClass: string | null;
   readonly within: Micros | null;
-  /** Share of the jobs, from 0 to 1, for which the objective has to be met. */
+  /** Share of the jobs that have to meet the objective, from 0 to 1. */
   readonly share: number;
 }
 
-/** Times that the deployment promises of and to workers. */
+/** Time bounds of the deployment that concern workers. */
 export interface WorkerSettings {
-  /** Time from one heartbeat of a worker to the next. */
+  /** Time between two heartbeats of a worker. */
   readonly heartbeatInterval: Micros;
-  /** A worker that has had no answer for this time ends its tasks. */
+  /** A worker that has received no response for this time kills its tasks. */
   readonly lease: Micros;
-  /** The tasks of a cancelled job are gone within this time. */
+  /** The tasks of a cancelled job have ended within this time. */
   readonly cancellationBound: Micros;
 }
 
-/** Limits of the key-value store. Of those now and those announced for later, which come without notice, the lower. */
+/** Limits of the key-value store: the lower of current and announced ones, since these take effect without notice. */
 export interface StoreSettings {
   readonly requestsPerS: number;
   readonly writesPerS: number;
   readonly valueBytes: number;
-  /** Writes that one transaction may have. */
+  /** Most writes in one transaction. */
   readonly transactionWrites: number;
-  /** The limit on values now. How task ranges are cut, which is not on record, follows from it for every version. */
+  /**
+   * The current limit on values, also if a lower one is announced. The size of task ranges is not stored: every version
+   * of the program derives it from this limit.
+   */
   readonly layoutBytes: number;
 }
 
 /** Limits of the cloud. */
 export interface CloudSettings {
   readonly requestsPerS: number;
-  /** How long a change may be missing from the cloud's lists. */
+  /** Longest time until a change appears in the cloud's list responses. */
   readonly listLag: Micros;
 }
 
-/** What the process of a controller may use. */
+/** Resource limits of a controller's process. */
 export interface ProcessQuota {
   readonly memoryMb: number;
   readonly maxConnections: number;
@@ -71,12 +74,12 @@
   readonly peers: readonly PeerSettings[];
   readonly cloudAddress: string;
   readonly storeAddress: string;
-  /** Controllers of the deployment, this one included. */
+  /** Number of controllers in the deployment, including this one. */
   readonly controllers: number;
-  /** Time of day differs from the true one by this much at most. */
+  /** Maximum difference of wall-clock time from true time. */
   readonly maxClockError: Micros;
   readonly zones: readonly string[];
-  /** By name. */
+  /** Teams by name. */
   readonly teams: ReadonlyMap<string, Team>;
   readonly objectives: readonly ServiceLevelObjective[];
   readonly workers: WorkerSettings;
--- a/src/settings/shard-lease.ts
+++ b/src/settings/shard-lease.ts
@@ -1,25 +1,25 @@
-/** How long a controller may lead a shard without renewing its lease. */
+/** Computes how long a controller may lead a shard without renewing its lease. */
 import { MICROS_PER_SECOND, type Micros, seconds } from "../transport/clock.js";
 import { cancellationTerms, maxWorkerLease, START_COMMAND_IN_FLIGHT, WORKER_KILL_DELAY } from "./cancellation.js";
 import { SettingsError } from "./errors.js";
 import type { Settings } from "./settings.js";
 
-/** What stays unused of the time for a cancellation: this much, or less where that time is short. */
+/** Safety margin within the time for a cancellation, less if that time is short. */
 const USUAL_MARGIN = seconds(4);
-/** The margin never takes more than this share of the time. */
+/** Share of the time left after a worker's lease that limits `USUAL_MARGIN`. */
 const MAX_MARGIN_SHARE = 1 / 4;
 const MIN_SHARD_LEASE = seconds(1);
 /**
- * A leader that is cut off keeps its shard from the others for so long. Through an outage of the key-value store a
- * longer lease helps little: nothing can be placed then, and workers keep what they run for a lease of their own.
+ * A partitioned shard leader blocks failover of its shard until its lease expires. A longer lease helps little during
+ * an outage of the key-value store: nothing can be placed then, and workers keep running tasks for their own lease.
  */
 const MAX_SHARD_LEASE = seconds(10);
 
 /**
- * The duration of a shard's lease. A controller cut off from the key-value store cannot learn of a cancellation. It may
- * answer its workers until its lease expires, a start command of its last moment may land after that, and workers may
- * run tasks for a lease of their own longer: all together stay below `cancel_s`. Throws SettingsError where that leaves
- * too little for a lease.
+ * Duration of a shard's lease. A shard leader partitioned from the key-value store does not see cancellations. It may
+ * respond to its workers until its lease expires, a start command sent just before may still be in flight, and workers
+ * may then run tasks until their own lease expires: the sum stays below `cancel_s`. Throws SettingsError if that leaves
+ * less than `MIN_SHARD_LEASE`.
  */
 export const shardLeaseDuration = ({ workers }: Pick<Settings, "workers">): Micros => {
   const left = workers.cancellationBound - maxWorkerLease(workers.lease);
