--- a/src/settings/cancellation.ts
+++ b/src/settings/cancellation.ts
@@ -7,7 +7,7 @@
  * Time after sending a start command from which responses carry a newer fencing token, by which the worker rejects the
  * command if it still arrives.
  */
-export const START_COMMAND_IN_FLIGHT = (WORKER_REQUEST_TIMEOUT + RELAY_ALLOWANCE) as Micros;
+export const START_COMMAND_FENCING_DELAY = (WORKER_REQUEST_TIMEOUT + RELAY_ALLOWANCE) as Micros;
 /** A worker kills its tasks within this time after its lease has expired. */
 export const WORKER_KILL_DELAY = seconds(0.1);
 
@@ -34,10 +34,10 @@
 /** Computes the terms for a shard lease of this duration. */
 export const cancellationTerms = (workers: WorkerSettings, shardLease: Micros): CancellationTerms => {
   const workerLease = (maxWorkerLease(workers.lease) + WORKER_KILL_DELAY) as Micros;
-  const total = (shardLease + START_COMMAND_IN_FLIGHT + workerLease) as Micros;
+  const total = (shardLease + START_COMMAND_FENCING_DELAY + workerLease) as Micros;
   return {
     shardLease,
-    startCommand: START_COMMAND_IN_FLIGHT,
+    startCommand: START_COMMAND_FENCING_DELAY,
     workerLease,
     total,
     left: (workers.cancellationBound - total) as Micros,
--- a/src/settings/graph-options.ts
+++ b/src/settings/graph-options.ts
@@ -88,16 +88,16 @@
 } as const;
 
 /** Some fields of an options object whose values are not typed yet. */
-type PartsOf<T> = { readonly [Name in keyof T]?: unknown };
+type UntypedFields<T> = { readonly [Name in keyof T]?: unknown };
 
 /** Fills in the defaults of a section that has passed the schema. Null: graphs are not accepted. */
-export const readGraphOptions = (value: PartsOf<GraphOptions> | null | undefined): GraphOptions | null => {
+export const readGraphOptions = (value: UntypedFields<GraphOptions> | null | undefined): GraphOptions | null => {
   if (value === null || value === undefined) return null;
-  const stated = value as Partial<GraphOptions>;
-  const otherClasses = { ...DEFAULT_RETRIES, ...stated.otherClasses };
-  const classes = Object.entries(stated.classes ?? {}).map(([name, retries]) => [
+  const configured = value as Partial<GraphOptions>;
+  const otherClasses = { ...DEFAULT_RETRIES, ...configured.otherClasses };
+  const classes = Object.entries(configured.classes ?? {}).map(([name, retries]) => [
     name,
     { ...otherClasses, ...retries },
   ]);
-  return { ...DEFAULT_GRAPHS, ...stated, otherClasses, classes: Object.fromEntries(classes) };
+  return { ...DEFAULT_GRAPHS, ...configured, otherClasses, classes: Object.fromEntries(classes) };
 };
--- a/src/settings/options.ts
+++ b/src/settings/options.ts
@@ -78,8 +78,8 @@
 /** Reads an options file; null: the defaults. Rejects with SettingsError if the file is unreadable or invalid. */
 export const loadOptions = async (file: string | null): Promise<OperatorOptions> => {
   if (file === null) return DEFAULT_OPTIONS;
-  const stated = await checkOptions(file, readJsonFile(file));
-  return { ...DEFAULT_OPTIONS, ...stated, graphs: readGraphOptions(stated.graphs) };
+  const configured = await checkOptions(file, readJsonFile(file));
+  return { ...DEFAULT_OPTIONS, ...configured, graphs: readGraphOptions(configured.graphs) };
 };
 
 const readJsonFile = (file: string): unknown => {
@@ -105,7 +105,9 @@
   const { Ajv } = await import("ajv");
   const validate = new Ajv().compile<Partial<OperatorOptions>>(optionsSchema);
   if (validate(value)) return value;
-  const first = validate.errors?.[0];
-  const unknownName = first?.params.additionalProperty ?? "";
-  throw new SettingsError(`${file}: ${first?.instancePath || "/"}${unknownName} ${first?.message ?? "invalid"}`);
+  const firstError = validate.errors?.[0];
+  const unknownName = firstError?.params.additionalProperty ?? "";
+  throw new SettingsError(
+    `${file}: ${firstError?.instancePath || "/"}${unknownName} ${firstError?.message ?? "invalid"}`,
+  );
 };
--- a/src/settings/parse-settings.ts
+++ b/src/settings/parse-settings.ts
@@ -133,14 +133,14 @@
 const readStore = (store: SettingsTable): StoreSettings => {
   const nextPath = store.pathOf("next");
   const next = SettingsTable.from(store.value("next") ?? {}, `${nextPath}.`, nextPath);
-  const lowerOf = (name: string, present: number, minimum: number): number =>
-    next.has(name) ? Math.min(present, next.number(name, minimum)) : present;
+  const lowerLimit = (name: string, current: number, minimum: number): number =>
+    next.has(name) ? Math.min(current, next.number(name, minimum)) : current;
   const valueKb = store.number("value_kb", 1);
   const transactionWrites = store.wholeNumber("txn_ops");
   return {
-    requestsPerS: lowerOf("rps", store.number("rps", 1), 1),
-    writesPerS: lowerOf("write_rps", store.number("write_rps", 1), 1),
-    valueBytes: Math.floor(lowerOf("value_kb", valueKb, MIN_VALUE_KB) * BYTES_PER_KB),
+    requestsPerS: lowerLimit("rps", store.number("rps", 1), 1),
+    writesPerS: lowerLimit("write_rps", store.number("write_rps", 1), 1),
+    valueBytes: Math.floor(lowerLimit("value_kb", valueKb, MIN_VALUE_KB) * BYTES_PER_KB),
     transactionWrites: next.has("txn_ops")
       ? Math.min(transactionWrites, readNextTransactionWrites(next))
       : transactionWrites,
--- a/src/settings/settings-table.ts
+++ b/src/settings/settings-table.ts
@@ -77,11 +77,11 @@
   /** A required finite number of at least `minimum`. */
   number(name: string, minimum: number): number {
     const value = this.fields[name];
-    const plain = typeof value === "bigint" ? Number(value) : value;
-    if (typeof plain !== "number" || !Number.isFinite(plain)) {
+    const numeric = typeof value === "bigint" ? Number(value) : value;
+    if (typeof numeric !== "number" || !Number.isFinite(numeric)) {
       return failSetting(this.pathOf(name), "missing or not a number");
     }
-    return plain >= minimum ? plain : failSetting(this.pathOf(name), `must be at least ${minimum}`);
+    return numeric >= minimum ? numeric : failSetting(this.pathOf(name), `must be at least ${minimum}`);
   }
 
   /** A required whole number of at least 1. */
--- a/src/settings/shard-lease.ts
+++ b/src/settings/shard-lease.ts
@@ -1,6 +1,6 @@
 /** Computes how long a controller may lead a shard without renewing its lease. */
 import { MICROS_PER_SECOND, type Micros, seconds } from "../transport/clock.js";
-import { cancellationTerms, maxWorkerLease, START_COMMAND_IN_FLIGHT, WORKER_KILL_DELAY } from "./cancellation.js";
+import { cancellationTerms, maxWorkerLease, START_COMMAND_FENCING_DELAY, WORKER_KILL_DELAY } from "./cancellation.js";
 import { SettingsError } from "./errors.js";
 import type { Settings } from "./settings.js";
 
@@ -22,17 +22,17 @@
  * less than `MIN_SHARD_LEASE`.
  */
 export const shardLeaseDuration = ({ workers }: Pick<Settings, "workers">): Micros => {
-  const left = workers.cancellationBound - maxWorkerLease(workers.lease);
+  const remaining = workers.cancellationBound - maxWorkerLease(workers.lease);
   const margin = Math.max(
-    2 * WORKER_KILL_DELAY + START_COMMAND_IN_FLIGHT,
-    Math.min(USUAL_MARGIN, left * MAX_MARGIN_SHARE),
+    2 * WORKER_KILL_DELAY + START_COMMAND_FENCING_DELAY,
+    Math.min(USUAL_MARGIN, remaining * MAX_MARGIN_SHARE),
   );
-  const longest = Math.floor(left - margin);
-  const lease = Math.min(longest, MAX_SHARD_LEASE) as Micros;
-  if (longest < MIN_SHARD_LEASE || cancellationTerms(workers, lease).left <= 0) {
-    const leftSeconds = left / MICROS_PER_SECOND;
+  const longestLease = Math.floor(remaining - margin);
+  const lease = Math.min(longestLease, MAX_SHARD_LEASE) as Micros;
+  if (longestLease < MIN_SHARD_LEASE || cancellationTerms(workers, lease).left <= 0) {
+    const remainingSeconds = remaining / MICROS_PER_SECOND;
     throw new SettingsError(
-      `deployment.workers.cancel_s: leaves ${leftSeconds} s beyond lease_s, too little for a lease`,
+      `deployment.workers.cancel_s: leaves ${remainingSeconds} s beyond lease_s, too little for a lease`,
     );
   }
   return lease;
