--- a/test/client.test.ts
+++ b/test/client.test.ts
@@ -14,7 +14,7 @@
     });
   });
 
-test("requests pass between client and server over TCP, and each failure is one line", async () => {
+test("the client sends requests over TCP and reports each failure in one line", async () => {
   const port = await freePort();
   const requests: string[] = [];
   const server = new HttpServer(
@@ -44,7 +44,7 @@
   await server.close();
 });
 
-/** Everything that the server sends until it closes the connection. */
+/** All data that the server sends until the connection closes. */
 const receiveUntilClosed = (socket: Socket): Promise<string> =>
   new Promise((resolve) => {
     let text = "";
@@ -83,7 +83,7 @@
     socket.write(text);
     return socket;
   };
-  // The client's side closes none of these.
+  // The client closes none of these connections, so the server must.
   assert.equal(await receiveUntilClosed(open("GET /slow HTTP/1.1\r\nHost")), "");
   assert.match(await receiveUntilClosed(open("GET /once HTTP/1.1\r\n\r\n")), /^HTTP\/1\.1 200 /);
   assert.match(await receiveUntilClosed(open("nonsense\r\n\r\n")), /^HTTP\/1\.1 400 [\s\S]*Connection: close/);
@@ -100,8 +100,8 @@
   await server.close();
 });
 
-test("the time of a request runs from its first byte, and further bytes do not extend it", async () => {
-  // Each byte used to start the time of the whole request anew.
+test("the request timeout runs from the first byte of a request, and later bytes do not restart it", async () => {
+  // When each byte restarted the timeout, a slow client could hold its connection forever.
   const port = await freePort();
   const timers: { readonly run: () => void; readonly delay: number; cancelled: boolean }[] = [];
   const clock = {
@@ -128,7 +128,7 @@
   const nextByteTime = (): Promise<void> => new Promise((resolve) => setTimeout(resolve, 20));
   await new Promise((resolve) => socket.once("connect", resolve));
   const activeTimers = (): typeof timers => timers.filter(({ cancelled }) => !cancelled);
-  // On a new connection, and on one that has served a request already.
+  // On a new connection, and on one that has already served a request.
   for (const text of ["GET /a HTTP/1.1\r\n\r", "\nGET /b HTTP/1.1\r\n"]) {
     for (const byte of text) {
       socket.write(byte);
@@ -141,12 +141,12 @@
   const text = await Promise.race([ended, nextByteTime().then(() => "still open")]);
   socket.destroy();
   await server.close();
-  assert.equal(timerCount, 3, "once for the connection, once for its idle time, once for the second request");
+  assert.equal(timerCount, 3, "one timer each for the new connection, its idle timeout and the second request");
   assert.equal(requestTimer?.delay, seconds(10));
   assert.match(text, /^HTTP\/1\.1 200 /);
 });
 
-test("links are shown as a table, with a line for each problem", () => {
+test("links are shown as a table, followed by one line for each problem", () => {
   const healthy = {
     state: "reached",
     cloud: "reached",
--- a/test/http-parser.test.ts
+++ b/test/http-parser.test.ts
@@ -17,7 +17,7 @@
   );
 };
 
-test("every split of a request gives the same message", () => {
+test("a request is parsed into the same message however its bytes are split", () => {
   const texts = [
     'POST /v2/runs HTTP/1.1\r\nHost: a\r\nContent-Length: 7\r\n\r\n{"a":1}',
     "POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: u\r\n\r\n",
@@ -40,13 +40,13 @@
   }
 });
 
-test("keep-alive follows version and header", () => {
+test("keep-alive is derived from the HTTP version and the Connection header", () => {
   assert.equal(parse("GET / HTTP/1.1\r\n\r\n")[0]?.keepAlive, true);
   assert.equal(parse("GET / HTTP/1.1\r\nConnection: Close\r\n\r\n")[0]?.keepAlive, false);
   assert.equal(parse("GET / HTTP/1.0\r\n\r\n")[0]?.keepAlive, false);
 });
 
-test("malformed messages are refused with the status of their fault", () => {
+test("malformed messages are rejected with the status for their error", () => {
   assertRefused("GET\r\n\r\n", 400);
   assertRefused("GET / HTTP/2.0\r\n\r\n", 505);
   assertRefused("GET x HTTP/1.1\r\n\r\n", 400);
@@ -63,7 +63,7 @@
   assertRefused("HTTP/1.1 200 OK\r\n\r\n", 502, "response");
 });
 
-test("head and body are bounded", () => {
+test("heads and bodies beyond the size limits are rejected", () => {
   assertRefused("POST / HTTP/1.1\r\nContent-Length: 4097\r\n\r\n", 413);
   assertRefused("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfff\r\n".replace("fff", "1001"), 413);
   assertRefused(`GET /${"a".repeat(2_000)}`, 431);
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -24,14 +24,14 @@
     .replace(/^lease_s.*$/m, `lease_s = ${leaseSeconds}.0`)
     .replace(/^cancel_s.*$/m, `cancel_s = ${cancelSeconds}.0`);
 
-test("settings are read, unknown fields ignored", () => {
+test("settings are read, and unknown fields are ignored", () => {
   const settings = parseSettings(`colour = "blue"\n${settingsText()}\n[deployment.moon]\nphase = 1\n`);
   assert.equal(settings.label, "ctl-0");
   assert.equal(settings.teams.get("capped")?.limit.cpu, 16_000);
   assert.equal(settings.teams.get("open")?.limit.cpu, null);
 });
 
-test("a missing or invalid field is named in one line", () => {
+test("a one-line error names a missing or invalid field", () => {
   const good = settingsText();
   assertRefused(good.replace(/^label.*$/m, ""), "label");
   assertRefused(good.replace(/^client_listen.*$/m, 'client_listen = "somewhere"'), "client_listen");
@@ -53,7 +53,7 @@
     assert.ok(
       shardLeaseDuration(settings) + settings.workers.lease * 1.001 + 300_000 < settings.workers.cancellationBound,
     );
-    // With a start command that was in flight when the leader's lease expired.
+    // Including a start command that was in flight when the shard lease expired.
     const {
       shardLease: right,
       startCommand: start,
@@ -66,7 +66,7 @@
     assert.equal(total + left, settings.workers.cancellationBound);
     assert.ok(left > 0, `${lease} of ${cancel}: ${left}`);
   }
-  // Accepted before, although a delayed start command could arrive after what was left of `cancel_s`.
+  // Was once accepted, although a delayed start command could arrive later than `cancel_s` allows.
   assertRefused(withWorkerTimes(3, 5), "deployment.workers.cancel_s");
   assertRefused(withWorkerTimes(20, 22), "deployment.workers.cancel_s");
 });
@@ -86,7 +86,7 @@
   }
 });
 
-test("the interpreted schema of the options accepts and refuses as the compiled one does", async () => {
+test("the interpreted and the compiled schema of the options accept the same values", async () => {
   const file = join(mkdtempSync(join(tmpdir(), "rainridge-")), "options.json");
   const compiled = new Ajv().compile(optionsSchema);
   const record = { folder: "traces", fileMb: 1, files: 2 };
@@ -132,7 +132,7 @@
   }
 });
 
-test("an error of settings has a code and keeps its cause", async () => {
+test("a settings error has a code and its cause", async () => {
   const missing = join(mkdtempSync(join(tmpdir(), "rainridge-")), "missing");
   const hasCause = (error: unknown): boolean =>
     error instanceof SettingsError && error.code === "SETTINGS_INVALID" && error.cause instanceof Error;
