--- a/test/client.test.ts
+++ b/test/client.test.ts
@@ -125,20 +125,20 @@
   await server.listen("127.0.0.1", port);
   const socket = connect(port, "127.0.0.1");
   const ended = receiveUntilClosed(socket);
-  const nextByteTime = (): Promise<void> => new Promise((resolve) => setTimeout(resolve, 20));
+  const waitBetweenBytes = (): Promise<void> => new Promise((resolve) => setTimeout(resolve, 20));
   await new Promise((resolve) => socket.once("connect", resolve));
   const activeTimers = (): typeof timers => timers.filter(({ cancelled }) => !cancelled);
   // On a new connection, and on one that has already served a request.
   for (const text of ["GET /a HTTP/1.1\r\n\r", "\nGET /b HTTP/1.1\r\n"]) {
     for (const byte of text) {
       socket.write(byte);
-      await nextByteTime();
+      await waitBetweenBytes();
     }
   }
   const timerCount = timers.length;
   const requestTimer = activeTimers()[0];
   requestTimer?.run();
-  const text = await Promise.race([ended, nextByteTime().then(() => "still open")]);
+  const text = await Promise.race([ended, waitBetweenBytes().then(() => "still open")]);
   socket.destroy();
   await server.close();
   assert.equal(timerCount, 3, "one timer each for the new connection, its idle timeout and the second request");
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -32,12 +32,12 @@
 });
 
 test("a one-line error names a missing or invalid field", () => {
-  const good = settingsText();
-  assertRefused(good.replace(/^label.*$/m, ""), "label");
-  assertRefused(good.replace(/^client_listen.*$/m, 'client_listen = "somewhere"'), "client_listen");
-  assertRefused(good.replace(/^report_s.*$/m, 'report_s = "often"'), "deployment.workers.report_s");
-  assertRefused(good.replace(/^txn_ops.*$/m, "txn_ops = 0"), "deployment.state.txn_ops");
-  assertRefused(good.replace(/^cancel_s.*$/m, "cancel_s = 12.0"), "cancel_s");
+  const valid = settingsText();
+  assertRefused(valid.replace(/^label.*$/m, ""), "label");
+  assertRefused(valid.replace(/^client_listen.*$/m, 'client_listen = "somewhere"'), "client_listen");
+  assertRefused(valid.replace(/^report_s.*$/m, 'report_s = "often"'), "deployment.workers.report_s");
+  assertRefused(valid.replace(/^txn_ops.*$/m, "txn_ops = 0"), "deployment.state.txn_ops");
+  assertRefused(valid.replace(/^cancel_s.*$/m, "cancel_s = 12.0"), "cancel_s");
   assertRefused("label = ", "TOML");
 });
 
@@ -54,15 +54,12 @@
       shardLeaseDuration(settings) + settings.workers.lease * 1.001 + 300_000 < settings.workers.cancellationBound,
     );
     // Including a start command that was in flight when the shard lease expired.
-    const {
-      shardLease: right,
-      startCommand: start,
-      workerLease,
-      total,
-      left,
-    } = cancellationTerms(settings.workers, shardLeaseDuration(settings));
-    assert.equal(right + start + workerLease, total);
-    assert.ok(start >= 1_800_000 && workerLease > settings.workers.lease);
+    const { shardLease, startCommand, workerLease, total, left } = cancellationTerms(
+      settings.workers,
+      shardLeaseDuration(settings),
+    );
+    assert.equal(shardLease + startCommand + workerLease, total);
+    assert.ok(startCommand >= 1_800_000 && workerLease > settings.workers.lease);
     assert.equal(total + left, settings.workers.cancellationBound);
     assert.ok(left > 0, `${lease} of ${cancel}: ${left}`);
   }
