--- a/src/settings/cancellation.ts
+++ b/src/settings/cancellation.ts
@@ -17,7 +17,10 @@
 /** Upper bound on the duration of a worker's lease as measured by any other clock. */
 export const maxWorkerLease = (lease: Micros): Micros => Math.ceil(lease * MAX_CLOCK_DRIFT_FACTOR) as Micros;
 
-/** Upper bound on the time from a confirmed cancellation to the job's last task ending (docs/fault-combinations.md). */
+/**
+ * Parts of the upper bound on the time from a confirmed cancellation to the end of the job's last task
+ * (docs/fault-combinations.md).
+ */
 export interface CancellationTerms {
   /** A shard leader that is unaware of the cancellation may respond to workers until its shard lease expires. */
   readonly shardLease: Micros;
--- a/src/settings/shard-lease.ts
+++ b/src/settings/shard-lease.ts
@@ -6,7 +6,7 @@
 
 /** Safety margin within the time for a cancellation, less if that time is short. */
 const USUAL_MARGIN = seconds(4);
-/** Share of the time left after a worker's lease that limits `USUAL_MARGIN`. */
+/** Limits `USUAL_MARGIN` to this share of the time that remains after a worker's lease. */
 const MAX_MARGIN_SHARE = 1 / 4;
 const MIN_SHARD_LEASE = seconds(1);
 /**
@@ -19,7 +19,7 @@
  * Duration of a shard's lease. A shard leader partitioned from the key-value store does not see cancellations. It may
  * respond to its workers until its lease expires, a start command sent just before may still be in flight, and workers
  * may then run tasks until their own lease expires: the sum stays below `cancel_s`. Throws SettingsError if that leaves
- * less than `MIN_SHARD_LEASE`.
+ * too little time for a lease.
  */
 export const shardLeaseDuration = ({ workers }: Pick<Settings, "workers">): Micros => {
   const remaining = workers.cancellationBound - maxWorkerLease(workers.lease);
--- a/src/transport/http-error.ts
+++ b/src/transport/http-error.ts
@@ -1,4 +1,4 @@
-/** The error for malformed or unsupported HTTP messages. */
+/** The error for malformed, unsupported or oversized HTTP messages. */
 import { RainridgeError } from "./errors.js";
 
 /** Message framing is lost: later bytes on the connection cannot be interpreted, so it has to be closed. */
