--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -24,20 +24,20 @@
     .replace(/^lease_s.*$/m, `lease_s = ${leaseSeconds}.0`)
     .replace(/^cancel_s.*$/m, `cancel_s = ${cancelSeconds}.0`);
 
-test("settings are read, unknown fields ignored", () => {
+test("settings are read, and unknown fields are ignored", () => {
   const settings = parseSettings(`colour = "blue"\n${settingsText()}\n[deployment.moon]\nphase = 1\n`);
   assert.equal(settings.label, "ctl-0");
   assert.equal(settings.teams.get("capped")?.limit.cpu, 16_000);
   assert.equal(settings.teams.get("open")?.limit.cpu, null);
 });
 
-test("a missing or invalid field is named in one line", () => {
-  const good = settingsText();
-  assertRefused(good.replace(/^label.*$/m, ""), "label");
-  assertRefused(good.replace(/^client_listen.*$/m, 'client_listen = "somewhere"'), "client_listen");
-  assertRefused(good.replace(/^report_s.*$/m, 'report_s = "often"'), "deployment.workers.report_s");
-  assertRefused(good.replace(/^txn_ops.*$/m, "txn_ops = 0"), "deployment.state.txn_ops");
-  assertRefused(good.replace(/^cancel_s.*$/m, "cancel_s = 12.0"), "cancel_s");
+test("a one-line error names a missing or invalid field", () => {
+  const valid = settingsText();
+  assertRefused(valid.replace(/^label.*$/m, ""), "label");
+  assertRefused(valid.replace(/^client_listen.*$/m, 'client_listen = "somewhere"'), "client_listen");
+  assertRefused(valid.replace(/^report_s.*$/m, 'report_s = "often"'), "deployment.workers.report_s");
+  assertRefused(valid.replace(/^txn_ops.*$/m, "txn_ops = 0"), "deployment.state.txn_ops");
+  assertRefused(valid.replace(/^cancel_s.*$/m, "cancel_s = 12.0"), "cancel_s");
   assertRefused("label = ", "TOML");
 });
 
@@ -53,20 +53,17 @@
     assert.ok(
       shardLeaseDuration(settings) + settings.workers.lease * 1.001 + 300_000 < settings.workers.cancellationBound,
     );
-    // With a start command that was in flight when the leader's lease expired.
-    const {
-      shardLease: right,
-      startCommand: start,
-      workerLease,
-      total,
-      left,
-    } = cancellationTerms(settings.workers, shardLeaseDuration(settings));
-    assert.equal(right + start + workerLease, total);
-    assert.ok(start >= 1_800_000 && workerLease > settings.workers.lease);
+    // Including a start command that was in flight when the shard lease expired.
+    const { shardLease, startCommand, workerLease, total, left } = cancellationTerms(
+      settings.workers,
+      shardLeaseDuration(settings),
+    );
+    assert.equal(shardLease + startCommand + workerLease, total);
+    assert.ok(startCommand >= 1_800_000 && workerLease > settings.workers.lease);
     assert.equal(total + left, settings.workers.cancellationBound);
     assert.ok(left > 0, `${lease} of ${cancel}: ${left}`);
   }
-  // Accepted before, although a delayed start command could arrive after what was left of `cancel_s`.
+  // Was once accepted, although a delayed start command could arrive later than `cancel_s` allows.
   assertRefused(withWorkerTimes(3, 5), "deployment.workers.cancel_s");
   assertRefused(withWorkerTimes(20, 22), "deployment.workers.cancel_s");
 });
@@ -86,7 +83,7 @@
   }
 });
 
-test("the interpreted schema of the options accepts and refuses as the compiled one does", async () => {
+test("the interpreted and the compiled schema of the options accept the same values", async () => {
   const file = join(mkdtempSync(join(tmpdir(), "rainridge-")), "options.json");
   const compiled = new Ajv().compile(optionsSchema);
   const record = { folder: "traces", fileMb: 1, files: 2 };
@@ -132,7 +129,7 @@
   }
 });
 
-test("an error of settings has a code and keeps its cause", async () => {
+test("a settings error has a code and its cause", async () => {
   const missing = join(mkdtempSync(join(tmpdir(), "rainridge-")), "missing");
   const hasCause = (error: unknown): boolean =>
     error instanceof SettingsError && error.code === "SETTINGS_INVALID" && error.cause instanceof Error;
