--- a/src/mesh/errors.ts
+++ b/src/mesh/errors.ts
@@ -1,7 +1,7 @@
-/** Errors of the mesh. */
+/** Errors thrown by the mesh. */
 import { RainridgeError } from "../transport/errors.js";
 
-/** Bytes that are no frame. The connection they came over cannot be read any further and is to be closed. */
+/** Received bytes do not form a valid frame. The connection cannot be read any further and must be closed. */
 export class MalformedFrameError extends RainridgeError {
   readonly code = "MALFORMED_FRAME";
 }
--- a/src/mesh/frame-codec.ts
+++ b/src/mesh/frame-codec.ts
@@ -1,7 +1,7 @@
 /**
- * Form of frames on the wire: a 32-bit length (of what follows), a version, a type and the type's fields. All numbers are
- * unsigned and big-endian, texts are UTF-8 behind a 32-bit length. Unknown types are skipped, and so are bytes behind the
- * fields that a version knows: a newer controller may add some.
+ * Binary encoding of frames: a 32-bit length (of everything after it), a version, a type and the fields of that type.
+ * All numbers are unsigned and big-endian; strings are UTF-8 with a 32-bit length prefix. Unknown frame types are
+ * skipped, and so are bytes after the known fields, since a newer controller may add fields.
  */
 import type { HttpOutcome } from "../transport/http.js";
 import { MalformedFrameError } from "./errors.js";
@@ -14,24 +14,24 @@
   type RelayResponseFrame,
 } from "./frames.js";
 
-/** Version that is written; later versions only add fields, and any other change takes a new type of frame. */
+/** Version of encoded frames. Later versions only add fields; any other change requires a new frame type. */
 const FRAME_VERSION = 1;
 const MIN_FRAME_VERSION = 1;
-/** Largest frame that is read, in bytes without its length; a watch's answer may be large. */
+/** Largest frame accepted, in bytes after the length field; the response to a watch may be large. */
 export const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 const LENGTH_BYTES = 4;
-/** Length, version and type. */
+/** Length, version and type fields. */
 const FRAME_HEADER_BYTES = 6;
-/** The part of the header that the length covers. */
+/** The part of the header that the length field counts: version and type. */
 const MIN_FRAME_LENGTH = FRAME_HEADER_BYTES - LENGTH_BYTES;
 
 const FRAME_TYPE_CODES = { hello: 1, heartbeat: 2, "relay-request": 3, "relay-response": 4 } as const;
-/** Kinds of outcome by their code on the wire. */
+/** Outcome kinds, indexed by their code on the wire. */
 const OUTCOME_KINDS = ["unsent", "lost", "answer"] as const;
-/** Written where an answer has no `Retry-After`. */
+/** Encoded when the response has no `Retry-After`. */
 const NO_RETRY_AFTER = MAX_UINT32;
 
-/** Collects the fields of one frame. */
+/** Encodes the fields of one frame. */
 class FrameWriter {
   private readonly parts: Buffer[] = [];
 
@@ -40,7 +40,7 @@
     return this;
   }
 
-  /** Rounded down, and kept between 0 and the largest 32-bit number. */
+  /** Rounds down and clamps to the range 0 to `MAX_UINT32`. */
   uint32(value: number): this {
     const part = Buffer.alloc(4);
     part.writeUInt32BE(Math.max(0, Math.min(MAX_UINT32, Math.floor(value))));
@@ -55,7 +55,7 @@
     return this;
   }
 
-  /** The whole frame, header included. */
+  /** The complete frame, header included. */
   finish(typeCode: number): Buffer {
     const body = Buffer.concat(this.parts);
     const header = Buffer.alloc(FRAME_HEADER_BYTES);
@@ -66,7 +66,7 @@
   }
 }
 
-/** Reads the fields of one frame in order. Throws MalformedFrameError where the frame is too short. */
+/** Decodes the fields of one frame in order. Throws MalformedFrameError if the frame ends within a field. */
 class FieldReader {
   private offset = 0;
 
@@ -154,7 +154,7 @@
   return { type: "relay-response", id, outcome };
 };
 
-/** Bytes of a frame, header included. */
+/** Encodes a frame, header included. */
 export const encodeFrame = (frame: MeshFrame): Buffer => {
   const writer = new FrameWriter();
   switch (frame.type) {
@@ -173,9 +173,9 @@
   return writer.finish(FRAME_TYPE_CODES[frame.type]);
 };
 
-/** Null: a type that is not known here. Throws MalformedFrameError. */
+/** Null: unknown frame type. Throws MalformedFrameError. */
 const decodeFrame = (version: number, typeCode: number, body: Buffer): MeshFrame | null => {
-  if (version < MIN_FRAME_VERSION) throw new MalformedFrameError(`version ${version}`);
+  if (version < MIN_FRAME_VERSION) throw new MalformedFrameError(`unsupported frame version ${version}`);
   const reader = new FieldReader(body);
   switch (typeCode) {
     case FRAME_TYPE_CODES.hello:
@@ -191,19 +191,20 @@
   }
 };
 
-/** Takes the bytes of one connection as they come and gives whole frames. */
+/** Splits the byte stream of one connection into frames. */
 export class FrameDecoder {
   private pendingParts: Buffer[] = [];
   private pendingBytes = 0;
 
-  /** The frames that `data` completes, in order. Throws MalformedFrameError, after which the connection is to be closed. */
+  /** Frames completed by `data`, in order. Throws MalformedFrameError, after which the connection must be closed. */
   decode(data: Buffer): MeshFrame[] {
     this.pendingParts.push(data);
     this.pendingBytes += data.length;
     const frames: MeshFrame[] = [];
     while (this.pendingBytes >= LENGTH_BYTES) {
       const length = this.concatFirst(LENGTH_BYTES).readUInt32BE(0);
-      if (length < MIN_FRAME_LENGTH || length > MAX_FRAME_BYTES) throw new MalformedFrameError(`length ${length}`);
+      if (length < MIN_FRAME_LENGTH || length > MAX_FRAME_BYTES)
+        throw new MalformedFrameError(`invalid frame length: ${length} bytes`);
       if (this.pendingBytes < length + LENGTH_BYTES) break;
       const frame = this.takeFrame(length + LENGTH_BYTES);
       if (frame !== null) frames.push(frame);
@@ -222,7 +223,7 @@
     return frame;
   }
 
-  /** A buffer of at least so many bytes. Joins only where that is needed: a large frame comes in hundreds of parts. */
+  /** A buffer of at least the first `bytes` bytes. Concatenates only if needed: a large frame has hundreds of parts. */
   private concatFirst(bytes: number): Buffer {
     const [first] = this.pendingParts;
     if (first !== undefined && first.length >= bytes) return first;
--- a/src/mesh/frame-connection.ts
+++ b/src/mesh/frame-connection.ts
@@ -1,23 +1,23 @@
-/** What the mesh needs of a network: ordered byte connections between controllers, over TCP or simulated. */
+/** Network interface of the mesh: ordered byte streams between controllers, over TCP or simulated. */
 
-/** A connection that carries bytes in order until it ends. */
+/** A connection that carries bytes in order until it is closed. */
 export interface FrameConnection {
-  /** False: not all of it has left yet, and nothing more is to be written before `onDrain`. */
+  /** False: the data is still buffered, and the caller must not write more before `onDrain`. */
   write(data: Buffer): boolean;
-  /** Ends it on this side; `onClosed` is not called. */
+  /** Closes the connection from this side; `onClosed` is not called. */
   close(): void;
-  /** Called with bytes from the other side. */
+  /** Called with bytes received from the other side. */
   onData: (data: Buffer) => void;
-  /** Called when more may be written. */
+  /** Called when the write buffer has drained and writing may resume. */
   onDrain: () => void;
-  /** Called when the other side has closed it, it broke, or it never came about. */
+  /** Called when the other side has closed the connection, or it has failed or could not be established. */
   onClosed: () => void;
 }
 
 /** Opens and accepts connections between controllers. */
 export interface FrameTransport {
-  /** Never throws; a connection that does not come about is closed. */
+  /** Never throws; a connection that cannot be established is reported through `onClosed`. */
   connect(address: string): FrameConnection;
-  /** Accepts connections from here on. Never throws. */
+  /** Starts to accept connections. Never throws. */
   listen(onConnection: (connection: FrameConnection) => void): void;
 }
--- a/src/mesh/frames.ts
+++ b/src/mesh/frames.ts
@@ -1,21 +1,21 @@
-/** Messages between controllers, as they are held in memory; `frame-codec.ts` has their form on the wire. */
+/** Messages between controllers, in memory; `frame-codec.ts` defines their encoding on the wire. */
 import type { HttpOutcome, HttpRequest } from "../transport/http.js";
 
-/** State of a controller, sent to every peer several times a second. Ages are in milliseconds. */
+/** State of a controller, sent to every peer once per `HEARTBEAT_PERIOD`. Ages are in milliseconds. */
 export interface PeerHeartbeat {
-  /** Grows by one a heartbeat; repeated and older ones are ignored. */
+  /** Incremented with each heartbeat; duplicate and older heartbeats are ignored. */
   readonly sequence: number;
   /** 0 (normal) to 3 (saturated). */
   readonly loadLevel: number;
-  /** Since the key-value store last answered over the direct link; `AGE_NEVER`: it does not answer. */
+  /** Since the key-value store's last response over the direct link; `AGE_NEVER`: none yet, or the link is failing. */
   readonly storeAgeMs: number;
-  /** Since the cloud last answered over the direct link; `AGE_NEVER`: it does not answer. */
+  /** Since the cloud's last response over the direct link; `AGE_NEVER`: none yet, or the link is failing. */
   readonly cloudAgeMs: number;
-  /** Leads a shard with machines, and receives no worker heartbeat over a direct link. */
+  /** The sender leads a shard with machines and receives no worker heartbeats over direct links. */
   readonly cutOffFromWorkers: boolean;
 }
 
-/** First frame on each connection, in both directions: whose connection it is. */
+/** First frame on each connection, in both directions: identifies the sender. */
 export interface HelloFrame {
   readonly type: "hello";
   readonly label: string;
@@ -28,12 +28,12 @@
   readonly heartbeat: PeerHeartbeat;
 }
 
-/** Asks a peer to call an address and to return the outcome. */
+/** Requests that a peer call an address and return the outcome. */
 export interface RelayRequestFrame {
   readonly type: "relay-request";
-  /** Chosen by the sender, and repeated in the response. */
+  /** Chosen by the sender and copied into the response. */
   readonly id: number;
-  /** `host:port`; empty: the request is for the peer itself, which handles it as one of its own. */
+  /** `host:port`; empty: a worker's heartbeat, which the peer itself handles. */
   readonly address: string;
   readonly timeoutMs: number;
   readonly request: HttpRequest;
@@ -46,14 +46,14 @@
   readonly outcome: HttpOutcome;
 }
 
-/** Frames about relayed calls. */
+/** Frames of relayed calls. */
 export type RelayFrame = RelayRequestFrame | RelayResponseFrame;
 
 /** Any message between two controllers. */
 export type MeshFrame = HelloFrame | HeartbeatFrame | RelayFrame;
 
-/** Largest 32-bit number, and so the bound of all numbers in frames. */
+/** Largest unsigned 32-bit integer, the upper bound of all numbers in frames. */
 export const MAX_UINT32 = 0xffff_ffff;
 
-/** Age of something that has never happened, or no longer does. */
+/** Age value for a service that has not responded yet or whose link is failing. */
 export const AGE_NEVER = MAX_UINT32;
--- a/src/mesh/heartbeat-forwarder.ts
+++ b/src/mesh/heartbeat-forwarder.ts
@@ -1,16 +1,16 @@
-/** Passes workers' heartbeats on to a shard leader that they cannot reach. */
+/** Forwards workers' heartbeats to a shard leader that they cannot reach directly. */
 import { type Clock, type Micros, ms, seconds } from "../transport/clock.js";
 import type { HttpRequest, HttpResponse } from "../transport/http.js";
 import type { PeerRegistry } from "./peer-registry.js";
 import type { RelayClient } from "./relay-client.js";
 import type { RelayStatistics } from "./relay-statistics.js";
 
-/** One worker so often is redirected to its leader after all, so that the leader learns when its link works again. */
+/** Once per period one worker is redirected to the leader anyway, so that a restored direct link is detected. */
 const REDIRECT_PERIOD = seconds(4);
 const FORWARD_TIMEOUT = ms(2_500);
 const STATUS_OK = 200;
 
-/** What the forwarder needs. */
+/** Dependencies of the forwarder. */
 export interface HeartbeatForwarderOptions {
   readonly clock: Clock;
   readonly peers: PeerRegistry;
@@ -18,13 +18,16 @@
   readonly statistics: RelayStatistics;
 }
 
-/** Forwards only to a leader that says it is cut off from its workers. */
+/** Forwards only to a leader whose heartbeat reports that it is cut off from its workers. */
 export class HeartbeatForwarder {
   private lastRedirectAt = 0 as Micros;
 
   constructor(private readonly options: HeartbeatForwarderOptions) {}
 
-  /** The leader's response to a worker's heartbeat that came here; null: redirect the worker to the leader. */
+  /**
+   * Forwards a worker's heartbeat that was sent to this controller. The leader's response; null: redirect the worker to
+   * the leader.
+   */
   async forward(leader: string, request: HttpRequest): Promise<HttpResponse | null> {
     const { clock, peers, relayClient, statistics } = this.options;
     const peer = peers.get(leader);
--- a/src/mesh/heartbeat-loop.ts
+++ b/src/mesh/heartbeat-loop.ts
@@ -1,24 +1,24 @@
-/** The mesh's one periodic loop. */
+/** Periodic loop of the mesh, with detection of event-loop stalls. */
 import { type Clock, type Micros, seconds, type Timer } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
 import { LogEvent } from "./log-events.js";
 import { HEARTBEAT_PERIOD } from "./peer-liveness.js";
 
-/** Between two turns of the loop; beyond it the event loop has stalled. */
+/** A longer interval between two ticks counts as a stall of the event loop. */
 const MAX_TURN_INTERVAL = seconds(1.2);
 const MICROS_PER_MILLISECOND = 1_000;
 
-/** What the loop needs. */
+/** Dependencies of the loop. */
 export interface HeartbeatLoopOptions {
   readonly clock: Clock;
   readonly log: Log;
-  /** Called before `onTurn` if the event loop has stalled until `now`. */
+  /** Called before `onTurn` if the event loop was stalled until `now`. */
   readonly onStall: (now: Micros) => void;
-  /** Called once a heartbeat period. */
+  /** Called once per heartbeat period. */
   readonly onTurn: (now: Micros) => void;
 }
 
-/** Runs once a heartbeat period from `start` to `stop`. */
+/** Ticks once per heartbeat period between `start` and `stop`. */
 export class HeartbeatLoop {
   private lastTurnAt: Micros;
   private timer: Timer | null = null;
@@ -27,7 +27,7 @@
     this.lastTurnAt = options.clock.now();
   }
 
-  /** The first turn is run at once. */
+  /** Runs the first tick synchronously. */
   start(): void {
     this.runTurn();
   }
@@ -45,7 +45,7 @@
     this.timer = clock.after(HEARTBEAT_PERIOD, () => this.runTurn());
   }
 
-  /** After a stall every peer and worker seems silent until what has arrived meanwhile is read. */
+  /** After a stall every peer and worker seems silent until the messages received meanwhile have been processed. */
   private detectStall(now: Micros): void {
     const { log, onStall } = this.options;
     const interval = now - this.lastTurnAt;
--- a/src/mesh/incoming-handshake.ts
+++ b/src/mesh/incoming-handshake.ts
@@ -1,4 +1,4 @@
-/** Finds out whose a connection is that somebody has opened to this controller. */
+/** Identifies the peer behind an incoming connection. */
 import { type Clock, seconds } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
 import { MalformedFrameError } from "./errors.js";
@@ -7,20 +7,20 @@
 import { LogEvent } from "./log-events.js";
 import type { PeerConnection } from "./peer-connection.js";
 
-/** A connection whose first frame has not come by then is closed. */
+/** An incoming connection without a first frame is closed after this time. */
 const HELLO_TIMEOUT = seconds(3);
 
-/** What a handshake needs. */
+/** Dependencies of a handshake. */
 export interface IncomingHandshakeOptions {
   readonly clock: Clock;
   readonly log: Log;
-  /** The peer of this label; undefined: none that is to open connections to this controller. */
+  /** The peer with this label; undefined: no such peer, or it must not open connections to this controller. */
   readonly peerOf: (label: string) => PeerConnection | undefined;
 }
 
 /**
- * Hands the connection to the peer that its first frame, a hello, names. Closes it if that is none that may connect, or
- * if no hello comes within `HELLO_TIMEOUT`.
+ * Passes the connection to the peer named by its first frame, which must be a hello. Closes the connection if that peer
+ * may not connect, or if no frame is received within `HELLO_TIMEOUT`.
  */
 export const awaitHello = (connection: FrameConnection, { clock, log, peerOf }: IncomingHandshakeOptions): void => {
   const decoder = new FrameDecoder();
@@ -32,7 +32,8 @@
       if (first === undefined) return;
       timer.cancel();
       const peer = first.type === "hello" ? peerOf(first.label) : undefined;
-      if (peer === undefined) throw new MalformedFrameError("no hello of a peer that is to connect here");
+      if (peer === undefined)
+        throw new MalformedFrameError("first frame is not a hello from a peer that may connect to this controller");
       peer.accept(connection, rest);
     } catch (error) {
       if (!(error instanceof MalformedFrameError)) throw error;
--- a/src/mesh/index.ts
+++ b/src/mesh/index.ts
@@ -1,5 +1,5 @@
 /**
- * Connections between controllers: what each of them reaches, and calls through a peer where the direct link fails.
+ * Connections between controllers: link status of each, and calls relayed through a peer when the direct link fails.
  * @module
  */
 
--- a/src/mesh/link-change-log.ts
+++ b/src/mesh/link-change-log.ts
@@ -1,16 +1,16 @@
-/** Writes the table of links to the log when it has changed. */
+/** Logs the link table when it has changed. */
 import { type Micros, seconds } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
 import type { MeshLinkTable } from "./link-status.js";
 import { LogEvent } from "./log-events.js";
 
 /**
- * How long a change has to last. Peers' heartbeats lag by a period or two, for which an outage of a service looks like
- * the failure of one's own link.
+ * A change is logged once it has lasted this long. Peers' heartbeats lag by one or two periods, during which an outage
+ * of a service looks like a failure of this controller's own link.
  */
 const MIN_STABLE_TIME = seconds(1.2);
 
-/** One log line for each lasting change. */
+/** Writes one log line for each change that lasts `MIN_STABLE_TIME`. */
 export class LinkChangeLog {
   private logged = "";
   private current = "";
@@ -18,7 +18,7 @@
 
   constructor(private readonly log: Log) {}
 
-  /** Takes the table as it is at `now`. */
+  /** Compares the table at `now` with the one logged last. Must be called periodically. */
   update(table: MeshLinkTable, now: Micros): void {
     const text = JSON.stringify(table);
     if (text !== this.current) this.currentSince = now;
--- a/src/mesh/link-status.ts
+++ b/src/mesh/link-status.ts
@@ -1,24 +1,24 @@
-/** Status of a controller's links in the words that operators read in `/links` and in the log (docs/peer-links.md). */
+/** Status texts of a controller's links, as shown to operators in `/links` and in the log (docs/peer-links.md). */
 
 /** Status of the link to the key-value store or to the cloud. */
 export const LinkStatus = {
   Reachable: "reached",
-  /** No peer has an answer either: an outage, or no peer to tell. */
+  /** The link is failing and no usable peer reaches the service: an outage, or no peer to compare with. */
   UnreachableForAll: "away for everybody",
-  /** A peer reaches it, and relays calls. */
+  /** The link is failing, but a peer reaches the service and relays calls. */
   UnreachableFromHere: "away for me only",
-  /** Answers 503 to this controller, and a peer reaches it. */
+  /** The service responds with 503 to this controller, but a peer reaches it. */
   Refused: "refused to me",
-  /** Not called since the start. */
+  /** No response and no failure since the process started. */
   Unknown: "not asked yet",
 } as const;
 /** One of the texts of `LinkStatus`. */
 export type LinkStatus = (typeof LinkStatus)[keyof typeof LinkStatus];
 
-/** Status of the links to the workers whose shard is led here. */
+/** Status of the links to the workers of the shards led by this controller. */
 export const WorkerLinkStatus = {
   Reachable: "heard",
-  /** No worker's heartbeat comes over a direct link; they come through peers, and commands go that way. */
+  /** No worker heartbeat is received over a direct link; heartbeats and commands are relayed by peers. */
   CutOff: "cut off from me",
   NotLeader: "none held here",
 } as const;
@@ -30,11 +30,11 @@
 /** One of the texts of `PeerStatus`. */
 export type PeerStatus = (typeof PeerStatus)[keyof typeof PeerStatus];
 
-/** All links of one controller. Names and order of the fields are those of the answer to `/links`. */
+/** All links of one controller. Field names and their order are those of the `/links` response. */
 export interface MeshLinkTable {
   readonly state: LinkStatus;
   readonly cloud: LinkStatus;
   readonly workers: WorkerLinkStatus;
-  /** By label of the peer. */
+  /** Keyed by peer label. */
   readonly siblings: Readonly<Record<string, PeerStatus>>;
 }
--- a/src/mesh/log-events.ts
+++ b/src/mesh/log-events.ts
@@ -1,21 +1,21 @@
-/** Events that the mesh writes to the log: the one list of their texts, each "subject verb". */
+/** Log events of the mesh: the only list of their texts, each of the form "subject verb". */
 
 /** Texts of the mesh's log events. */
 export const LogEvent = {
-  /** The process had no turn for more than a second. */
+  /** The event loop did not run the mesh's periodic loop for more than a second. */
   EventLoopStalled: "event loop stalled",
-  /** Bytes from a peer, or from whoever connected to `mesh_addr`, are no frame that is expected there. */
+  /** Bytes from a peer, or from an unidentified client of `mesh_addr`, are not a valid or expected frame. */
   FrameMalformed: "frame malformed",
-  /** What this controller reaches has changed, and the change has lasted. */
+  /** The link table has changed, and the change has lasted. */
   LinksChanged: "links changed",
-  /** `mesh_addr` cannot be listened on; the service goes on without incoming connections of peers. */
+  /** Listening on `mesh_addr` failed; the controller runs without incoming peer connections. */
   ListenFailed: "listen failed",
-  /** Counts of relayed calls since the last such line. */
+  /** Counts of relayed calls since the previous summary. */
   MeshSummarized: "mesh summarized",
   PeerConnected: "peer connected",
   PeerDisconnected: "peer disconnected",
-  /** No heartbeat of a peer for so long that its connection is given up. */
+  /** No heartbeat from a peer for so long that its connection is closed. */
   PeerSilent: "peer silent",
-  /** A call for a peer ended in an error of this process. */
+  /** A call relayed for a peer failed with an internal error. */
   RelayFailed: "relay failed",
 } as const;
--- a/src/mesh/mesh-factory.ts
+++ b/src/mesh/mesh-factory.ts
@@ -1,9 +1,9 @@
-/** Makes a controller's mesh from its settings. */
+/** Creates a controller's mesh from its settings. */
 import type { Micros } from "../transport/clock.js";
 import { Mesh, type MeshOptions } from "./mesh.js";
 import type { MeshMember } from "./peer-registry.js";
 
-/** The part of a controller's settings that the mesh needs. */
+/** Controller settings used by the mesh. */
 export interface MeshSettings {
   readonly label: string;
   readonly peers: readonly MeshMember[];
@@ -12,16 +12,16 @@
   readonly workers: { readonly heartbeatInterval: Micros };
 }
 
-/** What is there before the controller. */
+/** Dependencies of the mesh that exist before the controller is constructed. */
 export interface MeshEnvironment
   extends Pick<MeshOptions, "clock" | "log" | "http" | "random" | "transport" | "incarnation"> {
   readonly settings: MeshSettings;
 }
 
-/** What the mesh asks of the controller. */
+/** Callbacks that the controller provides to the mesh. */
 export type MeshCallbacks = Pick<MeshOptions, "loadLevel" | "leadership" | "handleHeartbeat">;
 
-/** The mesh of one controller, made when the controller is. */
+/** Returns a factory with which the controller constructs its mesh, once it can provide the callbacks. */
 export const createMeshFactory =
   ({ settings, ...environment }: MeshEnvironment) =>
   (callbacks: MeshCallbacks): Mesh => {
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -1,4 +1,4 @@
-/** Connections of one controller to all others, and calls through them where its own links fail. */
+/** Connections of one controller to all others, and calls relayed through them when its own links fail. */
 import type { Micros } from "../transport/clock.js";
 import type { HttpClient, HttpRequest, HttpResponse } from "../transport/http.js";
 import type { PeerHeartbeat } from "./frames.js";
@@ -16,7 +16,7 @@
 import { UpstreamLinkMonitor, type UpstreamLinkMonitorOptions } from "./upstream-link-monitor.js";
 import { WorkerPathMonitor, type WorkerPathMonitorOptions } from "./worker-path-monitor.js";
 
-/** What a mesh needs. */
+/** Settings, dependencies and callbacks of a mesh. */
 export interface MeshOptions
   extends PeerRegistryOptions,
     UpstreamLinkMonitorOptions,
@@ -24,12 +24,12 @@
     Pick<RelayServerOptions, "loadLevel" | "handleHeartbeat"> {}
 
 /**
- * The mesh of one controller. No rule of the scheduler depends on it: a relayed call is the caller's own, sent over
- * another route. Its lease counts from before the call left here, and a call that arrives late or twice is one of the
- * protocol's delayed messages.
+ * The mesh of one controller. The scheduler's safety does not depend on it: a relayed call is the caller's own call
+ * over another route. A lease is counted from before the call was sent, and the protocol already tolerates calls that
+ * arrive late or twice.
  */
 export class Mesh {
-  /** For all calls of this controller: over the direct link, or through a peer where that link fails. */
+  /** For all calls of this controller: uses the direct link, or a peer when that link fails. */
   readonly client: HttpClient;
   private readonly links: UpstreamLinkMonitor;
   private readonly workerPath: WorkerPathMonitor;
@@ -81,37 +81,37 @@
     });
   }
 
-  /** Opens and accepts connections, and sends heartbeats from here on. */
+  /** Starts to open and accept connections and to send heartbeats. */
   start(): void {
     this.peers.start();
     this.loop.start();
   }
 
-  /** Sends no more heartbeats and closes all connections; calls that peers were asked for count as lost. */
+  /** Stops heartbeats and closes all connections; pending relayed calls end as `lost`. */
   stop(): void {
     this.loop.stop();
     this.peers.stop();
   }
 
-  /** When the workers were last found to be cut off from here, or reachable again; null: never. */
+  /** When the workers were last detected as cut off from this controller, or as reachable again; null: never. */
   get workerPathChangedAt(): Micros | null {
     return this.workerPath.changedAt;
   }
 
-  /** The heartbeat of a worker that is led here has come over a direct link. */
+  /** Records a worker heartbeat received over a direct link, for a shard led by this controller. */
   recordDirectHeartbeat(address: string): void {
     this.workerPath.recordDirectHeartbeat();
     this.relayedWorkers.forget(address);
   }
 
-  /** The heartbeat of a worker that is led here has come through a peer: the worker is called that way as well. */
+  /** Records a worker heartbeat relayed by a peer, for a shard led here: calls to the worker use that peer as well. */
   recordRelayedHeartbeat(address: string, peer: string): void {
     this.relayedWorkers.record(address, peer);
   }
 
   /**
-   * The leader's response to a worker's heartbeat that came here, if the leader is cut off from its workers; null:
-   * redirect the worker to the leader.
+   * Forwards a worker's heartbeat that was sent to this controller, if the shard leader is cut off from its workers.
+   * The leader's response; null: redirect the worker to the leader.
    */
   relayHeartbeat(leader: string, request: HttpRequest): Promise<HttpResponse | null> {
     return this.forwarder.forward(leader, request);
--- a/src/mesh/peer-connection.ts
+++ b/src/mesh/peer-connection.ts
@@ -1,4 +1,4 @@
-/** The one connection to a peer, kept open. */
+/** The single connection to a peer, reopened when it ends. */
 import { type Clock, seconds, type Timer } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
 import { MalformedFrameError } from "./errors.js";
@@ -10,17 +10,17 @@
 import { ReconnectTimer } from "./reconnect-timer.js";
 import { SendQueue } from "./send-queue.js";
 
-/** A connection without a heartbeat for so long from its beginning is given up. */
+/** A new connection without a heartbeat is closed after this time. */
 const FIRST_HEARTBEAT_TIMEOUT = seconds(4);
 
-/** Receives what comes from a peer. */
+/** Receives the frames of a peer and the end of its connection. */
 export interface PeerConnectionListener {
   onFrame(frame: RelayFrame): void;
-  /** The connection has ended: what was requested over it may have been executed. */
+  /** The connection has ended; requests sent over it may have been executed. */
   onClosed(): void;
 }
 
-/** What the connection to one peer needs. */
+/** Settings and dependencies of the connection to one peer. */
 export interface PeerConnectionOptions {
   readonly clock: Clock;
   readonly log: Log;
@@ -31,20 +31,20 @@
   readonly label: string;
   /** `host:port` of the peer. */
   readonly address: string;
-  /** Opens the connection, rather than wait for the peer to do so. */
+  /** Whether this controller opens the connection rather than waiting for the peer to do so. */
   readonly initiates: boolean;
-  /** Sent first on each connection. */
+  /** First frame sent on each connection. */
   readonly hello: HelloFrame;
   readonly listener: PeerConnectionListener;
 }
 
-/** Of two controllers, one opens the connection, and opens it again whenever it ends. */
+/** Connection to one peer. Of two controllers, one opens the connection and reopens it whenever it ends. */
 export class PeerConnection {
   private readonly queue = new SendQueue();
   private readonly reconnectTimer: ReconnectTimer;
   private firstHeartbeatTimer: Timer | null = null;
   private connection: FrameConnection | null = null;
-  /** The other side has said that it is this peer. */
+  /** The hello of this peer has been received on the connection. */
   private identified = false;
   private stopped = false;
   readonly liveness = new PeerLiveness();
@@ -57,13 +57,13 @@
     if (this.options.initiates) this.connect();
   }
 
-  /** Closes the connection and opens or accepts no more. */
+  /** Closes the connection; none is opened or accepted afterwards. */
   stop(): void {
     this.stopped = true;
     this.detach();
   }
 
-  /** Takes over a connection on which the peer has said who it is, with the frames that came behind; closes an older one. */
+  /** Replaces any existing connection by an incoming one on which the peer's hello, then `frames`, were received. */
   accept(connection: FrameConnection, frames: readonly MeshFrame[]): void {
     if (this.stopped) {
       connection.close();
@@ -75,12 +75,12 @@
     for (const frame of frames) this.receive(frame);
   }
 
-  /** Connected, with heartbeats recent enough to rely on the peer. */
+  /** Whether the peer is connected and its heartbeats are recent enough for relaying. */
   isUsable(now: number): boolean {
     return this.connection !== null && this.identified && this.liveness.isAlive(now);
   }
 
-  /** False: nothing of the frame will be sent. */
+  /** False: no part of the frame will be sent, since the peer is not connected or the send queue is full. */
   send(frame: MeshFrame): boolean {
     if (this.connection === null || !this.identified) return false;
     if (!this.queue.push(frame.type, encodeFrame(frame))) return false;
@@ -88,7 +88,7 @@
     return true;
   }
 
-  /** To be called once a heartbeat period. */
+  /** Must be called once per heartbeat period. */
   closeIfSilent(now: number): void {
     if (this.connection === null || !this.identified || !this.liveness.isSilent(now)) return;
     this.options.log.info(LogEvent.PeerSilent, { peer: this.options.label });
@@ -137,7 +137,7 @@
     const { clock, log, label, listener } = this.options;
     if (frame.type === "hello") {
       if (frame.label !== label) {
-        this.closeMalformed(`hello of ${frame.label}`);
+        this.closeMalformed(`hello from ${frame.label}, expected ${label}`);
         return;
       }
       this.identified = true;
--- a/src/mesh/peer-registry.ts
+++ b/src/mesh/peer-registry.ts
@@ -1,4 +1,4 @@
-/** The connections to all peers, by label. */
+/** The connections to all peers, keyed by label. */
 import type { Clock, Micros } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
 import type { FrameTransport } from "./frame-connection.js";
@@ -8,14 +8,14 @@
 import { PeerConnection } from "./peer-connection.js";
 import type { PeerSnapshot } from "./relay-route.js";
 
-/** A controller of the deployment. */
+/** A controller of the deployment, as configured. */
 export interface MeshMember {
   readonly label: string;
-  /** `host:port` of its mesh. */
+  /** `host:port` on which it accepts peer connections. */
   readonly address: string;
 }
 
-/** What the registry needs. */
+/** Settings and dependencies of the registry. */
 export interface PeerRegistryOptions {
   readonly clock: Clock;
   readonly log: Log;
@@ -28,7 +28,7 @@
   readonly peers: readonly MeshMember[];
 }
 
-/** Receives what comes from the peers. */
+/** Receives the frames of all peers and the end of their connections. */
 export interface PeerListener {
   onFrame(peer: string, frame: RelayFrame): void;
   /** The connection to the peer has ended. */
@@ -53,17 +53,17 @@
     for (const peer of this.peers.values()) peer.start();
   }
 
-  /** Closes all connections for good. The transport is closed by whoever opened it. */
+  /** Closes all connections permanently. The transport is left open: its owner closes it. */
   stop(): void {
     for (const peer of this.peers.values()) peer.stop();
   }
 
-  /** Undefined: no controller of this label is configured. */
+  /** Undefined: no peer with this label is configured. */
   get(label: string): PeerConnection | undefined {
     return this.peers.get(label);
   }
 
-  /** All peers as they are now, in the order of the settings. */
+  /** Current state of all peers, in the order of the settings. */
   snapshots(): PeerSnapshot[] {
     const now = this.options.clock.now();
     return [...this.peers].map(([label, peer]) => ({
@@ -74,7 +74,7 @@
     }));
   }
 
-  /** Status of each connection, by label. */
+  /** Status of each connection, keyed by peer label. */
   statuses(): Record<string, PeerStatus> {
     const now = this.options.clock.now();
     return Object.fromEntries(
@@ -85,7 +85,7 @@
     );
   }
 
-  /** Gives up silent peers, and sends the heartbeat to all others that are connected. */
+  /** Closes connections to silent peers, and sends the heartbeat to all connected peers. */
   broadcast(heartbeat: PeerHeartbeat, now: Micros): void {
     for (const peer of this.peers.values()) {
       peer.closeIfSilent(now);
@@ -112,7 +112,7 @@
     });
   }
 
-  /** Only peers that are to open the connection, so that two connections do not replace each other in turn. */
+  /** Only peers that must open the connection, since otherwise connections opened by both sides replace each other. */
   private connectingPeer(label: string): PeerConnection | undefined {
     return label < this.options.label ? this.peers.get(label) : undefined;
   }
--- a/src/mesh/phi-accrual-detector.ts
+++ b/src/mesh/phi-accrual-detector.ts
@@ -1,23 +1,23 @@
 /**
  * Accrual failure detection (Hayashibara et al., "The phi accrual failure detector", SRDS 2004). Times are in
- * microseconds of this process's steady clock.
+ * microseconds of this process's monotonic clock.
  */
 import { cumulativeStdNormalProbability, mean, standardDeviation } from "simple-statistics";
 
-/** Latest intervals between heartbeats that are kept. */
+/** Size of the sliding window of intervals between heartbeats. */
 const MAX_INTERVALS = 50;
-/** With fewer intervals the expected one stands for their mean. */
+/** With fewer intervals, the configured expected interval is used instead of their mean. */
 const MIN_INTERVALS = 4;
-/** An interval counts as at most so many expected ones: a silence that is over says nothing of regularity otherwise. */
+/** Cap of an interval, in expected intervals, so that one past outage does not dominate mean and deviation. */
 const MAX_INTERVAL_FACTOR = 4;
-/** Least standard deviation, as a share of the expected interval: heartbeats also wait for a busy processor. */
+/** Minimum standard deviation, as a share of the expected interval: heartbeats are also delayed by a busy CPU. */
 const MIN_DEVIATION_SHARE = 0.5;
-/** Above so many standard deviations the tail of the distribution is approximated. */
+/** From this many standard deviations on, the tail of the normal distribution is approximated. */
 const MAX_TABLE_Z = 3;
 
 /**
- * How surprising the present silence of a peer is, given how regularly its heartbeats came before: a phi of 1 is
- * exceeded by one in ten such silences of a healthy peer, a phi of 8 by one in a hundred million.
+ * Suspicion (phi) that a peer has failed, from the time since its last heartbeat and the distribution of earlier
+ * intervals. A healthy peer exceeds a phi of 1 in one of ten intervals, and a phi of 8 in one of a hundred million.
  */
 export class PhiAccrualDetector {
   private readonly intervals: number[] = [];
@@ -25,7 +25,7 @@
 
   constructor(private readonly expectedIntervalUs: number) {}
 
-  /** A heartbeat has come at `now`. */
+  /** Records a heartbeat received at `now`. */
   recordHeartbeat(now: number): void {
     if (this.lastHeartbeatAt !== null) {
       const interval = now - this.lastHeartbeatAt;
@@ -35,7 +35,7 @@
     this.lastHeartbeatAt = now;
   }
 
-  /** Forgets all heartbeats: those of an earlier connection say nothing of a new one. */
+  /** Discards all heartbeats: the intervals of an earlier connection do not apply to a new one. */
   reset(): void {
     this.intervals.length = 0;
     this.lastHeartbeatAt = null;
@@ -50,7 +50,7 @@
     const deviation = Math.max(observedDeviation, this.expectedIntervalUs * MIN_DEVIATION_SHARE);
     const zScore = (now - this.lastHeartbeatAt - expected) / deviation;
     if (zScore < MAX_TABLE_Z) return -Math.log10(1 - cumulativeStdNormalProbability(zScore));
-    // The library's table ends at 3.09, beyond which phi would not grow any further.
+    // The library's table ends at 3.09 standard deviations, beyond which phi would stay constant.
     return (zScore * zScore * Math.LOG10E) / 2 + Math.log10(zScore * Math.sqrt(2 * Math.PI));
   }
 }
--- a/src/mesh/relay-client.ts
+++ b/src/mesh/relay-client.ts
@@ -1,4 +1,4 @@
-/** Requests to peers to make a call, and their responses. */
+/** Sends relay requests to peers and matches their responses. */
 import type { Clock, Micros, Timer } from "../transport/clock.js";
 import type { HttpOutcome, HttpRequest } from "../transport/http.js";
 import { RELAY_ALLOWANCE } from "../transport/timeouts.js";
@@ -7,12 +7,12 @@
 
 const MICROS_PER_MILLISECOND = 1_000;
 
-/** A call that a peer is to make. */
+/** A call to be made by a peer. */
 export interface RelayedCall {
-  /** `host:port`; empty: the request is for the peer itself. */
+  /** `host:port`; empty: a worker's heartbeat, which the peer itself handles. */
   readonly address: string;
   readonly request: HttpRequest;
-  /** For the call itself; the relay may take `RELAY_ALLOWANCE` beyond it. */
+  /** Time limit of the call itself, without the additional `RELAY_ALLOWANCE` for the relay. */
   readonly timeout: Micros;
 }
 
@@ -21,7 +21,7 @@
   readonly settle: (outcome: HttpOutcome) => void;
 }
 
-/** Matches responses to requests, and gives up those that get none. */
+/** Matches relay responses to pending requests; requests without a response time out as `lost`. */
 export class RelayClient {
   private readonly pending = new Map<number, PendingRelay>();
   private nextId = 1;
@@ -29,8 +29,8 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * The outcome of a call that the peer of this label makes. Never rejects. `unsent`: the request has not left; `lost`:
-   * the call may have been executed, or may yet be.
+   * Outcome of a call made by `peer`, whose label is `label`. Never rejects. `unsent`: the call was not sent; `lost`:
+   * the call may have been executed, or may still be.
    */
   call(label: string, peer: PeerConnection, { address, request, timeout }: RelayedCall): Promise<HttpOutcome> {
     const id = this.nextId;
@@ -50,13 +50,13 @@
     });
   }
 
-  /** Takes a response; one that comes late, twice or from another peer is ignored. */
+  /** Handles a relay response; late and duplicate responses, and those from another peer, are ignored. */
   receive(peer: string, { id, outcome }: RelayResponseFrame): void {
     const pending = this.pending.get(id);
     if (pending?.peer === peer) pending.settle(outcome);
   }
 
-  /** The connection to the peer has ended: what it was asked may have been executed. */
+  /** The connection to the peer has ended: its pending calls end as `lost`, since they may have been executed. */
   failAll(peer: string): void {
     for (const pending of [...this.pending.values()]) if (pending.peer === peer) pending.settle({ kind: "lost" });
   }
--- a/src/mesh/relay-route.ts
+++ b/src/mesh/relay-route.ts
@@ -1,37 +1,37 @@
-/** Decides whether a call goes over the direct link or through a peer, and through which one. Pure functions. */
+/** Route selection: whether a call uses the direct link or a peer, and which peer. Pure functions. */
 import type { PeerHeartbeat } from "./frames.js";
 import { LinkStatus } from "./link-status.js";
 
 /** Services that every controller calls. */
 export type UpstreamService = "store" | "cloud";
 
-/** What a call is for. */
+/** Destination of a call. */
 export type CallTarget = UpstreamService | "worker";
 
-/** What is known of a peer at one moment. */
+/** State of a peer at one moment. */
 export interface PeerSnapshot {
   readonly label: string;
-  /** Connected, with heartbeats recent enough to rely on it. */
+  /** Connected, with heartbeats recent enough for relaying. */
   readonly usable: boolean;
-  /** Null: none on the present connection. */
+  /** Latest heartbeat; null: none yet on the current connection. */
   readonly heartbeat: PeerHeartbeat | null;
-  /** Suspicion by the accrual failure detector. */
+  /** Suspicion of the accrual failure detector. */
   readonly phi: number;
 }
 
 /** State of this controller's direct links at one moment. */
 export interface UpstreamLinks {
-  /** The latest call over the direct link failed. */
+  /** Whether the latest call over the direct link failed. */
   readonly failing: Readonly<Record<UpstreamService, boolean>>;
-  /** Leads a shard with machines, and receives no worker heartbeat over a direct link. */
+  /** This controller leads a shard with machines and receives no worker heartbeats over direct links. */
   readonly cutOffFromWorkers: boolean;
 }
 
-/** A peer reaches the key-value store if that answered it within this time, in milliseconds. */
+/** A peer reaches the key-value store if the store's last response to it is more recent than this. */
 const MAX_FRESH_AGE_MS = 2_500;
-/** The cloud is called less often. */
+/** As above for the cloud, which is called less often. */
 const MAX_FRESH_CLOUD_AGE_MS = MAX_FRESH_AGE_MS * 4;
-/** A peer at this load level gets no relayed calls. */
+/** No calls are relayed through a peer at this load level. */
 const SATURATED_LEVEL = 3;
 
 const isReachedBy = (target: CallTarget, { heartbeat }: PeerSnapshot): boolean => {
@@ -41,28 +41,28 @@
   return !heartbeat.cutOffFromWorkers;
 };
 
-/** Whether the direct link to a target works as far as is known. */
+/** Whether the direct link to a target is not known to fail. */
 const isLinkUp = (target: CallTarget, links: UpstreamLinks): boolean =>
   target === "worker" ? !links.cutOffFromWorkers : !links.failing[target];
 
 /**
- * Whether a call goes over the direct link whatever the peers' state: true for by far the most calls, for which no peer
- * has to be looked at. `relayPeer` as for `selectRelayPeer`.
+ * Whether a call uses the direct link regardless of the peers' state. True for nearly all calls, which are thus spared
+ * the inspection of the peers. `relayPeer` as for `selectRelayPeer`.
  */
 export const isDirectLinkUsable = (target: CallTarget, links: UpstreamLinks, relayPeer: string | null): boolean =>
   isLinkUp(target, links) && (target !== "worker" || relayPeer === null);
 
-/** Least loaded first, then least suspected, then by label. */
+/** Sort order of relay candidates: lowest load level, then lowest phi, then label. */
 const byPreference = (left: PeerSnapshot, right: PeerSnapshot): number =>
   (left.heartbeat?.loadLevel ?? 0) - (right.heartbeat?.loadLevel ?? 0) ||
   left.phi - right.phi ||
   (left.label < right.label ? -1 : 1);
 
 /**
- * Label of the peer that is to relay a call; null: use the direct link. A peer uses its own direct link only, so there
- * is one hop at most. If no peer reaches the target either, it is down for all and the direct link is as good as any.
+ * Label of the peer to relay a call through; null: use the direct link. A relaying peer uses only its own direct link,
+ * so a call takes at most one hop. If no peer reaches the target either, no route is better than the direct link.
  *
- * `relayPeer`: the peer that the worker's latest heartbeat came through; null: it came over the direct link.
+ * `relayPeer`: the peer that relayed the worker's latest heartbeat; null: it was received over the direct link.
  */
 export const selectRelayPeer = (
   target: CallTarget,
@@ -82,15 +82,15 @@
   return candidates[0]?.label ?? null;
 };
 
-/** History of the direct link to a service, as far as its status depends on it. */
+/** The part of a direct link's history that determines its status. */
 export interface LinkHistory {
-  /** It has answered at least once. */
+  /** The service has responded at least once. */
   readonly answered: boolean;
-  /** The latest call was answered with 503. */
+  /** The latest call failed with status 503. */
   readonly refused: boolean;
 }
 
-/** Status of the link to a service, told apart by what peers report. */
+/** Status of the link to a service; peers' heartbeats distinguish an outage from a failure of this link. */
 export const linkStatusOf = (
   target: UpstreamService,
   links: UpstreamLinks,
--- a/src/mesh/relay-server.ts
+++ b/src/mesh/relay-server.ts
@@ -1,4 +1,4 @@
-/** Makes calls that peers ask for. */
+/** Makes calls on behalf of peers. */
 import { ms } from "../transport/clock.js";
 import type { HttpClient, HttpOutcome, HttpRequest, HttpResponse } from "../transport/http.js";
 import type { Log } from "../transport/log.js";
@@ -8,12 +8,12 @@
 import type { RelayStatistics } from "./relay-statistics.js";
 import type { UpstreamLinkMonitor } from "./upstream-link-monitor.js";
 
-/** Calls made for peers at once, by this controller's load level: relayed work is shed before its own. */
+/** Maximum concurrent calls for peers, by this controller's load level: relayed work is shed before its own. */
 const MAX_RELAYED_CALLS = [256, 128, 48, 8] as const;
-/** Longest answer that is passed on, in bytes; a longer one counts as lost. */
+/** Largest response body that is relayed; a call with a larger one ends as `lost`. */
 const MAX_RELAYED_BODY_BYTES = MAX_FRAME_BYTES / 2;
 
-/** What the server needs. */
+/** Dependencies and callbacks of the server. */
 export interface RelayServerOptions {
   readonly log: Log;
   /** Calls over the direct link. */
@@ -22,17 +22,17 @@
   readonly statistics: RelayStatistics;
   /** 0 (normal) to 3 (saturated). */
   readonly loadLevel: () => number;
-  /** Handles a worker's heartbeat that came through the peer `relayPeer`. */
+  /** Handles a worker's heartbeat that was relayed by the peer `relayPeer`. */
   readonly handleHeartbeat: (request: HttpRequest, relayPeer: string) => Promise<HttpResponse>;
 }
 
-/** Bounded number of calls for peers, over direct links only. */
+/** Makes a bounded number of concurrent calls for peers, over direct links only. */
 export class RelayServer {
   private activeCalls = 0;
 
   constructor(private readonly options: RelayServerOptions) {}
 
-  /** Calls `respond` once, now or later. */
+  /** Calls `respond` exactly once, synchronously if the call is rejected. */
   handle(peer: string, frame: RelayRequestFrame, respond: (response: RelayResponseFrame) => void): void {
     const { id } = frame;
     const answer = (outcome: HttpOutcome): void =>
@@ -54,7 +54,7 @@
       });
   }
 
-  /** An answer is always one of the addressee: no outcome of another kind is turned into one. */
+  /** An outcome of kind `answer` is always a response of the addressee; no error of the relay is converted into one. */
   private async relay(peer: string, { address, request, timeoutMs }: RelayRequestFrame): Promise<HttpOutcome> {
     const { http, links, handleHeartbeat } = this.options;
     if (address !== "") {
--- a/src/mesh/relay-statistics.ts
+++ b/src/mesh/relay-statistics.ts
@@ -1,4 +1,4 @@
-/** Counts of relayed calls, for a line in the log every half minute. */
+/** Counts of relayed calls, written to the log once per `SUMMARY_PERIOD`. */
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
 import { type LatencyHistogram, LatencyHistograms } from "../transport/latency-histogram.js";
 import type { Log } from "../transport/log.js";
@@ -9,19 +9,19 @@
 const MICROS_PER_MILLISECOND = 1_000;
 
 const zeroCounts = () => ({
-  /** Calls that peers were asked to relay. */
+  /** Calls of this controller relayed through peers. */
   relayedCalls: 0,
-  /** Those of them without an answer. */
+  /** Those of them that ended without a response. */
   failedCalls: 0,
-  /** Workers' heartbeats that were forwarded to the shard's leader. */
+  /** Workers' heartbeats forwarded to the shard leader. */
   forwardedHeartbeats: 0,
   /** Calls relayed for peers. */
   servedCalls: 0,
-  /** Calls that peers asked for, and that were refused under load. */
+  /** Calls for peers that were rejected because of this controller's load. */
   rejectedCalls: 0,
 });
 
-/** Counts since the last line, and the durations of calls that peers relayed. */
+/** Counts since the previous summary, and durations of calls relayed through peers. */
 export class RelayStatistics {
   private counts = zeroCounts();
   private readonly histograms: LatencyHistograms;
@@ -37,7 +37,7 @@
     this.histograms = new LatencyHistograms(clock, log);
   }
 
-  /** A peer has relayed a call for this controller in `duration`. */
+  /** Records a call of this controller relayed through a peer. `answered`: it ended with a response. */
   recordCall(duration: Micros, answered: boolean): void {
     this.counts.relayedCalls += 1;
     if (!answered) this.counts.failedCalls += 1;
@@ -45,22 +45,22 @@
     this.durationsMs?.record(duration / MICROS_PER_MILLISECOND);
   }
 
-  /** A worker's heartbeat was forwarded to the shard's leader. */
+  /** Records a worker's heartbeat forwarded to the shard leader. */
   recordForwardedHeartbeat(): void {
     this.counts.forwardedHeartbeats += 1;
   }
 
-  /** A call is being made for a peer. */
+  /** Records a call accepted for a peer. */
   recordServedCall(): void {
     this.counts.servedCalls += 1;
   }
 
-  /** A call that a peer asked for was refused under load. */
+  /** Records a call for a peer that was rejected because of load. */
   recordRejectedCall(): void {
     this.counts.rejectedCalls += 1;
   }
 
-  /** Once a period: writes the counts to the log if anything was relayed, and starts anew. */
+  /** Once per `SUMMARY_PERIOD`: logs the counts if anything was relayed or rejected, and resets them. */
   summarize(now: Micros): void {
     if (now - this.summarizedAt < SUMMARY_PERIOD) return;
     this.summarizedAt = now;
--- a/src/mesh/relaying-http-client.ts
+++ b/src/mesh/relaying-http-client.ts
@@ -1,4 +1,4 @@
-/** HTTP client that goes through a peer where the direct link fails. */
+/** HTTP client that relays calls through a peer when the direct link fails. */
 import type { Clock, Micros } from "../transport/clock.js";
 import type { HttpClient, HttpOutcome, HttpRequest } from "../transport/http.js";
 import type { PeerRegistry } from "./peer-registry.js";
@@ -9,7 +9,7 @@
 import type { UpstreamLinkMonitor } from "./upstream-link-monitor.js";
 import type { WorkerPathMonitor } from "./worker-path-monitor.js";
 
-/** What the client needs. */
+/** Dependencies of the client. */
 export interface RelayingHttpClientOptions {
   readonly clock: Clock;
   /** Calls over the direct link. */
@@ -23,8 +23,8 @@
 }
 
 /**
- * Chooses a route for each call. A call is sent once: one that fails over the chosen route is not repeated over another,
- * since it may have been executed.
+ * Selects a route for each call. A call is sent once: if it fails over the selected route, it is not retried over
+ * another, since it may have been executed.
  */
 export class RelayingHttpClient implements HttpClient {
   constructor(private readonly options: RelayingHttpClientOptions) {}
@@ -45,7 +45,7 @@
     return outcome;
   }
 
-  /** Null: the direct link. */
+  /** Label of the peer to relay through; null: use the direct link. */
   private relayPeerFor(target: CallTarget, address: string): string | null {
     const { links, workerPath, relayedWorkers, peers } = this.options;
     const relayPeer = target === "worker" ? relayedWorkers.peerOf(address) : null;
--- a/src/mesh/send-queue.ts
+++ b/src/mesh/send-queue.ts
@@ -1,21 +1,21 @@
-/** Frames that wait to be written to one connection, in order of priority. */
+/** Frames queued for one connection, in order of priority. */
 import type { FrameConnection } from "./frame-connection.js";
 import type { MeshFrame } from "./frames.js";
 
-/** Bytes that may wait; a frame beyond them is refused. */
+/** Maximum total size of queued frames; a frame that would exceed it is rejected. */
 const MAX_QUEUED_BYTES = 8 * 1024 * 1024;
 
-/** Heartbeats first, responses before requests. */
+/** Heartbeats precede relayed calls, and responses precede requests. */
 const FRAME_PRIORITIES = ["hello", "heartbeat", "relay-response", "relay-request"] as const;
 
-/** Queue of encoded frames with a bound on its bytes. */
+/** Priority queue of encoded frames, bounded in bytes. */
 export class SendQueue {
   private readonly queues = new Map<MeshFrame["type"], Buffer[]>(FRAME_PRIORITIES.map((type) => [type, []]));
   private queuedBytes = 0;
-  /** The connection takes no more until it has drained. */
+  /** The connection's write buffer is full: nothing is written until it has drained. */
   private awaitsDrain = false;
 
-  /** False: the queue is full, and nothing of the frame will be sent. */
+  /** False: the queue is full, and no part of the frame will be sent. */
   push(type: MeshFrame["type"], data: Buffer): boolean {
     if (this.queuedBytes + data.length > MAX_QUEUED_BYTES) return false;
     this.queues.get(type)?.push(data);
@@ -23,7 +23,7 @@
     return true;
   }
 
-  /** Writes what the connection takes. */
+  /** Writes queued frames until the connection's write buffer is full. */
   flushTo(connection: FrameConnection): void {
     for (const type of FRAME_PRIORITIES) {
       const queue = this.queues.get(type) ?? [];
@@ -35,12 +35,12 @@
     }
   }
 
-  /** The connection has drained: `flushTo` writes again. */
+  /** To be called when the connection has drained: `flushTo` writes again. */
   resume(): void {
     this.awaitsDrain = false;
   }
 
-  /** Drops all that waits, for a new connection. */
+  /** Discards all queued frames, for a new connection. */
   clear(): void {
     for (const queue of this.queues.values()) queue.length = 0;
     this.queuedBytes = 0;
--- a/src/mesh/tcp-frame-transport.ts
+++ b/src/mesh/tcp-frame-transport.ts
@@ -5,7 +5,7 @@
 import type { FrameConnection, FrameTransport } from "./frame-connection.js";
 import { LogEvent } from "./log-events.js";
 
-/** More than there can be peers: what exceeds it comes from elsewhere. */
+/** Above the possible number of peers: connections in excess of it cannot all come from peers. */
 const MAX_INCOMING_CONNECTIONS = 64;
 const KEEP_ALIVE_MS = 10_000;
 
@@ -16,7 +16,7 @@
     write: (data) => socket.write(data),
     close: () => {
       socket.removeAllListeners();
-      // A destroyed socket may still report an error, which without a listener would end the process.
+      // A destroyed socket may still emit an error, which would terminate the process if there were no listener.
       socket.on("error", ignore);
       socket.destroy();
     },
@@ -48,7 +48,7 @@
     private readonly log: Log,
   ) {}
 
-  /** Accepts no more connections; those that are open stay. */
+  /** Stops accepting connections; open connections are kept. */
   close(): void {
     this.server?.close();
   }
@@ -61,7 +61,7 @@
     const server = createServer((socket) => onConnection(connectionOf(socket)));
     this.server = server;
     server.maxConnections = MAX_INCOMING_CONNECTIONS;
-    // The service works without a mesh, so this ends neither the process nor the other direction of connections.
+    // The controller works without a mesh, so a failure to listen ends neither the process nor outgoing connections.
     server.on("error", (error) =>
       this.log.error(LogEvent.ListenFailed, { setting: "mesh_addr", error: String(error) }),
     );
--- a/src/mesh/upstream-link-monitor.ts
+++ b/src/mesh/upstream-link-monitor.ts
@@ -1,4 +1,4 @@
-/** Health of the direct links to the key-value store and the cloud, from the outcomes of calls and from probes. */
+/** Health of the direct links to the key-value store and the cloud, derived from outcomes of calls and probes. */
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
 import type { HttpClient, HttpOutcome } from "../transport/http.js";
 import { AGE_NEVER } from "./frames.js";
@@ -13,19 +13,19 @@
 
 const PROBE_PERIOD: Readonly<Record<UpstreamService, Micros>> = { store: seconds(1), cloud: seconds(5) };
 const PROBE_TIMEOUT = seconds(1.5);
-/** Read-only requests that each service answers cheaply. */
+/** Read-only requests that are cheap for the service. */
 const PROBE_PATH: Readonly<Record<UpstreamService, string>> = { store: "/kv/c/leader", cloud: "/hosts?page=1" };
 
 const SERVICE_UNAVAILABLE = 503;
-/** In the body of a 503 of the cloud that has no machine to rent, which is no failure of the link. */
+/** Contained in the body of a 503 from a cloud without machines to rent, which is not a failure of the link. */
 const NO_CAPACITY = "no capacity";
 const MICROS_PER_MILLISECOND = 1_000;
 
 interface LinkState {
   failing: boolean;
-  /** The latest call was answered with 503. */
+  /** The latest call failed with status 503. */
   refused: boolean;
-  /** Null: no answer since the start. */
+  /** Null: no response since the process started. */
   lastAnswerAt: Micros | null;
   nextProbeAt: Micros;
 }
@@ -37,7 +37,7 @@
   nextProbeAt: 0 as Micros,
 });
 
-/** What a monitor needs. */
+/** Addresses and dependencies of a monitor. */
 export interface UpstreamLinkMonitorOptions {
   readonly clock: Clock;
   /** Calls over the direct link. */
@@ -46,7 +46,7 @@
   readonly cloudAddress: string;
 }
 
-/** State of this controller's direct links to the services. */
+/** Tracks this controller's direct links to the services, and probes those that fail. */
 export class UpstreamLinkMonitor {
   private readonly links: Record<UpstreamService, LinkState> = {
     store: initialLinkState(),
@@ -55,7 +55,7 @@
 
   constructor(private readonly options: UpstreamLinkMonitorOptions) {}
 
-  /** Which service has this address; any other address is a worker's. */
+  /** The service with this address; any other address is a worker's. */
   targetOf(address: string): CallTarget {
     if (address === this.options.storeAddress) return "store";
     return address === this.options.cloudAddress ? "cloud" : "worker";
@@ -66,20 +66,20 @@
     return { store: this.links.store.failing, cloud: this.links.cloud.failing };
   }
 
-  /** Milliseconds since the service last answered; `AGE_NEVER` while the link fails. */
+  /** Milliseconds since the service last responded; `AGE_NEVER` before the first response and while the link fails. */
   ageMs(service: UpstreamService): number {
     const { lastAnswerAt, failing } = this.links[service];
     if (lastAnswerAt === null || failing) return AGE_NEVER;
     return Math.ceil((this.options.clock.now() - lastAnswerAt) / MICROS_PER_MILLISECOND);
   }
 
-  /** Status for operators. */
+  /** Status of the link to a service, as shown to operators. */
   statusOf(service: UpstreamService, links: UpstreamLinks, peers: readonly PeerSnapshot[]): LinkStatus {
     const { lastAnswerAt, refused } = this.links[service];
     return linkStatusOf(service, links, { answered: lastAnswerAt !== null, refused }, peers);
   }
 
-  /** Takes the outcome of a call over the direct link. Calls to workers say nothing here. */
+  /** Records the outcome of a call over the direct link. Calls to workers are ignored. */
   recordOutcome(target: CallTarget, outcome: HttpOutcome): void {
     if (target === "worker") return;
     const link = this.links[target];
@@ -100,7 +100,7 @@
     link.refused = refused;
   }
 
-  /** Probes the links that fail, each once a period, so that calls return to a link that works again. */
+  /** Probes failing links, each once per `PROBE_PERIOD`, so that calls return to a link that works again. */
   probeFailingLinks(): void {
     const now = this.options.clock.now();
     this.probe("store", this.options.storeAddress, now);
--- a/src/mesh/worker-path-monitor.ts
+++ b/src/mesh/worker-path-monitor.ts
@@ -1,35 +1,35 @@
-/** Finds out whether the direct links to the workers work, from the heartbeats that ought to come over them. */
+/** Detects from missing heartbeats that the direct links to the workers fail. */
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
 import { WorkerLinkStatus } from "./link-status.js";
 
-/** So many heartbeats of all workers together have to be missing before a silence means anything. */
+/** Number of consecutive heartbeats, of all workers together, that must be missing before the links count as failed. */
 const MISSED_HEARTBEATS = 8;
 const MIN_WORKER_SILENCE = seconds(1.5);
-/** In heartbeat intervals: with few workers a silence is to be found before each is taken for unreachable by itself. */
+/** In heartbeat intervals. With few workers, failed links must be detected before each worker is marked unreachable. */
 const MAX_WORKER_SILENCE_INTERVALS = 1.3;
-/** Fewer machines say nothing of the link: they may all be down. */
+/** With fewer machines, missing heartbeats are no evidence of a failed link: all machines may be down. */
 const MIN_MACHINES = 3;
-/** The workers of a new leader have to find it first. */
+/** No detection for this long after a shard is acquired, since its workers must first discover the new leader. */
 const NEW_LEADER_GRACE = seconds(3);
 
-/** The shards led by this controller, as far as the mesh depends on them. */
+/** Summary of the shards led by this controller. */
 export interface Leadership {
-  /** Machines that are up. */
+  /** Number of machines that are up, in all shards led here. */
   readonly machines: number;
-  /** When the latest of the shards was acquired. */
+  /** When the most recently acquired of the shards was acquired. */
   readonly since: Micros;
 }
 
-/** What the monitor needs. */
+/** Dependencies of the monitor. */
 export interface WorkerPathMonitorOptions {
   readonly clock: Clock;
   /** Interval of the workers' heartbeats. */
   readonly heartbeatInterval: Micros;
-  /** Null: no shard is led here. */
+  /** Null: this controller leads no shard. */
   readonly leadership: () => Leadership | null;
 }
 
-/** Whether this controller is cut off from the workers that it leads. */
+/** Determines whether this controller is cut off from the workers of its shards. */
 export class WorkerPathMonitor {
   private lastDirectHeartbeatAt: Micros;
   private stalledUntil: Micros;
@@ -41,7 +41,7 @@
     this.stalledUntil = options.clock.now();
   }
 
-  /** No worker's heartbeat comes over a direct link, though some ought to. */
+  /** Whether heartbeats are expected over direct links, but none are received. */
   get isCutOff(): boolean {
     return this.cutOff;
   }
@@ -51,23 +51,23 @@
     return this.latestChangeAt;
   }
 
-  /** Status for operators. */
+  /** Status of the links to the workers, as shown to operators. */
   get status(): WorkerLinkStatus {
     if (this.options.leadership() === null) return WorkerLinkStatus.NotLeader;
     return this.cutOff ? WorkerLinkStatus.CutOff : WorkerLinkStatus.Reachable;
   }
 
-  /** A worker's heartbeat has come over a direct link. */
+  /** Records a worker heartbeat received over a direct link. */
   recordDirectHeartbeat(): void {
     this.lastDirectHeartbeatAt = this.options.clock.now();
   }
 
-  /** The event loop stalled until `now`: what arrived meanwhile is yet to be read. */
+  /** The event loop was stalled until `now`: heartbeats received meanwhile have not been processed yet. */
   recordStall(now: Micros): void {
     this.stalledUntil = now;
   }
 
-  /** To be called once a heartbeat period of the mesh. */
+  /** Must be called once per heartbeat period of the mesh. */
   update(now: Micros): void {
     const cutOff = this.isOverdue(now);
     if (cutOff !== this.cutOff) this.latestChangeAt = now;
@@ -81,7 +81,7 @@
     return now - silentSince > this.longestSilence(leadership) && now - leadership.since > NEW_LEADER_GRACE;
   }
 
-  /** Microseconds without any heartbeat that are no reason for concern. */
+  /** Time without any direct heartbeat, in microseconds, after which the links count as failed. */
   private longestSilence({ machines }: Leadership): number {
     const { heartbeatInterval } = this.options;
     const missed = (MISSED_HEARTBEATS * heartbeatInterval) / machines;
