--- a/src/mesh/heartbeat-loop.ts
+++ b/src/mesh/heartbeat-loop.ts
@@ -5,31 +5,31 @@
 import { HEARTBEAT_PERIOD } from "./peer-liveness.js";
 
 /** A longer interval between two ticks counts as a stall of the event loop. */
-const MAX_TURN_INTERVAL = seconds(1.2);
+const MAX_TICK_INTERVAL = seconds(1.2);
 const MICROS_PER_MILLISECOND = 1_000;
 
 /** Dependencies of the loop. */
 export interface HeartbeatLoopOptions {
   readonly clock: Clock;
   readonly log: Log;
-  /** Called before `onTurn` if the event loop was stalled until `now`. */
+  /** Called before `onTick` if the event loop was stalled until `now`. */
   readonly onStall: (now: Micros) => void;
   /** Called once per heartbeat period. */
-  readonly onTurn: (now: Micros) => void;
+  readonly onTick: (now: Micros) => void;
 }
 
 /** Ticks once per heartbeat period between `start` and `stop`. */
 export class HeartbeatLoop {
-  private lastTurnAt: Micros;
+  private lastTickAt: Micros;
   private timer: Timer | null = null;
 
   constructor(private readonly options: HeartbeatLoopOptions) {
-    this.lastTurnAt = options.clock.now();
+    this.lastTickAt = options.clock.now();
   }
 
   /** Runs the first tick synchronously. */
   start(): void {
-    this.runTurn();
+    this.runTick();
   }
 
   stop(): void {
@@ -37,20 +37,20 @@
     this.timer = null;
   }
 
-  private runTurn(): void {
-    const { clock, onTurn } = this.options;
+  private runTick(): void {
+    const { clock, onTick } = this.options;
     const now = clock.now();
     this.detectStall(now);
-    onTurn(now);
-    this.timer = clock.after(HEARTBEAT_PERIOD, () => this.runTurn());
+    onTick(now);
+    this.timer = clock.after(HEARTBEAT_PERIOD, () => this.runTick());
   }
 
   /** After a stall every peer and worker seems silent until the messages received meanwhile have been processed. */
   private detectStall(now: Micros): void {
     const { log, onStall } = this.options;
-    const interval = now - this.lastTurnAt;
-    this.lastTurnAt = now;
-    if (interval <= MAX_TURN_INTERVAL) return;
+    const interval = now - this.lastTickAt;
+    this.lastTickAt = now;
+    if (interval <= MAX_TICK_INTERVAL) return;
     log.info(LogEvent.EventLoopStalled, {
       stallMs: Math.round((interval - HEARTBEAT_PERIOD) / MICROS_PER_MILLISECOND),
     });
--- a/src/mesh/link-change-log.ts
+++ b/src/mesh/link-change-log.ts
@@ -12,8 +12,8 @@
 
 /** Writes one log line for each change that lasts `MIN_STABLE_TIME`. */
 export class LinkChangeLog {
-  private logged = "";
-  private current = "";
+  private lastLoggedText = "";
+  private currentText = "";
   private currentSince = 0 as Micros;
 
   constructor(private readonly log: Log) {}
@@ -21,10 +21,10 @@
   /** Compares the table at `now` with the one logged last. Must be called periodically. */
   update(table: MeshLinkTable, now: Micros): void {
     const text = JSON.stringify(table);
-    if (text !== this.current) this.currentSince = now;
-    this.current = text;
-    if (text === this.logged || now - this.currentSince < MIN_STABLE_TIME) return;
+    if (text !== this.currentText) this.currentSince = now;
+    this.currentText = text;
+    if (text === this.lastLoggedText || now - this.currentSince < MIN_STABLE_TIME) return;
     this.log.info(LogEvent.LinksChanged, { ...table });
-    this.logged = text;
+    this.lastLoggedText = text;
   }
 }
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -77,7 +77,7 @@
       clock,
       log,
       onStall: (now) => workerPath.recordStall(now),
-      onTurn: (now) => this.runTurn(now),
+      onTick: (now) => this.runTick(now),
     });
   }
 
@@ -130,7 +130,7 @@
     };
   }
 
-  private runTurn(now: Micros): void {
+  private runTick(now: Micros): void {
     this.workerPath.update(now);
     this.links.probeFailingLinks();
     this.peers.broadcast(this.nextHeartbeat(), now);
--- a/src/mesh/peer-liveness.ts
+++ b/src/mesh/peer-liveness.ts
@@ -8,7 +8,7 @@
 /** From this phi on, no calls are relayed through the peer. */
 const UNUSABLE_PHI = 3;
 /** Above this phi the connection is closed, and all calls pending over it end as `lost`. */
-const SILENCE_PHI = 40;
+const DISCONNECT_PHI = 40;
 
 /** Latest heartbeat of a peer, and the suspicion (phi) that the peer has failed. */
 export class PeerLiveness {
@@ -45,6 +45,6 @@
 
   /** Whether heartbeats were received but have been missing for too long to keep the connection. */
   isSilent(now: number): boolean {
-    return this.latest !== null && this.phi(now) > SILENCE_PHI;
+    return this.latest !== null && this.phi(now) > DISCONNECT_PHI;
   }
 }
--- a/src/mesh/peer-registry.ts
+++ b/src/mesh/peer-registry.ts
@@ -43,12 +43,12 @@
     private readonly options: PeerRegistryOptions,
     listener: PeerListener,
   ) {
-    this.peers = new Map(options.peers.map((member) => [member.label, this.connectionTo(member, listener)]));
+    this.peers = new Map(options.peers.map((member) => [member.label, this.createConnection(member, listener)]));
   }
 
   start(): void {
     const { clock, log, transport } = this.options;
-    const peerOf = (label: string): PeerConnection | undefined => this.connectingPeer(label);
+    const peerOf = (label: string): PeerConnection | undefined => this.initiatingPeer(label);
     transport.listen((connection) => awaitHello(connection, { clock, log, peerOf }));
     for (const peer of this.peers.values()) peer.start();
   }
@@ -93,7 +93,7 @@
     }
   }
 
-  private connectionTo({ label, address }: MeshMember, listener: PeerListener): PeerConnection {
+  private createConnection({ label, address }: MeshMember, listener: PeerListener): PeerConnection {
     const { clock, log, transport, random, label: ownLabel, incarnation } = this.options;
     const hello: HelloFrame = { type: "hello", label: ownLabel, incarnation };
     return new PeerConnection({
@@ -113,7 +113,7 @@
   }
 
   /** Only peers that must open the connection, since otherwise connections opened by both sides replace each other. */
-  private connectingPeer(label: string): PeerConnection | undefined {
+  private initiatingPeer(label: string): PeerConnection | undefined {
     return label < this.options.label ? this.peers.get(label) : undefined;
   }
 }
--- a/src/mesh/reconnect-timer.ts
+++ b/src/mesh/reconnect-timer.ts
@@ -21,9 +21,9 @@
     this.cancel();
     this.failedAttempts += 1;
     const doublings = Math.min(MAX_DOUBLINGS, this.failedAttempts - 1);
-    const longest = Math.min(MAX_RECONNECT_DELAY, MIN_RECONNECT_DELAY * 2 ** doublings);
+    const maxDelay = Math.min(MAX_RECONNECT_DELAY, MIN_RECONNECT_DELAY * 2 ** doublings);
     // Without jitter all controllers would reconnect at the same moment after a partition heals.
-    const delay = (longest * (0.5 + this.random() / 2)) as Micros;
+    const delay = (maxDelay * (0.5 + this.random() / 2)) as Micros;
     this.timer = this.clock.after(delay, () => {
       this.timer = null;
       connect();
--- a/src/mesh/relay-client.ts
+++ b/src/mesh/relay-client.ts
@@ -41,8 +41,8 @@
         timer.cancel();
         resolve(outcome);
       };
-      const patience = (timeout + RELAY_ALLOWANCE) as Micros;
-      const timer: Timer = this.clock.after(patience, () => settle({ kind: "lost" }));
+      const relayTimeout = (timeout + RELAY_ALLOWANCE) as Micros;
+      const timer: Timer = this.clock.after(relayTimeout, () => settle({ kind: "lost" }));
       this.pending.set(id, { settle, peer: label });
       const timeoutMs = Math.ceil(timeout / MICROS_PER_MILLISECOND);
       const sent = peer.send({ type: "relay-request", id, address, timeoutMs, request });
--- a/src/mesh/relay-route.ts
+++ b/src/mesh/relay-route.ts
@@ -34,7 +34,7 @@
 /** No calls are relayed through a peer at this load level. */
 const SATURATED_LEVEL = 3;
 
-const isReachedBy = (target: CallTarget, { heartbeat }: PeerSnapshot): boolean => {
+const isReachableVia = (target: CallTarget, { heartbeat }: PeerSnapshot): boolean => {
   if (heartbeat === null) return false;
   if (target === "store") return heartbeat.storeAgeMs < MAX_FRESH_AGE_MS;
   if (target === "cloud") return heartbeat.cloudAgeMs < MAX_FRESH_CLOUD_AGE_MS;
@@ -76,7 +76,7 @@
   if (isLinkUp(target, links)) return null;
   const candidates = peers.filter(
     (peer) =>
-      peer.usable && (peer.heartbeat?.loadLevel ?? SATURATED_LEVEL) < SATURATED_LEVEL && isReachedBy(target, peer),
+      peer.usable && (peer.heartbeat?.loadLevel ?? SATURATED_LEVEL) < SATURATED_LEVEL && isReachableVia(target, peer),
   );
   candidates.sort(byPreference);
   return candidates[0]?.label ?? null;
@@ -98,6 +98,6 @@
   peers: readonly PeerSnapshot[],
 ): LinkStatus => {
   if (!links.failing[target]) return answered ? LinkStatus.Reachable : LinkStatus.Unknown;
-  if (!peers.some((peer) => peer.usable && isReachedBy(target, peer))) return LinkStatus.UnreachableForAll;
+  if (!peers.some((peer) => peer.usable && isReachableVia(target, peer))) return LinkStatus.UnreachableForAll;
   return refused ? LinkStatus.Refused : LinkStatus.UnreachableFromHere;
 };
--- a/src/mesh/relay-server.ts
+++ b/src/mesh/relay-server.ts
@@ -35,19 +35,19 @@
   /** Calls `respond` exactly once, synchronously if the call is rejected. */
   handle(peer: string, frame: RelayRequestFrame, respond: (response: RelayResponseFrame) => void): void {
     const { id } = frame;
-    const answer = (outcome: HttpOutcome): void =>
-      respond({ type: "relay-response", id, outcome: isTooLong(outcome) ? { kind: "lost" } : outcome });
+    const respondWith = (outcome: HttpOutcome): void =>
+      respond({ type: "relay-response", id, outcome: isTooLarge(outcome) ? { kind: "lost" } : outcome });
     if (this.activeCalls >= (MAX_RELAYED_CALLS[this.options.loadLevel()] ?? 0)) {
       this.options.statistics.recordRejectedCall();
-      answer({ kind: "unsent" });
+      respondWith({ kind: "unsent" });
       return;
     }
     this.activeCalls += 1;
     this.options.statistics.recordServedCall();
     void this.relay(peer, frame)
-      .then(answer, (error: unknown) => {
+      .then(respondWith, (error: unknown) => {
         this.options.log.error(LogEvent.RelayFailed, { error: String(error) });
-        answer({ kind: "lost" });
+        respondWith({ kind: "lost" });
       })
       .finally(() => {
         this.activeCalls -= 1;
@@ -67,5 +67,5 @@
   }
 }
 
-const isTooLong = (outcome: HttpOutcome): boolean =>
+const isTooLarge = (outcome: HttpOutcome): boolean =>
   outcome.kind === "answer" && Buffer.byteLength(outcome.body) > MAX_RELAYED_BODY_BYTES;
--- a/src/mesh/tcp-frame-transport.ts
+++ b/src/mesh/tcp-frame-transport.ts
@@ -9,7 +9,7 @@
 const MAX_INCOMING_CONNECTIONS = 64;
 const KEEP_ALIVE_MS = 10_000;
 
-const ignore = (): void => undefined;
+const noop = (): void => undefined;
 
 const connectionOf = (socket: Socket): FrameConnection => {
   const connection: FrameConnection = {
@@ -17,12 +17,12 @@
     close: () => {
       socket.removeAllListeners();
       // A destroyed socket may still emit an error, which would terminate the process if there were no listener.
-      socket.on("error", ignore);
+      socket.on("error", noop);
       socket.destroy();
     },
-    onData: ignore,
-    onDrain: ignore,
-    onClosed: ignore,
+    onData: noop,
+    onDrain: noop,
+    onClosed: noop,
   };
   const handleClose = (): void => {
     connection.close();
--- a/src/mesh/worker-path-monitor.ts
+++ b/src/mesh/worker-path-monitor.ts
@@ -78,11 +78,11 @@
     const leadership = this.options.leadership();
     if (leadership === null || leadership.machines < MIN_MACHINES) return false;
     const silentSince = Math.max(this.lastDirectHeartbeatAt, this.stalledUntil);
-    return now - silentSince > this.longestSilence(leadership) && now - leadership.since > NEW_LEADER_GRACE;
+    return now - silentSince > this.silenceTimeout(leadership) && now - leadership.since > NEW_LEADER_GRACE;
   }
 
   /** Time without any direct heartbeat, in microseconds, after which the links count as failed. */
-  private longestSilence({ machines }: Leadership): number {
+  private silenceTimeout({ machines }: Leadership): number {
     const { heartbeatInterval } = this.options;
     const missed = (MISSED_HEARTBEATS * heartbeatInterval) / machines;
     return Math.min(heartbeatInterval * MAX_WORKER_SILENCE_INTERVALS, Math.max(MIN_WORKER_SILENCE, missed));
