--- a/test/fault-pairs.test.ts
+++ b/test/fault-pairs.test.ts
@@ -62,10 +62,13 @@
   }
 }
 
-/** The longest that any replica was on no machine between the two times. */
+/**
+ * Messages of the kinds `swallows` no longer reach two machines with tasks, for 600 s. Asserts that all tasks run on
+ * other machines well before that.
+ */
 const nobodyIsBound = async (swallows: readonly ("requests" | "answers")[], restart: Fault): Promise<Cluster> => {
   const cluster = await playFaults(false, (c) => c.site.deafen(machinesWithTasks(c, 2), 600 * S, swallows), restart);
-  // Long before the machines are reached again, all that was on them has gone on elsewhere.
+  // Well before the machines become reachable again, all their tasks have been moved to other machines.
   await cluster.run(110 * S);
   cluster.checker.calmFrom = cluster.world.now;
   await cluster.run(90 * S);
@@ -75,19 +78,20 @@
 
 for (const swallows of [["requests", "answers"], ["requests"], ["answers"]] as const) {
   for (const beside of ["by itself", "with a restart of all"] as const) {
-    test(`no job is bound to a machine that ${swallows.join(" and ")} never reach again, ${beside}`, async () => {
+    test(`tasks move away from machines that ${swallows.join(" and ")} no longer reach, ${beside}`, async () => {
       await nobodyIsBound(swallows, PAIRS[beside] ?? (() => undefined));
     });
   }
 }
 
-/** Does the line say that machines are deleted because nothing is heard of them, or because nothing reaches them? */
+/** Whether the log line reports the deletion of machines because they are silent or unreachable. */
 const isRemoval = (line: string): boolean =>
   [LogEvent.MachinesSilent, LogEvent.UnreachableMachinesRemoved].some((event) => line.includes(` ${event} `));
 
-test("a start command that comes a second time starts nothing that has ended", async () => {
-  // Ended and on record, an attempt was forgotten under the token that it had been started under; the command, repeated,
-  // started it once more, beside the next attempt elsewhere: 15 of 60 such days broke a rule.
+test("a duplicate start command does not restart an attempt that has ended", async () => {
+  // Once the end of an attempt was recorded, its forget command carried the same fencing token as its start command.
+  // A duplicate of the start command was therefore not stale and started the attempt again, concurrently with the next
+  // attempt on another machine: 15 of 60 such runs violated an invariant.
   for (const seed of [4, 8, 16, 17]) {
     const cluster = new Cluster(seed, { mesh: seed % 2 === 0 });
     const random = new Random(seed + 1_000);
@@ -110,8 +114,8 @@
   }
 });
 
-test("with all machines heard and none reached, they are not given up one after the other", async () => {
-  // Each was found silent in its turn and did not answer; six of seven were deleted, with all that they ran.
+test("machines are not deleted one after another while all send heartbeats but none can be reached", async () => {
+  // Each machine in turn was detected as silent and did not respond; six of seven were deleted, with all their tasks.
   for (const mesh of [false, true]) {
     const cluster = await playFaults(mesh, (c) => c.site.deafenAll(14 * S, ["requests", "answers"]));
     const before = cluster.log.length;
@@ -121,7 +125,7 @@
     await cluster.run(150 * S);
     assertRecovered(cluster);
   }
-  // Longer than the leases: once it was over, two were given up for what had been missed.
+  // The fault lasts longer than the leases: after it ended, two machines were deleted for messages missed during it.
   const cluster = await playFaults(true, (c) => c.site.deafenAll(30 * S, ["requests", "answers"]));
   const before = cluster.log.length;
   await cluster.run(100 * S);
@@ -129,17 +133,17 @@
   assert.deepEqual(given, []);
 });
 
-test("a machine that only answers do not reach is noticed with its second report here, and its work goes on elsewhere", async () => {
+test("a machine that only responses do not reach is detected at its second heartbeat to the leader, and its tasks move", async () => {
   const cluster = await playFaults(false, (c) => c.site.deafen(machinesWithTasks(c, 1), 200 * S, ["answers"]));
   await cluster.run(60 * S);
   const noticed = cluster.log.find((line) => line.includes(LogEvent.WorkerUnreachable));
   assert.match(noticed ?? "", /"commands":true,"answers":false/);
-  // A report to each of the three controllers, each given up after four seconds, with a second between them.
+  // Meanwhile the machine sends one heartbeat to each of the three controllers: time-outs of 4 s, with pauses of 1 s.
   assert.ok(Number(noticed?.split(" ")[0]) < 60 + 20, noticed);
   assert.deepEqual(cluster.missingReplicas(), []);
 });
 
-test("each trouble is one line for the operator, and none is left when it is over", async () => {
+test("each fault is shown to operators as one line, which disappears when the fault is over", async () => {
   const troubles = async (cluster: Cluster): Promise<string> => {
     const asked = cluster.network
       .client("user", new HostClock(cluster.world, 1, 0))
@@ -164,9 +168,9 @@
   }
 });
 
-test("a zone that is cut off cuts machines that come up meanwhile, too", async () => {
+test("machines that come up in a zone that is cut off are cut off as well", async () => {
   const cluster = await playFaults(true, (c) => c.site.cutZone("west", 30 * S, "hold"));
-  // Whatever was on its way has arrived by then.
+  // Heartbeats delivered before the fault are logged by now; those sent later are held until it ends.
   const linesBefore = cluster.log.length;
   await cluster.run(29 * S);
   const machinesUp = cluster.log.slice(linesBefore).filter((line) => line.includes(` ${LogEvent.MachineUp} `));
--- a/test/links.test.ts
+++ b/test/links.test.ts
@@ -7,7 +7,7 @@
 
 const RUN = 60;
 
-/** A cluster under a steady stream of short jobs, with spare machines; `injectFault` is called at 60 s. */
+/** Runs a cluster with spare machines under a steady stream of short jobs; `injectFault` is called at 60 s. */
 const runWithFault = async (seed: number, mesh: boolean, injectFault: (cluster: Cluster, leader: number) => void) => {
   const cluster = new Cluster(seed, { mesh, idleReturnS: 600 });
   cluster.rooms.ordinary = 12;
@@ -42,10 +42,10 @@
 const MODES = ["hold", "reset"] as const;
 
 for (const mode of MODES) {
-  test(`a leader cut off from the key-value store works through a peer (${mode})`, async () => {
+  test(`a leader cut off from the key-value store reaches it through a peer (${mode})`, async () => {
     const cut = (cluster: Cluster, leader: number): void => cluster.site.cutFromState(leader, 40 * S, mode);
     const without = await runWithFault(51, false, cut);
-    assert.ok(without.gap > 5, `without a mesh nothing started for ${without.gap} s only`);
+    assert.ok(without.gap > 5, `without a mesh no task started for ${without.gap} s, expected more than 5 s`);
     const result = await runWithFault(51, true, cut);
     assert.equal(result.failovers, 0);
     assert.ok(result.gap < 5, `nothing started for ${result.gap} s`);
@@ -56,17 +56,17 @@
     const cut = (cluster: Cluster, leader: number): void => cluster.site.cutFromWorkers(leader, 40 * S, mode);
     const result = await runWithFault(52, true, cut);
     assert.equal(result.failovers, 0);
-    // Without a mesh the shard fails over, and the state of all machines is gathered anew.
+    // Without a mesh the shard fails over, and the new leader has to collect the state of all machines again.
     assert.ok(!result.cluster.logged(LogEvent.MachinesSilent));
     assert.ok(!result.cluster.logged(LogEvent.TasksLost));
     assert.ok(result.gap < 7, `nothing started for ${result.gap} s`);
     assert.ok(result.cluster.log.some((line) => line.includes("cut off from me")));
-    // After the fault workers return to their leader.
+    // After the fault the workers send their heartbeats to the leader directly again.
     assert.ok(result.cluster.log.some((line) => line.includes('"workers":"heard"')));
   });
 }
 
-test("a leader refused by the key-value store works through a peer", async () => {
+test("a leader refused by the key-value store reaches it through a peer", async () => {
   const result = await runWithFault(53, true, (cluster, leader) =>
     cluster.state.refuse(cluster.site.nodeAddress(leader), 40 * S),
   );
@@ -76,26 +76,26 @@
 });
 
 test("a leader that reaches only the workers works through peers that reach only the key-value store", async () => {
-  // Without a mesh the shard fails over back and forth between two controllers that reach no worker.
+  // Without a mesh the shard repeatedly fails over between two controllers that reach no worker.
   const crossed = (cluster: Cluster, leader: number): void => {
     cluster.state.refuse(cluster.site.nodeAddress(leader), 40 * S);
     for (const at of [0, 1, 2]) if (at !== leader) cluster.site.cutFromWorkers(at, 40 * S, "reset");
   };
   const without = await runWithFault(54, false, crossed);
-  assert.ok(without.gap > 8, `${without.gap} s`);
+  assert.ok(without.gap > 8, `without a mesh no task started for ${without.gap} s, expected more than 8 s`);
   const result = await runWithFault(54, true, crossed);
   assert.equal(result.failovers, 0);
   assert.ok(result.gap < 3, `nothing started for ${result.gap} s`);
 });
 
-test("an outage of the key-value store is told from a partition", async () => {
+test("an outage of the key-value store is distinguished from a partition", async () => {
   const result = await runWithFault(55, true, (cluster) => cluster.state.outage(7 * S));
   assert.equal(result.failovers, 0);
   assert.ok(result.cluster.log.some((line) => line.includes(LinkStatus.UnreachableForAll)));
   assert.ok(!result.cluster.log.some((line) => line.includes(LinkStatus.Refused)));
 });
 
-test("a cluster whose peer connections are refused works as without a mesh, and reconnects afterwards", async () => {
+test("a cluster whose peer connections are refused works as without a mesh, and peers reconnect afterwards", async () => {
   const result = await runWithFault(56, true, (cluster) => cluster.site.refusePeers(20 * S));
   assert.equal(result.failovers, 0);
   assert.ok(result.gap < 3);
--- a/test/mesh.test.ts
+++ b/test/mesh.test.ts
@@ -47,8 +47,8 @@
   { type: "relay-response", id: 11, outcome: { kind: "unsent" } },
 ];
 
-test("frames of version 1 are encoded byte for byte", () => {
-  // Golden bytes: controllers of other versions decode them.
+test("the encoding of version 1 frames stays the same byte for byte", () => {
+  // Golden bytes: controllers of other versions must be able to decode them.
   assert.equal(encodeFrame(FRAMES[0] as MeshFrame).toString("hex"), "0000001201010000000563746c2d3000000003616263");
   assert.equal(encodeFrame(HEARTBEAT).toString("hex"), "0000001001020000000701000000 78ffffffff01".replace(" ", ""));
   assert.equal(encodeFrame(FRAMES[7] as MeshFrame).toString("hex"), "0000000701040000000b00");
@@ -56,7 +56,7 @@
 
 test("frames are decoded from parts of any size, and unknown types and added fields are skipped", () => {
   const unknown = Buffer.from("0000000501630a0b0c", "hex");
-  // A heartbeat of a later version, with bytes behind the fields of this one.
+  // A heartbeat of a later version, with additional bytes after the fields of this version.
   const longer = Buffer.concat([encodeFrame(HEARTBEAT), Buffer.from("beef", "hex")]);
   longer.writeUInt32BE(longer.length - 4);
   longer.writeUInt8(2, 4);
@@ -73,7 +73,7 @@
   });
 });
 
-test("bytes that are no frames throw MalformedFrameError and nothing else", () => {
+test("decoding invalid bytes throws MalformedFrameError and no other error", () => {
   assert.throws(() => new FrameDecoder().decode(Buffer.from("ffffffff0101", "hex")), MalformedFrameError);
   assert.throws(() => new FrameDecoder().decode(Buffer.from("GET / HTTP/1.1\r\n\r\n")), MalformedFrameError);
   const head = Buffer.alloc(4);
@@ -91,10 +91,10 @@
       errors += 1;
     }
   });
-  assert.ok(errors > 50, `${errors} of 400`);
+  assert.ok(errors > 50, `${errors} of 400 corrupted inputs rejected, expected more than 50`);
 });
 
-test("the accrual detector suspects a silence sooner the more regular heartbeats were, without false alarms", () => {
+test("the accrual detector suspects a peer with regular heartbeats sooner, without false alarms", () => {
   const random = new Random(3);
   const PERIOD = 400_000;
   const regular = new PhiAccrualDetector(PERIOD);
@@ -135,25 +135,25 @@
 const allUp: UpstreamLinks = { failing: { store: false, cloud: false }, cutOffFromWorkers: false };
 const storeDown: UpstreamLinks = { failing: { store: true, cloud: false }, cutOffFromWorkers: false };
 
-test("a call is relayed only if the direct link fails, through a peer whose link works", () => {
+test("a call is relayed only if the direct link fails, and through a peer whose own link works", () => {
   assert.equal(selectRelayPeer("store", allUp, [peer("a")]), null);
   assert.equal(selectRelayPeer("store", storeDown, [peer("a")]), "a");
   assert.equal(selectRelayPeer("cloud", storeDown, [peer("a")]), null);
   assert.equal(selectRelayPeer("store", storeDown, [peer("a", { usable: false }), peer("b")]), "b");
   assert.equal(selectRelayPeer("store", storeDown, [peer("a", {}, { storeAgeMs: AGE_NEVER })]), null);
   assert.equal(selectRelayPeer("store", storeDown, [peer("a", { heartbeat: null })]), null);
-  // The less loaded peer, then the less suspected one; a saturated peer relays nothing.
+  // The peer with the lower load level is preferred, then the one with the lower phi; a saturated peer relays nothing.
   assert.equal(selectRelayPeer("store", storeDown, [peer("a", {}, { loadLevel: 1 }), peer("b")]), "b");
   assert.equal(selectRelayPeer("store", storeDown, [peer("a", { phi: 1 }), peer("b")]), "b");
   assert.equal(selectRelayPeer("store", storeDown, [peer("a", {}, { loadLevel: 3 })]), null);
   const cutOff: UpstreamLinks = { ...allUp, cutOffFromWorkers: true };
   assert.equal(selectRelayPeer("worker", cutOff, [peer("a", {}, { cutOffFromWorkers: true }), peer("b")]), "b");
-  // A worker whose heartbeats come through a peer is called through that peer, whatever other peers there are.
+  // A worker whose heartbeats are relayed by a peer is called through that peer and no other.
   assert.equal(selectRelayPeer("worker", allUp, [peer("a"), peer("b")], "b"), "b");
   assert.equal(selectRelayPeer("worker", allUp, [peer("a"), peer("b", { usable: false })], "b"), null);
 });
 
-test("the status of a link is told apart by peers' heartbeats", () => {
+test("peers' heartbeats distinguish an outage of a service from a failure of this controller's link", () => {
   const statusOf = (links: UpstreamLinks, refused: boolean, peers: PeerSnapshot[]): string =>
     linkStatusOf("store", links, { answered: true, refused }, peers);
   assert.equal(statusOf(allUp, false, []), "reached");
@@ -163,9 +163,9 @@
   assert.equal(linkStatusOf("cloud", allUp, { answered: false, refused: false }, []), "not asked yet");
 });
 
-test("over TCP a large frame arrives whole, and a close is noticed on the other side", async () => {
+test("a large frame is received completely over TCP, and a close is reported to the other side", async () => {
   const log = { error: (event: string) => assert.fail(event), info: () => undefined, debug: () => undefined };
-  // A free port; no other test listens on it.
+  // Finds a free port; no other test listens on it.
   const probe = createServer();
   await new Promise<void>((resolve) => probe.listen(0, "127.0.0.1", resolve));
   const { port } = probe.address() as AddressInfo;
@@ -205,7 +205,7 @@
   receiver.close();
 });
 
-/** A mesh with one peer, whose side of the connections the test plays. `peerAnswers`: it says hello and sends heartbeats. */
+/** A mesh with one peer, simulated by the test. `peerAnswers`: the peer sends a hello and periodic heartbeats. */
 const meshWithOnePeer = (peerAnswers: boolean) => {
   const world = new World();
   const clock = new HostClock(world, 1, 0);
@@ -286,13 +286,16 @@
 
 const GET = { method: "GET", target: "/kv/x", body: "" };
 
-test("a connection without a hello is closed and opened again, with growing delays", async () => {
+test("a connection without a hello is closed and reopened with increasing delays", async () => {
   const { connections, advance } = meshWithOnePeer(false);
   await advance(30);
-  assert.ok(connections.length >= 4 && connections.length <= 8, `${connections.length} in 30 s`);
+  assert.ok(
+    connections.length >= 4 && connections.length <= 8,
+    `${connections.length} connections in 30 s, expected 4 to 8`,
+  );
 });
 
-test("a call whose direct link fails is relayed unchanged, and goes directly again once the link answers", async () => {
+test("a call is relayed unchanged while the direct link fails, and returns to the direct link once it works", async () => {
   const { mesh, called, receive, relayRequests, advance, setOutcome } = meshWithOnePeer(true);
   await advance(2);
   const call = (): Promise<HttpOutcome> => mesh.client.call("state:1", GET, 2_000_000 as Micros);
@@ -307,10 +310,10 @@
     outcome: { kind: "answer", status: 404, body: "{}", retryAfterS: null },
   });
   assert.deepEqual(await second, { kind: "answer", status: 404, body: "{}", retryAfterS: null });
-  // A repeated response, and one to an unknown request, have no effect.
+  // A duplicate response and a response to an unknown request have no effect.
   receive({ type: "relay-response", id: relayed?.id ?? 0, outcome: { kind: "lost" } });
   receive({ type: "relay-response", id: 999, outcome: { kind: "lost" } });
-  // Without a response the call may have been executed.
+  // A call without a response ends as `lost`, since it may have been executed.
   const third = call();
   await advance(3);
   assert.deepEqual(await third, { kind: "lost" });
@@ -319,11 +322,11 @@
   const before = relayRequests().length;
   const calls = called.length;
   assert.equal((await call()).kind, "answer");
-  assert.equal(relayRequests().length, before, "over the direct link again");
+  assert.equal(relayRequests().length, before, "the call uses the direct link again");
   assert.equal(called.length, calls + 1);
 });
 
-test("a relayed call under way when the connection closes counts as lost", async () => {
+test("a relayed call that is pending when the connection closes ends as lost", async () => {
   const { mesh, connections, advance } = meshWithOnePeer(true);
   await advance(2);
   const call = (): Promise<HttpOutcome> => mesh.client.call("state:1", GET, 2_000_000 as Micros);
@@ -334,7 +337,7 @@
   assert.deepEqual(await pending, { kind: "lost" });
 });
 
-test("a connection is given up after a hello of another controller, or bytes that are no frame", async () => {
+test("a connection is closed and reopened after a hello from another controller or invalid bytes", async () => {
   const otherHello = encodeFrame({ type: "hello", label: "c", incarnation: "k" });
   for (const bytes of [otherHello, Buffer.from("GET / HTTP/1.1\r\n\r\n")]) {
     const { connections, logged, advance } = meshWithOnePeer(false);
@@ -342,7 +345,7 @@
     assert.deepEqual(logged, [LogEvent.FrameMalformed]);
     assert.equal(connections[0]?.closed(), true);
     await advance(0.3);
-    assert.equal(connections.length, 2, "opened again");
+    assert.equal(connections.length, 2, "the connection is reopened");
   }
 });
 
@@ -364,7 +367,7 @@
   assert.deepEqual(logged, [LogEvent.PeerConnected, LogEvent.LinksChanged, LogEvent.PeerDisconnected]);
 });
 
-test("errors of the mesh carry a code", () => {
+test("mesh errors have a code", () => {
   const error = new MalformedFrameError("length 1");
   assert.ok(error instanceof RainridgeError);
   assert.equal(error.code, "MALFORMED_FRAME");
