--- a/test/fault-pairs.test.ts
+++ b/test/fault-pairs.test.ts
@@ -8,7 +8,7 @@
 import { Cluster, randomJob } from "./sim/cluster.js";
 import { assertRecovered, FAULT_DURATION, type Fault, machinesWithTasks, playFaults } from "./sim/faulty-day.js";
 
-const TROUBLES: Readonly<Record<string, Fault>> = {
+const FAULTS: Readonly<Record<string, Fault>> = {
   "a machine heard but not reached": (cluster) =>
     cluster.site.deafen(machinesWithTasks(cluster, 2), FAULT_DURATION, ["requests", "answers"]),
   "a machine that commands do not reach": (cluster) =>
@@ -39,7 +39,7 @@
   },
 };
 
-const PAIRS: Readonly<Record<string, Fault>> = {
+const CONCURRENT_FAULTS: Readonly<Record<string, Fault>> = {
   "by itself": () => undefined,
   "with a takeover": (cluster) => cluster.world.after(4 * S, () => cluster.crash(cluster.holder(), 15 * S)),
   "with a restart of all": (cluster) =>
@@ -50,10 +50,10 @@
   "with a zone cut off": (cluster) => cluster.world.after(2 * S, () => cluster.site.cutZone("west", 30 * S, "hold")),
 };
 
-for (const [name, trouble] of Object.entries(TROUBLES)) {
-  for (const [beside, other] of Object.entries(PAIRS)) {
-    test(`${name}, ${beside}`, async () => {
-      const cluster = await playFaults(true, trouble, other);
+for (const [name, fault] of Object.entries(FAULTS)) {
+  for (const [concurrentName, concurrentFault] of Object.entries(CONCURRENT_FAULTS)) {
+    test(`${name}, ${concurrentName}`, async () => {
+      const cluster = await playFaults(true, fault, concurrentFault);
       await cluster.run(FAULT_DURATION);
       cluster.checker.calmFrom = cluster.world.now;
       await cluster.run(150 * S);
@@ -63,11 +63,15 @@
 }
 
 /**
- * Messages of the kinds `swallows` no longer reach two machines with tasks, for 600 s. Asserts that all tasks run on
- * other machines well before that.
+ * For 600 s, messages of the kinds in `lostMessages` do not reach two machines with tasks. Asserts that well before the
+ * end of that time all tasks run on other machines.
  */
-const nobodyIsBound = async (swallows: readonly ("requests" | "answers")[], restart: Fault): Promise<Cluster> => {
-  const cluster = await playFaults(false, (c) => c.site.deafen(machinesWithTasks(c, 2), 600 * S, swallows), restart);
+const assertTasksMove = async (lostMessages: readonly ("requests" | "answers")[], restart: Fault): Promise<Cluster> => {
+  const cluster = await playFaults(
+    false,
+    (c) => c.site.deafen(machinesWithTasks(c, 2), 600 * S, lostMessages),
+    restart,
+  );
   // Well before the machines become reachable again, all their tasks have been moved to other machines.
   await cluster.run(110 * S);
   cluster.checker.calmFrom = cluster.world.now;
@@ -76,16 +80,16 @@
   return cluster;
 };
 
-for (const swallows of [["requests", "answers"], ["requests"], ["answers"]] as const) {
-  for (const beside of ["by itself", "with a restart of all"] as const) {
-    test(`tasks move away from machines that ${swallows.join(" and ")} no longer reach, ${beside}`, async () => {
-      await nobodyIsBound(swallows, PAIRS[beside] ?? (() => undefined));
+for (const lostMessages of [["requests", "answers"], ["requests"], ["answers"]] as const) {
+  for (const concurrentName of ["by itself", "with a restart of all"] as const) {
+    test(`tasks move away from machines that ${lostMessages.join(" and ")} no longer reach, ${concurrentName}`, async () => {
+      await assertTasksMove(lostMessages, CONCURRENT_FAULTS[concurrentName] ?? (() => undefined));
     });
   }
 }
 
 /** Whether the log line reports the deletion of machines because they are silent or unreachable. */
-const isRemoval = (line: string): boolean =>
+const reportsDeletion = (line: string): boolean =>
   [LogEvent.MachinesSilent, LogEvent.UnreachableMachinesRemoved].some((event) => line.includes(` ${event} `));
 
 test("a duplicate start command does not restart an attempt that has ended", async () => {
@@ -120,8 +124,8 @@
     const cluster = await playFaults(mesh, (c) => c.site.deafenAll(14 * S, ["requests", "answers"]));
     const before = cluster.log.length;
     await cluster.run(14 * S);
-    const given = cluster.log.slice(before).filter(isRemoval);
-    assert.deepEqual(given, []);
+    const deletions = cluster.log.slice(before).filter(reportsDeletion);
+    assert.deepEqual(deletions, []);
     await cluster.run(150 * S);
     assertRecovered(cluster);
   }
@@ -129,27 +133,27 @@
   const cluster = await playFaults(true, (c) => c.site.deafenAll(30 * S, ["requests", "answers"]));
   const before = cluster.log.length;
   await cluster.run(100 * S);
-  const given = cluster.log.slice(before).filter(isRemoval);
-  assert.deepEqual(given, []);
+  const deletions = cluster.log.slice(before).filter(reportsDeletion);
+  assert.deepEqual(deletions, []);
 });
 
 test("a machine that only responses do not reach is detected at its second heartbeat to the leader, and its tasks move", async () => {
   const cluster = await playFaults(false, (c) => c.site.deafen(machinesWithTasks(c, 1), 200 * S, ["answers"]));
   await cluster.run(60 * S);
-  const noticed = cluster.log.find((line) => line.includes(LogEvent.WorkerUnreachable));
-  assert.match(noticed ?? "", /"commands":true,"answers":false/);
+  const detected = cluster.log.find((line) => line.includes(LogEvent.WorkerUnreachable));
+  assert.match(detected ?? "", /"commands":true,"answers":false/);
   // Meanwhile the machine sends one heartbeat to each of the three controllers: time-outs of 4 s, with pauses of 1 s.
-  assert.ok(Number(noticed?.split(" ")[0]) < 60 + 20, noticed);
+  assert.ok(Number(detected?.split(" ")[0]) < 60 + 20, detected);
   assert.deepEqual(cluster.missingReplicas(), []);
 });
 
 test("each fault is shown to operators as one line, which disappears when the fault is over", async () => {
-  const troubles = async (cluster: Cluster): Promise<string> => {
-    const asked = cluster.network
+  const shownTroubles = async (cluster: Cluster): Promise<string> => {
+    const response = cluster.network
       .client("user", new HostClock(cluster.world, 1, 0))
       .call(cluster.site.nodeAddress(cluster.holder()), { method: "GET", target: "/links", body: "" }, S as Micros);
     await cluster.run(S / 2);
-    const outcome = await asked;
+    const outcome = await response;
     return outcome.kind === "answer" ? troublesIn(JSON.parse(outcome.body)).join("; ") : outcome.kind;
   };
   const cases: readonly (readonly [Fault, number, RegExp])[] = [
@@ -159,12 +163,12 @@
     [(c) => c.state.refuse(c.site.nodeAddress(c.holder()), 20 * S), 5, /state service: refused to me/],
     [(c) => c.state.outage(20 * S), 15, /without the right to act/],
   ];
-  for (const [trouble, afterS, expected] of cases) {
-    const cluster = await playFaults(true, trouble);
+  for (const [fault, afterS, expected] of cases) {
+    const cluster = await playFaults(true, fault);
     await cluster.run(afterS * S);
-    assert.match(await troubles(cluster), expected);
+    assert.match(await shownTroubles(cluster), expected);
     await cluster.run(120 * S);
-    assert.equal(await troubles(cluster), "");
+    assert.equal(await shownTroubles(cluster), "");
   }
 });
 
--- a/test/links.test.ts
+++ b/test/links.test.ts
@@ -5,7 +5,7 @@
 import { S } from "../src/model/index.js";
 import { Cluster, plainJob } from "./sim/cluster.js";
 
-const RUN = 60;
+const FAULT_RUN_S = 60;
 
 /** Runs a cluster with spare machines under a steady stream of short jobs; `injectFault` is called at 60 s. */
 const runWithFault = async (seed: number, mesh: boolean, injectFault: (cluster: Cluster, leader: number) => void) => {
@@ -17,21 +17,24 @@
     runUs: 30 * S,
   });
   let number = 0;
-  const next = (): void => {
+  const submitNext = (): void => {
     number += 1;
     const ref = `wk-${String(number).padStart(6, "0")}`;
     cluster.submit(plainJob(ref, { shards: 1, cpus: 1, flavors: ["big"] }), { runUs: 4 * S });
-    if (cluster.world.now < 130 * S) cluster.world.after(S / 2, next);
+    if (cluster.world.now < 130 * S) cluster.world.after(S / 2, submitNext);
   };
-  cluster.world.after(40 * S, next);
+  cluster.world.after(40 * S, submitNext);
   await cluster.run(60 * S);
   const before = cluster.log.length;
   injectFault(cluster, cluster.holder());
-  await cluster.run(RUN * S);
+  await cluster.run(FAULT_RUN_S * S);
   // The longest time without a task start during the fault, in seconds.
-  const at = cluster.begun.map((start) => start.at).filter((time) => time >= 58 * S && time <= (60 + RUN) * S);
+  const startTimes = cluster.begun
+    .map((start) => start.at)
+    .filter((time) => time >= 58 * S && time <= (60 + FAULT_RUN_S) * S);
   let gap = 0;
-  for (const [index, time] of at.entries()) gap = Math.max(gap, ((at[index + 1] ?? (60 + RUN) * S) - time) / S);
+  for (const [index, time] of startTimes.entries())
+    gap = Math.max(gap, ((startTimes[index + 1] ?? (60 + FAULT_RUN_S) * S) - time) / S);
   const failovers = cluster.log.slice(before).filter((line) => line.includes(` ${LogEvent.ShardAcquired} `)).length;
   await cluster.run(60 * S);
   assert.deepEqual(cluster.errors, []);
@@ -44,8 +47,8 @@
 for (const mode of MODES) {
   test(`a leader cut off from the key-value store reaches it through a peer (${mode})`, async () => {
     const cut = (cluster: Cluster, leader: number): void => cluster.site.cutFromState(leader, 40 * S, mode);
-    const without = await runWithFault(51, false, cut);
-    assert.ok(without.gap > 5, `without a mesh no task started for ${without.gap} s, expected more than 5 s`);
+    const withoutMesh = await runWithFault(51, false, cut);
+    assert.ok(withoutMesh.gap > 5, `without a mesh no task started for ${withoutMesh.gap} s, expected more than 5 s`);
     const result = await runWithFault(51, true, cut);
     assert.equal(result.failovers, 0);
     assert.ok(result.gap < 5, `nothing started for ${result.gap} s`);
@@ -77,13 +80,13 @@
 
 test("a leader that reaches only the workers works through peers that reach only the key-value store", async () => {
   // Without a mesh the shard repeatedly fails over between two controllers that reach no worker.
-  const crossed = (cluster: Cluster, leader: number): void => {
+  const injectFaults = (cluster: Cluster, leader: number): void => {
     cluster.state.refuse(cluster.site.nodeAddress(leader), 40 * S);
     for (const at of [0, 1, 2]) if (at !== leader) cluster.site.cutFromWorkers(at, 40 * S, "reset");
   };
-  const without = await runWithFault(54, false, crossed);
-  assert.ok(without.gap > 8, `without a mesh no task started for ${without.gap} s, expected more than 8 s`);
-  const result = await runWithFault(54, true, crossed);
+  const withoutMesh = await runWithFault(54, false, injectFaults);
+  assert.ok(withoutMesh.gap > 8, `without a mesh no task started for ${withoutMesh.gap} s, expected more than 8 s`);
+  const result = await runWithFault(54, true, injectFaults);
   assert.equal(result.failovers, 0);
   assert.ok(result.gap < 3, `nothing started for ${result.gap} s`);
 });
--- a/test/mesh.test.ts
+++ b/test/mesh.test.ts
@@ -121,7 +121,7 @@
   assert.equal(new PhiAccrualDetector(PERIOD).phi(0), Number.POSITIVE_INFINITY, "no heartbeat yet");
 });
 
-const peer = (
+const peerSnapshot = (
   label: string,
   fields: Partial<PeerSnapshot> = {},
   heartbeat: Partial<PeerHeartbeat> = {},
@@ -136,30 +136,33 @@
 const storeDown: UpstreamLinks = { failing: { store: true, cloud: false }, cutOffFromWorkers: false };
 
 test("a call is relayed only if the direct link fails, and through a peer whose own link works", () => {
-  assert.equal(selectRelayPeer("store", allUp, [peer("a")]), null);
-  assert.equal(selectRelayPeer("store", storeDown, [peer("a")]), "a");
-  assert.equal(selectRelayPeer("cloud", storeDown, [peer("a")]), null);
-  assert.equal(selectRelayPeer("store", storeDown, [peer("a", { usable: false }), peer("b")]), "b");
-  assert.equal(selectRelayPeer("store", storeDown, [peer("a", {}, { storeAgeMs: AGE_NEVER })]), null);
-  assert.equal(selectRelayPeer("store", storeDown, [peer("a", { heartbeat: null })]), null);
+  assert.equal(selectRelayPeer("store", allUp, [peerSnapshot("a")]), null);
+  assert.equal(selectRelayPeer("store", storeDown, [peerSnapshot("a")]), "a");
+  assert.equal(selectRelayPeer("cloud", storeDown, [peerSnapshot("a")]), null);
+  assert.equal(selectRelayPeer("store", storeDown, [peerSnapshot("a", { usable: false }), peerSnapshot("b")]), "b");
+  assert.equal(selectRelayPeer("store", storeDown, [peerSnapshot("a", {}, { storeAgeMs: AGE_NEVER })]), null);
+  assert.equal(selectRelayPeer("store", storeDown, [peerSnapshot("a", { heartbeat: null })]), null);
   // The peer with the lower load level is preferred, then the one with the lower phi; a saturated peer relays nothing.
-  assert.equal(selectRelayPeer("store", storeDown, [peer("a", {}, { loadLevel: 1 }), peer("b")]), "b");
-  assert.equal(selectRelayPeer("store", storeDown, [peer("a", { phi: 1 }), peer("b")]), "b");
-  assert.equal(selectRelayPeer("store", storeDown, [peer("a", {}, { loadLevel: 3 })]), null);
+  assert.equal(selectRelayPeer("store", storeDown, [peerSnapshot("a", {}, { loadLevel: 1 }), peerSnapshot("b")]), "b");
+  assert.equal(selectRelayPeer("store", storeDown, [peerSnapshot("a", { phi: 1 }), peerSnapshot("b")]), "b");
+  assert.equal(selectRelayPeer("store", storeDown, [peerSnapshot("a", {}, { loadLevel: 3 })]), null);
   const cutOff: UpstreamLinks = { ...allUp, cutOffFromWorkers: true };
-  assert.equal(selectRelayPeer("worker", cutOff, [peer("a", {}, { cutOffFromWorkers: true }), peer("b")]), "b");
+  assert.equal(
+    selectRelayPeer("worker", cutOff, [peerSnapshot("a", {}, { cutOffFromWorkers: true }), peerSnapshot("b")]),
+    "b",
+  );
   // A worker whose heartbeats are relayed by a peer is called through that peer and no other.
-  assert.equal(selectRelayPeer("worker", allUp, [peer("a"), peer("b")], "b"), "b");
-  assert.equal(selectRelayPeer("worker", allUp, [peer("a"), peer("b", { usable: false })], "b"), null);
+  assert.equal(selectRelayPeer("worker", allUp, [peerSnapshot("a"), peerSnapshot("b")], "b"), "b");
+  assert.equal(selectRelayPeer("worker", allUp, [peerSnapshot("a"), peerSnapshot("b", { usable: false })], "b"), null);
 });
 
 test("peers' heartbeats distinguish an outage of a service from a failure of this controller's link", () => {
   const statusOf = (links: UpstreamLinks, refused: boolean, peers: PeerSnapshot[]): string =>
     linkStatusOf("store", links, { answered: true, refused }, peers);
   assert.equal(statusOf(allUp, false, []), "reached");
-  assert.equal(statusOf(storeDown, false, [peer("a")]), "away for me only");
-  assert.equal(statusOf(storeDown, true, [peer("a")]), "refused to me");
-  assert.equal(statusOf(storeDown, true, [peer("a", {}, { storeAgeMs: AGE_NEVER })]), "away for everybody");
+  assert.equal(statusOf(storeDown, false, [peerSnapshot("a")]), "away for me only");
+  assert.equal(statusOf(storeDown, true, [peerSnapshot("a")]), "refused to me");
+  assert.equal(statusOf(storeDown, true, [peerSnapshot("a", {}, { storeAgeMs: AGE_NEVER })]), "away for everybody");
   assert.equal(linkStatusOf("cloud", allUp, { answered: false, refused: false }, []), "not asked yet");
 });
 
@@ -205,8 +208,8 @@
   receiver.close();
 });
 
-/** A mesh with one peer, simulated by the test. `peerAnswers`: the peer sends a hello and periodic heartbeats. */
-const meshWithOnePeer = (peerAnswers: boolean) => {
+/** A mesh with one peer, simulated by the test. `peerResponds`: the peer sends a hello and periodic heartbeats. */
+const meshWithOnePeer = (peerResponds: boolean) => {
   const world = new World();
   const clock = new HostClock(world, 1, 0);
   const connections: { at: number; connection: FrameConnection; closed: () => boolean; sent: MeshFrame[] }[] = [];
@@ -265,7 +268,7 @@
     });
     world.after(400_000, sendHeartbeat);
   };
-  if (peerAnswers) {
+  if (peerResponds) {
     receive({ type: "hello", label: "b", incarnation: "j" });
     sendHeartbeat();
   }
