--- a/src/mesh/heartbeat-loop.ts
+++ b/src/mesh/heartbeat-loop.ts
@@ -4,32 +4,32 @@
 import { LogEvent } from "./log-events.js";
 import { HEARTBEAT_PERIOD } from "./peer-liveness.js";
 
-/** A longer interval between two ticks counts as a stall of the event loop. */
-const MAX_TICK_INTERVAL = seconds(1.2);
+/** A longer interval between two iterations counts as a stall of the event loop. */
+const MAX_ITERATION_INTERVAL = seconds(1.2);
 const MICROS_PER_MILLISECOND = 1_000;
 
 /** Dependencies of the loop. */
 export interface HeartbeatLoopOptions {
   readonly clock: Clock;
   readonly log: Log;
-  /** Called before `onTick` if the event loop was stalled until `now`. */
+  /** Called before `onIteration` if the event loop was stalled until `now`. */
   readonly onStall: (now: Micros) => void;
   /** Called once per heartbeat period. */
-  readonly onTick: (now: Micros) => void;
+  readonly onIteration: (now: Micros) => void;
 }
 
-/** Ticks once per heartbeat period between `start` and `stop`. */
+/** Runs one iteration per heartbeat period between `start` and `stop`. */
 export class HeartbeatLoop {
-  private lastTickAt: Micros;
+  private lastIterationAt: Micros;
   private timer: Timer | null = null;
 
   constructor(private readonly options: HeartbeatLoopOptions) {
-    this.lastTickAt = options.clock.now();
+    this.lastIterationAt = options.clock.now();
   }
 
-  /** Runs the first tick synchronously. */
+  /** Runs the first iteration synchronously. */
   start(): void {
-    this.runTick();
+    this.runIteration();
   }
 
   stop(): void {
@@ -37,20 +37,20 @@
     this.timer = null;
   }
 
-  private runTick(): void {
-    const { clock, onTick } = this.options;
+  private runIteration(): void {
+    const { clock, onIteration } = this.options;
     const now = clock.now();
     this.detectStall(now);
-    onTick(now);
-    this.timer = clock.after(HEARTBEAT_PERIOD, () => this.runTick());
+    onIteration(now);
+    this.timer = clock.after(HEARTBEAT_PERIOD, () => this.runIteration());
   }
 
   /** After a stall every peer and worker seems silent until the messages received meanwhile have been processed. */
   private detectStall(now: Micros): void {
     const { log, onStall } = this.options;
-    const interval = now - this.lastTickAt;
-    this.lastTickAt = now;
-    if (interval <= MAX_TICK_INTERVAL) return;
+    const interval = now - this.lastIterationAt;
+    this.lastIterationAt = now;
+    if (interval <= MAX_ITERATION_INTERVAL) return;
     log.info(LogEvent.EventLoopStalled, {
       stallMs: Math.round((interval - HEARTBEAT_PERIOD) / MICROS_PER_MILLISECOND),
     });
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -77,7 +77,7 @@
       clock,
       log,
       onStall: (now) => workerPath.recordStall(now),
-      onTick: (now) => this.runTick(now),
+      onIteration: (now) => this.runIteration(now),
     });
   }
 
@@ -130,7 +130,7 @@
     };
   }
 
-  private runTick(now: Micros): void {
+  private runIteration(now: Micros): void {
     this.workerPath.update(now);
     this.links.probeFailingLinks();
     this.peers.broadcast(this.nextHeartbeat(), now);
--- a/src/mesh/peer-connection.ts
+++ b/src/mesh/peer-connection.ts
@@ -137,7 +137,7 @@
     const { clock, log, label, listener } = this.options;
     if (frame.type === "hello") {
       if (frame.label !== label) {
-        this.closeMalformed(`hello from ${frame.label}, expected ${label}`);
+        this.closeMalformed(`hello from another controller: ${frame.label}`);
         return;
       }
       this.identified = true;
