--- a/test/fault-pairs.test.ts
+++ b/test/fault-pairs.test.ts
@@ -8,6 +8,7 @@
 import { Cluster, randomJob } from "./sim/cluster.js";
 import { assertRecovered, FAULT_DURATION, type Fault, machinesWithTasks, playFaults } from "./sim/faulty-day.js";
 
+/** Faults, each tested together with every entry of `CONCURRENT_FAULTS`. A "holder" is the shard leader. */
 const FAULTS: Readonly<Record<string, Fault>> = {
   "a machine heard but not reached": (cluster) =>
     cluster.site.deafen(machinesWithTasks(cluster, 2), FAULT_DURATION, ["requests", "answers"]),
@@ -39,6 +40,7 @@
   },
 };
 
+/** Faults injected at the same time as those of `FAULTS`, or a few seconds later. */
 const CONCURRENT_FAULTS: Readonly<Record<string, Fault>> = {
   "by itself": () => undefined,
   "with a takeover": (cluster) => cluster.world.after(4 * S, () => cluster.crash(cluster.holder(), 15 * S)),
@@ -142,7 +144,7 @@
   await cluster.run(60 * S);
   const detected = cluster.log.find((line) => line.includes(LogEvent.WorkerUnreachable));
   assert.match(detected ?? "", /"commands":true,"answers":false/);
-  // Meanwhile the machine sends one heartbeat to each of the three controllers: time-outs of 4 s, with pauses of 1 s.
+  // Meanwhile the machine sends one heartbeat to each of the three controllers: timeouts of 4 s, with pauses of 1 s.
   assert.ok(Number(detected?.split(" ")[0]) < 60 + 20, detected);
   assert.deepEqual(cluster.missingReplicas(), []);
 });
