--- a/src/mesh/heartbeat-loop.ts
+++ b/src/mesh/heartbeat-loop.ts
@@ -1,35 +1,35 @@
-/** The mesh's one periodic loop. */
+/** Periodic loop of the mesh, with detection of event-loop stalls. */
 import { type Clock, type Micros, seconds, type Timer } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
 import { LogEvent } from "./log-events.js";
 import { HEARTBEAT_PERIOD } from "./peer-liveness.js";
 
-/** Between two turns of the loop; beyond it the event loop has stalled. */
-const MAX_TURN_INTERVAL = seconds(1.2);
+/** A longer interval between two iterations counts as a stall of the event loop. */
+const MAX_ITERATION_INTERVAL = seconds(1.2);
 const MICROS_PER_MILLISECOND = 1_000;
 
-/** What the loop needs. */
+/** Dependencies of the loop. */
 export interface HeartbeatLoopOptions {
   readonly clock: Clock;
   readonly log: Log;
-  /** Called before `onTurn` if the event loop has stalled until `now`. */
+  /** Called before `onIteration` if the event loop was stalled until `now`. */
   readonly onStall: (now: Micros) => void;
-  /** Called once a heartbeat period. */
-  readonly onTurn: (now: Micros) => void;
+  /** Called once per heartbeat period. */
+  readonly onIteration: (now: Micros) => void;
 }
 
-/** Runs once a heartbeat period from `start` to `stop`. */
+/** Runs one iteration per heartbeat period between `start` and `stop`. */
 export class HeartbeatLoop {
-  private lastTurnAt: Micros;
+  private lastIterationAt: Micros;
   private timer: Timer | null = null;
 
   constructor(private readonly options: HeartbeatLoopOptions) {
-    this.lastTurnAt = options.clock.now();
+    this.lastIterationAt = options.clock.now();
   }
 
-  /** The first turn is run at once. */
+  /** Runs the first iteration synchronously. */
   start(): void {
-    this.runTurn();
+    this.runIteration();
   }
 
   stop(): void {
@@ -37,20 +37,20 @@
     this.timer = null;
   }
 
-  private runTurn(): void {
-    const { clock, onTurn } = this.options;
+  private runIteration(): void {
+    const { clock, onIteration } = this.options;
     const now = clock.now();
     this.detectStall(now);
-    onTurn(now);
-    this.timer = clock.after(HEARTBEAT_PERIOD, () => this.runTurn());
+    onIteration(now);
+    this.timer = clock.after(HEARTBEAT_PERIOD, () => this.runIteration());
   }
 
-  /** After a stall every peer and worker seems silent until what has arrived meanwhile is read. */
+  /** After a stall every peer and worker seems silent until the messages received meanwhile have been processed. */
   private detectStall(now: Micros): void {
     const { log, onStall } = this.options;
-    const interval = now - this.lastTurnAt;
-    this.lastTurnAt = now;
-    if (interval <= MAX_TURN_INTERVAL) return;
+    const interval = now - this.lastIterationAt;
+    this.lastIterationAt = now;
+    if (interval <= MAX_ITERATION_INTERVAL) return;
     log.info(LogEvent.EventLoopStalled, {
       stallMs: Math.round((interval - HEARTBEAT_PERIOD) / MICROS_PER_MILLISECOND),
     });
--- a/test/fault-pairs.test.ts
+++ b/test/fault-pairs.test.ts
@@ -8,7 +8,8 @@
 import { Cluster, randomJob } from "./sim/cluster.js";
 import { assertRecovered, FAULT_DURATION, type Fault, machinesWithTasks, playFaults } from "./sim/faulty-day.js";
 
-const TROUBLES: Readonly<Record<string, Fault>> = {
+/** Faults, each tested together with every entry of `CONCURRENT_FAULTS`. A "holder" is the shard leader. */
+const FAULTS: Readonly<Record<string, Fault>> = {
   "a machine heard but not reached": (cluster) =>
     cluster.site.deafen(machinesWithTasks(cluster, 2), FAULT_DURATION, ["requests", "answers"]),
   "a machine that commands do not reach": (cluster) =>
@@ -39,7 +40,8 @@
   },
 };
 
-const PAIRS: Readonly<Record<string, Fault>> = {
+/** Faults injected at the same time as those of `FAULTS`, or a few seconds later. */
+const CONCURRENT_FAULTS: Readonly<Record<string, Fault>> = {
   "by itself": () => undefined,
   "with a takeover": (cluster) => cluster.world.after(4 * S, () => cluster.crash(cluster.holder(), 15 * S)),
   "with a restart of all": (cluster) =>
@@ -50,10 +52,10 @@
   "with a zone cut off": (cluster) => cluster.world.after(2 * S, () => cluster.site.cutZone("west", 30 * S, "hold")),
 };
 
-for (const [name, trouble] of Object.entries(TROUBLES)) {
-  for (const [beside, other] of Object.entries(PAIRS)) {
-    test(`${name}, ${beside}`, async () => {
-      const cluster = await playFaults(true, trouble, other);
+for (const [name, fault] of Object.entries(FAULTS)) {
+  for (const [concurrentName, concurrentFault] of Object.entries(CONCURRENT_FAULTS)) {
+    test(`${name}, ${concurrentName}`, async () => {
+      const cluster = await playFaults(true, fault, concurrentFault);
       await cluster.run(FAULT_DURATION);
       cluster.checker.calmFrom = cluster.world.now;
       await cluster.run(150 * S);
@@ -62,10 +64,17 @@
   }
 }
 
-/** The longest that any replica was on no machine between the two times. */
-const nobodyIsBound = async (swallows: readonly ("requests" | "answers")[], restart: Fault): Promise<Cluster> => {
-  const cluster = await playFaults(false, (c) => c.site.deafen(machinesWithTasks(c, 2), 600 * S, swallows), restart);
-  // Long before the machines are reached again, all that was on them has gone on elsewhere.
+/**
+ * For 600 s, messages of the kinds in `lostMessages` do not reach two machines with tasks. Asserts that well before the
+ * end of that time all tasks run on other machines.
+ */
+const assertTasksMove = async (lostMessages: readonly ("requests" | "answers")[], restart: Fault): Promise<Cluster> => {
+  const cluster = await playFaults(
+    false,
+    (c) => c.site.deafen(machinesWithTasks(c, 2), 600 * S, lostMessages),
+    restart,
+  );
+  // Well before the machines become reachable again, all their tasks have been moved to other machines.
   await cluster.run(110 * S);
   cluster.checker.calmFrom = cluster.world.now;
   await cluster.run(90 * S);
@@ -73,21 +82,22 @@
   return cluster;
 };
 
-for (const swallows of [["requests", "answers"], ["requests"], ["answers"]] as const) {
-  for (const beside of ["by itself", "with a restart of all"] as const) {
-    test(`no job is bound to a machine that ${swallows.join(" and ")} never reach again, ${beside}`, async () => {
-      await nobodyIsBound(swallows, PAIRS[beside] ?? (() => undefined));
+for (const lostMessages of [["requests", "answers"], ["requests"], ["answers"]] as const) {
+  for (const concurrentName of ["by itself", "with a restart of all"] as const) {
+    test(`tasks move away from machines that ${lostMessages.join(" and ")} no longer reach, ${concurrentName}`, async () => {
+      await assertTasksMove(lostMessages, CONCURRENT_FAULTS[concurrentName] ?? (() => undefined));
     });
   }
 }
 
-/** Does the line say that machines are deleted because nothing is heard of them, or because nothing reaches them? */
-const isRemoval = (line: string): boolean =>
+/** Whether the log line reports the deletion of machines because they are silent or unreachable. */
+const reportsDeletion = (line: string): boolean =>
   [LogEvent.MachinesSilent, LogEvent.UnreachableMachinesRemoved].some((event) => line.includes(` ${event} `));
 
-test("a start command that comes a second time starts nothing that has ended", async () => {
-  // Ended and on record, an attempt was forgotten under the token that it had been started under; the command, repeated,
-  // started it once more, beside the next attempt elsewhere: 15 of 60 such days broke a rule.
+test("a duplicate start command does not restart an attempt that has ended", async () => {
+  // Once the end of an attempt was recorded, its forget command carried the same fencing token as its start command.
+  // A duplicate of the start command was therefore not stale and started the attempt again, concurrently with the next
+  // attempt on another machine: 15 of 60 such runs violated an invariant.
   for (const seed of [4, 8, 16, 17]) {
     const cluster = new Cluster(seed, { mesh: seed % 2 === 0 });
     const random = new Random(seed + 1_000);
@@ -110,42 +120,42 @@
   }
 });
 
-test("with all machines heard and none reached, they are not given up one after the other", async () => {
-  // Each was found silent in its turn and did not answer; six of seven were deleted, with all that they ran.
+test("machines are not deleted one after another while all send heartbeats but none can be reached", async () => {
+  // Each machine in turn was detected as silent and did not respond; six of seven were deleted, with all their tasks.
   for (const mesh of [false, true]) {
     const cluster = await playFaults(mesh, (c) => c.site.deafenAll(14 * S, ["requests", "answers"]));
     const before = cluster.log.length;
     await cluster.run(14 * S);
-    const given = cluster.log.slice(before).filter(isRemoval);
-    assert.deepEqual(given, []);
+    const deletions = cluster.log.slice(before).filter(reportsDeletion);
+    assert.deepEqual(deletions, []);
     await cluster.run(150 * S);
     assertRecovered(cluster);
   }
-  // Longer than the leases: once it was over, two were given up for what had been missed.
+  // The fault lasts longer than the leases: after it ended, two machines were deleted for messages missed during it.
   const cluster = await playFaults(true, (c) => c.site.deafenAll(30 * S, ["requests", "answers"]));
   const before = cluster.log.length;
   await cluster.run(100 * S);
-  const given = cluster.log.slice(before).filter(isRemoval);
-  assert.deepEqual(given, []);
+  const deletions = cluster.log.slice(before).filter(reportsDeletion);
+  assert.deepEqual(deletions, []);
 });
 
-test("a machine that only answers do not reach is noticed with its second report here, and its work goes on elsewhere", async () => {
+test("a machine that only responses do not reach is detected at its second heartbeat to the leader, and its tasks move", async () => {
   const cluster = await playFaults(false, (c) => c.site.deafen(machinesWithTasks(c, 1), 200 * S, ["answers"]));
   await cluster.run(60 * S);
-  const noticed = cluster.log.find((line) => line.includes(LogEvent.WorkerUnreachable));
-  assert.match(noticed ?? "", /"commands":true,"answers":false/);
-  // A report to each of the three controllers, each given up after four seconds, with a second between them.
-  assert.ok(Number(noticed?.split(" ")[0]) < 60 + 20, noticed);
+  const detected = cluster.log.find((line) => line.includes(LogEvent.WorkerUnreachable));
+  assert.match(detected ?? "", /"commands":true,"answers":false/);
+  // Meanwhile the machine sends one heartbeat to each of the three controllers: timeouts of 4 s, with pauses of 1 s.
+  assert.ok(Number(detected?.split(" ")[0]) < 60 + 20, detected);
   assert.deepEqual(cluster.missingReplicas(), []);
 });
 
-test("each trouble is one line for the operator, and none is left when it is over", async () => {
-  const troubles = async (cluster: Cluster): Promise<string> => {
-    const asked = cluster.network
+test("each fault is shown to operators as one line, which disappears when the fault is over", async () => {
+  const shownTroubles = async (cluster: Cluster): Promise<string> => {
+    const response = cluster.network
       .client("user", new HostClock(cluster.world, 1, 0))
       .call(cluster.site.nodeAddress(cluster.holder()), { method: "GET", target: "/links", body: "" }, S as Micros);
     await cluster.run(S / 2);
-    const outcome = await asked;
+    const outcome = await response;
     return outcome.kind === "answer" ? troublesIn(JSON.parse(outcome.body)).join("; ") : outcome.kind;
   };
   const cases: readonly (readonly [Fault, number, RegExp])[] = [
@@ -155,18 +165,18 @@
     [(c) => c.state.refuse(c.site.nodeAddress(c.holder()), 20 * S), 5, /state service: refused to me/],
     [(c) => c.state.outage(20 * S), 15, /without the right to act/],
   ];
-  for (const [trouble, afterS, expected] of cases) {
-    const cluster = await playFaults(true, trouble);
+  for (const [fault, afterS, expected] of cases) {
+    const cluster = await playFaults(true, fault);
     await cluster.run(afterS * S);
-    assert.match(await troubles(cluster), expected);
+    assert.match(await shownTroubles(cluster), expected);
     await cluster.run(120 * S);
-    assert.equal(await troubles(cluster), "");
+    assert.equal(await shownTroubles(cluster), "");
   }
 });
 
-test("a zone that is cut off cuts machines that come up meanwhile, too", async () => {
+test("machines that come up in a zone that is cut off are cut off as well", async () => {
   const cluster = await playFaults(true, (c) => c.site.cutZone("west", 30 * S, "hold"));
-  // Whatever was on its way has arrived by then.
+  // Heartbeats delivered before the fault are logged by now; those sent later are held until it ends.
   const linesBefore = cluster.log.length;
   await cluster.run(29 * S);
   const machinesUp = cluster.log.slice(linesBefore).filter((line) => line.includes(` ${LogEvent.MachineUp} `));
