--- a/src/storage/job-records.ts
+++ b/src/storage/job-records.ts
@@ -71,8 +71,8 @@
  */
 export const decodeJobRecord = (value: unknown): JobRecord => {
   const fields = asObject(value, "job record");
-  const known = decodedRecords.get(fields);
-  if (known !== undefined) return known;
+  const cached = decodedRecords.get(fields);
+  if (cached !== undefined) return cached;
   const record = readFields(fields);
   decodedRecords.set(fields, record);
   return record;
--- a/src/storage/key-value-store.ts
+++ b/src/storage/key-value-store.ts
@@ -75,7 +75,7 @@
 const MICROS_PER_MS = 1_000;
 
 const toWholeMs = (span: Micros): number => Math.floor(span / MICROS_PER_MS);
-const confirmed = (): true => true;
+const decodeAcknowledgement = (): true => true;
 
 /**
  * Sends requests to the key-value store, rate-limited by the budget. Results distinguish requests that were not
@@ -96,7 +96,7 @@
 
   /** Reads one entry; `missing` where the key does not exist. */
   async get(key: string): Promise<StoreResult<KeyValueEntry>> {
-    await this.pacer.waitForTurn();
+    await this.pacer.acquire();
     return this.resultOf(await this.request("GET", `/kv/${key}`, null), decodeEntry);
   }
 
@@ -119,7 +119,7 @@
 
   /** Reads at most `count` entries below the prefix, after the key `from` (empty: from the first). */
   async page(prefix: string, from: string, count: number): Promise<StoreResult<EntryPage>> {
-    await this.pacer.waitForTurn();
+    await this.pacer.acquire();
     const target = `/kv?under=${prefix}${from === "" ? "" : `&from=${from}`}&page=${count}`;
     return this.resultOf(await this.request("GET", target, null), decodeEntryPage);
   }
@@ -139,7 +139,7 @@
 
   /** Grants a lease and returns its id. The time to live is rounded down to whole milliseconds. */
   async grantLease(ttl: Micros): Promise<StoreResult<Uint64>> {
-    await this.pacer.waitForTurn();
+    await this.pacer.acquire();
     return this.resultOf(await this.request("POST", "/grants", { ttlMs: toWholeMs(ttl) }), decodeLeaseId);
   }
 
@@ -149,13 +149,13 @@
    */
   async renewLease(lease: Uint64): Promise<StoreResult<true>> {
     this.pacer.countUnpaced();
-    return this.resultOf(await this.request("POST", `/grants/${lease}/touch`, {}), confirmed);
+    return this.resultOf(await this.request("POST", `/grants/${lease}/touch`, {}), decodeAcknowledgement);
   }
 
   /** Revokes a lease, which deletes all keys attached to it; `missing` where it has expired. */
   async revokeLease(lease: Uint64): Promise<StoreResult<true>> {
-    await this.pacer.waitForTurn();
-    return this.resultOf(await this.request("DELETE", `/grants/${lease}`, null), confirmed);
+    await this.pacer.acquire();
+    return this.resultOf(await this.request("DELETE", `/grants/${lease}`, null), decodeAcknowledgement);
   }
 
   /**
@@ -163,7 +163,7 @@
    * to `wait` for one. `missing`: `from` is too old, and the entries must be listed again.
    */
   async watch(prefix: string, from: Uint64, wait: Micros): Promise<StoreResult<ChangeList>> {
-    await this.pacer.waitForTurn();
+    await this.pacer.acquire();
     const target = `/watch?under=${prefix}&from=${from}&waitMs=${toWholeMs(wait)}`;
     const outcome = await this.request("GET", target, null, (wait + REQUEST_TIMEOUT) as Micros);
     return watchResultOf(outcome, decodeChanges, this.options.log);
--- a/src/storage/keys.ts
+++ b/src/storage/keys.ts
@@ -76,8 +76,8 @@
 export const memberOfKey = (key: string): string | null => withoutPrefix(MEMBER_PREFIX, key);
 /** The job and the range index of this task range key; null for any other key. */
 export const taskRangeOfKey = (key: string): { id: string; range: number } | null => {
-  const rest = withoutPrefix(TASK_RANGE_PREFIX, key);
-  if (rest === null) return null;
-  const slash = rest.lastIndexOf("/");
-  return { id: rest.slice(0, slash), range: Number(rest.slice(slash + 1)) };
+  const suffix = withoutPrefix(TASK_RANGE_PREFIX, key);
+  if (suffix === null) return null;
+  const slash = suffix.lastIndexOf("/");
+  return { id: suffix.slice(0, slash), range: Number(suffix.slice(slash + 1)) };
 };
--- a/src/storage/request-pacer.ts
+++ b/src/storage/request-pacer.ts
@@ -26,7 +26,7 @@
   }
 
   /** Resolves once the budget allows a request, and counts that request against it. */
-  async waitForTurn(): Promise<void> {
+  async acquire(): Promise<void> {
     for (let wait = this.limit.timeUntilAvailable(1); wait > 0; wait = this.limit.timeUntilAvailable(1))
       await sleep(this.clock, wait);
     this.limit.take(1);
--- a/src/storage/shared-request.ts
+++ b/src/storage/shared-request.ts
@@ -46,7 +46,7 @@
 
   /** Limits the rate: without this interval, hundreds of polls per second would use up the whole request budget. */
   private waitForInterval(): Promise<void> | undefined {
-    const rest = this.sentAt + this.interval() - this.clock.now();
-    return rest > 0 ? sleep(this.clock, rest as Micros) : undefined;
+    const remaining = this.sentAt + this.interval() - this.clock.now();
+    return remaining > 0 ? sleep(this.clock, remaining as Micros) : undefined;
   }
 }
--- a/src/storage/store-results.ts
+++ b/src/storage/store-results.ts
@@ -83,7 +83,7 @@
 /**
  * Result of status 400: `refused` where the lease has expired, which is normal; otherwise the transaction is too large.
  */
-const refusalOf = (response: HttpResponse, writeCount: number, log: Log): TransactionResult => {
+const badRequestResultOf = (response: HttpResponse, writeCount: number, log: Log): TransactionResult => {
   if (response.body.includes(LEASE_EXPIRED_TEXT)) return { kind: "refused" };
   log.info(LogEvent.TransactionRefused, { writes: writeCount, body: response.body.slice(0, LOGGED_BODY_LENGTH) });
   return { kind: "too large" };
@@ -95,7 +95,7 @@
 export const transactionResultOf = (outcome: HttpOutcome, writeCount: number, log: Log): TransactionResult => {
   if (outcome.kind === "answer") {
     if (outcome.status === STATUS_CONFLICT) return conflictOf(outcome, log);
-    if (outcome.status === STATUS_BAD_REQUEST) return refusalOf(outcome, writeCount, log);
+    if (outcome.status === STATUS_BAD_REQUEST) return badRequestResultOf(outcome, writeCount, log);
     if (outcome.status === STATUS_TOO_MANY_REQUESTS) return { kind: "busy" };
   }
   const result = storeResultOf(outcome, decodeRevision, log);
--- a/src/storage/transaction-queues.ts
+++ b/src/storage/transaction-queues.ts
@@ -4,17 +4,23 @@
  */
 import type { Clock } from "../transport/clock.js";
 import type { PendingTransaction } from "./pending-transaction.js";
-import { forEachPriority, overdueAfter, TURN_ORDER, WRITE_PRIORITIES, type WritePriority } from "./write-priority.js";
+import {
+  forEachPriority,
+  OVERDUE_ORDER,
+  overdueAfter,
+  WRITE_PRIORITIES,
+  type WritePriority,
+} from "./write-priority.js";
 
 /** One batch in this many may begin with an overdue transaction. */
-const TURN_INTERVAL = 3;
+const OVERDUE_BATCH_INTERVAL = 3;
 
 /** Queued transactions by priority, oldest first, and the choice of the one that begins the next batch. */
 export class TransactionQueues {
   private readonly queues: Readonly<Record<WritePriority, PendingTransaction[]>> = forEachPriority(() => []);
   private batchCount = 0;
-  /** Index in `TURN_ORDER` of the priority served last by the round-robin over overdue priorities. */
-  private lastTurn = 0;
+  /** Index in `OVERDUE_ORDER` of the priority served last by the round-robin over overdue priorities. */
+  private lastOverdueIndex = 0;
 
   constructor(private readonly clock: Clock) {}
 
@@ -53,7 +59,7 @@
 
   /** The transaction that begins the next batch; null: all queues are empty. */
   next(): PendingTransaction | null {
-    const overdue = this.isTurn && this.count("cancellation") === 0 ? this.nextOverdue() : null;
+    const overdue = this.isOverdueBatch && this.count("cancellation") === 0 ? this.nextOverdue() : null;
     if (overdue !== null) return overdue;
     for (const priority of WRITE_PRIORITIES) {
       const transaction = this.queues[priority][0];
@@ -64,7 +70,7 @@
 
   /** Records a new batch. `priority`: that of the transaction with which it begins. */
   recordBatch(priority: WritePriority): void {
-    if (this.isTurn) this.lastTurn = Math.max(0, TURN_ORDER.indexOf(priority));
+    if (this.isOverdueBatch) this.lastOverdueIndex = Math.max(0, OVERDUE_ORDER.indexOf(priority));
     this.batchCount += 1;
   }
 
@@ -73,8 +79,8 @@
     return this.clock.now() - queuedAt > overdueAfter(priority);
   }
 
-  private get isTurn(): boolean {
-    return this.batchCount % TURN_INTERVAL === 0;
+  private get isOverdueBatch(): boolean {
+    return this.batchCount % OVERDUE_BATCH_INTERVAL === 0;
   }
 
   /**
@@ -82,8 +88,8 @@
    * priority alone would starve the others.
    */
   private nextOverdue(): PendingTransaction | null {
-    for (let step = 1; step <= TURN_ORDER.length; step += 1) {
-      const priority = TURN_ORDER[(this.lastTurn + step) % TURN_ORDER.length] ?? "normal";
+    for (let step = 1; step <= OVERDUE_ORDER.length; step += 1) {
+      const priority = OVERDUE_ORDER[(this.lastOverdueIndex + step) % OVERDUE_ORDER.length] ?? "normal";
       const transaction = this.queues[priority][0];
       if (transaction !== undefined && this.isOverdue(transaction)) return transaction;
     }
--- a/src/storage/transaction-sender.ts
+++ b/src/storage/transaction-sender.ts
@@ -16,7 +16,7 @@
 /** Maximum number of batches in flight at once. */
 const MAX_IN_FLIGHT = 2;
 /** Number of retries after a busy response before the transaction is resolved as refused. */
-const MAX_ATTEMPTS = 8;
+const MAX_BUSY_RETRIES = 8;
 /** Share of one second's writes that deferred and maintenance writes leave free while they are not overdue. */
 const RESERVED_SHARE = 0.5;
 /** Pause after a refusal, in milliseconds: the minimum, and the width of the random jitter added to it. */
@@ -70,7 +70,7 @@
     while (this.inFlight < MAX_IN_FLIGHT) {
       const first = this.options.queues.next();
       if (first === null) return;
-      const wait = this.budget.timeUntilAvailable(first.keys.length + this.reservedBefore(first));
+      const wait = this.budget.timeUntilAvailable(first.keys.length + this.reservedWritesFor(first));
       if (wait > 0) {
         this.scheduleFlush(wait);
         return;
@@ -83,7 +83,7 @@
    * Writes of the accumulated budget that must remain before this transaction is sent. Deferred and maintenance writes,
    * on which nothing waits, leave a part for a burst of task starts until they are overdue.
    */
-  private reservedBefore(transaction: PendingTransaction): number {
+  private reservedWritesFor(transaction: PendingTransaction): number {
     const { priority } = transaction;
     if (priority !== "deferred" && priority !== "maintenance") return 0;
     return this.options.queues.isOverdue(transaction) ? 0 : this.reservedWrites;
@@ -142,7 +142,7 @@
     const retried: PendingTransaction[] = [];
     for (const transaction of transactions) {
       transaction.attempts += 1;
-      if (transaction.attempts <= MAX_ATTEMPTS) retried.push(transaction);
+      if (transaction.attempts <= MAX_BUSY_RETRIES) retried.push(transaction);
       else transaction.resolve({ kind: "refused" });
     }
     this.options.queues.requeue(retried);
@@ -173,7 +173,7 @@
       return;
     }
     // Not retried unchanged: its submitter reads the lowered limits and has to submit a smaller transaction.
-    limits.learnFromRefusal(batch.writes);
+    limits.lowerAfterRefusal(batch.writes);
     batch.resolveAll(result);
   }
 
--- a/src/storage/watch-cache.ts
+++ b/src/storage/watch-cache.ts
@@ -99,11 +99,11 @@
       const startedAt = clock.now();
       if (this.revision === null) await this.load();
       else {
-        const watched = await this.catchUp(this.revision, WATCH_TIMEOUT);
-        if (!watched) await sleep(clock, WATCH_RETRY_DELAY);
+        const succeeded = await this.catchUp(this.revision, WATCH_TIMEOUT);
+        if (!succeeded) await sleep(clock, WATCH_RETRY_DELAY);
       }
-      const rest = startedAt + watchInterval - clock.now();
-      if (rest > 0) await sleep(clock, rest as Micros);
+      const remaining = startedAt + watchInterval - clock.now();
+      if (remaining > 0) await sleep(clock, remaining as Micros);
     }
   }
 
@@ -124,7 +124,7 @@
       return;
     }
     this.revision = reply.value.revision;
-    const changes = this.changesTo(reply.value);
+    const changes = this.differencesFrom(reply.value);
     this.applyAll(changes);
     this.freshAsOf = sentAt;
     this.notify(changes);
@@ -132,7 +132,7 @@
   }
 
   /** The changes that make the cache equal to the list, deletions first. */
-  private changesTo({ entries, revision }: EntryList): readonly KeyChange[] {
+  private differencesFrom({ entries, revision }: EntryList): readonly KeyChange[] {
     const listedKeys = new Set(entries.map((entry) => entry.key));
     const changes: KeyChange[] = [...this.entries.keys()]
       .filter((key) => !listedKeys.has(key))
@@ -158,7 +158,7 @@
     if (reply.kind !== "ok") return false;
     // Another request may have reset the revision to null meanwhile; the list that follows then contains these changes.
     if (this.revision === null) return false;
-    const changes = this.advance(this.revision, reply.value);
+    const changes = this.advanceRevision(this.revision, reply.value);
     this.freshAsOf = Math.max(this.freshAsOf ?? 0, sentAt) as Micros;
     this.applyAll(changes);
     this.notify(changes);
@@ -169,9 +169,9 @@
    * Advances the revision, and returns the changes that are not in the cache yet. The requests of the watch and of
    * `sync` overlap, and an older change in one response must not overwrite a newer one from the other.
    */
-  private advance(known: Uint64, { changes, revision }: ChangeList): readonly KeyChange[] {
-    if (revision > known) this.revision = revision;
-    return changes.filter(({ version }) => version > known);
+  private advanceRevision(current: Uint64, { changes, revision }: ChangeList): readonly KeyChange[] {
+    if (revision > current) this.revision = revision;
+    return changes.filter(({ version }) => version > current);
   }
 
   /**
--- a/src/storage/write-priority.ts
+++ b/src/storage/write-priority.ts
@@ -34,7 +34,7 @@
 ]);
 
 /** The priorities whose transactions can become overdue, in the round-robin order in which overdue ones are sent. */
-export const TURN_ORDER: readonly WritePriority[] = [...OVERDUE_AFTER.keys()];
+export const OVERDUE_ORDER: readonly WritePriority[] = [...OVERDUE_AFTER.keys()];
 
 /**
  * Waiting time after which a transaction is overdue and may begin a batch ahead of higher priorities, so that no
