--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,4 +1,4 @@
-/** Messages of the cloud: machine types, lists of machines, requests to provision and to delete. */
+/** Messages of the cloud API: machine types, machine lists, provisioning and deletion requests. */
 import {
   asArray,
   asObject,
@@ -12,23 +12,23 @@
 } from "./json.js";
 import { availableResources, type Resources } from "./resources.js";
 
-/** A type of machine that the cloud offers. Prices are for one hour. */
+/** A machine type that the cloud offers. Prices are per hour. */
 export interface MachineType {
   readonly name: string;
   readonly capacity: Resources;
-  /** Disk for images, in GB. */
+  /** Size of the image cache, in GB. */
   readonly cacheGb: number;
-  /** Rate at which images are fetched, in GB a second. */
+  /** Rate at which images are fetched, in GB per second. */
   readonly fetchGbPerS: number;
   readonly price: number;
-  /** The price of a spot instance; `price` where the cloud names none. */
+  /** Price of a spot instance; equals `price` where the cloud gives none. */
   readonly spotPrice: number;
-  /** Time that a new machine takes to boot, as the cloud states it. */
+  /** Boot time of a new machine in seconds, as stated by the cloud. */
   readonly bootS: number;
   readonly zones: readonly string[];
 }
 
-/** A machine as the cloud's list shows it. */
+/** An entry of the cloud's machine list. */
 export interface ListedMachine {
   readonly name: string;
   /** Null: not known yet. */
@@ -37,11 +37,11 @@
   readonly zone: string;
   readonly spot: boolean;
   readonly state: "booting" | "running" | "failed";
-  /** Time since it was provisioned. */
+  /** Time since it was provisioned, in seconds. */
   readonly ageS: number;
 }
 
-/** One page of the cloud's list of machines. */
+/** One page of the cloud's machine list. */
 export interface MachinePage {
   readonly machines: readonly ListedMachine[];
   /** Whether there are further pages. */
@@ -54,7 +54,7 @@
   failed: "failed",
 };
 
-/** Decodes the machine types on offer. Throws MalformedMessageError. */
+/** Decodes the list of machine types. Throws MalformedMessageError. */
 export const decodeMachineTypes = (body: unknown): readonly MachineType[] =>
   asArray(asObject(body, "types").flavors, "flavors").map(decodeMachineType);
 
@@ -76,7 +76,7 @@
   };
 };
 
-/** Decodes a page of the list of machines. Throws MalformedMessageError. */
+/** Decodes a page of the machine list. Throws MalformedMessageError. */
 export const decodeMachineList = (body: unknown): MachinePage => {
   const fields = asObject(body, "listing");
   const machines = asArray(fields.hosts, "hosts").map(decodeListedMachine);
@@ -97,7 +97,9 @@
   };
 };
 
-/** Request for `count` machines. `requestName`: the same name sent again provisions nothing more. */
+/**
+ * Encodes a request for `count` machines. `requestName` is the idempotency key: a repeated request provisions no more.
+ */
 export const encodeProvisioningRequest = (
   requestName: string,
   type: string,
@@ -112,9 +114,9 @@
   number: count,
 });
 
-/** Decodes the names of the machines that are provisioned. Throws MalformedMessageError. */
+/** Decodes the names of the provisioned machines. Throws MalformedMessageError. */
 export const decodeProvisionedNames = (body: unknown): readonly string[] =>
   readNames(asObject(body, "rental"), "hosts");
 
-/** Request to delete machines. */
+/** Encodes a request to delete the machines with these names. */
 export const encodeDeletionRequest = (names: readonly string[]): JsonObject => ({ hosts: names });
--- a/src/protocol/job-messages.ts
+++ b/src/protocol/job-messages.ts
@@ -1,6 +1,6 @@
 /**
- * Messages from and to users: submissions, phases and statuses of jobs. The protocol's words stand in the tables of this
- * module and nowhere else.
+ * Messages from and to users: job submissions, phases and statuses. The tables of this module are the only place that
+ * contains the field names and keywords of this protocol.
  */
 import type { JobShape, JobSpec, Priority } from "./job-spec.js";
 import {
@@ -17,10 +17,10 @@
 } from "./json.js";
 import { type Resources, requestedResources } from "./resources.js";
 
-/** What users are told of where a job stands. The last two are terminal. */
+/** Phase of a job as reported to users. `done` and `cancelled` are terminal. */
 export type JobPhase = "queued" | "running" | "done" | "cancelled";
 
-/** The protocol's names of a submission's fields. */
+/** Field names of a submission in the protocol. */
 const FIELD = {
   id: "ref",
   jobClass: "jobclass",
@@ -62,15 +62,15 @@
 const JOB_ID = /^wk-[A-Za-z0-9_.-]{1,64}$/;
 const MAX_NAME_LENGTH = 200;
 const MAX_TASKS = 100_000;
-/** A status lists no more unfinished dependencies than this, and says how many there are. */
+/** A status lists at most this many unfinished dependencies, together with their total number. */
 const MAX_LISTED_DEPENDENCIES = 20;
-/** Resources are in thousandths. */
+/** Resources are held in thousandths of the units of the protocol. */
 const RESOURCE_UNITS = 1_000;
 
-/** Whether a text has the form of a job's id. */
+/** Whether the text is a syntactically valid job id. */
 export const isJobId = (text: string): boolean => JOB_ID.test(text);
 
-/** Decodes a submission. Throws MalformedMessageError for what the protocol calls missing or invalid. */
+/** Decodes a submission. Throws MalformedMessageError where a field is missing or invalid according to the protocol. */
 export const decodeSubmission = (body: unknown): JobSpec => {
   const fields = asObject(body, "job");
   const id = readJobId(fields);
@@ -126,7 +126,7 @@
   return demand;
 };
 
-/** The jobs that have to be done first; null and an empty list are the same. */
+/** Reads the dependencies without duplicates; a null, absent or empty list means none. */
 const readDependencies = (fields: JsonObject, id: string): readonly string[] => {
   const name = FIELD.dependencies;
   const entries = readOptional(fields, name, (present) => asArray(present[name], name)) ?? [];
@@ -146,7 +146,7 @@
   return value;
 };
 
-/** The job as its user would have sent it; decoding it gives the same specification again. */
+/** Encodes a specification as a submission. Decoding the submission yields the same specification. */
 export const encodeSubmission = (spec: JobSpec): JsonObject => ({
   [FIELD.id]: spec.id,
   [FIELD.jobClass]: spec.jobClass,
@@ -174,10 +174,12 @@
 const keywordOf = <T extends string>(table: Readonly<Record<string, T>>, value: T): string =>
   Object.keys(table).find((keyword) => table[keyword] === value) ?? value;
 
-/** Answer to a submission and to a cancellation. */
+/** Encodes the response to a submission or a cancellation. */
 export const encodePhase = (id: string, phase: JobPhase): JsonObject => ({ ref: id, phase: KEYWORD_OF_PHASE[phase] });
 
-/** Answer to a query for a job. `done`, `running`: numbers of tasks. `unfinished`: dependencies that are not done yet. */
+/**
+ * Encodes the response to a job status request. `done`, `running`: numbers of tasks. `unfinished`: unmet dependencies.
+ */
 export const encodeStatus = (
   id: string,
   phase: JobPhase,
--- a/src/protocol/job-spec.ts
+++ b/src/protocol/job-spec.ts
@@ -1,8 +1,8 @@
-/** The specification of a job, and the form in which its record holds it. */
+/** The specification of a job, and its codec for job records. */
 import { RecordCodec } from "./record-codec.js";
 import { type Resources, resourcesCodec } from "./resources.js";
 
-/** A gang runs to completion like an array, but its tasks run together or not at all. */
+/** A gang runs to completion like an array, but its tasks run all together or not at all. */
 export type JobShape = "array" | "gang" | "service";
 
 /** All priorities, the highest first. */
@@ -10,10 +10,10 @@
 /** One of `PRIORITIES`. */
 export type Priority = (typeof PRIORITIES)[number];
 
-/** The place of a priority in their order; 0 is the highest. */
+/** Index of the priority in `PRIORITIES`; 0 is the highest. */
 export const priorityRank = (priority: Priority): number => PRIORITIES.indexOf(priority);
 
-/** What a job asks for. Never changes once the job is accepted. */
+/** Specification of a job. Immutable once the job is accepted. */
 export interface JobSpec {
   readonly id: string;
   readonly jobClass: string;
@@ -22,34 +22,34 @@
   readonly priority: Priority;
   /** Number of tasks. */
   readonly tasks: number;
-  /** Of each task. */
+  /** Resources of each task. */
   readonly demand: Resources;
-  /** Machine types that may run it; null: all. */
+  /** Machine types on which it may run; null: all. */
   readonly types: readonly string[] | null;
-  /** Zone in which it has to run; null: any. */
+  /** Zone in which it must run; null: any. */
   readonly zone: string | null;
-  /** Whether all tasks have to run in one zone. */
+  /** Whether all tasks must run in the same zone. */
   readonly singleZone: boolean;
-  /** Whether no zone may have more than half of the tasks, rounded up. */
+  /** Whether each zone may run at most half of the tasks, rounded up. */
   readonly spread: boolean;
-  /** Whether spot instances may run it. */
+  /** Whether it may run on spot instances. */
   readonly spot: boolean;
   readonly image: string;
   readonly imageGb: number;
-  /** Running time of a task, as the user estimates it. */
+  /** Running time of a task in seconds, as estimated by the user. */
   readonly estimatedRunS: number;
-  /** Time from one checkpoint to the next; 0: none are made. */
+  /** Time between checkpoints in seconds; 0: the job makes none. */
   readonly checkpointIntervalS: number;
   readonly checkpointDurationS: number;
-  /** Null: none. */
+  /** Deadline in seconds after acceptance; null: none. */
   readonly deadlineS: number | null;
-  /** Jobs that have to be done before any task of this one starts. */
+  /** Ids of the jobs that must be done before any task of this one starts. */
   readonly dependencies?: readonly string[];
-  /** The graph that the job is a part of, if any; never sent by users. */
+  /** The graph to which the job belongs, if any; never sent by users. */
   readonly origin?: GraphOrigin;
 }
 
-/** `position`: the job's place in its graph's own order, which decides among the graph's jobs and nowhere else. */
+/** `position`: the job's position in the order of its graph, used to order jobs of the same graph only. */
 export interface GraphOrigin {
   readonly graph: string;
   readonly position: number;
@@ -57,7 +57,7 @@
 
 const graphOriginCodec = new RecordCodec<GraphOrigin>({ graph: "graph", position: "place" });
 
-/** The specification of a job as its record holds it. */
+/** Codec of the specification in a job record. */
 export const jobSpecCodec = new RecordCodec<JobSpec>({
   id: "id",
   jobClass: "jobClass",
--- a/src/protocol/json.ts
+++ b/src/protocol/json.ts
@@ -1,20 +1,20 @@
-/** JSON text with integers up to 2^64, and typed reading of the fields of decoded objects. */
+/** Lossless JSON parsing and formatting of integers below 2^64, and typed access to the fields of decoded objects. */
 import { parse as losslessParse, stringify as losslessStringify } from "lossless-json";
 import { RainridgeError } from "../transport/errors.js";
 
-/** A count, version, token or attempt: below 2^64. A number while that is exact, else a bigint. */
+/** A count, version, token or attempt below 2^64: a number where that is exact, else a bigint. */
 export type Uint64 = number | bigint;
 
 /** A decoded JSON object whose fields have not been checked. */
 export type JsonObject = Readonly<Record<string, unknown>>;
 
-/** A message lacks a field or has an invalid one. The text names the field and goes to whoever has sent the message. */
+/** A field of a message is missing or invalid. The error text names the field and may be returned to the sender. */
 export class MalformedMessageError extends RainridgeError {
   readonly code = "MESSAGE_MALFORMED";
 }
 
 const UINT64_END = 2n ** 64n;
-/** So many digits in a row, and a number may not be exact. */
+/** Integers with this many digits may exceed the range in which a number is exact. */
 const LONG_DIGITS = /\d{16}/;
 const INTEGER = /^-?\d+$/;
 
@@ -24,23 +24,23 @@
   return BigInt(text);
 };
 
-/** Parses JSON; integers that a number can't hold become bigint. Throws SyntaxError on malformed text. */
+/** Parses JSON; integers that a number can't represent exactly become bigint. Throws SyntaxError on malformed text. */
 export const parseJson = (text: string): unknown =>
-  // The plain parser is the quick one, and loses nothing where there is no long run of digits.
+  // The built-in parser is faster, and is exact where the text has no long run of digits.
   LONG_DIGITS.test(text) ? losslessParse(text, undefined, parseNumber) : JSON.parse(text);
 
-/** Writes JSON, bigint as plain digits. */
+/** Formats a value as JSON, with bigint as an integer literal. */
 export const formatJson = (value: unknown): string => {
   try {
     return JSON.stringify(value);
   } catch (error) {
-    // The plain writer refuses bigint, which is rare: ordinary values take the quick way.
+    // The built-in formatter is faster but throws on bigint, which is rare.
     if (!(error instanceof TypeError)) throw error;
     return losslessStringify(value) ?? "null";
   }
 };
 
-/** The value as an object. `what` names it in the error. Throws MalformedMessageError. */
+/** Returns the value as an object. `what` names it in the error text. Throws MalformedMessageError. */
 export const asObject = (value: unknown, what: string): JsonObject => {
   if (typeof value !== "object" || value === null || Array.isArray(value)) {
     throw new MalformedMessageError(`${what}: not an object`);
@@ -48,27 +48,29 @@
   return value as JsonObject;
 };
 
-/** The value as a list. `what` names it in the error. Throws MalformedMessageError. */
+/** Returns the value as an array. `what` names it in the error text. Throws MalformedMessageError. */
 export const asArray = (value: unknown, what: string): readonly unknown[] => {
   if (!Array.isArray(value)) throw new MalformedMessageError(`${what}: not a list`);
   return value;
 };
 
-/** Reads a text. Throws MalformedMessageError. */
+/** Reads a string. Throws MalformedMessageError. */
 export const readString = (fields: JsonObject, name: string): string => {
   const value = fields[name];
   if (typeof value !== "string") throw new MalformedMessageError(`${name}: not a string`);
   return value;
 };
 
-/** Reads a list of texts. Throws MalformedMessageError. */
+/** Reads an array of strings. Throws MalformedMessageError. */
 export const readNames = (fields: JsonObject, name: string): readonly string[] =>
   asArray(fields[name], name).map((entry) => {
     if (typeof entry !== "string") throw new MalformedMessageError(`${name}: not names`);
     return entry;
   });
 
-/** Reads a keyword; returns what it stands for in `table`. Throws MalformedMessageError. */
+/**
+ * Reads a keyword and returns its value in `table`. Throws MalformedMessageError where the table does not contain it.
+ */
 export const readKeyword = <T>(fields: JsonObject, name: string, table: Readonly<Record<string, T>>): T => {
   const keyword = readString(fields, name);
   const value = Object.hasOwn(table, keyword) ? table[keyword] : undefined;
@@ -83,7 +85,7 @@
   return value;
 };
 
-/** Reads a finite number of at least 0. Throws MalformedMessageError. */
+/** Reads a finite number not below 0; a bigint is rounded to a number. Throws MalformedMessageError. */
 export const readNonNegative = (fields: JsonObject, name: string): number => {
   const value = fields[name];
   const plain = typeof value === "bigint" ? Number(value) : value;
--- a/src/protocol/key-value-store.ts
+++ b/src/protocol/key-value-store.ts
@@ -10,24 +10,24 @@
   type Uint64,
 } from "./json.js";
 
-/** A key with its value. `version`: the revision of its last write. */
+/** A key and its value. `version`: the revision at which the key was last written. */
 export interface KeyValueEntry {
   readonly key: string;
   readonly value: unknown;
   readonly version: Uint64;
 }
 
-/** A write that a watch has seen. */
+/** A change reported by a watch. */
 export type KeyChange =
   | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly version: Uint64 }
   | { readonly kind: "delete"; readonly key: string; readonly version: Uint64 };
 
-/** A write of a transaction. With a `lease`, the key is deleted when the lease expires. */
+/** One write of a transaction. A key with a `lease` is deleted when the lease expires. */
 export type WriteOperation =
   | { readonly kind: "put"; readonly key: string; readonly value: unknown; readonly lease?: Uint64 }
   | { readonly kind: "delete"; readonly key: string };
 
-/** One page of the entries under a prefix, as they were at `revision`. */
+/** One page of the entries below a prefix, read at `revision`. */
 export interface EntryPage {
   readonly entries: readonly KeyValueEntry[];
   /** Whether there are further pages. */
@@ -35,7 +35,7 @@
   readonly revision: Uint64;
 }
 
-/** Changes in their order, up to and with those of `revision`. */
+/** Changes in revision order, up to and including those of `revision`. */
 export interface ChangeLog {
   readonly changes: readonly KeyChange[];
   readonly revision: Uint64;
@@ -57,7 +57,7 @@
   };
 };
 
-/** Decodes the answer to a watch. */
+/** Decodes the response to a watch. */
 export const decodeChanges = (body: unknown): ChangeLog => {
   const fields = asObject(body, "changes");
   const changes = asArray(fields.log ?? [], "log").map(decodeChange);
@@ -72,7 +72,10 @@
   return { kind: "put", key: readString(fields, "set"), value: fields.value, version };
 };
 
-/** Request that carries out all `writes` if each key of `conditions` has that version, 0 for a key that does not exist. */
+/**
+ * Encodes a compare-and-swap transaction, which applies all `writes` if each key of `conditions` has the given version
+ * (0: the key does not exist).
+ */
 export const encodeTransaction = (
   conditions: ReadonlyMap<string, Uint64>,
   writes: readonly WriteOperation[],
@@ -87,12 +90,12 @@
   return write.lease === undefined ? put : { ...put, hold: write.lease };
 };
 
-/** Decodes the revision of a transaction that was carried out. */
+/** Decodes the revision of a committed transaction. */
 export const decodeRevision = (body: unknown): Uint64 => readUint64(asObject(body, "result"), "epoch");
 
-/** Decodes the keys whose conditions did not hold. */
+/** Decodes the keys whose conditions failed. */
 export const decodeFailedKeys = (body: unknown): readonly string[] =>
   asArray(asObject(body, "conflict").failed, "failed").filter((key) => typeof key === "string");
 
-/** Decodes the id of a lease that was granted. */
+/** Decodes the id of a granted lease. */
 export const decodeLeaseId = (body: unknown): Uint64 => readUint64(asObject(body, "lease"), "hold");
--- a/src/protocol/links.ts
+++ b/src/protocol/links.ts
@@ -1,25 +1,25 @@
-/** Answer to operators about the links of a controller. */
+/** Response to operators with the state of a controller's links. */
 import type { JsonObject } from "./json.js";
 import { RecordCodec } from "./record-codec.js";
 
-/** Links of one controller as it sees them, in texts for operators. */
+/** State of one controller's links, as texts for operators. */
 export interface LinkTable {
   /** Link to the key-value store. */
   readonly state: string;
   readonly cloud: string;
   readonly workers: string;
-  /** By label of the other controllers. */
+  /** Links to the other controllers, by label. */
   readonly siblings: Readonly<Record<string, string>>;
 }
 
-/** Machines of a shard's leader: how many are up, and the names of those in trouble. */
+/** Machines of the shard that a controller leads: the number that are up, and the names of those with link faults. */
 export interface MachineLinks {
   readonly up: number;
-  /** Their heartbeats arrive, but they do not answer. */
+  /** Machines whose heartbeats arrive, but which do not respond to commands or status queries. */
   readonly unresponsive: readonly string[];
-  /** Their heartbeats do not arrive. */
+  /** Machines whose heartbeats do not arrive. */
   readonly silent: readonly string[];
-  /** Zones of which no machine answers. */
+  /** Zones in which no machine responds. */
   readonly unreachableZones: readonly string[];
   /** Whether the shard's lease is valid. */
   readonly leaseValid: boolean;
@@ -43,7 +43,7 @@
   reservedForJob: "roomKeptFor",
 });
 
-/** Answer to `/links`. `table` is null without a mesh, `machines` where the controller leads no shard. */
+/** Encodes the response to `/links`. `table` is null without a mesh, `machines` where the controller leads no shard. */
 export const encodeLinks = (table: LinkTable | null, machines: MachineLinks | null): JsonObject => ({
   ...(table === null ? {} : linkTableCodec.encode(table)),
   machines: machines === null ? null : machineLinksCodec.encode(machines),
--- a/src/protocol/record-codec.ts
+++ b/src/protocol/record-codec.ts
@@ -1,22 +1,22 @@
-/** Mapping of objects in memory to records, and back, by tables of the stored names of their fields. */
+/** Conversion between in-memory objects and stored records, by tables of stored field names. */
 import type { JsonObject } from "./json.js";
 
-/** How a value is stored, where it is not stored as it is. */
+/** Converts a value to its stored form and back, for values that are not stored unchanged. */
 export interface ValueCodec<V> {
-  /** What is stored of a value. */
+  /** Returns the stored form of the value. */
   encode(value: V): unknown;
-  /** The value of which this is stored. */
+  /** Returns the value with this stored form. */
   decode(stored: unknown): V;
 }
 
-/** The stored name of a field, with the codec of its value (of each entry, where the value is a list). */
+/** Stored name of a field, optionally with the codec of its value (of each entry, where the value is an array). */
 type FieldCodec<V> = string | { readonly name: string; readonly codec: ValueCodec<EntryOf<NonNullable<V>>> };
 
 type EntryOf<V> = V extends readonly (infer Entry)[] ? Entry : V;
 
 type FieldCodecs<T> = { readonly [Field in keyof T]-?: FieldCodec<T[Field]> };
 
-/** The name of a field on the other side, and the codec of its value; null: it is stored as it is. */
+/** Name of a field in the opposite form (stored or in memory), and the codec of its value; null: stored unchanged. */
 interface MappedField {
   readonly name: string;
   readonly codec: ValueCodec<unknown> | null;
@@ -28,7 +28,9 @@
   return codec[direction](value);
 };
 
-/** Sets a field that is not in the table, whose name may be any: `__proto__` is a field like all others. */
+/**
+ * Sets a field that is not in the table. Its name is arbitrary, so `__proto__` must become an ordinary own property.
+ */
 const setOwn = (target: Record<string, unknown>, name: string, value: unknown): void => {
   if (name === "__proto__")
     Object.defineProperty(target, name, { value, enumerable: true, configurable: true, writable: true });
@@ -36,15 +38,15 @@
 };
 
 /**
- * Maps an object in memory to what is stored of it, and back, by a table of the stored name of each field. The order of
- * fields is kept, fields that are absent stay absent, and fields that are not in the table, which a newer version may
- * have stored, are carried along. Values are not checked: such records are written by this program alone.
+ * Converts an in-memory object to its stored form and back, by a table of the stored name of each field. The order of
+ * fields is preserved, absent fields stay absent, and fields that are not in the table, which a newer version may have
+ * stored, are preserved. Values are not validated, since only this program writes such records.
  */
 export class RecordCodec<T extends object> implements ValueCodec<T> {
   private readonly mappedByField = new Map<string, MappedField>();
   private readonly mappedByStoredName = new Map<string, MappedField>();
 
-  /** `fields`: every field of `T`, in any order. */
+  /** `fields`: the stored name of every field of `T`, in any order. */
   constructor(fields: FieldCodecs<T>) {
     const entries: [string, FieldCodec<unknown>][] = Object.entries(fields);
     for (const [field, mapped] of entries) {
@@ -54,7 +56,7 @@
     }
   }
 
-  /** What is stored of these fields. */
+  /** Returns the stored form of the given fields. */
   encode(value: Partial<T>): JsonObject {
     const stored: Record<string, unknown> = {};
     for (const field of Object.keys(value)) {
@@ -66,7 +68,7 @@
     return stored;
   }
 
-  /** The object of which this is stored; not checked. */
+  /** Returns the object with this stored form, without validation. */
   decode(stored: unknown): T {
     const fields = stored as JsonObject;
     const value: Record<string, unknown> = {};
@@ -74,7 +76,8 @@
       const fieldValue = fields[name];
       const mapped = this.mappedByStoredName.get(name);
       if (mapped !== undefined) value[mapped.name] = apply(mapped.codec, "decode", fieldValue);
-      // An unknown field must not pass for the field that has its name in memory.
+      // An unknown stored field is dropped if it has the in-memory name of a known field, for which it would be
+      // mistaken.
       else if (!this.mappedByField.has(name)) setOwn(value, name, fieldValue);
     }
     return value as T;
--- a/src/protocol/resources.ts
+++ b/src/protocol/resources.ts
@@ -1,7 +1,7 @@
-/** Amounts of CPU, GPU and memory. */
+/** Amounts of CPU, GPU and memory, as integers. */
 import { RecordCodec } from "./record-codec.js";
 
-/** Whole thousandths of a CPU, of a GPU and of a GB, so that adding and subtracting leaves no rounding in a quota. */
+/** Integer thousandths of a CPU, a GPU and a GB, so that adding and subtracting leaves no rounding error in a quota. */
 export interface Resources {
   readonly cpu: number;
   readonly gpu: number;
@@ -9,25 +9,30 @@
 }
 
 const UNITS = 1_000;
-/** Keeps an amount that is a whole number of thousandths, but for its binary form, from being rounded past it. */
+/**
+ * Prevents an amount that is a whole number of thousandths, up to floating-point error, from being rounded to the next.
+ */
 const ROUNDING_TOLERANCE = 1e-6;
 
 const roundUp = (amount: number): number => Math.ceil(amount * UNITS - ROUNDING_TOLERANCE);
 const roundDown = (amount: number): number => Math.floor(amount * UNITS + ROUNDING_TOLERANCE);
 
-/** Scales a demand in CPUs, GPUs and GB. Rounds up, as capacities round down: no task is let in that does not fit. */
+/**
+ * Scales a demand in CPUs, GPUs and GB to thousandths. Demands round up and capacities down, so that no task is placed
+ * where it does not fit.
+ */
 export const requestedResources = (cpus: number, gpus: number, ramGb: number): Resources => ({
   cpu: roundUp(cpus),
   gpu: roundUp(gpus),
   ram: roundUp(ramGb),
 });
 
-/** Scales a capacity in CPUs, GPUs and GB. Rounds down. */
+/** Scales a capacity in CPUs, GPUs and GB to thousandths, rounding down. */
 export const availableResources = (cpus: number, gpus: number, ramGb: number): Resources => ({
   cpu: roundDown(cpus),
   gpu: roundDown(gpus),
   ram: roundDown(ramGb),
 });
 
-/** Resources as records hold them. */
+/** Codec of resources in stored records. */
 export const resourcesCodec = new RecordCodec<Resources>({ cpu: "cpu", gpu: "gpu", ram: "ram" });
--- a/src/protocol/worker.ts
+++ b/src/protocol/worker.ts
@@ -1,4 +1,4 @@
-/** Messages between controllers and workers: heartbeats with task statuses, commands, and answers to both. */
+/** Messages between controllers and workers: heartbeats with task statuses, commands, and the responses to both. */
 import {
   asArray,
   asObject,
@@ -13,12 +13,12 @@
   type Uint64,
 } from "./json.js";
 
-/** Why a task has exited. `no_room`, `busy`: the worker could not start it. `unknown`: it has no such task. */
+/** Why a task has exited. `no_room`, `busy`: the worker could not start it. `unknown`: the worker has no such task. */
 export type ExitReason = "done" | "stopped" | "error" | "no_room" | "busy" | "unknown";
-/** Where a task stands on its worker. `waiting`: has its image and waits for the rest of its gang. */
+/** State of a task on its worker. `waiting`: the image is present, and the task waits for the rest of its gang. */
 export type TaskState = "fetching" | "waiting" | "running" | "saving" | "exited";
 
-/** A task as its worker sees it. */
+/** Status of a task as reported by its worker. */
 export interface TaskStatus {
   readonly task: string;
   readonly attempt: Uint64;
@@ -27,31 +27,31 @@
   readonly reason: ExitReason | null;
 }
 
-/** What a worker says of itself at each heartbeat interval, and when it is asked. */
+/** Report of a worker, sent at each heartbeat interval and in response to a status query. */
 export interface Heartbeat {
   readonly machine: string;
-  /** Where commands are accepted, "host:port". */
+  /** Address for commands, "host:port". */
   readonly address: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Grows with each start of the worker. */
+  /** Increases with each start of the worker. */
   readonly incarnation: Uint64;
-  /** Grows with each heartbeat of an incarnation. */
+  /** Increases with each heartbeat of an incarnation. */
   readonly sequence: Uint64;
-  /** The highest fencing token that the worker has seen; 0: none. */
+  /** Highest fencing token that the worker has received; 0: none. */
   readonly token: Uint64;
-  /** Time until the cloud takes a spot instance back; null: no notice. */
+  /** Seconds until the cloud reclaims the spot instance; null: no notice. */
   readonly reclaimNoticeS: number | null;
   /** Empty where `taskListUnchanged` is set. */
   readonly tasks: readonly TaskStatus[];
-  /** The task list as it was written, to tell at the next heartbeat whether it has changed; null: not kept. */
+  /** JSON text of the task list, compared at the next heartbeat to detect changes; null: not available. */
   readonly taskListText: string | null;
-  /** The list is, letter by letter, the one that was known before. */
+  /** The text of the task list is identical to that of the previous heartbeat. */
   readonly taskListUnchanged: boolean;
 }
 
-/** An order to a worker. `graceS`: time for a last checkpoint. */
+/** A command to a worker. `graceS`: time for a final checkpoint, in seconds. */
 export type Command =
   | { readonly op: "start"; readonly task: string; readonly attempt: Uint64 }
   | { readonly op: "stop"; readonly task: string; readonly attempt: Uint64; readonly graceS: number }
@@ -67,7 +67,7 @@
 const REASON_BY_KEYWORD: Readonly<Record<string, ExitReason>> = {
   done: "done",
   halted: "stopped",
-  // Nothing speaks against machine or job when a gang did not get, or stay, complete.
+  // A gang that did not become or stay complete is not evidence of a fault of the machine or the job.
   mates_gone: "stopped",
   incomplete: "stopped",
   error: "error",
@@ -78,15 +78,15 @@
 
 const MAX_MACHINE_NAME_LENGTH = 100;
 const ADDRESS = /^[\d.]+:\d{1,5}$/;
-/** What precedes the first entry of the task list where the list follows another field. */
+/** Text before the first entry of the task list, where the list follows another field. */
 const TASK_LIST_MARKER = ',"shards":[';
 
-/** Gives the text of a machine's task list at its last heartbeat; null: not known. */
+/** Returns the JSON text of the task list in a machine's previous heartbeat; null: not available. */
 export type KnownTaskListText = (machine: string) => string | null;
 
 /**
- * Decodes a heartbeat. Most say nothing new; where the task list is written as it was in the last heartbeat (`known`),
- * it is not decoded again. Throws MalformedMessageError or SyntaxError.
+ * Decodes a heartbeat. Most heartbeats contain no change: a task list whose text equals that of the previous heartbeat
+ * (`known`) is not decoded again. Throws MalformedMessageError or SyntaxError.
  */
 export const decodeHeartbeatText = (text: string, known: KnownTaskListText): Heartbeat => {
   const listStart = text.indexOf(TASK_LIST_MARKER);
@@ -99,8 +99,9 @@
 };
 
 /**
- * Null where the task list is not known to be unchanged. `head`, what precedes the list, is an object by itself once it
- * is closed; only then does the list stand at the top level, so equal letters mean an equal list.
+ * Decodes a heartbeat whose task list is unchanged; null where that is not certain. `head`, the text before the list,
+ * must be a valid object once a closing brace is added. Only then is the list a top-level field, so that equal text
+ * means an equal list.
  */
 const decodeWithKnownTaskList = (head: string, taskListText: string, known: KnownTaskListText): Heartbeat | null => {
   try {
@@ -108,12 +109,12 @@
     if (typeof fields.host !== "string" || known(fields.host) !== taskListText) return null;
     return decodeHeartbeatFields(fields, taskListText, true);
   } catch {
-    // Fields may follow the list, or the marker may stand within a text: the whole has to be decoded as it is.
+    // Required fields may follow the list, or the marker may be inside a string: the whole text has to be decoded.
     return null;
   }
 };
 
-/** Decodes a heartbeat that is JSON already. Throws MalformedMessageError. */
+/** Decodes a heartbeat from parsed JSON. Throws MalformedMessageError. */
 export const decodeHeartbeat = (body: unknown): Heartbeat => decodeHeartbeatFields(body, null, false);
 
 const decodeHeartbeatFields = (body: unknown, taskListText: string | null, taskListUnchanged: boolean): Heartbeat => {
@@ -146,20 +147,20 @@
   return taskStatusOf(readString(fields, "shard"), readUint64(fields, "try"), readString(fields, "phase"), cause);
 };
 
-/** A task's status from the protocol's keywords for its state and for the cause of its exit, without a message. */
+/** Builds a task status from the protocol's keywords for the task's state and the cause of its exit. */
 export const taskStatusOf = (task: string, attempt: Uint64, phase: string, cause: string | null): TaskStatus => {
-  // A task in an unknown state still takes its place on the machine.
+  // A task in an unknown state still uses resources of the machine, so it counts as running.
   const state = STATE_BY_KEYWORD[phase] ?? "running";
   return { task, attempt, state, reason: state === "exited" ? (REASON_BY_KEYWORD[cause ?? ""] ?? "error") : null };
 };
 
-/** Answer to a heartbeat: the fencing token of the sender, and commands. */
+/** Encodes the response to a heartbeat: the fencing token of this leader, and commands. */
 export const encodeHeartbeatResponse = (token: Uint64, commands: readonly Command[]): JsonObject => ({
   baton: token,
   orders: commands.map(encodeCommand),
 });
 
-/** Request with commands, which only this incarnation of the worker carries out. */
+/** Encodes a command request, which only the given incarnation of the worker executes. */
 export const encodeCommandRequest = (token: Uint64, incarnation: Uint64, commands: readonly Command[]): JsonObject => ({
   baton: token,
   tenure: incarnation,
@@ -177,6 +178,8 @@
   }
 };
 
-/** Answer that refers a worker to the leader of its shard. `leaderAddress`: "host:port"; null: not known. */
+/**
+ * Encodes the response that redirects a worker to the leader of its shard. `leaderAddress`: "host:port"; null: unknown.
+ */
 export const encodeRedirect = (leaderAddress: string | null): JsonObject =>
   leaderAddress === null ? {} : { steward: leaderAddress };
