--- a/src/protocol/json.ts
+++ b/src/protocol/json.ts
@@ -15,7 +15,7 @@
 
 const UINT64_END = 2n ** 64n;
 /** Integers with this many digits may exceed the range in which a number is exact. */
-const LONG_DIGITS = /\d{16}/;
+const LONG_DIGIT_RUN = /\d{16}/;
 const INTEGER = /^-?\d+$/;
 
 const parseNumber = (text: string): Uint64 => {
@@ -27,7 +27,7 @@
 /** Parses JSON; integers that a number can't represent exactly become bigint. Throws SyntaxError on malformed text. */
 export const parseJson = (text: string): unknown =>
   // The built-in parser is faster, and is exact where the text has no long run of digits.
-  LONG_DIGITS.test(text) ? losslessParse(text, undefined, parseNumber) : JSON.parse(text);
+  LONG_DIGIT_RUN.test(text) ? losslessParse(text, undefined, parseNumber) : JSON.parse(text);
 
 /** Formats a value as JSON, with bigint as an integer literal. */
 export const formatJson = (value: unknown): string => {
@@ -40,17 +40,17 @@
   }
 };
 
-/** Returns the value as an object. `what` names it in the error text. Throws MalformedMessageError. */
-export const asObject = (value: unknown, what: string): JsonObject => {
+/** Returns the value as an object. `subject` names it in the error text. Throws MalformedMessageError. */
+export const asObject = (value: unknown, subject: string): JsonObject => {
   if (typeof value !== "object" || value === null || Array.isArray(value)) {
-    throw new MalformedMessageError(`${what}: not an object`);
+    throw new MalformedMessageError(`${subject}: not an object`);
   }
   return value as JsonObject;
 };
 
-/** Returns the value as an array. `what` names it in the error text. Throws MalformedMessageError. */
-export const asArray = (value: unknown, what: string): readonly unknown[] => {
-  if (!Array.isArray(value)) throw new MalformedMessageError(`${what}: not a list`);
+/** Returns the value as an array. `subject` names it in the error text. Throws MalformedMessageError. */
+export const asArray = (value: unknown, subject: string): readonly unknown[] => {
+  if (!Array.isArray(value)) throw new MalformedMessageError(`${subject}: not a list`);
   return value;
 };
 
--- a/src/protocol/record-codec.ts
+++ b/src/protocol/record-codec.ts
@@ -10,9 +10,9 @@
 }
 
 /** Stored name of a field, optionally with the codec of its value (of each entry, where the value is an array). */
-type FieldCodec<V> = string | { readonly name: string; readonly codec: ValueCodec<EntryOf<NonNullable<V>>> };
+type FieldCodec<V> = string | { readonly name: string; readonly codec: ValueCodec<ElementOf<NonNullable<V>>> };
 
-type EntryOf<V> = V extends readonly (infer Entry)[] ? Entry : V;
+type ElementOf<V> = V extends readonly (infer Entry)[] ? Entry : V;
 
 type FieldCodecs<T> = { readonly [Field in keyof T]-?: FieldCodec<T[Field]> };
 
@@ -22,7 +22,7 @@
   readonly codec: ValueCodec<unknown> | null;
 }
 
-const apply = (codec: ValueCodec<unknown> | null, direction: "encode" | "decode", value: unknown): unknown => {
+const applyCodec = (codec: ValueCodec<unknown> | null, direction: "encode" | "decode", value: unknown): unknown => {
   if (codec === null || value === undefined || value === null) return value;
   if (Array.isArray(value)) return value.map((entry: unknown) => codec[direction](entry));
   return codec[direction](value);
@@ -31,7 +31,7 @@
 /**
  * Sets a field that is not in the table. Its name is arbitrary, so `__proto__` must become an ordinary own property.
  */
-const setOwn = (target: Record<string, unknown>, name: string, value: unknown): void => {
+const setOwnField = (target: Record<string, unknown>, name: string, value: unknown): void => {
   if (name === "__proto__")
     Object.defineProperty(target, name, { value, enumerable: true, configurable: true, writable: true });
   else target[name] = value;
@@ -62,8 +62,8 @@
     for (const field of Object.keys(value)) {
       const fieldValue = value[field as keyof T];
       const mapped = this.mappedByField.get(field);
-      if (mapped === undefined) setOwn(stored, field, fieldValue);
-      else stored[mapped.name] = apply(mapped.codec, "encode", fieldValue);
+      if (mapped === undefined) setOwnField(stored, field, fieldValue);
+      else stored[mapped.name] = applyCodec(mapped.codec, "encode", fieldValue);
     }
     return stored;
   }
@@ -75,10 +75,10 @@
     for (const name of Object.keys(fields)) {
       const fieldValue = fields[name];
       const mapped = this.mappedByStoredName.get(name);
-      if (mapped !== undefined) value[mapped.name] = apply(mapped.codec, "decode", fieldValue);
+      if (mapped !== undefined) value[mapped.name] = applyCodec(mapped.codec, "decode", fieldValue);
       // An unknown stored field is dropped if it has the in-memory name of a known field, for which it would be
       // mistaken.
-      else if (!this.mappedByField.has(name)) setOwn(value, name, fieldValue);
+      else if (!this.mappedByField.has(name)) setOwnField(value, name, fieldValue);
     }
     return value as T;
   }
--- a/src/protocol/resources.ts
+++ b/src/protocol/resources.ts
@@ -8,14 +8,14 @@
   readonly ram: number;
 }
 
-const UNITS = 1_000;
+const UNITS_PER_WHOLE = 1_000;
 /**
  * Prevents an amount that is a whole number of thousandths, up to floating-point error, from being rounded to the next.
  */
 const ROUNDING_TOLERANCE = 1e-6;
 
-const roundUp = (amount: number): number => Math.ceil(amount * UNITS - ROUNDING_TOLERANCE);
-const roundDown = (amount: number): number => Math.floor(amount * UNITS + ROUNDING_TOLERANCE);
+const roundUp = (amount: number): number => Math.ceil(amount * UNITS_PER_WHOLE - ROUNDING_TOLERANCE);
+const roundDown = (amount: number): number => Math.floor(amount * UNITS_PER_WHOLE + ROUNDING_TOLERANCE);
 
 /**
  * Scales a demand in CPUs, GPUs and GB to thousandths. Demands round up and capacities down, so that no task is placed
--- a/src/protocol/worker.ts
+++ b/src/protocol/worker.ts
@@ -82,18 +82,18 @@
 const TASK_LIST_MARKER = ',"shards":[';
 
 /** Returns the JSON text of the task list in a machine's previous heartbeat; null: not available. */
-export type KnownTaskListText = (machine: string) => string | null;
+export type PreviousTaskListText = (machine: string) => string | null;
 
 /**
  * Decodes a heartbeat. Most heartbeats contain no change: a task list whose text equals that of the previous heartbeat
- * (`known`) is not decoded again. Throws MalformedMessageError or SyntaxError.
+ * (`previousTaskListText`) is not decoded again. Throws MalformedMessageError or SyntaxError.
  */
-export const decodeHeartbeatText = (text: string, known: KnownTaskListText): Heartbeat => {
+export const decodeHeartbeatText = (text: string, previousTaskListText: PreviousTaskListText): Heartbeat => {
   const listStart = text.indexOf(TASK_LIST_MARKER);
   if (listStart <= 0) return decodeHeartbeat(parseJson(text));
   const taskListText = text.slice(listStart);
   return (
-    decodeWithKnownTaskList(text.slice(0, listStart), taskListText, known) ??
+    decodeWithUnchangedTaskList(text.slice(0, listStart), taskListText, previousTaskListText) ??
     decodeHeartbeatFields(parseJson(text), taskListText, false)
   );
 };
@@ -103,10 +103,14 @@
  * must be a valid object once a closing brace is added. Only then is the list a top-level field, so that equal text
  * means an equal list.
  */
-const decodeWithKnownTaskList = (head: string, taskListText: string, known: KnownTaskListText): Heartbeat | null => {
+const decodeWithUnchangedTaskList = (
+  head: string,
+  taskListText: string,
+  previousTaskListText: PreviousTaskListText,
+): Heartbeat | null => {
   try {
     const fields = asObject(parseJson(`${head}}`), "report");
-    if (typeof fields.host !== "string" || known(fields.host) !== taskListText) return null;
+    if (typeof fields.host !== "string" || previousTaskListText(fields.host) !== taskListText) return null;
     return decodeHeartbeatFields(fields, taskListText, true);
   } catch {
     // Required fields may follow the list, or the marker may be inside a string: the whole text has to be decoded.
