--- a/src/cluster/machine.ts
+++ b/src/cluster/machine.ts
@@ -59,7 +59,7 @@
   heartbeatsWithoutProbe: number;
   /** When the probe token was last sent in a heartbeat response; null: not sent yet. */
   probeSentAt: Micros | null;
-  /** When a command or status query was last answered. */
+  /** When a response to a command or status query was last received. */
   lastResponseAt: Micros;
   /** Since when the link is known to be one-way (heartbeats arrive, commands do not); null: the worker is reachable. */
   unreachableSince: Micros | null;
--- a/test/fixture-lines.ts
+++ b/test/fixture-lines.ts
@@ -19,7 +19,7 @@
     this.unused = new Set(this.lines.keys());
   }
 
-  /** The expected bytes under this name. */
+  /** Returns the expected bytes with this name, and marks the line as used. */
   text(name: string): string {
     const text = this.lines.get(name);
     assert.ok(text !== undefined, `no fixture ${name}`);
@@ -27,12 +27,12 @@
     return text;
   }
 
-  /** Fails where the bytes differ from those of the file. */
+  /** Asserts that the bytes equal those of the line with this name. */
   matches(name: string, actual: string): void {
     assert.equal(actual, this.text(name), name);
   }
 
-  /** Fails where the file has a line that no test has asked for. */
+  /** Asserts that every line of the file has been used by a test. */
   allUsed(): void {
     assert.deepEqual([...this.unused], []);
   }
--- a/test/json.test.ts
+++ b/test/json.test.ts
@@ -28,13 +28,13 @@
   assert.equal(formatJson(encodeHeartbeatResponse(big, [])), `{"baton":${big},"orders":[]}`);
 });
 
-test("values that are not integers from 0 to 2^64 - 1 are refused", () => {
+test("readUint64 throws for values that are not integers from 0 to 2^64 - 1", () => {
   for (const text of ['{"n":18446744073709551616}', '{"n":-1}', '{"n":1.5}', '{"n":"1"}', "{}"]) {
     assert.throws(() => readUint64(parseJson(text) as { n: unknown }, "n"), MalformedMessageError, text);
   }
 });
 
-test("a malformed message is told from other errors by its code", () => {
+test("the error for a malformed message has its own code and names the field", () => {
   assert.throws(
     () => readUint64({}, "n"),
     (error) =>
--- a/test/key-value-store.test.ts
+++ b/test/key-value-store.test.ts
@@ -9,7 +9,7 @@
 
 const answer = (status: number, body: string): HttpOutcome => ({ kind: "answer", status, body, retryAfterS: null });
 
-/** A store whose requests get these outcomes in turn, the last one for ever; requests and log lines are kept. */
+/** A store whose requests get these outcomes in turn, the last one repeatedly; requests and log lines are recorded. */
 const makeStore = (outcomes: readonly HttpOutcome[], budget: Partial<StoreBudget> = {}) => {
   const world = new World();
   const requests: { readonly target: string; readonly at: number }[] = [];
@@ -35,7 +35,7 @@
   return { world, store, requests, logged };
 };
 
-test("results tell apart what was not executed from what may have been", async () => {
+test("results distinguish requests that were not executed from those that may have been", async () => {
   const cases: readonly [HttpOutcome, string][] = [
     [{ kind: "unsent" }, "refused"],
     [{ kind: "lost" }, "lost"],
@@ -49,12 +49,12 @@
   for (const [outcome, kind] of cases) assert.equal((await makeStore([outcome]).store.get("c/a")).kind, kind);
 });
 
-test("a watch from a revision that is too old is missing", async () => {
+test("a watch from a revision that is too old has the result missing", async () => {
   const { store } = makeStore([answer(410, "")]);
   assert.deepEqual(await store.watch("c/", 1, 0 as Micros), { kind: "missing" });
 });
 
-test("results of transactions follow from status and body", async () => {
+test("the result of a transaction is derived from status and body of the response", async () => {
   const cases: readonly [HttpOutcome, object][] = [
     [answer(200, '{"epoch":7}'), { kind: "ok", version: 7 }],
     [answer(409, '{"failed":["c/a"]}'), { kind: "conflict", keys: ["c/a"] }],
@@ -83,7 +83,7 @@
   assert.deepEqual(refused.logged, [["transaction refused", { writes: 1, body: "x".repeat(200) }]]);
 });
 
-test("a list goes on page by page and keeps the revision of the first", async () => {
+test("a list reads all pages and returns the revision of the first", async () => {
   const { store, requests } = makeStore([
     answer(200, '{"entries":[{"k":"c/a","value":1,"stamp":2}],"more":true,"epoch":5}'),
     answer(200, '{"entries":[{"k":"c/b","value":1,"stamp":6}],"more":false,"epoch":7}'),
@@ -97,12 +97,12 @@
   );
 });
 
-test("reads keep to the rate of requests; renewals of a lease do not wait", async () => {
+test("reads are limited to the request rate, and lease renewals are sent without waiting", async () => {
   const { world, store, requests } = makeStore([answer(404, "")]);
   for (let count = 0; count < 30; count += 1) void store.get(`c/${count}`);
   world.after(0, nothing);
   await world.run(1, nothing);
-  assert.equal(requests.length, 10, "one second's worth at once");
+  assert.equal(requests.length, 10, "a burst of one second's budget");
   void store.renewLease(1);
   assert.equal(requests.at(-1)?.target, "/grants/1/touch");
   world.after(0, nothing);
@@ -112,7 +112,7 @@
   assert.equal(requests.length, 31);
 });
 
-test("after a refusal for too many requests the next read waits", async () => {
+test("after a too-many-requests response the next read is delayed", async () => {
   const { world, store, requests } = makeStore([answer(429, ""), answer(404, "")]);
   assert.deepEqual(await store.get("c/a"), { kind: "refused" });
   void store.get("c/b");
--- a/test/membership-records.test.ts
+++ b/test/membership-records.test.ts
@@ -7,12 +7,12 @@
   isClusterLeader,
 } from "../src/storage/membership-records.js";
 
-test("the cluster leader keeps its stored form", () => {
+test("the record of the cluster leader is encoded in its stored form", () => {
   const stored = encodeClusterLeaderRecord({ label: "ctl-0", incarnation: "ab12" });
   assert.equal(JSON.stringify(stored), '{"label":"ctl-0","incarnation":"ab12"}');
 });
 
-test("only a cluster leader with this incarnation is this process", () => {
+test("a process is the cluster leader only if the record has its incarnation", () => {
   assert.equal(isClusterLeader({ label: "ctl-0", incarnation: "ab12" }, "ab12"), true);
   assert.equal(isClusterLeader({ incarnation: "ab12" }, "ab12"), true);
   for (const value of [{ label: "ctl-0", incarnation: "cd34" }, { incarnation: 12 }, {}, [], 5, "ab12"])
@@ -20,7 +20,7 @@
   assert.throws(() => isClusterLeader(null, "ab12"), TypeError);
 });
 
-test("the last shard epoch keeps its stored form, and is 0 where there is none", () => {
+test("the last shard epoch is encoded in its stored form, and decodes to 0 where it is missing", () => {
   assert.equal(JSON.stringify(encodeShardEpochRecord({ epoch: 7 })), '{"number":7}');
   assert.deepEqual(decodeShardEpochRecord({ number: 7 }), { epoch: 7 });
   assert.deepEqual(decodeShardEpochRecord({ number: "7" }), { epoch: 7 });
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -1,8 +1,8 @@
 /**
- * Stored records, their keys, and frames between controllers, compared byte for byte with `test/fixtures/records.txt`
- * and `test/fixtures/frames.txt`, and read back. Versions of the program that run side by side share these forms, so the
- * files only grow: a line that is there may not change. The values are typed literals, so that fields can be renamed in
- * memory; the files hold the names that are stored.
+ * Compares stored records, their keys, and frames between controllers byte for byte with `test/fixtures/records.txt`
+ * and `test/fixtures/frames.txt`, and decodes them again. Versions of the program that run side by side share these
+ * formats, so lines may be added to the files, but existing lines must not change. The values are typed literals, so
+ * that fields can be renamed in memory; the files contain the stored names.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -161,7 +161,7 @@
   ),
 };
 
-/** Fields in the orders in which the job API and the task state writer put them on record the first time. */
+/** Job records with their fields in the orders in which the job API and the task state writer first store them. */
 const jobsAsFirstWritten: Readonly<Record<string, JobRecord>> = {
   "job/accepted with a list of its own": {
     spec: plainSpec,
@@ -204,7 +204,7 @@
   before: null,
 };
 
-/** Fields in the order in which the run's acceptance puts them on record. */
+/** A run header with its fields in the order in which the acceptance of the run stores them. */
 const acceptedHeader: Header = {
   digest: header.digest,
   request: header.request,
@@ -233,7 +233,7 @@
   before: "dr-0",
 };
 
-/** Compressed bitmaps; their text is not looked into here. */
+/** Compressed bitmaps; their content is opaque to this test. */
 const segment: Segment = { finals: { success: "Y2AAAA==", upstream_failed: "YwAA" }, clearings: "Y2AEAA==" };
 const emptySegment: Segment = { finals: {}, clearings: null };
 
@@ -294,18 +294,18 @@
   }
 };
 
-test("records of jobs keep their stored form", () => {
+test("job records are encoded in their stored form and decoded again", () => {
   assertFormKept({ values: jobs, write: encodeJobRecord, read: decodeJobRecord });
 });
 
-test("records of jobs keep the order of fields of their first writing", () => {
+test("job records are encoded in the field order in which they are first written", () => {
   for (const [name, record] of Object.entries(jobsAsFirstWritten)) {
     records.matches(name, formatJson(encodeJobRecord(record)));
     assert.deepEqual(decodeJobRecord(parseJson(records.text(name))), record, name);
   }
 });
 
-test("a job's record that is read and written again has its optional fields in the order of reading", () => {
+test("a job record that is decoded and encoded again has its optional fields in decoding order", () => {
   for (const name of Object.keys(jobsAsFirstWritten)) {
     records.matches(
       `${name}, written again`,
@@ -314,16 +314,16 @@
   }
 });
 
-test("a specification keeps fields that a newer version has stored, and has none that an older one has left out", () => {
+test("a specification preserves unknown fields of a newer version, and gains no fields that an older version omitted", () => {
   for (const name of ["job/newer specification", "job/older specification"]) {
     records.matches(name, formatJson(encodeJobRecord(decodeJobRecord(parseJson(records.text(name))))));
   }
-  // Of the record's own fields, only those that are known are written again.
+  // Outside the specification, only the known fields of the record are written again.
   const newer = decodeJobRecord(parseJson(records.text("job/newer record")));
   records.matches("job/newer record, written again", formatJson(encodeJobRecord(newer)));
 });
 
-test("records of task ranges keep their stored form", () => {
+test("task range records are encoded in their stored form and decoded again", () => {
   for (const [name, range] of Object.entries({ "range/all": tasks, "range/none": [] })) {
     records.matches(name, formatJson(encodeTaskRange(range)));
     assert.deepEqual(decodeTaskRange(parseJson(records.text(name))), range);
@@ -331,7 +331,7 @@
   assert.equal(taskRangeBytes(tasks), 26);
 });
 
-test("records of members, shards, outcomes, unreachable zones and answered starts keep their stored form", () => {
+test("records of members, shards, outcomes, unreachable zones and answered starts are encoded in their stored form", () => {
   assertFormKept({ values: members, write: encodeMemberRecord, read: decodeMemberRecord });
   assertFormKept({ values: shards, write: encodeShardRecord, read: decodeShardRecord });
   assertFormKept({ values: outcomes, write: encodeOutcomeRecord, read: decodeOutcomeRecord });
@@ -339,7 +339,7 @@
   assertFormKept({ values: answeredStarts, write: encodeAnsweredStarts, read: decodeAnsweredStarts });
 });
 
-test("a dependency list in parts is read in their order", () => {
+test("a dependency list that is stored in parts is joined in the order of the parts", () => {
   const record: JobRecord = { ...withSpec(plainSpec), dependencyList: { digest: "d", parts: 2 } };
   const entries = new Map(
     [0, 1].map((part) => [
@@ -350,20 +350,21 @@
   assert.deepEqual(recordedDependencies(record, entries), ["wk-a", "wk-b", "wk-c"]);
 });
 
-test("records of graph runs keep their stored form", () => {
+test("records of graph runs are encoded in their stored form and decoded again", () => {
   assertFormKept({ values: headers, write: writeHeader, read: readHeader });
   assertFormKept({ values: endedRuns, write: writeEnded, read: readEnded });
   assertFormKept({ values: segments, write: writeSegment, read: readSegment });
   assertFormKept({ values: uploads, write: writeUpload, read: readUpload });
 });
 
-test("a run's header keeps the order of fields of its acceptance", () => {
+test("the header of a graph run is encoded in the field order of its acceptance", () => {
   records.matches("graph/as accepted", formatJson(writeHeader(acceptedHeader)));
   assert.deepEqual(readHeader(parseJson(records.text("graph/as accepted"))), header);
 });
 
-// What a compressor gives may differ from version to version of it: the fixture is read, and what is written is read back.
-test("saved states of steps are read from their bitmaps", () => {
+// The compressed bytes may differ between versions of the compressor. So the fixture is only decoded, and newly encoded
+// bitmaps are decoded again.
+test("saved step states are decoded from their bitmaps", () => {
   const saved = readSegments(64, [readSegment(parseJson(records.text("segment/all states")))]);
   const finals = FINALS.map((state, at) => [at * 3, state] as const);
   assert.deepEqual(
@@ -407,7 +408,7 @@
   ],
 };
 
-test("a plan keeps its stored form and its digest", () => {
+test("a plan is encoded in its stored form with the same digest", () => {
   assert.deepEqual(decodePlan(records.text("plan/text")), plan);
   const { text, digest } = encodePlan(plan);
   records.matches("plan/digest", digest);
@@ -415,7 +416,7 @@
   records.matches("plan/json", gunzipSync(Buffer.from(text, "base64")).toString("utf8"));
 });
 
-test("keys keep their form and are read back", () => {
+test("keys have their stored form and are parsed again", () => {
   const keys: Readonly<Record<string, string>> = {
     "key/leader": CLUSTER_LEADER_KEY,
     "key/number": SHARD_EPOCH_KEY,
@@ -480,7 +481,7 @@
   "told/lost": { type: "relay-response", id: 4_294_967_295, outcome: { kind: "lost" } },
 };
 
-test("frames between controllers keep their form and are read back", () => {
+test("frames between controllers are encoded in their wire form and decoded again", () => {
   for (const [name, frame] of Object.entries(meshFrames)) {
     frames.matches(name, encodeFrame(frame).toString("hex"));
     const [read] = new FrameDecoder().decode(Buffer.from(frames.text(name), "hex"));
@@ -490,13 +491,13 @@
   }
 });
 
-test("a frame of an unknown type is skipped and bytes behind the known fields are ignored", () => {
+test("a frame of an unknown type is skipped, and bytes after the known fields of a frame are ignored", () => {
   const text = [frames.text("unknown type"), frames.text("longer hello"), frames.text("beat")].join("");
   const read = new FrameDecoder().decode(Buffer.from(text, "hex"));
   assert.deepEqual(read, [meshFrames.hello, meshFrames.beat]);
 });
 
-test("every fixture of records and frames is compared", () => {
+test("every line of the record and frame fixtures is used", () => {
   records.allUsed();
   frames.allUsed();
 });
--- a/test/transaction-batcher.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -13,12 +13,12 @@
 const put = (key: string, value: unknown = {}): WriteOperation => ({ kind: "put", key, value });
 const absent = (key: string): ReadonlyMap<string, Uint64> => new Map([[key, 0]]);
 
-test("three controllers whose batches are refused get through with all they have to write", async () => {
+test("three controllers sharing a rate limit complete all writes although batches are rejected as busy", async () => {
   const world = new World();
   let tokens = 30;
   let last = 0;
   let written = 0;
-  // Refuses like a service that counts what it refuses, too: batches sent at once and again starved each other.
+  // A rate limiter that also charges rejected writes: controllers that retry immediately starve each other.
   const store = {
     budget: { requestsPerS: 100, writesPerS: 21, writesPerTransaction: 24 },
     transact: async (_: unknown, writes: readonly unknown[]) => {
@@ -33,24 +33,24 @@
     },
   } as unknown as KeyValueStore;
   const clock = new HostClock(world, 1, 0);
-  const batchers = [0, 1, 2].map((at) => new TransactionBatcher(store, clock, () => (at + 1) / 4));
+  const batchers = [0, 1, 2].map((index) => new TransactionBatcher(store, clock, () => (index + 1) / 4));
   let refused = 0;
   for (let count = 0; count < 300; count += 1) {
-    const send = (tries: number): void => {
+    const submitWithRetries = (retriesLeft: number): void => {
       const key = `c/job/wk-${count}`;
       void batchers[count % 3]?.submit(absent(key), [put(key)]).then((result) => {
         if (result.kind === "ok") return;
         refused += 1;
-        if (tries > 0) clock.after(1_000_000 as Micros, () => send(tries - 1));
+        if (retriesLeft > 0) clock.after(1_000_000 as Micros, () => submitWithRetries(retriesLeft - 1));
       });
     };
-    send(10);
+    submitWithRetries(10);
   }
   await world.run(30_000_000, nothing);
   assert.equal(written, 300, `${refused} refused`);
 });
 
-/** Ten writes a second, five a transaction, all of which succeed. */
+/** A batcher with a budget of ten writes per second and five per transaction; every transaction succeeds. */
 const makeTightBatcher = () => {
   const world = new World();
   const store = {
@@ -60,7 +60,7 @@
   return { world, batcher: new TransactionBatcher(store, new HostClock(world, 1, 0), () => 0.5) };
 };
 
-test("a cancellation does not wait for the submissions that came before it", async () => {
+test("a cancellation is written before job submissions that were queued earlier", async () => {
   const { world, batcher } = makeTightBatcher();
   const done: string[] = [];
   const write = (key: string, priority: "cancellation" | "user"): void => {
@@ -73,7 +73,7 @@
   assert.ok(done.length < 40, `${done.length} written within the budget`);
 });
 
-test("a start does not wait for what has ended, unless both are in one record", async () => {
+test("a task start is written before deferred ends of tasks, and a deferred write can be promoted", async () => {
   const { world, batcher } = makeTightBatcher();
   const done: string[] = [];
   const write = (key: string, priority: "deferred" | "normal"): void => {
@@ -82,7 +82,7 @@
   for (let count = 0; count < 200; count += 1) write(`c/range/wk-${count}/0`, "deferred");
   await world.run(100_000, nothing);
   write("c/range/wk-new/0", "normal");
-  // The range of a deferred write that still waits is to take a placement: one write carries both, and it is waited for now.
+  // A placement is added to a range whose deferred write is still queued: one write contains both, so it is promoted.
   batcher.promote("c/range/wk-190/0", "normal");
   batcher.promote("c/range/wk-none/0", "normal");
   await world.run(900_000, nothing);
@@ -94,28 +94,30 @@
   assert.equal(done.length, 201);
 });
 
-test("urgent starts go before a swarm's, and whatever waits too long gets a turn", async () => {
+test("urgent starts are written before a burst of normal ones, and overdue writes are not starved", async () => {
   const { world, batcher } = makeTightBatcher();
-  const at = new Map<string, number>();
+  const writtenAt = new Map<string, number>();
   const write = (key: string, priority: "user" | "urgent" | "normal" | "deferred"): void => {
-    void batcher.submit(absent(key), [put(key)], priority).then(() => at.set(key, world.now));
+    void batcher.submit(absent(key), [put(key)], priority).then(() => writtenAt.set(key, world.now));
   };
   for (let count = 0; count < 300; count += 1) write(`guest-${count}`, "normal");
   write("note", "deferred");
   await world.run(1_000_000, nothing);
   write("urgent", "urgent");
   await world.run(2_000_000, nothing);
-  // In the order in which they came it took half a minute.
-  assert.ok((at.get("urgent") ?? Number.POSITIVE_INFINITY) < 1_500_000);
-  // From now on more is urgent than can be written at all.
+  // In submission order, the urgent write would take half a minute.
+  assert.ok((writtenAt.get("urgent") ?? Number.POSITIVE_INFINITY) < 1_500_000);
+  // From here on, there are more user writes and urgent writes than the budget allows.
   for (let count = 0; count < 3_000; count += 1) write(`house-${count}`, count % 2 === 0 ? "user" : "urgent");
-  const before = [...at.keys()].filter((key) => key.startsWith("guest")).length;
+  const before = [...writtenAt.keys()].filter((key) => key.startsWith("guest")).length;
   await world.run(60_000_000, nothing);
-  const after = [...at.keys()].filter((key) => key.startsWith("guest")).length;
-  assert.ok(after - before > 45, `${after - before} of the swarm in a minute`);
-  assert.ok(at.has("note"), "a deferred write that is overdue");
-  const prompt = [...at.keys()].filter((key) => key.startsWith("house") && Number(key.slice(6)) % 2 === 1).length;
-  assert.ok(prompt > 80, `${prompt} urgent starts beside the users' writes`);
+  const after = [...writtenAt.keys()].filter((key) => key.startsWith("guest")).length;
+  assert.ok(after - before > 45, `${after - before} normal writes in one minute`);
+  assert.ok(writtenAt.has("note"), "an overdue deferred write");
+  const urgentCount = [...writtenAt.keys()].filter(
+    (key) => key.startsWith("house") && Number(key.slice(6)) % 2 === 1,
+  ).length;
+  assert.ok(urgentCount > 80, `${urgentCount} urgent writes besides the users' writes`);
 });
 
 interface SentBatch {
@@ -123,8 +125,8 @@
   readonly conditions: ReadonlyMap<string, Uint64>;
 }
 
-/** A batcher whose batches are answered by `answer`, on a budget that is never short. */
-const makeBatcher = (answer: (batch: SentBatch) => TransactionResult) => {
+/** A batcher with an ample budget, for which `resultOf` gives the result of each batch. */
+const makeBatcher = (resultOf: (batch: SentBatch) => TransactionResult) => {
   const world = new World();
   const sent: SentBatch[] = [];
   const store = {
@@ -132,7 +134,7 @@
     transact: async (conditions: ReadonlyMap<string, Uint64>, writes: readonly WriteOperation[]) => {
       const batch = { keys: writes.map(({ key }) => key), conditions };
       sent.push(batch);
-      return answer(batch);
+      return resultOf(batch);
     },
   } as unknown as KeyValueStore;
   const batcher = new TransactionBatcher(store, new HostClock(world, 1, 0), () => 0.5);
@@ -145,7 +147,7 @@
 
 const OK: TransactionResult = { kind: "ok", version: 1 };
 
-test("transactions whose conditions fail are told, and those of the same batch are sent again", async () => {
+test("a transaction whose condition fails is resolved as a conflict, and the rest of its batch is sent again", async () => {
   const { world, sent, results, submit } = makeBatcher(({ keys }) =>
     keys.includes("b") ? { kind: "conflict", keys: ["b"] } : OK,
   );
@@ -161,7 +163,7 @@
   );
 });
 
-test("transactions that touch the same key do not share a batch", async () => {
+test("transactions that conflict on a key do not share a batch", async () => {
   const { world, sent, batcher, results, submit } = makeBatcher(() => OK);
   submit("a");
   void batcher.submit(new Map([["a", 1]]), [put("b")]).then(({ kind }) => results.set("b", kind));
@@ -173,7 +175,7 @@
   );
 });
 
-test("a batch that is too large is sent in halves, and one transaction that is too large lowers the limits", async () => {
+test("a batch that is too large is split, and a single transaction that is too large lowers the limits", async () => {
   const tooLarge: TransactionResult = { kind: "too large" };
   const { world, batcher, results, submit } = makeBatcher(({ keys }) => (keys.includes("large") ? tooLarge : OK));
   for (const key of ["a", "b", "c"]) submit(key);
@@ -184,7 +186,7 @@
   assert.ok(batcher.maxWritesPerTransaction <= 2);
 });
 
-test("a key-value store that stays busy is tried eight times more, then the transaction is refused", async () => {
+test("a transaction is resolved as refused after eight retries against a busy key-value store", async () => {
   const { world, sent, results, submit } = makeBatcher(() => ({ kind: "busy" }));
   submit("a");
   await world.run(60_000_000, nothing);
@@ -192,7 +194,7 @@
   assert.equal(sent.length, 9);
 });
 
-test("refused and lost batches are told at once and not sent again", async () => {
+test("transactions of a refused or lost batch are resolved without a retry", async () => {
   for (const kind of ["refused", "lost"] as const) {
     const { world, sent, results, submit } = makeBatcher(() => ({ kind }));
     submit("a");
@@ -203,7 +205,7 @@
   }
 });
 
-test("a deferred transaction that is cancelled while it waits is refused and never sent", async () => {
+test("a deferred transaction that is cancelled while queued is resolved as refused and never sent", async () => {
   const { world, sent, batcher, results, submit } = makeBatcher(() => OK);
   submit("a", "deferred");
   submit("b", "deferred");
@@ -218,7 +220,7 @@
   );
 });
 
-test("the summary counts writes by priority since it was last taken", async () => {
+test("the summary counts the writes by priority since the previous summary", async () => {
   const { world, batcher, submit } = makeBatcher(() => OK);
   submit("a");
   submit("b", "user");
--- a/test/watch-cache.test.ts
+++ b/test/watch-cache.test.ts
@@ -10,7 +10,9 @@
 
 const entryOf = (key: string, version = 5): KeyValueEntry => ({ key, value: {}, version });
 
-/** A cache of a store that gives these lists in turn; its watches are answered by `watch`. */
+/**
+ * A cache of a store that returns these lists in turn, the last one repeatedly, and the results of `watch` to watches.
+ */
 const cacheOf = (
   lists: readonly StoreResult<EntryList>[],
   watch: (from: unknown, wait: number) => Promise<unknown>,
@@ -29,7 +31,7 @@
   return { world, cache, listCount: () => listCount };
 };
 
-/** Lets so many microseconds pass, with all that follows at once from what is decided at their begin and end. */
+/** Advances the simulation by `micros` microseconds, including all promises that resolve at its start or end. */
 const advance = async (world: World, micros: number): Promise<void> => {
   world.after(0, nothing);
   world.after(micros, nothing);
@@ -42,7 +44,7 @@
   value: { entries, revision },
 });
 
-test("a listener that is told of a listed key can see all the others", async () => {
+test("a listener called with one listed key finds all other listed keys in the cache", async () => {
   const entries = ["c/block/0", "c/job/wk-1", "c/range/wk-1/0"].map((key) => entryOf(key));
   const { world, cache } = cacheOf([listOf(entries)], unanswered);
   const seen: number[] = [];
@@ -52,17 +54,17 @@
   assert.deepEqual(seen, [3, 3, 3]);
 });
 
-test("first listeners are told of all changes before any other is told of the first", async () => {
+test("first listeners receive all changes before any other listener receives one", async () => {
   const { world, cache } = cacheOf([listOf([entryOf("c/a"), entryOf("c/b")])], unanswered);
-  const told: string[] = [];
-  cache.onChange(({ key }) => told.push(`other ${key}`));
-  cache.onChangeFirst(({ key }) => told.push(`first ${key}`));
+  const calls: string[] = [];
+  cache.onChange(({ key }) => calls.push(`other ${key}`));
+  cache.onChangeFirst(({ key }) => calls.push(`first ${key}`));
   void cache.run();
   await advance(world, 1_000);
-  assert.deepEqual(told, ["first c/a", "first c/b", "other c/a", "other c/b"]);
+  assert.deepEqual(calls, ["first c/a", "first c/b", "other c/a", "other c/b"]);
 });
 
-test("a watch from a revision that is too old lists again, and tells only what has changed", async () => {
+test("after a watch from a revision that is too old, the cache lists again and reports only the differences", async () => {
   const lists = [listOf([entryOf("c/a"), entryOf("c/b")]), listOf([entryOf("c/b"), entryOf("c/c", 9)], 9)];
   let watchCount = 0;
   const { world, cache, listCount } = cacheOf(lists, () => {
@@ -85,7 +87,7 @@
   );
 });
 
-test("a list without an answer is tried again, and until then nothing is fresh", async () => {
+test("a list without a response is retried, and the cache has no freshness until a list succeeds", async () => {
   const { world, cache, listCount } = cacheOf([{ kind: "lost" }, listOf([entryOf("c/a")])], unanswered);
   void cache.run();
   await advance(world, 100_000);
@@ -94,33 +96,33 @@
   assert.deepEqual([listCount(), cache.loaded, cache.entries.size], [2, true, 1]);
 });
 
-test("of two requests that overlap, an older change does not undo a newer one", async () => {
+test("an older change in one of two overlapping requests does not overwrite a newer one", async () => {
   const change = (version: number): KeyChange => ({ kind: "put", key: "c/a", value: { version }, version });
-  const answers: ((reply: unknown) => void)[] = [];
-  const { world, cache } = cacheOf([listOf([])], () => new Promise((resolve) => answers.push(resolve)));
+  const resolvers: ((reply: unknown) => void)[] = [];
+  const { world, cache } = cacheOf([listOf([])], () => new Promise((resolve) => resolvers.push(resolve)));
   void cache.run();
   await advance(world, 2_000);
   const synced = cache.sync();
   await advance(world, 2_000);
-  assert.equal(answers.length, 2);
-  answers[1]?.({ kind: "ok", value: { changes: [change(6), change(7)], revision: 7 } });
+  assert.equal(resolvers.length, 2);
+  resolvers[1]?.({ kind: "ok", value: { changes: [change(6), change(7)], revision: 7 } });
   assert.equal(await synced, true);
-  answers[0]?.({ kind: "ok", value: { changes: [change(6)], revision: 6 } });
+  resolvers[0]?.({ kind: "ok", value: { changes: [change(6)], revision: 6 } });
   await advance(world, 2_000);
-  assert.equal(answers.length, 3, "the older answer has come");
+  assert.equal(resolvers.length, 3, "the older response has been processed");
   assert.equal(cache.entries.get("c/a")?.version, 7);
 });
 
-test("calls of sync made while one request is under way share the next", async () => {
+test("calls of sync made while a request is in flight share the next request", async () => {
   const waits: number[] = [];
-  const answers: ((reply: unknown) => void)[] = [];
+  const resolvers: ((reply: unknown) => void)[] = [];
   const { world, cache } = cacheOf([listOf([])], (_, wait) => {
     waits.push(wait);
-    return wait > 0 ? unanswered() : new Promise((resolve) => answers.push(resolve));
+    return wait > 0 ? unanswered() : new Promise((resolve) => resolvers.push(resolve));
   });
   const early = cache.sync();
   await advance(world, 2_000);
-  assert.equal(await early, false, "nothing is listed yet");
+  assert.equal(await early, false, "the entries have not been listed yet");
   void cache.run();
   await advance(world, 2_000);
   const first = cache.sync();
@@ -129,10 +131,10 @@
   await advance(world, 2_000);
   assert.deepEqual(waits, [seconds(1), 0]);
   const unchanged = { kind: "ok", value: { changes: [], revision: 5 } };
-  answers[0]?.(unchanged);
+  resolvers[0]?.(unchanged);
   assert.equal(await first, true);
   await advance(world, 2_000);
   assert.deepEqual(waits, [seconds(1), 0, 0]);
-  answers[1]?.(unchanged);
+  resolvers[1]?.(unchanged);
   assert.deepEqual(await Promise.all(others), [true, true, true]);
 });
--- a/test/wire-forms.test.ts
+++ b/test/wire-forms.test.ts
@@ -1,7 +1,7 @@
 /**
- * Messages of users, workers, cloud and key-value store, compared byte for byte with `test/fixtures/messages.txt`: what
- * is sent, and what is read from given bytes. The other side of each is not part of this program, so no line of that
- * file may change. The values are typed literals, so that fields can be renamed in memory.
+ * Compares messages of users, workers, cloud and key-value store byte for byte with `test/fixtures/messages.txt`: the
+ * encoding of messages sent, and the decoding of messages received. The other side of each protocol is not part of this
+ * program, so no line of that file may change. The values are typed literals, so that fields can be renamed in memory.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -39,7 +39,9 @@
 const clock: Clock = { now: () => 0 as Micros, after: () => ({ cancel: () => undefined }) };
 const log: Log = { error: () => undefined, info: () => undefined, debug: () => undefined };
 
-/** Compares each request with the fixture of this name and answers with the bytes of the fixture beside it. */
+/**
+ * An HTTP client that compares each request with the fixture of this name, and returns the response of that fixture.
+ */
 const scripted = (name: string, status = 200): HttpClient => {
   let count = 0;
   return {
@@ -66,7 +68,7 @@
 
 const LARGE = 18_446_744_073_709_551_615n;
 
-test("reads of the key-value store keep their form", async () => {
+test("reads and watches of the key-value store have their wire form", async () => {
   const entry: KeyValueEntry = { key: "c/job/wk-1", value: { a: [1, null], b: "x" }, version: LARGE };
   assert.deepEqual(await storeFor("store/get").get("c/job/wk-1"), { kind: "ok", value: entry });
   const second: KeyValueEntry = { key: "c/leader", value: null, version: 3 };
@@ -92,7 +94,7 @@
   });
 });
 
-test("transactions of the key-value store keep their form", async () => {
+test("transactions of the key-value store have their wire form", async () => {
   const writes: readonly WriteOperation[] = [
     { kind: "put", key: "c/a", value: { x: 1 } },
     { kind: "put", key: "c/b", value: [], lease: LARGE },
@@ -112,13 +114,13 @@
   assert.deepEqual(await storeFor("store/too large", 400).transact(conditions, writes), { kind: "too large" });
 });
 
-test("leases of the key-value store keep their form", async () => {
+test("lease requests to the key-value store have their wire form", async () => {
   assert.deepEqual(await storeFor("store/grant").grantLease(seconds(20)), { kind: "ok", value: LARGE });
   assert.deepEqual(await storeFor("store/renew").renewLease(LARGE), { kind: "ok", value: true });
   assert.deepEqual(await storeFor("store/end").revokeLease(5), { kind: "ok", value: true });
 });
 
-test("messages of the cloud keep their form", async () => {
+test("requests to the cloud and its responses have their wire form", async () => {
   const types: readonly MachineType[] = [
     {
       name: "big",
@@ -144,7 +146,7 @@
   const catalog = await cloudFor("cloud/types").listMachineTypes();
   assert.ok(catalog.kind === "ok");
   assert.deepEqual(catalog.value.types, types);
-  // Put on record as it came.
+  // Stored unchanged as received.
   messages.matches("cloud/types/answer 1", formatJson(catalog.value.raw));
   const machine: ListedMachine = {
     name: "n-1",
@@ -210,7 +212,7 @@
   ),
 };
 
-test("submissions of users keep their form and are read back", () => {
+test("submissions of users are encoded in their wire form and decoded again", () => {
   for (const [name, spec] of Object.entries(specs)) {
     messages.matches(name, formatJson(encodeSubmission(spec)));
     assert.deepEqual(decodeSubmission(parseJson(messages.text(name))), spec, name);
@@ -218,7 +220,7 @@
   assert.deepEqual(decodeSubmission(parseJson(messages.text("user/fewest fields"))), plainSpec);
 });
 
-test("answers to users keep their form", () => {
+test("responses to users have their wire form", () => {
   const phases: readonly JobPhase[] = ["queued", "running", "done", "cancelled"];
   for (const phase of phases) messages.matches(`phase/${phase}`, formatJson(encodePhase("wk-1", phase)));
   messages.matches("status/running", formatJson(encodeStatus("wk-1", "running", 1, 2)));
@@ -254,12 +256,12 @@
   { ...running, state: "exited", reason: "no_room" },
   { ...running, state: "exited", reason: "busy" },
   { ...running, state: "exited", reason: "unknown" },
-  // A state that is not known counts as running, a cause that is not known as an error.
+  // An unknown state is decoded as running, and an unknown cause of an exit as an error.
   running,
   { ...running, state: "exited", reason: "error" },
 ];
 
-test("workers' heartbeats are read from their form", () => {
+test("heartbeats of workers are decoded from their wire form", () => {
   const none = (): null => null;
   assert.deepEqual(decodeHeartbeatText(messages.text("report/fewest fields"), none), heartbeat);
   const text = messages.text("report/full");
@@ -281,7 +283,7 @@
   );
 });
 
-test("messages to workers keep their form", () => {
+test("messages to workers have their wire form", () => {
   const commands: readonly Command[] = [
     { op: "start", task: "wk-1/0", attempt: 1 },
     { op: "stop", task: "wk-1/1", attempt: LARGE, graceS: 2.5 },
@@ -297,7 +299,7 @@
   for (const [name, message] of Object.entries(sent)) messages.matches(name, formatJson(message));
 });
 
-test("answers to operators about links keep their form", () => {
+test("responses to operators about links have their wire form", () => {
   const table: LinkTable = {
     state: "reached",
     cloud: "not asked yet",
@@ -317,6 +319,6 @@
   messages.matches("links/without a mesh", formatJson(encodeLinks(null, { ...machines, reservedForJob: null })));
 });
 
-test("every fixture of messages is compared", () => {
+test("every line of the message fixtures is used", () => {
   messages.allUsed();
 });
--- a/test/wire-words.test.ts
+++ b/test/wire-words.test.ts
@@ -1,8 +1,8 @@
 /**
- * Words of the wire stay in the codecs: users, workers, cloud and key-value store have names of their own for what the
- * code calls by the terms of docs/glossary.md. The words are read from the codecs, so that a new one has to be sorted
- * into one of the lists here; no identifier and no text of the packages checked may contain a themed one. Comments are
- * not looked at.
+ * Protocol vocabulary stays in the codecs. The protocols of users, workers, cloud and key-value store have their own
+ * names for concepts that the code names by the terms of docs/glossary.md. The test reads these names from the codecs,
+ * and each new one must be added to one of the lists here. No identifier or string of the checked packages may contain
+ * a name that is reserved for the protocols. Comments are not checked.
  */
 import assert from "node:assert/strict";
 import { readdirSync, readFileSync } from "node:fs";
@@ -13,7 +13,7 @@
 const PROTOCOL = "src/protocol";
 const CHECKED = ["src/transport", "src/storage", "src/cluster", "src/coordination", "src/mesh", "src/settings"];
 
-/** Words of the wire that the code has other terms for. */
+/** Protocol names for which the code has other terms; reserved for the codecs. */
 const THEMED: ReadonlySet<string> = new Set(
   (
     "accelerators addr area areas ask awaits awaitsInAll baton best_effort bundle daemon dueS ensemble flavor flavors " +
@@ -23,7 +23,7 @@
   ).split(" "),
 );
 
-/** Words of the wire that are terms of this code, or of any program, with another or the same meaning. */
+/** Protocol names that are also terms of this code, or of any program, with the same or another meaning. */
 const ORDINARY: ReadonlySet<string> = new Set(
   (
     "cause cpus epoch full high hold host if incomplete k log normal number pending phase rank ref remove set shard shards " +
@@ -32,14 +32,14 @@
 );
 
 interface AllowedUses {
-  /** File, or folder with all below it. */
+  /** A file, or a folder including its subfolders. */
   readonly below: string;
-  /** Whole identifiers or texts. */
+  /** Complete identifiers or strings. */
   readonly texts: readonly string[];
   readonly reason: string;
 }
 
-/** Uses outside the codecs. Those "to be renamed" are left over; the entry goes with the last use. */
+/** Permitted uses outside the codecs. Entries "to be renamed" are temporary, and are removed with their last use. */
 const ALLOWED: readonly AllowedUses[] = [
   {
     below: "src/settings/parse-settings.ts",
@@ -83,7 +83,7 @@
   ts.forEachChild(node, (child) => walk(child, visit));
 };
 
-/** `windDownS` and `wind_down_s` both give `wind`, `down`, `s`. */
+/** Splits a name into words: `windDownS` and `wind_down_s` both give `wind`, `down`, `s`. */
 const partsOf = (text: string): readonly string[] =>
   text
     .replace(/([a-z0-9])([A-Z])/g, "$1 $2")
@@ -92,7 +92,7 @@
     .split(/[^a-z0-9]+/)
     .filter((part) => part !== "");
 
-/** A word with an underscore is looked for as it is written, all others in any spelling. */
+/** A name with an underscore is matched literally, all others in camel case and in snake case alike. */
 const contains = (text: string, word: string): boolean =>
   word.includes("_")
     ? new RegExp(`\\b${word}\\b`).test(text)
@@ -101,15 +101,15 @@
 const themedWordIn = (text: string): string | null => [...THEMED].find((word) => contains(text, word)) ?? null;
 
 interface Vocabulary {
-  /** Names of fields and values in messages. */
+  /** Names of fields and values in encoded messages. */
   readonly wire: ReadonlySet<string>;
-  /** Names of fields and values of the messages' types in memory. */
+  /** Names of fields and values of the in-memory types of messages. */
   readonly memory: ReadonlySet<string>;
 }
 
 const nameOf = (node: ts.PropertyName): string => ("text" in node ? node.text : node.getText());
 
-/** The name of the variable that the node stands in the definition of, at the top of its module. */
+/** The name of the top-level variable whose definition contains the node; empty where there is none. */
 const definitionOf = (node: ts.Node): string => {
   for (let at = node; at.parent !== undefined; at = at.parent)
     if (ts.isVariableDeclaration(at) && at.parent.parent.parent.kind === ts.SyntaxKind.SourceFile)
@@ -118,8 +118,8 @@
 };
 
 /**
- * The codecs' readers take fields by name, encoders build objects, and constant tables map values
- * either way, and `FIELD` the names of fields in memory to those of a message.
+ * Reads the vocabulary of the codecs: their readers access fields by name, their encoders build objects, constant
+ * tables map values in both directions, and `FIELD` maps in-memory field names to those of a message.
  */
 const readVocabulary = (): Vocabulary => {
   const wire = new Set<string>();
@@ -162,7 +162,7 @@
   const uses: Use[] = [];
   walk(source, (node) => {
     const text = textOf(node);
-    // `shards` as a name is the plural of the code's shard; as a whole text it is a message's list of tasks.
+    // As an identifier, `shards` is the plural of shard; as a complete string, it is the task list of a message.
     const isTaskList = text === "shards" && ts.isStringLiteral(node);
     const word = text === null ? null : isTaskList ? "shards" : themedWordIn(text);
     if (text === null || word === null) return;
@@ -175,7 +175,7 @@
 const isAllowed = ({ file, text }: Use): boolean =>
   ALLOWED.some(({ below, texts }) => (file === below || file.startsWith(`${below}/`)) && texts.includes(text));
 
-test("each word of the codecs is either themed, ordinary, or the code's own", () => {
+test("each protocol name in the codecs is listed as reserved or as shared, or is a name of the code", () => {
   const { wire, memory } = readVocabulary();
   assert.ok(wire.size > 80, `only ${wire.size} words found`);
   const unsorted = [...wire].filter((word) => !THEMED.has(word) && !ORDINARY.has(word) && !memory.has(word));
@@ -184,7 +184,7 @@
   for (const word of THEMED) assert.ok(!ORDINARY.has(word), `${word}: in both lists`);
 });
 
-test("themed words are found in identifiers and texts", () => {
+test("reserved protocol names are found in identifiers and strings", () => {
   const source = "const batonOf = 1; const a = { warningS: 2 }; f(`loaner`); g('best_effort', 'shards', shards);";
   const found = usesIn(ts.createSourceFile("sample.ts", source, ts.ScriptTarget.Latest, true)).map(({ word }) => word);
   assert.deepEqual(found, ["baton", "warningS", "loaner", "best_effort", "shards"]);
@@ -192,7 +192,7 @@
   assert.deepEqual(usesIn(ts.createSourceFile("sample.ts", unthemed, ts.ScriptTarget.Latest, true)), []);
 });
 
-test("no themed word of the wire stands outside the codecs", () => {
+test("no reserved protocol name is used outside the codecs", () => {
   const uses = CHECKED.flatMap(sourceFilesBelow).flatMap((file) => usesIn(parse(file)));
   const wrong = uses.filter((use) => !isAllowed(use));
   assert.deepEqual(
