--- a/test/fixture-lines.ts
+++ b/test/fixture-lines.ts
@@ -28,12 +28,12 @@
   }
 
   /** Asserts that the bytes equal those of the line with this name. */
-  matches(name: string, actual: string): void {
+  assertMatches(name: string, actual: string): void {
     assert.equal(actual, this.text(name), name);
   }
 
   /** Asserts that every line of the file has been used by a test. */
-  allUsed(): void {
+  assertAllUsed(): void {
     assert.deepEqual([...this.unused], []);
   }
 }
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -287,10 +287,10 @@
 
 const assertFormKept = <T>({ values, write, read }: Form<T>): void => {
   for (const [name, value] of Object.entries(values)) {
-    records.matches(name, formatJson(write(value)));
+    records.assertMatches(name, formatJson(write(value)));
     const found = read(parseJson(records.text(name)));
     assert.deepEqual(found, value, name);
-    records.matches(name, formatJson(write(found)));
+    records.assertMatches(name, formatJson(write(found)));
   }
 };
 
@@ -300,14 +300,14 @@
 
 test("job records are encoded in the field order in which they are first written", () => {
   for (const [name, record] of Object.entries(jobsAsFirstWritten)) {
-    records.matches(name, formatJson(encodeJobRecord(record)));
+    records.assertMatches(name, formatJson(encodeJobRecord(record)));
     assert.deepEqual(decodeJobRecord(parseJson(records.text(name))), record, name);
   }
 });
 
 test("a job record that is decoded and encoded again has its optional fields in decoding order", () => {
   for (const name of Object.keys(jobsAsFirstWritten)) {
-    records.matches(
+    records.assertMatches(
       `${name}, written again`,
       formatJson(encodeJobRecord(decodeJobRecord(parseJson(records.text(name))))),
     );
@@ -316,16 +316,16 @@
 
 test("a specification preserves unknown fields of a newer version, and gains no fields that an older version omitted", () => {
   for (const name of ["job/newer specification", "job/older specification"]) {
-    records.matches(name, formatJson(encodeJobRecord(decodeJobRecord(parseJson(records.text(name))))));
+    records.assertMatches(name, formatJson(encodeJobRecord(decodeJobRecord(parseJson(records.text(name))))));
   }
   // Outside the specification, only the known fields of the record are written again.
   const newer = decodeJobRecord(parseJson(records.text("job/newer record")));
-  records.matches("job/newer record, written again", formatJson(encodeJobRecord(newer)));
+  records.assertMatches("job/newer record, written again", formatJson(encodeJobRecord(newer)));
 });
 
 test("task range records are encoded in their stored form and decoded again", () => {
   for (const [name, range] of Object.entries({ "range/all": tasks, "range/none": [] })) {
-    records.matches(name, formatJson(encodeTaskRange(range)));
+    records.assertMatches(name, formatJson(encodeTaskRange(range)));
     assert.deepEqual(decodeTaskRange(parseJson(records.text(name))), range);
   }
   assert.equal(taskRangeBytes(tasks), 26);
@@ -358,7 +358,7 @@
 });
 
 test("the header of a graph run is encoded in the field order of its acceptance", () => {
-  records.matches("graph/as accepted", formatJson(writeHeader(acceptedHeader)));
+  records.assertMatches("graph/as accepted", formatJson(writeHeader(acceptedHeader)));
   assert.deepEqual(readHeader(parseJson(records.text("graph/as accepted"))), header);
 });
 
@@ -411,9 +411,9 @@
 test("a plan is encoded in its stored form with the same digest", () => {
   assert.deepEqual(decodePlan(records.text("plan/text")), plan);
   const { text, digest } = encodePlan(plan);
-  records.matches("plan/digest", digest);
+  records.assertMatches("plan/digest", digest);
   assert.deepEqual(decodePlan(text), plan);
-  records.matches("plan/json", gunzipSync(Buffer.from(text, "base64")).toString("utf8"));
+  records.assertMatches("plan/json", gunzipSync(Buffer.from(text, "base64")).toString("utf8"));
 });
 
 test("keys have their stored form and are parsed again", () => {
@@ -442,7 +442,7 @@
     "key/upload": uploadKey("dr-1"),
     "key/job of a step": jobIdOf("dr-1", "0123456789abcdef", 40, 2),
   };
-  for (const [name, key] of Object.entries(keys)) records.matches(name, key);
+  for (const [name, key] of Object.entries(keys)) records.assertMatches(name, key);
   assert.equal(memberOfKey(records.text("key/member")), "ctl-0");
   assert.equal(jobOfKey(records.text("key/job")), "wk-1");
   assert.deepEqual(taskRangeOfKey(records.text("key/range")), { id: "wk-1", range: 12 });
@@ -483,11 +483,11 @@
 
 test("frames between controllers are encoded in their wire form and decoded again", () => {
   for (const [name, frame] of Object.entries(meshFrames)) {
-    frames.matches(name, encodeFrame(frame).toString("hex"));
+    frames.assertMatches(name, encodeFrame(frame).toString("hex"));
     const [read] = new FrameDecoder().decode(Buffer.from(frames.text(name), "hex"));
     assert.deepEqual(read, frame, name);
     assert.ok(read !== undefined);
-    frames.matches(name, encodeFrame(read).toString("hex"));
+    frames.assertMatches(name, encodeFrame(read).toString("hex"));
   }
 });
 
@@ -498,6 +498,6 @@
 });
 
 test("every line of the record and frame fixtures is used", () => {
-  records.allUsed();
-  frames.allUsed();
+  records.assertAllUsed();
+  frames.assertAllUsed();
 });
--- a/test/wire-forms.test.ts
+++ b/test/wire-forms.test.ts
@@ -42,12 +42,12 @@
 /**
  * An HTTP client that compares each request with the fixture of this name, and returns the response of that fixture.
  */
-const scripted = (name: string, status = 200): HttpClient => {
+const fixtureHttpClient = (name: string, status = 200): HttpClient => {
   let count = 0;
   return {
     call: async (address, { method, target, body }) => {
       count += 1;
-      messages.matches(`${name}/request ${count}`, `${address} ${method} ${target} ${body}`);
+      messages.assertMatches(`${name}/request ${count}`, `${address} ${method} ${target} ${body}`);
       return { kind: "answer", status, body: messages.text(`${name}/answer ${count}`), retryAfterS: null };
     },
   };
@@ -56,7 +56,7 @@
 const BUDGET = { requestsPerS: 1_000, writesPerS: 1_000, writesPerTransaction: 10 };
 const storeFor = (name: string, status?: number): KeyValueStore =>
   new KeyValueStore({
-    http: scripted(name, status),
+    http: fixtureHttpClient(name, status),
     address: "state:1",
     clock,
     log,
@@ -64,7 +64,7 @@
     random: () => 0,
   });
 const cloudFor = (name: string, status?: number): CloudClient =>
-  new CloudClient(scripted(name, status), "cloud:1", clock, log, 100);
+  new CloudClient(fixtureHttpClient(name, status), "cloud:1", clock, log, 100);
 
 const LARGE = 18_446_744_073_709_551_615n;
 
@@ -147,7 +147,7 @@
   assert.ok(catalog.kind === "ok");
   assert.deepEqual(catalog.value.types, types);
   // Stored unchanged as received.
-  messages.matches("cloud/types/answer 1", formatJson(catalog.value.raw));
+  messages.assertMatches("cloud/types/answer 1", formatJson(catalog.value.raw));
   const machine: ListedMachine = {
     name: "n-1",
     address: "10.0.0.1:80",
@@ -214,7 +214,7 @@
 
 test("submissions of users are encoded in their wire form and decoded again", () => {
   for (const [name, spec] of Object.entries(specs)) {
-    messages.matches(name, formatJson(encodeSubmission(spec)));
+    messages.assertMatches(name, formatJson(encodeSubmission(spec)));
     assert.deepEqual(decodeSubmission(parseJson(messages.text(name))), spec, name);
   }
   assert.deepEqual(decodeSubmission(parseJson(messages.text("user/fewest fields"))), plainSpec);
@@ -222,10 +222,10 @@
 
 test("responses to users have their wire form", () => {
   const phases: readonly JobPhase[] = ["queued", "running", "done", "cancelled"];
-  for (const phase of phases) messages.matches(`phase/${phase}`, formatJson(encodePhase("wk-1", phase)));
-  messages.matches("status/running", formatJson(encodeStatus("wk-1", "running", 1, 2)));
+  for (const phase of phases) messages.assertMatches(`phase/${phase}`, formatJson(encodePhase("wk-1", phase)));
+  messages.assertMatches("status/running", formatJson(encodeStatus("wk-1", "running", 1, 2)));
   const unfinished = Array.from({ length: 21 }, (_, index) => `wk-${index}`);
-  messages.matches("status/awaits", formatJson(encodeStatus("wk-1", "queued", 0, 0, unfinished)));
+  messages.assertMatches("status/awaits", formatJson(encodeStatus("wk-1", "queued", 0, 0, unfinished)));
 });
 
 const heartbeat: Heartbeat = {
@@ -296,7 +296,7 @@
     "worker/redirect": encodeRedirect("10.0.0.1:8080"),
     "worker/redirect to nobody": encodeRedirect(null),
   };
-  for (const [name, message] of Object.entries(sent)) messages.matches(name, formatJson(message));
+  for (const [name, message] of Object.entries(sent)) messages.assertMatches(name, formatJson(message));
 });
 
 test("responses to operators about links have their wire form", () => {
@@ -314,11 +314,11 @@
     leaseValid: true,
     reservedForJob: "wk-1",
   };
-  messages.matches("links/held", formatJson(encodeLinks(table, machines)));
-  messages.matches("links/not held", formatJson(encodeLinks(table, null)));
-  messages.matches("links/without a mesh", formatJson(encodeLinks(null, { ...machines, reservedForJob: null })));
+  messages.assertMatches("links/held", formatJson(encodeLinks(table, machines)));
+  messages.assertMatches("links/not held", formatJson(encodeLinks(table, null)));
+  messages.assertMatches("links/without a mesh", formatJson(encodeLinks(null, { ...machines, reservedForJob: null })));
 });
 
 test("every line of the message fixtures is used", () => {
-  messages.allUsed();
+  messages.assertAllUsed();
 });
--- a/test/wire-words.test.ts
+++ b/test/wire-words.test.ts
@@ -14,7 +14,7 @@
 const CHECKED = ["src/transport", "src/storage", "src/cluster", "src/coordination", "src/mesh", "src/settings"];
 
 /** Protocol names for which the code has other terms; reserved for the codecs. */
-const THEMED: ReadonlySet<string> = new Set(
+const RESERVED_NAMES: ReadonlySet<string> = new Set(
   (
     "accelerators addr area areas ask awaits awaitsInAll baton best_effort bundle daemon dueS ensemble flavor flavors " +
     "flushing guessS halt halted heldS hosts in_use jobclass launch loaner localGb mates_gone no_such orders owner prod " +
@@ -24,7 +24,7 @@
 );
 
 /** Protocol names that are also terms of this code, or of any program, with the same or another meaning. */
-const ORDINARY: ReadonlySet<string> = new Set(
+const SHARED_NAMES: ReadonlySet<string> = new Set(
   (
     "cause cpus epoch full high hold host if incomplete k log normal number pending phase rank ref remove set shard shards " +
     "starting together try writes"
@@ -84,7 +84,7 @@
 };
 
 /** Splits a name into words: `windDownS` and `wind_down_s` both give `wind`, `down`, `s`. */
-const partsOf = (text: string): readonly string[] =>
+const wordsOf = (text: string): readonly string[] =>
   text
     .replace(/([a-z0-9])([A-Z])/g, "$1 $2")
     .replace(/([A-Z]+)([A-Z][a-z])/g, "$1 $2")
@@ -93,12 +93,13 @@
     .filter((part) => part !== "");
 
 /** A name with an underscore is matched literally, all others in camel case and in snake case alike. */
-const contains = (text: string, word: string): boolean =>
+const containsName = (text: string, word: string): boolean =>
   word.includes("_")
     ? new RegExp(`\\b${word}\\b`).test(text)
-    : ` ${partsOf(text).join(" ")} `.includes(` ${partsOf(word).join(" ")} `);
+    : ` ${wordsOf(text).join(" ")} `.includes(` ${wordsOf(word).join(" ")} `);
 
-const themedWordIn = (text: string): string | null => [...THEMED].find((word) => contains(text, word)) ?? null;
+const reservedNameIn = (text: string): string | null =>
+  [...RESERVED_NAMES].find((word) => containsName(text, word)) ?? null;
 
 interface Vocabulary {
   /** Names of fields and values in encoded messages. */
@@ -164,7 +165,7 @@
     const text = textOf(node);
     // As an identifier, `shards` is the plural of shard; as a complete string, it is the task list of a message.
     const isTaskList = text === "shards" && ts.isStringLiteral(node);
-    const word = text === null ? null : isTaskList ? "shards" : themedWordIn(text);
+    const word = text === null ? null : isTaskList ? "shards" : reservedNameIn(text);
     if (text === null || word === null) return;
     const line = source.getLineAndCharacterOfPosition(node.getStart()).line + 1;
     uses.push({ file: source.fileName, line, text, word });
@@ -178,18 +179,20 @@
 test("each protocol name in the codecs is listed as reserved or as shared, or is a name of the code", () => {
   const { wire, memory } = readVocabulary();
   assert.ok(wire.size > 80, `only ${wire.size} words found`);
-  const unsorted = [...wire].filter((word) => !THEMED.has(word) && !ORDINARY.has(word) && !memory.has(word));
-  assert.deepEqual(unsorted, []);
-  for (const word of [...THEMED, ...ORDINARY]) assert.ok(wire.has(word), `${word}: in no codec`);
-  for (const word of THEMED) assert.ok(!ORDINARY.has(word), `${word}: in both lists`);
+  const unlisted = [...wire].filter(
+    (word) => !RESERVED_NAMES.has(word) && !SHARED_NAMES.has(word) && !memory.has(word),
+  );
+  assert.deepEqual(unlisted, []);
+  for (const word of [...RESERVED_NAMES, ...SHARED_NAMES]) assert.ok(wire.has(word), `${word}: in no codec`);
+  for (const word of RESERVED_NAMES) assert.ok(!SHARED_NAMES.has(word), `${word}: in both lists`);
 });
 
 test("reserved protocol names are found in identifiers and strings", () => {
   const source = "const batonOf = 1; const a = { warningS: 2 }; f(`loaner`); g('best_effort', 'shards', shards);";
   const found = usesIn(ts.createSourceFile("sample.ts", source, ts.ScriptTarget.Latest, true)).map(({ word }) => word);
   assert.deepEqual(found, ["baton", "warningS", "loaner", "best_effort", "shards"]);
-  const unthemed = "import x from './sku.js'; const order = askew + stamped; // baton";
-  assert.deepEqual(usesIn(ts.createSourceFile("sample.ts", unthemed, ts.ScriptTarget.Latest, true)), []);
+  const unreserved = "import x from './sku.js'; const order = askew + stamped; // baton";
+  assert.deepEqual(usesIn(ts.createSourceFile("sample.ts", unreserved, ts.ScriptTarget.Latest, true)), []);
 });
 
 test("no reserved protocol name is used outside the codecs", () => {
