--- a/src/storage/transaction-sender.ts
+++ b/src/storage/transaction-sender.ts
@@ -173,7 +173,7 @@
       return;
     }
     // Not retried unchanged: its submitter reads the lowered limits and has to submit a smaller transaction.
-    limits.lowerAfterRefusal(batch.writes);
+    limits.learnFromRefusal(batch.writes);
     batch.resolveAll(result);
   }
 
--- a/src/storage/write-limits.ts
+++ b/src/storage/write-limits.ts
@@ -43,7 +43,7 @@
    * After a refusal of a single transaction: later ones must have fewer writes, and only values smaller than its
    * largest one.
    */
-  lowerAfterRefusal(writes: readonly WriteOperation[]): void {
+  learnFromRefusal(writes: readonly WriteOperation[]): void {
     if (writes.length > 1) this.writesPerTransaction = Math.min(this.writesPerTransaction, writes.length - 1);
     const sizes = writes.map((write) => (write.kind === "put" ? formatJson(write.value).length : 0));
     const largest = Math.max(0, ...sizes);
