--- a/src/cluster/machine.ts
+++ b/src/cluster/machine.ts
@@ -234,7 +234,7 @@
 };
 
 /** Updates the expected image cache after a use of `image`, evicting as the worker does: least recently used first. */
-export const rememberImage = (machine: Machine, image: string, gb: number): void => {
+export const recordImageUse = (machine: Machine, image: string, gb: number): void => {
   machine.load.cachedImages.delete(image);
   machine.load.cachedImages.set(image, gb);
   const capacityGb = machine.type?.cacheGb ?? Number.POSITIVE_INFINITY;
--- a/src/cluster/shard-state.ts
+++ b/src/cluster/shard-state.ts
@@ -9,7 +9,7 @@
 import { decodeTaskRange, type TaskRecord, taskRangeBytes } from "../storage/task-range-records.js";
 import { type Clock, type Micros, seconds } from "../transport/clock.js";
 import type { Job } from "./job.js";
-import { addTaskUsage, createMachine, type Machine, rememberImage } from "./machine.js";
+import { addTaskUsage, createMachine, type Machine, recordImageUse } from "./machine.js";
 import { QuotaUsage, type TeamUsage } from "./quota-usage.js";
 import type { Task, TaskRange } from "./task.js";
 
@@ -217,7 +217,7 @@
 
   /** Marks the task's image as the most recently used one in the machine's image cache. */
   rememberImageOf(machine: Machine, task: Task): void {
-    rememberImage(machine, task.job.spec.image, task.job.spec.imageGb);
+    recordImageUse(machine, task.job.spec.image, task.job.spec.imageGb);
   }
 
   /** Resources used by the team's placed tasks. */
