--- a/test/fixture-lines.ts
+++ b/test/fixture-lines.ts
@@ -19,7 +19,7 @@
     this.unused = new Set(this.lines.keys());
   }
 
-  /** The expected bytes under this name. */
+  /** Returns the expected bytes with this name, and marks the line as used. */
   text(name: string): string {
     const text = this.lines.get(name);
     assert.ok(text !== undefined, `no fixture ${name}`);
@@ -27,13 +27,13 @@
     return text;
   }
 
-  /** Fails where the bytes differ from those of the file. */
-  matches(name: string, actual: string): void {
+  /** Asserts that the bytes equal those of the line with this name. */
+  assertMatches(name: string, actual: string): void {
     assert.equal(actual, this.text(name), name);
   }
 
-  /** Fails where the file has a line that no test has asked for. */
-  allUsed(): void {
+  /** Asserts that every line of the file has been used by a test. */
+  assertAllUsed(): void {
     assert.deepEqual([...this.unused], []);
   }
 }
