--- a/src/client.ts
+++ b/src/client.ts
@@ -1,20 +1,22 @@
+/** Client of the users' HTTP interface of a controller: submits, shows and aborts jobs, and shows the links. */
 import { readFileSync } from "node:fs";
 import { seconds, systemClock } from "./transport/clock.js";
 import type { HttpRequest } from "./transport/http.js";
 import { NetHttpClient } from "./transport/http-client.js";
 
-/** One line for a person. */
+/** A request was rejected, was invalid or got no response. The message is one line for the terminal. */
 export class ClientError extends Error {}
 
 const PATIENCE = seconds(5);
 
+/** An HTTP response; `retryAfterS` is its `Retry-After` in seconds, or null if it has none. */
 export interface Reply {
   readonly status: number;
   readonly body: string;
   readonly retryAfterS: number | null;
 }
 
-/** Throws a `ClientError` where there was no answer. */
+/** Sends one request. Throws a `ClientError` if the address is invalid or no response arrives within 5 s. */
 export const call = async (server: string, request: HttpRequest): Promise<Reply> => {
   if (!/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/.test(server))
     throw new ClientError(`${server}: not an address like 10.0.0.1:8080`);
@@ -31,11 +33,11 @@
   throw new ClientError(`status ${status}: ${body}${later}`);
 };
 
-/** A request body holds 64 KiB; what JSON adds to a part's text stays within the rest. */
+/** The server accepts bodies of up to 64 KiB; a part leaves room for the escaping that JSON adds to its text. */
 const MOST_BODY = 60_000;
 const PART = 24_000;
 
-/** The bodies that a graph is submitted with: one where it fits, else numbered parts. */
+/** Request bodies that submit a graph: a single one if the text fits into it, else numbered parts. */
 export const graphBodies = (ref: string, text: string): readonly string[] => {
   if (Buffer.byteLength(text) <= MOST_BODY) return [text];
   const parts = Math.ceil(text.length / PART);
@@ -49,6 +51,7 @@
   return `/v2/runs/${id}${rest}`;
 };
 
+/** Submits the job that a JSON file describes. Returns the response body; throws a `ClientError` on any failure. */
 export const submitJob = async (server: string, file: string): Promise<string> => {
   let body: string;
   try {
@@ -59,12 +62,14 @@
   return ask(server, { method: "POST", target: "/v2/runs", body });
 };
 
+/** State of a job, as the JSON of the response. Throws a `ClientError` unless the status is 200 or 201. */
 export const showJob = async (server: string, id: string): Promise<string> =>
   ask(server, { method: "GET", target: jobPath(id), body: "" });
 
-/** How things stand with this controller: its links, and its machines where it holds them. */
+/** Links of a controller and, if it leads shards, the state of their machines, as the JSON of the response. */
 export const showLinks = async (server: string): Promise<string> =>
   ask(server, { method: "GET", target: "/links", body: "" });
 
+/** Cancels a job. Returns the response body; throws a `ClientError` unless the status is 200 or 201. */
 export const abortJob = async (server: string, id: string): Promise<string> =>
   ask(server, { method: "POST", target: jobPath(id, "/abort"), body: "" });
--- a/src/commands/cli.ts
+++ b/src/commands/cli.ts
@@ -1,6 +1,7 @@
+/** Common parts of the commands: exit statuses, parsers of flag values, output and progress. */
 import { InvalidArgumentError, Option } from "commander";
 
-/** One line for a person; `misuse` when the call itself was wrong. */
+/** A command failed. The message is one line; `misuse` means that the arguments or the files they name are invalid. */
 export class CommandError extends Error {
   constructor(
     message: string,
@@ -10,17 +11,19 @@
   }
 }
 
+/** Exit statuses: success, a refusal or failure, and invalid arguments. */
 export const DONE = 0;
 export const REFUSED = 1;
 export const MISUSE = 2;
 
+/** Prints a line to standard output. */
 export const say = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
 
 const UNITS: Readonly<Record<string, number>> = { "": 1, ms: 0.001, s: 1, m: 60, h: 3_600, d: 86_400 };
 
-/** `90`, `90s`, `15m`, `1.5h`, `2d` as whole microseconds; a bare number is seconds. */
+/** Parses a time such as `90`, `90s`, `15m`, `1.5h` or `2d` into whole microseconds; a bare number is in seconds. */
 export const duration = (text: string): number => {
   const [, number, unit] = /^(\d+(?:\.\d+)?)(ms|s|m|h|d|)$/.exec(text) ?? [];
   const factor = UNITS[unit ?? "?"];
@@ -28,24 +31,27 @@
   return Math.round(Number(number) * factor * 1_000_000);
 };
 
-/** An option that is a time; the help shows its default (in microseconds) in seconds, as it would be given. */
+/** An option that takes a time. The help shows the default, given here in microseconds, in seconds. */
 export const durationOption = (flags: string, description: string, defaultUs: number): Option =>
   new Option(flags, description).argParser(duration).default(defaultUs, `${defaultUs / 1_000_000}s`);
 
+/** Parses a non-negative integer of at most nine digits. */
 export const wholeNumber = (text: string): number => {
   if (!/^\d{1,9}$/.test(text)) throw new InvalidArgumentError("not a whole number");
   return Number(text);
 };
 
+/** Parses a finite number above 0. */
 export const positiveNumber = (text: string): number => {
   const value = Number(text);
   if (!Number.isFinite(value) || value <= 0) throw new InvalidArgumentError("not a number above 0");
   return value;
 };
 
+/** Parser of a repeatable option: appends each value to those before it. */
 export const collect = (value: string, before: readonly string[]): readonly string[] => [...before, value];
 
-/** Columns aligned by their longest entry; numbers, by their look, to the right. */
+/** Text table with columns as wide as their longest entry; columns of numbers, with or without units, align right. */
 export const table = (head: readonly string[], rows: readonly (readonly string[])[]): string => {
   const all = [head, ...rows];
   const widths = head.map((_, at) => Math.max(...all.map((row) => (row[at] ?? "").length)));
@@ -58,7 +64,7 @@
   return all.map(line).join("\n");
 };
 
-/** Microseconds for a person. */
+/** Formats microseconds in seconds, minutes or hours; null as `-`. */
 export const span = (us: number | null): string => {
   if (us === null) return "-";
   const s = us / 1_000_000;
@@ -67,13 +73,14 @@
   return `${(s / 3_600).toFixed(1)} h`;
 };
 
-/** A line that is written over on a terminal, and now and then printed anew elsewhere. */
+/** Progress line on standard error: overwritten in place on a terminal, printed at most every 5 s elsewhere. */
 export class Progress {
   private last = 0;
   private readonly terminal = process.stderr.isTTY === true;
 
   constructor(private readonly enabled: boolean) {}
 
+  /** Shows the text unless the previous one was shown too recently. */
   show(text: string): void {
     const now = performance.now();
     if (!this.enabled || now - this.last < (this.terminal ? 200 : 5_000)) return;
@@ -81,6 +88,7 @@
     process.stderr.write(this.terminal ? `\r\x1b[2K${text}` : `${text}\n`);
   }
 
+  /** Clears the line on a terminal, before other output. */
   end(): void {
     if (this.enabled && this.terminal && this.last > 0) process.stderr.write("\r\x1b[2K");
   }
--- a/src/commands/graph-client.ts
+++ b/src/commands/graph-client.ts
@@ -1,3 +1,4 @@
+/** Client of the graph service of a controller, with retries. */
 import { ClientError, call, graphBodies, type Reply } from "../client.js";
 import { CommandError } from "./cli.js";
 
@@ -16,10 +17,14 @@
   return `status ${status}`;
 };
 
+/** Sends a request, with a JSON body if there is one, and returns the response body. Retries like `ask`. */
 export const request = (server: string, method: string, target: string, body: unknown = null): Promise<string> =>
   ask(server, method, target, body === null ? "" : JSON.stringify(body));
 
-/** Asks until there is an answer that stays, for a minute at most, as all users do. */
+/**
+ * Sends a request until it succeeds, with retries for up to a minute: after no response, after status 429 and after
+ * 5xx. Throws a `CommandError` on any other status or when the time is over.
+ */
 const ask = async (server: string, method: string, target: string, text: string): Promise<string> => {
   const until = performance.now() + PATIENCE_MS;
   for (;;) {
@@ -36,12 +41,13 @@
       if (error.message.includes("not an address")) throw new CommandError(error.message, true);
       why = error.message;
     }
-    if (performance.now() + wait * 1_000 > until) throw new CommandError(`given up after a minute: ${why}`);
+    if (performance.now() + wait * 1_000 > until)
+      throw new CommandError(`no success within 60 s, last failure: ${why}`);
     await pause(wait * 1_000);
   }
 };
 
-/** As a whole where it fits into one request, else in numbered parts. */
+/** Submits a graph, in numbered parts if it exceeds one request. Returns the body of the last response. */
 export const submitGraph = async (
   server: string,
   body: { readonly ref: string },
@@ -56,6 +62,7 @@
   return said;
 };
 
+/** Status of a run; `counts` is the number of steps by state. */
 export interface GraphStatus {
   readonly ref: string;
   readonly phase: string;
@@ -65,17 +72,20 @@
 }
 
 const ENDS: ReadonlySet<string> = new Set(["success", "failed", "withdrawn"]);
+/** Whether the run has ended; tasks of a withdrawn run may still be stopping. */
 export const isOver = ({ phase }: GraphStatus): boolean => ENDS.has(phase);
 
+/** The status of a run as one line. */
 export const statusLine = ({ ref, phase, counts = {} }: GraphStatus): string => {
   const states = Object.entries(counts).map(([state, count]) => `${count} ${state}`);
   return `${ref}: ${phase}${states.length === 0 ? "" : ` (${states.join(", ")})`}`;
 };
 
+/** Status of a run. Throws a `CommandError` like `request`. */
 export const graphStatus = async (server: string, id: string): Promise<GraphStatus> =>
   JSON.parse(await request(server, "GET", `/v2/graphs/${id}`)) as GraphStatus;
 
-/** Asks every second until the run is over. */
+/** Queries the status every second until the run has ended and no step is queued or running; returns the last one. */
 export const watchGraph = async (
   server: string,
   id: string,
@@ -84,7 +94,7 @@
   for (;;) {
     const status = await graphStatus(server, id);
     show(status);
-    // A run that was withdrawn says so at once; its last tasks may be stopping yet.
+    // A withdrawn run has its final phase at once, while its last tasks may still be stopping.
     const open = (status.counts?.queued ?? 0) + (status.counts?.running ?? 0);
     if (isOver(status) && open === 0) return status;
     await pause(1_000);
--- a/src/commands/graph-files.ts
+++ b/src/commands/graph-files.ts
@@ -1,3 +1,4 @@
+/** Reads and compiles graph files, with the flags that apply to a run. */
 import { readFileSync, statSync } from "node:fs";
 import type { GraphDocument, PlacedProblem, Plan } from "../graphs/index.js";
 import { SettingsError } from "../settings/errors.js";
@@ -5,27 +6,30 @@
 import { loadOptions } from "../settings/options.js";
 import { CommandError } from "./cli.js";
 
+/** Exports of the graphs package. */
 export type GraphsPackage = typeof import("../graphs/index.js");
 
-/** Loaded only when it is used. */
+/** The graphs package, loaded on first use. */
 export const graphs = (): Promise<GraphsPackage> => import("../graphs/index.js");
 
-/** What reads definitions. */
+/** The parser and compiler of graph definitions, loaded on first use. */
 export const describing = async (): ReturnType<GraphsPackage["describing"]> => (await graphs()).describing();
 
+/** Flags of a run: parameters as `name=value`, logical date (YYYY-MM-DD) and path of the operators' options. */
 export interface RunFlags {
   readonly param: readonly string[];
   readonly ds?: string;
   readonly options?: string;
 }
 
+/** A parsed graph file. `place` adds line and column in the file to a problem. */
 export interface ReadGraph {
   readonly document: GraphDocument;
   readonly params: Readonly<Record<string, unknown>>;
   readonly place: (problem: { path: readonly (string | number)[]; message: string }) => PlacedProblem;
 }
 
-/** What is wrong with a file, one line each. */
+/** Problems of a graph file, each with its line and column if known. */
 export class FileProblems extends Error {
   constructor(
     readonly file: string,
@@ -35,7 +39,7 @@
   }
 }
 
-/** `name=value`; the value as JSON where it is JSON, else as text. */
+/** Parses `name=value` pairs; a value that is not valid JSON is a string. */
 export const readParams = (given: readonly string[]): Readonly<Record<string, unknown>> =>
   Object.fromEntries(
     given.map((text) => {
@@ -51,6 +55,7 @@
     }),
   );
 
+/** Graph section of the operators' options, or its defaults. Throws a `CommandError` if the file is invalid. */
 export const graphOptions = async (file: string | undefined): Promise<GraphOptions> => {
   try {
     return (await loadOptions(file ?? null)).graphs ?? DEFAULT_GRAPHS;
@@ -62,11 +67,13 @@
 
 const MOST_BYTES = 64 * 1_024 * 1_024;
 
+/** Reads a graph file. Throws `FileProblems` if its content is invalid, a `CommandError` if it cannot be read. */
 export const readGraph = async (file: string, flags: RunFlags): Promise<ReadGraph> => {
   const { readText, readDocument, GraphError } = await describing();
   let text: string;
   try {
-    if (statSync(file).size > MOST_BYTES) throw new CommandError(`${file}: larger than any graph`, true);
+    if (statSync(file).size > MOST_BYTES)
+      throw new CommandError(`${file}: larger than 64 MiB, the limit of a graph file`, true);
     text = readFileSync(file, "utf8");
   } catch (error) {
     if (error instanceof CommandError) throw error;
@@ -83,8 +90,10 @@
   }
 };
 
+/** The current date in UTC, as YYYY-MM-DD. */
 export const today = (): string => new Date().toISOString().slice(0, 10);
 
+/** Reads a graph file and compiles it into the plan of run `id`. Throws like `readGraph`. */
 export const compileFile = async (
   file: string,
   id: string,
--- a/src/commands/graph-limits.ts
+++ b/src/commands/graph-limits.ts
@@ -1,3 +1,4 @@
+/** Checks the steps of a graph against the teams and machine types of a deployment. */
 import { readFileSync } from "node:fs";
 import { neverRuns } from "../coordination/scheduling/eligibility.js";
 import type { Plan } from "../graphs/index.js";
@@ -20,7 +21,7 @@
   }
 };
 
-/** Why a step of the plan can never run on the deployment; null: each can. Without types only teams are looked at. */
+/** Why the first infeasible step can never run on the deployment; null if all can. Without types, checks teams only. */
 export const neverRunning = async (
   plan: Plan,
   config: string,
@@ -37,7 +38,7 @@
   return null;
 };
 
-/** Stands for whatever machines there are, so that only the teams' limits speak. */
+/** A machine type with practically unlimited capacity, so that only the limits of the teams apply. */
 const roomyType = (name: string, zones: readonly string[]): MachineType | null =>
   decodeMachineTypes({
     flavors: [
--- a/src/commands/graph.ts
+++ b/src/commands/graph.ts
@@ -1,3 +1,4 @@
+/** The commands `graph ...`: check and show graph files, and submit, watch and control runs. */
 import { writeFileSync } from "node:fs";
 import { type Command, InvalidArgumentError } from "commander";
 import { CommandError, collect, DONE, MISUSE, Progress, REFUSED, say, table } from "./cli.js";
@@ -27,7 +28,7 @@
 
 const example = (text: string): string => `\nExample:\n  ${text}`;
 
-/** Prints the problems of a file where they stand, and ends with status 1. */
+/** Runs a command. Prints problems of its graph file with line and column, and sets exit status 1. */
 const telling = async (json: boolean | undefined, run: () => Promise<void>): Promise<void> => {
   try {
     await run();
@@ -258,7 +259,7 @@
     });
 };
 
-/** `graph ...`: graphs of dependent steps in Airflow's terms. */
+/** Adds `graph ...`: graphs of dependent steps in Airflow's terms. */
 export const addGraph = (program: Command): void => {
   const group = program.command("graph").description("graphs of dependent steps, in Airflow's terms");
   group.addHelpText("after", `\nExit status: 0 done, 1 refused or failed, ${MISUSE} misuse.`);
--- a/src/commands/links.ts
+++ b/src/commands/links.ts
@@ -1,3 +1,4 @@
+/** Text form of a controller's answer to `/links`. */
 import { table } from "./cli.js";
 
 const WORDS: Readonly<Record<string, string>> = {
@@ -15,7 +16,7 @@
   return list.length > 5 ? `${shown} and ${list.length - 5} more` : shown;
 };
 
-/** One line for each trouble that a controller names in its answer to `/links`; none where all is well. */
+/** One line for each problem in a controller's answer to `/links`; empty if there is none. */
 export const troublesIn = (answer: unknown): readonly string[] => {
   const links = asRecord(answer);
   const lines: string[] = [];
@@ -44,7 +45,7 @@
   return lines;
 };
 
-/** How things stand with one controller, as a table and the troubles below it. */
+/** The links of one controller as a table, followed by its problems. */
 export const linksText = (answer: unknown): string => {
   const links = asRecord(answer);
   const rows = ["state", "cloud", "workers"].flatMap((key) =>
--- a/src/commands/local.ts
+++ b/src/commands/local.ts
@@ -1,3 +1,4 @@
+/** The command `local`: a whole deployment on loopback, with emulated machines, that runs jobs or a graph. */
 import { readFileSync } from "node:fs";
 import type { Command } from "commander";
 import type { Submission } from "../model/index.js";
@@ -64,7 +65,7 @@
   };
   const site = await model.LocalSite.start({
     spec,
-    // Whoever brings a graph wants it taken.
+    // A graph to run enables the graph service, also where the options do not.
     options: graph === null ? options : { ...options, graphs: graph.options },
     seed: flags.seed,
     port: flags.port,
@@ -82,7 +83,7 @@
     throw error;
   });
   const [ledger] = books;
-  if (ledger === undefined) throw new Error("no ledger");
+  if (ledger === undefined) throw new Error("the local site was started without a ledger");
   process.once("exit", () => site.kill());
   let interrupted = false;
   const stopped = new Promise<void>((resolve) => {
@@ -136,13 +137,14 @@
   process.exit(open === 0 && good ? DONE : REFUSED);
 };
 
+/** A compiled graph and the options that its controllers need. */
 interface GraphToRun {
   readonly options: GraphOptions;
-  /** Resolves to whether the run came to a good end. */
+  /** Submits the graph and waits for the end of its run; true if the run succeeded. */
   readonly run: (server: string, show: (text: string) => void) => Promise<boolean>;
 }
 
-/** Read and checked before anything is started. */
+/** Reads and compiles the graph, so that an invalid file is reported before any process starts. */
 const graphToRun = async (file: string, options: string | undefined): Promise<GraphToRun> => {
   const [files, client] = await Promise.all([import("./graph-files.js"), import("./graph-client.js")]);
   const flags = { param: [], ...(options === undefined ? {} : { options }) };
@@ -170,7 +172,7 @@
   };
 };
 
-/** A whole site on this machine: what a newcomer runs first. */
+/** Adds `local`, which runs a whole deployment on this machine and needs no set-up: a first trial of the program. */
 export const addLocal = (program: Command): void => {
   program
     .command("local")
--- a/src/commands/serving.ts
+++ b/src/commands/serving.ts
@@ -1,3 +1,4 @@
+/** Loads the settings and options of a controller, and serves as one. */
 import { randomBytes } from "node:crypto";
 import { getHeapStatistics } from "node:v8";
 import type { ClusterEventListener } from "../cluster/events.js";
@@ -19,17 +20,22 @@
 import { createLog, isDebug } from "../transport/pino-log.js";
 import { CommandError } from "./cli.js";
 
+/** Flags of `serve` and `check`: paths of the settings (TOML) and of the operators' options (JSON). */
 export interface ServeFlags {
   readonly config?: string;
   readonly options?: string;
 }
 
+/** Validated settings of a controller and options of its operators. */
 export interface Loaded {
   readonly settings: ReturnType<typeof loadSettings>;
   readonly options: Awaited<ReturnType<typeof loadOptions>>;
 }
 
-/** Reads and checks both files; a fault is one line naming the field. */
+/**
+ * Reads and validates both files; without the options flag, `RAINRIDGE_OPTIONS` names their file. Throws a
+ * `CommandError` of one line that names the invalid field.
+ */
 export const load = async (flags: ServeFlags): Promise<Loaded> => {
   try {
     if (flags.config === undefined) throw new SettingsError("--config FILE: missing");
@@ -41,7 +47,7 @@
   }
 };
 
-/** Who is told what happens: a trace in a folder, the log at its most detailed, both, or, as a rule, nobody. */
+/** Listener for cluster events: records a trace, logs at debug level, or does both; null if neither is enabled. */
 const sinkFor = async (
   { settings, options }: Loaded,
   clock: Clock,
@@ -50,7 +56,7 @@
 ): Promise<ClusterEventListener> => {
   const debug = isDebug(process.env.LOG_LEVEL);
   if (options.record === null) return debug ? (event) => log.debug("seen", { event }) : null;
-  // Loaded only where it is switched on.
+  // Loaded only if recording is enabled.
   const { FileRecorder, headerOf, siteOf } = await import("../whatif/index.js");
   const began = new Date().toISOString();
   let header: ReturnType<typeof headerOf> | null = null;
@@ -67,7 +73,7 @@
   };
 };
 
-/** Shares of the limits that this process takes up; memory is looked at once a second. */
+/** Returns a function for the used shares of the memory and connection limits; memory is sampled once a second. */
 const loadOf = ({ quota }: Loaded["settings"], clock: Clock, connections: () => number): (() => ProcessLoad) => {
   let memory = 0;
   let readAt = Number.NEGATIVE_INFINITY;
@@ -82,14 +88,14 @@
   };
 };
 
-/** Says where the process may be ended for its memory before its heap has come to its limit. */
+/** Logs if the heap limit is so high that the process can exceed its memory quota, and be killed, below that limit. */
 const checkHeapLimit = ({ quota }: Loaded["settings"], log: Log): void => {
   const heapMb = oldGenerationMb(getHeapStatistics().heap_size_limit);
   const mostMb = maxHeapMb(quota);
   if (heapMb > mostMb) log.info("heap limit too high", { heapMb, mostMb, memoryMb: quota.memoryMb });
 };
 
-/** Connections to the siblings, loaded only where they are switched on. */
+/** Factory of the mesh, the connections to the other controllers; its modules are loaded only if it is enabled. */
 const meshOf = async (
   settings: Loaded["settings"],
   incarnation: string,
@@ -102,20 +108,20 @@
   return createMeshFactory({ settings, incarnation, clock, log, http, random: Math.random, transport });
 };
 
-/** Serves as one controller until killed. */
+/** Serves as one controller until killed. Throws a `CommandError` if it cannot listen at `client_listen`. */
 export const serve = async ({ settings, options }: Loaded): Promise<void> => {
   const log = createLog(settings.label, process.env.LOG_LEVEL);
-  // Nothing that arrives from outside may end the process; what slips through is a defect to be read about.
+  // No input may end the process; an uncaught exception is a defect, and is logged as one.
   process.on("uncaughtException", (error) => log.error("uncaught exception", { error: describeError(error) }));
   process.on("unhandledRejection", (error) => log.error("unhandled rejection", { error: describeError(error) }));
   if (process.env.RAINRIDGE_END_WITH_STDIN === "1") process.stdin.on("end", () => process.exit(0)).resume();
   const clock = systemClock;
   const connections = allocateConnections(settings.quota.maxConnections);
-  // A thousand machines report here, and idle connections to all of them as well would pass the limit.
+  // Idle connections are bounded: with a thousand workers that send heartbeats, one to each would exceed the limit.
   const http = new NetHttpClient(clock, connections.idle);
   const eventListener = await sinkFor({ settings, options }, clock, log, http);
   const load = loadOf(settings, clock, () => server.connections + http.connections);
-  // Loaded only where it is switched on.
+  // Loaded only if graphs are enabled.
   const extension = options.graphs === null ? null : (await import("../graphs/index.js")).graphsWith(options.graphs);
   const incarnation = randomBytes(8).toString("hex");
   const mesh = options.mesh ? await meshOf(settings, incarnation, clock, log, http) : null;
--- a/src/commands/site.ts
+++ b/src/commands/site.ts
@@ -1,3 +1,4 @@
+/** The commands `serve` and `check` of a controller, and the clients `submit`, `show`, `abort` and `links`. */
 import type { Command } from "commander";
 import { CommandError, DONE, REFUSED, say } from "./cli.js";
 import type { ServeFlags } from "./serving.js";
@@ -5,7 +6,7 @@
 const CONFIG = "settings of the platform (TOML)";
 const OPTIONS = "the operators' own settings (JSON); or the variable RAINRIDGE_OPTIONS";
 
-/** `serve`, its alias without a name, and `check`. */
+/** Adds `serve`, also as the root command, and `check`, which validates the settings. */
 export const addServe = (program: Command): void => {
   const serve = async (flags: ServeFlags): Promise<void> => {
     const serving = await import("./serving.js");
@@ -47,7 +48,7 @@
   readonly server: string;
 }
 
-/** `submit`, `show` and `abort`: the users' interface. Answers are JSON as they come. */
+/** Adds `submit`, `show` and `abort`, which print the JSON of the response unchanged, and `links`. */
 export const addClients = (program: Command): void => {
   const add = (
     name: "submit" | "show" | "abort",
@@ -69,7 +70,7 @@
           if (error instanceof client.ClientError) throw new CommandError(error.message);
           throw error;
         }
-        // A connection that is kept for the next request would hold the program for a while.
+        // An idle keep-alive connection would delay the end of the process.
         process.exit(0);
       });
   };
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** Entry point: registers the commands, runs the one that was given and sets the exit status. */
 import { readFileSync } from "node:fs";
 import { Command, CommanderError } from "commander";
 import { CommandError, DONE, MISUSE, REFUSED } from "./commands/cli.js";
@@ -11,7 +12,7 @@
 
 const program = new Command("rainridge")
   .description("A cluster scheduler: serves as one controller of a deployment, and tells what would happen if")
-  // Else the options of `check` would be taken for those of serving.
+  // Without positional options, the options of `check` are parsed as those of the root command, which serves.
   .enablePositionalOptions()
   .version(version())
   .configureOutput({ outputError: (text, write) => write(text.replace(/^error: /, "rainridge: ")) })
@@ -19,7 +20,7 @@
 
 const [first] = process.argv.slice(2);
 addServe(program);
-// A controller's start loads nothing that it does not need.
+// Serving does not load the modules of the other commands.
 if (first !== "--config" && first !== "serve") {
   const [local, whatif, graph] = await Promise.all([
     import("./commands/local.js"),
@@ -33,7 +34,7 @@
 }
 
 const ended = (error: unknown): number => {
-  // Commander has said what there is to say; help and version are no errors.
+  // Commander has already printed its message; --help and --version end with exit status 0.
   if (error instanceof CommanderError) return error.exitCode === 0 ? DONE : MISUSE;
   const known = error instanceof CommandError;
   const message = error instanceof Error ? error.message : String(error);
@@ -41,13 +42,13 @@
   return known && error.misuse ? MISUSE : REFUSED;
 };
 
-// Else the root command, which serves, would complain of too many arguments.
+// Otherwise the root command, which serves, would reject the name as a surplus argument.
 if (first !== undefined && !first.startsWith("-") && !program.commands.some((command) => command.name() === first)) {
   process.stderr.write(`rainridge: unknown command ${first}; see rainridge --help\n`);
   process.exit(MISUSE);
 }
 
-// Whoever reads the output may stop reading, as `head` does.
+// A reader such as `head` may close the pipe early, which is not a failure.
 process.stdout.on("error", (error: NodeJS.ErrnoException) => process.exit(error.code === "EPIPE" ? DONE : REFUSED));
 
 program.parseAsync().catch((error: unknown) => {
--- a/src/stats.ts
+++ b/src/stats.ts
@@ -1,4 +1,4 @@
-/** Counts of requests by kind and status, with their latencies, for the log. */
+/** Statistics of handled requests for the log: counts by kind and status, and latencies by kind. */
 import { type Clock, seconds } from "./transport/clock.js";
 import type { HttpHandler, HttpRequest } from "./transport/http.js";
 import { type LatencyHistogram, LatencyHistograms } from "./transport/latency-histogram.js";
@@ -14,7 +14,10 @@
   return request.target === "/up" ? "up" : "status";
 };
 
-/** Counts requests by kind and status, and logs them with their latencies every minute. */
+/**
+ * Wraps a handler to count requests by kind and status and to log the counts, latencies (µs) and resident memory every
+ * minute. Each period starts from zero.
+ */
 export const countRequests = (clock: Clock, log: Log, handler: HttpHandler): HttpHandler => {
   const factory = new LatencyHistograms(clock, log);
   const histograms = new Map<string, LatencyHistogram>();
