--- a/src/commands/outcome-text.ts
+++ b/src/commands/outcome-text.ts
@@ -1,3 +1,4 @@
+/** Text and CSV forms of the outcome of a replay. */
 import type { Outcome, ServedGroup } from "../whatif/index.js";
 import { span, table } from "./cli.js";
 import { remarkLine } from "./with-whatif.js";
@@ -10,7 +11,7 @@
   stuck: "nothing moved any more, though jobs were open",
 };
 
-/** Marked where it is less than half: on such a day somebody starves. */
+/** Row of a class or team, marked (!) as starving if less than half of its jobs are done. */
 const servedRow = (name: string, { jobs, started, done }: ServedGroup): string[] => [
   done < 0.5 ? `${name} (!)` : name,
   String(jobs),
@@ -18,9 +19,10 @@
   percent(done),
 ];
 
+/** Most jobs in a list of late or unstarted jobs. */
 export const LATE_SHOWN = 20;
 
-/** A result for a person. */
+/** The outcome as tables for the terminal. */
 export const summaryOf = (outcome: Outcome): string => {
   const { totals, waits, served, byCause, jobs, unmatched, remarks } = outcome;
   const parts = [
@@ -117,7 +119,7 @@
   return parts.join("\n");
 };
 
-/** Its jobs, one line each. */
+/** The jobs of an outcome as CSV, one line each; times are in microseconds. */
 export const csvOf = (outcome: Outcome): string => {
   const head = [
     "job",
--- a/src/commands/whatif-compare.ts
+++ b/src/commands/whatif-compare.ts
@@ -1,3 +1,4 @@
+/** The commands `whatif compare` and `whatif sweep`. */
 import { mkdirSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
 import type { Outcome, ScenarioSpec } from "../whatif/index.js";
@@ -18,7 +19,7 @@
   readonly svg?: string;
 }
 
-/** `name:key=value,key=value`; a name alone is the trace as it stands. */
+/** Parses `name:key=value,key=value`; a name alone stands for the trace without changed settings. */
 const variantSpec = (text: string, flags: CompareFlags): { readonly name: string; readonly spec: ScenarioSpec } => {
   const at = text.indexOf(":");
   const name = at < 0 ? text : text.slice(0, at);
@@ -29,6 +30,7 @@
 const isOutcome = (value: unknown): value is Outcome =>
   typeof value === "object" && value !== null && "finishing" in value && "totals" in value;
 
+/** Compares outcome files, or replays of scenarios and variants over several seeds; the first is the baseline. */
 export const compareVariants = (files: readonly string[], flags: CompareFlags): Promise<void> =>
   withWhatif(async (whatif) => {
     if (flags.variant.length > 0 && flags.trace === undefined)
@@ -110,6 +112,7 @@
   readonly svg?: string;
 }
 
+/** Searches settings as a sweep file specifies. Results already in the file of `--out` are not computed again. */
 export const runSweep = (file: string, flags: SweepFlags): Promise<void> =>
   withWhatif(async (whatif) => {
     const spec = whatif.readSweep(file);
--- a/src/commands/whatif-graphs.ts
+++ b/src/commands/whatif-graphs.ts
@@ -1,7 +1,9 @@
+/** The command `whatif graphs`. */
 import type { GraphCost, GraphLoadResult, GraphLoadSpec, GraphShape } from "../whatif/index.js";
 import { Progress, say, span, table } from "./cli.js";
 import { PROGRAM, withWhatif } from "./with-whatif.js";
 
+/** Flags of `whatif graphs`; times are in microseconds, writes per second. */
 export interface GraphLoadFlags {
   readonly shape: GraphShape;
   readonly steps: number;
@@ -46,7 +48,7 @@
   ["steps looked at, a step", cost.looksPerStep.toFixed(2)],
 ];
 
-/** How long steps wait for each other's ends, and what they cost the state service. */
+/** Measures the delay from the end of a step to the start of the next, and the writes to the state service per step. */
 export const graphLoad = (flags: GraphLoadFlags): Promise<void> =>
   withWhatif(async (whatif) => {
     const spec: GraphLoadSpec = {
--- a/src/commands/whatif-load.ts
+++ b/src/commands/whatif-load.ts
@@ -1,9 +1,11 @@
+/** The command `whatif load`. */
 import { mkdirSync, writeFileSync } from "node:fs";
 import { dirname } from "node:path";
 import type { LoadResult, LoadSpec } from "../whatif/index.js";
 import { CommandError, Progress, say, span, table } from "./cli.js";
 import { withWhatif } from "./with-whatif.js";
 
+/** Flags of `whatif load`; times are in microseconds, memory in MB. */
 export interface LoadFlags {
   readonly machines: string;
   readonly core: number;
@@ -58,7 +60,7 @@
   "first limit",
 ];
 
-/** How many machines controllers of a size carry, and which limit comes first. */
+/** Simulates controllers with fleets of several sizes, and prints their load and the first limit that each reaches. */
 export const load = (flags: LoadFlags): Promise<void> =>
   withWhatif(async (whatif) => {
     if (flags.endAll >= flags.until && flags.endAll > 0) throw new CommandError("--end-all: not before --until", true);
--- a/src/commands/whatif-run.ts
+++ b/src/commands/whatif-run.ts
@@ -1,3 +1,4 @@
+/** The commands `whatif run` and `whatif verify`. */
 import { mkdirSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
 import type { ScenarioSpec } from "../whatif/index.js";
@@ -21,6 +22,7 @@
   readonly record?: string;
 }
 
+/** The scenario that a trace and the flags of `whatif run` describe. */
 export const specOf = (trace: string, flags: Partial<RunFlags>): ScenarioSpec => ({
   trace,
   mode: flags.fast === true ? "fast" : "faithful",
@@ -33,6 +35,7 @@
   ...(flags.lenient === true ? { lenient: true } : {}),
 });
 
+/** Replays a trace and prints how each job fares; writes the outcome and a new trace where flags ask for it. */
 export const run = (trace: string, flags: RunFlags): Promise<void> =>
   withWhatif(async (whatif) => {
     if (flags.at !== undefined && flags.add === undefined) throw new CommandError("--at goes with --add", true);
@@ -57,6 +60,7 @@
     say(flags.json === true ? JSON.stringify(outcome) : summaryOf(outcome));
   });
 
+/** Delay of the first event, in microseconds. */
 const LEAD = 6_000_000;
 
 interface VerifyFlags {
@@ -67,12 +71,16 @@
   readonly progress?: boolean;
 }
 
+/**
+ * Plays a trace on loopback in real time and in replay, and compares the order in which jobs finish. Throws a
+ * `CommandError` if the orders differ.
+ */
 export const verify = (trace: string, flags: VerifyFlags): Promise<void> =>
   withWhatif(async (whatif) => {
     const { PortError } = await import("../model/index.js");
     const spec = specOf(trace, {});
     const given = await whatif.prepare(spec, flags.seed);
-    // In both runs the controllers have come up and listed the machines before the first event.
+    // The controllers of both runs must be up and have listed the machines before the first event.
     const request = { ...given, events: given.events.map((event) => ({ ...event, at: event.at + LEAD })) };
     const progress = new Progress(flags.progress === true);
     const replayed = await whatif.replay(spec, request);
--- a/src/commands/whatif-traces.ts
+++ b/src/commands/whatif-traces.ts
@@ -1,7 +1,9 @@
+/** The commands `whatif check`, `synth`, `convert`, `record` and `schema`. */
 import type { Remark } from "../whatif/index.js";
 import { CommandError, Progress, say, span, table } from "./cli.js";
 import { remarkLine, type Whatif, withWhatif } from "./with-whatif.js";
 
+/** Checks a trace and prints its number of events by kind. */
 export const check = (file: string, flags: { readonly json?: boolean; readonly lenient?: boolean }): Promise<void> =>
   withWhatif(async (whatif) => {
     const { header, events, remarks } = await whatif.readTrace(file, flags.lenient === true);
@@ -37,6 +39,7 @@
     for (const remark of remarks) say(remarkLine(remark));
   });
 
+/** Writes a synthetic trace, drawn from the distributions of a specification. */
 export const synth = (
   file: string,
   flags: { readonly out: string; readonly seed?: number; readonly json?: boolean },
@@ -78,6 +81,7 @@
   }
 };
 
+/** Merges recorded traces or debug logs of several controllers into one trace. */
 export const convertFiles = (files: readonly string[], flags: ConvertFlags): Promise<void> =>
   withWhatif(async (whatif) => {
     let site: { readonly header: ReturnType<Whatif["headerOf"]> } | null = null;
@@ -93,7 +97,7 @@
 
 const quietLog = { error: () => undefined, info: () => undefined, debug: () => undefined };
 
-/** The machine types, asked of the site's cloud. */
+/** Fetches the machine types from the cloud of a site. Throws a `CommandError` if it does not list them. */
 const catalogue = async (address: string) => {
   const [{ NetHttpClient }, { CloudClient }, { systemClock }] = await Promise.all([
     import("../transport/http-client.js"),
@@ -107,7 +111,7 @@
     quietLog,
     1,
   ).listMachineTypes();
-  if (reply.kind !== "ok") throw new CommandError(`${address}: the cloud does not tell its machine types`);
+  if (reply.kind !== "ok") throw new CommandError(`${address}: no list of machine types from the cloud`);
   return reply.value.types;
 };
 
@@ -119,6 +123,7 @@
   readonly json?: boolean;
 }
 
+/** Records a trace of a running site from its state service and cloud, until a signal or the end of `--for`. */
 export const record = (flags: RecordFlags): Promise<void> =>
   withWhatif(async (whatif) => {
     const [{ NetHttpClient }, { systemClock }] = await Promise.all([
@@ -148,7 +153,7 @@
     });
     await Promise.race([observer.start(), stopped]);
     if (observer.types.length === 0)
-      throw new CommandError(`${settings.cloudAddress}: the cloud does not tell its machine types`);
+      throw new CommandError(`${settings.cloudAddress}: no list of machine types from the cloud`);
     await stopped;
     observer.stop();
     progress.end();
@@ -160,6 +165,7 @@
     process.exit(0);
   });
 
+/** Prints the JSON Schema of a kind of file. */
 export const printSchema = (of: string): Promise<void> =>
   withWhatif(async (whatif) => {
     const schema = whatif.schemaOf(of);
--- a/src/commands/whatif.ts
+++ b/src/commands/whatif.ts
@@ -1,3 +1,4 @@
+/** Registers the commands `whatif ...` with their flags and help texts. */
 import { type Command, Option } from "commander";
 import { collect, duration, durationOption, positiveNumber, wholeNumber } from "./cli.js";
 import { compareVariants, runSweep } from "./whatif-compare.js";
@@ -6,12 +7,12 @@
 import { run, verify } from "./whatif-run.js";
 import { check, convertFiles, printSchema, record, synth } from "./whatif-traces.js";
 
-/** What if: replaying traces against changed policies. */
+/** Adds `whatif ...`: replays of traces under changed settings, and what is needed to prepare and compare them. */
 export const addWhatif = (program: Command): void => {
   const group = program
     .command("whatif")
     .description("replay a trace against a changed policy, compare, and search for better settings")
-    // Subcommands made later inherit it from here only if it is set before.
+    // Only subcommands that are created after this call inherit it.
     .enablePositionalOptions();
   group
     .command("run <trace>")
--- a/src/commands/with-whatif.ts
+++ b/src/commands/with-whatif.ts
@@ -1,13 +1,15 @@
+/** Access to the whatif package for the commands that use it. */
 import { fileURLToPath } from "node:url";
 import type { Remark } from "../whatif/index.js";
 import { CommandError } from "./cli.js";
 
-/** The program itself, for whoever starts controllers as processes of their own. */
+/** Path of the program's entry point, for commands that start controllers as separate processes. */
 export const PROGRAM = fileURLToPath(new URL("../main.js", import.meta.url));
 
+/** Exports of the whatif package. */
 export type Whatif = typeof import("../whatif/index.js");
 
-/** The package loads only when it is used; its own errors are one line, and the call is at fault. */
+/** Loads the whatif package and runs a command with it. A `TraceError` becomes a `CommandError` of misuse. */
 export const withWhatif = async (run: (whatif: Whatif) => Promise<void>): Promise<void> => {
   const whatif = await import("../whatif/index.js");
   try {
@@ -18,4 +20,5 @@
   }
 };
 
+/** A remark about a trace as one line, with the number of the trace's line unless that is 0. */
 export const remarkLine = ({ line, what }: Remark): string => (line === 0 ? what : `line ${line}: ${what}`);
