--- a/src/client.ts
+++ b/src/client.ts
@@ -7,7 +7,7 @@
 /** A request was rejected, was invalid or got no response. The message is one line for the terminal. */
 export class ClientError extends Error {}
 
-const PATIENCE = seconds(5);
+const REQUEST_TIMEOUT = seconds(5);
 
 /** An HTTP response; `retryAfterS` is its `Retry-After` in seconds, or null if it has none. */
 export interface Reply {
@@ -20,29 +20,29 @@
 export const call = async (server: string, request: HttpRequest): Promise<Reply> => {
   if (!/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/.test(server))
     throw new ClientError(`${server}: not an address like 10.0.0.1:8080`);
-  const outcome = await new NetHttpClient(systemClock, 1).call(server, request, PATIENCE);
+  const outcome = await new NetHttpClient(systemClock, 1).call(server, request, REQUEST_TIMEOUT);
   if (outcome.kind === "unsent") throw new ClientError(`${server}: cannot be reached`);
   if (outcome.kind === "lost") throw new ClientError(`${server}: no answer; the request may have been carried out`);
   return outcome;
 };
 
-const ask = async (server: string, request: HttpRequest): Promise<string> => {
+const requestOrThrow = async (server: string, request: HttpRequest): Promise<string> => {
   const { status, body, retryAfterS } = await call(server, request);
   if (status === 200 || status === 201) return body;
-  const later = retryAfterS === null ? "" : `, try again in ${retryAfterS} s`;
-  throw new ClientError(`status ${status}: ${body}${later}`);
+  const retryHint = retryAfterS === null ? "" : `, try again in ${retryAfterS} s`;
+  throw new ClientError(`status ${status}: ${body}${retryHint}`);
 };
 
 /** The server accepts bodies of up to 64 KiB; a part leaves room for the escaping that JSON adds to its text. */
-const MOST_BODY = 60_000;
-const PART = 24_000;
+const MAX_BODY_BYTES = 60_000;
+const PART_LENGTH = 24_000;
 
 /** Request bodies that submit a graph: a single one if the text fits into it, else numbered parts. */
 export const graphBodies = (ref: string, text: string): readonly string[] => {
-  if (Buffer.byteLength(text) <= MOST_BODY) return [text];
-  const parts = Math.ceil(text.length / PART);
+  if (Buffer.byteLength(text) <= MAX_BODY_BYTES) return [text];
+  const parts = Math.ceil(text.length / PART_LENGTH);
   return Array.from({ length: parts }, (_, part) =>
-    JSON.stringify({ ref, part, parts, text: text.slice(part * PART, (part + 1) * PART) }),
+    JSON.stringify({ ref, part, parts, text: text.slice(part * PART_LENGTH, (part + 1) * PART_LENGTH) }),
   );
 };
 
@@ -59,17 +59,17 @@
   } catch (error) {
     throw new ClientError(`${file}: ${(error as NodeJS.ErrnoException).code ?? "cannot be read"}`);
   }
-  return ask(server, { method: "POST", target: "/v2/runs", body });
+  return requestOrThrow(server, { method: "POST", target: "/v2/runs", body });
 };
 
 /** State of a job, as the JSON of the response. Throws a `ClientError` unless the status is 200 or 201. */
 export const showJob = async (server: string, id: string): Promise<string> =>
-  ask(server, { method: "GET", target: jobPath(id), body: "" });
+  requestOrThrow(server, { method: "GET", target: jobPath(id), body: "" });
 
 /** Links of a controller and, if it leads shards, the state of their machines, as the JSON of the response. */
 export const showLinks = async (server: string): Promise<string> =>
-  ask(server, { method: "GET", target: "/links", body: "" });
+  requestOrThrow(server, { method: "GET", target: "/links", body: "" });
 
 /** Cancels a job. Returns the response body; throws a `ClientError` unless the status is 200 or 201. */
 export const abortJob = async (server: string, id: string): Promise<string> =>
-  ask(server, { method: "POST", target: jobPath(id, "/abort"), body: "" });
+  requestOrThrow(server, { method: "POST", target: jobPath(id, "/abort"), body: "" });
--- a/src/commands/graph-client.ts
+++ b/src/commands/graph-client.ts
@@ -2,12 +2,12 @@
 import { ClientError, call, graphBodies, type Reply } from "../client.js";
 import { CommandError } from "./cli.js";
 
-const PATIENCE_MS = 60_000;
-const MOST_PAUSE_S = 30;
+const RETRY_PERIOD_MS = 60_000;
+const MAX_RETRY_DELAY_S = 30;
 
-const pause = (time: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, time));
+const sleep = (time: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, time));
 
-const reasonOf = ({ status, body }: Reply): string => {
+const errorOf = ({ status, body }: Reply): string => {
   try {
     const { error } = JSON.parse(body) as { readonly error?: unknown };
     if (typeof error === "string") return error;
@@ -17,33 +17,33 @@
   return `status ${status}`;
 };
 
-/** Sends a request, with a JSON body if there is one, and returns the response body. Retries like `ask`. */
-export const request = (server: string, method: string, target: string, body: unknown = null): Promise<string> =>
-  ask(server, method, target, body === null ? "" : JSON.stringify(body));
+/** Sends a request, with a JSON body if there is one, and returns the response body. Retries like `requestWithRetries`. */
+export const requestJson = (server: string, method: string, target: string, body: unknown = null): Promise<string> =>
+  requestWithRetries(server, method, target, body === null ? "" : JSON.stringify(body));
 
 /**
  * Sends a request until it succeeds, with retries for up to a minute: after no response, after status 429 and after
  * 5xx. Throws a `CommandError` on any other status or when the time is over.
  */
-const ask = async (server: string, method: string, target: string, text: string): Promise<string> => {
-  const until = performance.now() + PATIENCE_MS;
+const requestWithRetries = async (server: string, method: string, target: string, text: string): Promise<string> => {
+  const deadline = performance.now() + RETRY_PERIOD_MS;
   for (;;) {
-    let why = "no answer";
-    let wait = 1;
+    let reason = "no answer";
+    let delayS = 1;
     try {
       const reply = await call(server, { method, target, body: text });
       if (reply.status >= 200 && reply.status < 300) return reply.body;
-      why = reasonOf(reply);
-      if (reply.status < 500 && reply.status !== 429) throw new CommandError(why);
-      wait = Math.min(MOST_PAUSE_S, Math.max(1, reply.retryAfterS ?? 1));
+      reason = errorOf(reply);
+      if (reply.status < 500 && reply.status !== 429) throw new CommandError(reason);
+      delayS = Math.min(MAX_RETRY_DELAY_S, Math.max(1, reply.retryAfterS ?? 1));
     } catch (error) {
       if (!(error instanceof ClientError)) throw error;
       if (error.message.includes("not an address")) throw new CommandError(error.message, true);
-      why = error.message;
+      reason = error.message;
     }
-    if (performance.now() + wait * 1_000 > until)
-      throw new CommandError(`no success within 60 s, last failure: ${why}`);
-    await pause(wait * 1_000);
+    if (performance.now() + delayS * 1_000 > deadline)
+      throw new CommandError(`no success within 60 s, last failure: ${reason}`);
+    await sleep(delayS * 1_000);
   }
 };
 
@@ -54,12 +54,12 @@
   progress: (done: number, of: number) => void,
 ): Promise<string> => {
   const bodies = graphBodies(body.ref, JSON.stringify(body));
-  let said = "";
+  let responseBody = "";
   for (const [at, text] of bodies.entries()) {
-    said = await ask(server, "POST", "/v2/graphs", text);
+    responseBody = await requestWithRetries(server, "POST", "/v2/graphs", text);
     if (bodies.length > 1) progress(at + 1, bodies.length);
   }
-  return said;
+  return responseBody;
 };
 
 /** Status of a run; `counts` is the number of steps by state. */
@@ -71,9 +71,9 @@
   readonly counts?: Readonly<Record<string, number>>;
 }
 
-const ENDS: ReadonlySet<string> = new Set(["success", "failed", "withdrawn"]);
+const FINAL_PHASES: ReadonlySet<string> = new Set(["success", "failed", "withdrawn"]);
 /** Whether the run has ended; tasks of a withdrawn run may still be stopping. */
-export const isOver = ({ phase }: GraphStatus): boolean => ENDS.has(phase);
+export const hasEnded = ({ phase }: GraphStatus): boolean => FINAL_PHASES.has(phase);
 
 /** The status of a run as one line. */
 export const statusLine = ({ ref, phase, counts = {} }: GraphStatus): string => {
@@ -81,9 +81,9 @@
   return `${ref}: ${phase}${states.length === 0 ? "" : ` (${states.join(", ")})`}`;
 };
 
-/** Status of a run. Throws a `CommandError` like `request`. */
+/** Status of a run. Throws a `CommandError` like `requestJson`. */
 export const graphStatus = async (server: string, id: string): Promise<GraphStatus> =>
-  JSON.parse(await request(server, "GET", `/v2/graphs/${id}`)) as GraphStatus;
+  JSON.parse(await requestJson(server, "GET", `/v2/graphs/${id}`)) as GraphStatus;
 
 /** Queries the status every second until the run has ended and no step is queued or running; returns the last one. */
 export const watchGraph = async (
@@ -96,7 +96,7 @@
     show(status);
     // A withdrawn run has its final phase at once, while its last tasks may still be stopping.
     const open = (status.counts?.queued ?? 0) + (status.counts?.running ?? 0);
-    if (isOver(status) && open === 0) return status;
-    await pause(1_000);
+    if (hasEnded(status) && open === 0) return status;
+    await sleep(1_000);
   }
 };
--- a/src/commands/graph-files.ts
+++ b/src/commands/graph-files.ts
@@ -10,10 +10,11 @@
 export type GraphsPackage = typeof import("../graphs/index.js");
 
 /** The graphs package, loaded on first use. */
-export const graphs = (): Promise<GraphsPackage> => import("../graphs/index.js");
+export const loadGraphsPackage = (): Promise<GraphsPackage> => import("../graphs/index.js");
 
 /** The parser and compiler of graph definitions, loaded on first use. */
-export const describing = async (): ReturnType<GraphsPackage["describing"]> => (await graphs()).describing();
+export const loadDefinitionReader = async (): ReturnType<GraphsPackage["describing"]> =>
+  (await loadGraphsPackage()).describing();
 
 /** Flags of a run: parameters as `name=value`, logical date (YYYY-MM-DD) and path of the operators' options. */
 export interface RunFlags {
@@ -23,7 +24,7 @@
 }
 
 /** A parsed graph file. `place` adds line and column in the file to a problem. */
-export interface ReadGraph {
+export interface ParsedGraph {
   readonly document: GraphDocument;
   readonly params: Readonly<Record<string, unknown>>;
   readonly place: (problem: { path: readonly (string | number)[]; message: string }) => PlacedProblem;
@@ -40,7 +41,7 @@
 }
 
 /** Parses `name=value` pairs; a value that is not valid JSON is a string. */
-export const readParams = (given: readonly string[]): Readonly<Record<string, unknown>> =>
+export const parseParams = (given: readonly string[]): Readonly<Record<string, unknown>> =>
   Object.fromEntries(
     given.map((text) => {
       const at = text.indexOf("=");
@@ -56,7 +57,7 @@
   );
 
 /** Graph section of the operators' options, or its defaults. Throws a `CommandError` if the file is invalid. */
-export const graphOptions = async (file: string | undefined): Promise<GraphOptions> => {
+export const loadGraphOptions = async (file: string | undefined): Promise<GraphOptions> => {
   try {
     return (await loadOptions(file ?? null)).graphs ?? DEFAULT_GRAPHS;
   } catch (error) {
@@ -65,25 +66,25 @@
   }
 };
 
-const MOST_BYTES = 64 * 1_024 * 1_024;
+const MAX_FILE_BYTES = 64 * 1_024 * 1_024;
 
 /** Reads a graph file. Throws `FileProblems` if its content is invalid, a `CommandError` if it cannot be read. */
-export const readGraph = async (file: string, flags: RunFlags): Promise<ReadGraph> => {
-  const { readText, readDocument, GraphError } = await describing();
+export const readGraph = async (file: string, flags: RunFlags): Promise<ParsedGraph> => {
+  const { readText, readDocument, GraphError } = await loadDefinitionReader();
   let text: string;
   try {
-    if (statSync(file).size > MOST_BYTES)
+    if (statSync(file).size > MAX_FILE_BYTES)
       throw new CommandError(`${file}: larger than 64 MiB, the limit of a graph file`, true);
     text = readFileSync(file, "utf8");
   } catch (error) {
     if (error instanceof CommandError) throw error;
     throw new CommandError(`${file}: ${(error as NodeJS.ErrnoException).code ?? "cannot be read"}`, true);
   }
-  let place: ReadGraph["place"] = (problem) => ({ ...problem, line: null, column: null });
+  let place: ParsedGraph["place"] = (problem) => ({ ...problem, line: null, column: null });
   try {
     const read = readText(text);
     ({ place } = read);
-    return { document: readDocument(read.value), params: readParams(flags.param), place };
+    return { document: readDocument(read.value), params: parseParams(flags.param), place };
   } catch (error) {
     if (error instanceof GraphError) throw new FileProblems(file, error.problems.map(place));
     throw error;
@@ -98,12 +99,12 @@
   file: string,
   id: string,
   flags: RunFlags,
-): Promise<{ readonly plan: Plan; readonly read: ReadGraph }> => {
-  const { compile, GraphError } = await describing();
+): Promise<{ readonly plan: Plan; readonly read: ParsedGraph }> => {
+  const { compile, GraphError } = await loadDefinitionReader();
   const read = await readGraph(file, flags);
   try {
-    const words = { id, ds: flags.ds ?? today(), params: read.params };
-    return { plan: compile(read.document, words, await graphOptions(flags.options)), read };
+    const runWords = { id, ds: flags.ds ?? today(), params: read.params };
+    return { plan: compile(read.document, runWords, await loadGraphOptions(flags.options)), read };
   } catch (error) {
     if (error instanceof GraphError) throw new FileProblems(file, error.problems.map(read.place));
     throw error;
--- a/src/commands/graph-limits.ts
+++ b/src/commands/graph-limits.ts
@@ -5,10 +5,10 @@
 import { decodeMachineTypes, type MachineType } from "../protocol/cloud.js";
 import { MalformedMessageError, parseJson } from "../protocol/json.js";
 import { CommandError } from "./cli.js";
-import { graphs } from "./graph-files.js";
-import { load } from "./serving.js";
+import { loadGraphsPackage } from "./graph-files.js";
+import { loadConfiguration } from "./serving.js";
 
-const typesIn = (file: string): ReadonlyMap<string, MachineType> => {
+const readMachineTypes = (file: string): ReadonlyMap<string, MachineType> => {
   try {
     return new Map(decodeMachineTypes(parseJson(readFileSync(file, "utf8"))).map((type) => [type.name, type]));
   } catch (error) {
@@ -22,24 +22,25 @@
 };
 
 /** Why the first infeasible step can never run on the deployment; null if all can. Without types, checks teams only. */
-export const neverRunning = async (
+export const infeasibleStep = async (
   plan: Plan,
   config: string,
   typesFile: string | undefined,
 ): Promise<string | null> => {
-  const { settings } = await load({ config });
-  const { distinctJobs } = await graphs();
-  const types = typesFile === undefined ? null : typesIn(typesFile);
+  const { settings } = await loadConfiguration({ config });
+  const { distinctJobs } = await loadGraphsPackage();
+  const types = typesFile === undefined ? null : readMachineTypes(typesFile);
   for (const [step, spec] of distinctJobs(plan)) {
-    const roomy: MachineType | null = types === null ? roomyType(spec.types?.[0] ?? "any", settings.zones) : null;
-    const never = neverRuns(spec, settings, types ?? new Map(roomy === null ? [] : [[roomy.name, roomy]]));
-    if (never !== null) return `step ${step.id}: ${never}`;
+    const unlimited: MachineType | null =
+      types === null ? unlimitedMachineType(spec.types?.[0] ?? "any", settings.zones) : null;
+    const reason = neverRuns(spec, settings, types ?? new Map(unlimited === null ? [] : [[unlimited.name, unlimited]]));
+    if (reason !== null) return `step ${step.id}: ${reason}`;
   }
   return null;
 };
 
 /** A machine type with practically unlimited capacity, so that only the limits of the teams apply. */
-const roomyType = (name: string, zones: readonly string[]): MachineType | null =>
+const unlimitedMachineType = (name: string, zones: readonly string[]): MachineType | null =>
   decodeMachineTypes({
     flavors: [
       {
--- a/src/commands/graph.ts
+++ b/src/commands/graph.ts
@@ -1,8 +1,24 @@
 /** The commands `graph ...`: check and show graph files, and submit, watch and control runs. */
 import { writeFileSync } from "node:fs";
 import { type Command, InvalidArgumentError } from "commander";
-import { CommandError, collect, DONE, MISUSE, Progress, REFUSED, say, table } from "./cli.js";
-import { compileFile, describing, FileProblems, graphs, type RunFlags, today } from "./graph-files.js";
+import {
+  appendValue,
+  CommandError,
+  EXIT_FAILURE,
+  EXIT_MISUSE,
+  EXIT_SUCCESS,
+  formatTable,
+  Progress,
+  printLine,
+} from "./cli.js";
+import {
+  compileFile,
+  FileProblems,
+  loadDefinitionReader,
+  loadGraphsPackage,
+  type RunFlags,
+  today,
+} from "./graph-files.js";
 
 interface JsonFlag {
   readonly json?: boolean;
@@ -12,36 +28,36 @@
   readonly server: string;
 }
 
-const day = (text: string): string => {
+const parseDay = (text: string): string => {
   if (!/^\d{4}-\d{2}-\d{2}$/.test(text)) throw new InvalidArgumentError("not a day like 2026-01-31");
   return text;
 };
 
-const withFile = (command: Command): Command =>
+const addRunOptions = (command: Command): Command =>
   command
-    .option("--param <name=value>", "a param of the run; may be repeated", collect, [])
-    .option("--ds <day>", "the run's logical date (today)", day)
+    .option("--param <name=value>", "a param of the run; may be repeated", appendValue, [])
+    .option("--ds <day>", "the run's logical date (today)", parseDay)
     .option("--options <file>", "operators' settings (JSON), for pools and limits");
 
-const withServer = (command: Command): Command =>
+const addServerOption = (command: Command): Command =>
   command.requiredOption("--server <host:port>", "address of a controller");
 
-const example = (text: string): string => `\nExample:\n  ${text}`;
+const exampleText = (text: string): string => `\nExample:\n  ${text}`;
 
 /** Runs a command. Prints problems of its graph file with line and column, and sets exit status 1. */
-const telling = async (json: boolean | undefined, run: () => Promise<void>): Promise<void> => {
+const reportFileProblems = async (json: boolean | undefined, run: () => Promise<void>): Promise<void> => {
   try {
     await run();
   } catch (error) {
     if (!(error instanceof FileProblems)) throw error;
-    const { placedText, problemText } = await describing();
+    const { placedText, problemText } = await loadDefinitionReader();
     if (json === true) {
       const problems = error.problems.map((one) => ({ line: one.line, column: one.column, message: problemText(one) }));
-      say(JSON.stringify({ valid: false, problems }));
+      printLine(JSON.stringify({ valid: false, problems }));
     } else {
       for (const problem of error.problems) process.stderr.write(`rainridge: ${placedText(error.file, problem)}\n`);
     }
-    process.exitCode = REFUSED;
+    process.exitCode = EXIT_FAILURE;
   }
 };
 
@@ -49,28 +65,29 @@
   group
     .command("schema")
     .description("print the JSON schema of graph files")
-    .addHelpText("after", example("rainridge graph schema > graph.schema.json"))
-    .action(async () => say(JSON.stringify((await describing()).graphSchema, null, 2)));
+    .addHelpText("after", exampleText("rainridge graph schema > graph.schema.json"))
+    .action(async () => printLine(JSON.stringify((await loadDefinitionReader()).graphSchema, null, 2)));
 };
 
 const addCheck = (group: Command): void => {
-  withFile(
+  addRunOptions(
     group.command("check").argument("<file>").description("check a graph file: everything that submission would"),
   )
     .option("--config <file>", "settings of the platform (TOML): also checks teams and their limits")
     .option("--types <file>", "machine types as the cloud lists them (JSON): also checks that steps fit")
     .option("--json", "answer as JSON")
-    .addHelpText("after", example("rainridge graph check nightly.yaml --param regions='[\"north\"]'"))
+    .addHelpText("after", exampleText("rainridge graph check nightly.yaml --param regions='[\"north\"]'"))
     .action(async (file: string, flags: RunFlags & JsonFlag & { readonly config?: string; readonly types?: string }) =>
-      telling(flags.json, async () => {
+      reportFileProblems(flags.json, async () => {
         const { plan } = await compileFile(file, "dr-check", flags);
         if (flags.config !== undefined) {
-          const { neverRunning } = await import("./graph-limits.js");
-          const never = await neverRunning(plan, flags.config, flags.types);
-          if (never !== null) throw new FileProblems(file, [{ path: [], message: never, line: null, column: null }]);
+          const { infeasibleStep } = await import("./graph-limits.js");
+          const infeasible = await infeasibleStep(plan, flags.config, flags.types);
+          if (infeasible !== null)
+            throw new FileProblems(file, [{ path: [], message: infeasible, line: null, column: null }]);
         }
         const steps = plan.steps.length;
-        say(
+        printLine(
           flags.json === true
             ? JSON.stringify({ valid: true, dag_id: plan.dagId, steps })
             : `${file}: ${steps} steps, valid`,
@@ -80,101 +97,101 @@
 };
 
 const addShow = (group: Command): void => {
-  withFile(group.command("show").argument("<file>").description("show a graph as a tree, or draw it"))
+  addRunOptions(group.command("show").argument("<file>").description("show a graph as a tree, or draw it"))
     .option("--svg <out>", "draw it into this file")
-    .addHelpText("after", example("rainridge graph show nightly.yaml --svg nightly.svg"))
+    .addHelpText("after", exampleText("rainridge graph show nightly.yaml --svg nightly.svg"))
     .action(async (file: string, flags: RunFlags & { readonly svg?: string }) =>
-      telling(false, async () => {
+      reportFileProblems(false, async () => {
         const { plan } = await compileFile(file, "dr-show", flags);
-        const { drawingOf, MOST_DRAWN, outline, treeOf } = await graphs();
+        const { drawingOf, MOST_DRAWN, outline, treeOf } = await loadGraphsPackage();
         if (flags.svg === undefined) {
-          say(treeOf(plan));
+          printLine(treeOf(plan));
           return;
         }
         const tasks = outline(plan).length;
         if (tasks > MOST_DRAWN) throw new CommandError(`${file}: ${tasks} tasks; a drawing holds ${MOST_DRAWN}`);
         writeFileSync(flags.svg, await drawingOf(plan));
-        say(`${flags.svg}: ${tasks} tasks drawn`);
+        printLine(`${flags.svg}: ${tasks} tasks drawn`);
       }),
     );
 };
 
 const addJobs = (group: Command): void => {
-  withFile(
+  addRunOptions(
     group.command("jobs").argument("<file>").description("print the jobs that a run's steps will be, one a line"),
   )
     .requiredOption("--id <run>", "the run's id")
-    .addHelpText("after", example("rainridge graph jobs nightly.yaml --id dr-night_2026-01-31 --ds 2026-01-31"))
+    .addHelpText("after", exampleText("rainridge graph jobs nightly.yaml --id dr-night_2026-01-31 --ds 2026-01-31"))
     .action(async (file: string, flags: RunFlags & { readonly id: string }) =>
-      telling(false, async () => {
-        const { encodePlan, firstAttempt, jobIdOf } = await graphs();
+      reportFileProblems(false, async () => {
+        const { encodePlan, firstAttempt, jobIdOf } = await loadGraphsPackage();
         const { plan } = await compileFile(file, flags.id, flags);
         const { digest } = encodePlan(plan);
         for (const [at, step] of plan.steps.entries()) {
           if (step.job === null) continue;
           const ref = jobIdOf(flags.id, digest, at, firstAttempt(0));
-          say(JSON.stringify({ step: step.id, job: { ref, ...plan.jobs[step.job] } }));
+          printLine(JSON.stringify({ step: step.id, job: { ref, ...plan.jobs[step.job] } }));
         }
       }),
     );
 };
 
 const addRun = (group: Command): void => {
-  withServer(withFile(group.command("run").argument("<file>").description("submit a run of a graph")))
+  addServerOption(addRunOptions(group.command("run").argument("<file>").description("submit a run of a graph")))
     .option("--id <run>", "the run's id; the same one again repeats the same submission")
     .option("--watch", "wait for the end; status 1 unless it is a success")
     .option("--json", "answers as JSON")
-    .addHelpText("after", example("rainridge graph run nightly.yaml --server 127.0.0.1:7400 --watch"))
+    .addHelpText("after", exampleText("rainridge graph run nightly.yaml --server 127.0.0.1:7400 --watch"))
     .action(
       async (
         file: string,
         flags: RunFlags & ServerFlag & JsonFlag & { readonly id?: string; readonly watch?: boolean },
       ) =>
-        telling(flags.json, async () => {
+        reportFileProblems(flags.json, async () => {
           const client = await import("./graph-client.js");
-          const { isRunId } = await graphs();
+          const { isRunId } = await loadGraphsPackage();
           const { plan, read } = await compileFile(file, flags.id ?? "dr-check", flags);
-          const made = `dr-${plan.dagId.replaceAll(".", "_").slice(0, 20)}_${Date.now().toString(36)}`;
-          const id = flags.id ?? made;
+          const generatedId = `dr-${plan.dagId.replaceAll(".", "_").slice(0, 20)}_${Date.now().toString(36)}`;
+          const id = flags.id ?? generatedId;
           if (!isRunId(id)) throw new CommandError(`--id ${id}: not an id like dr-night_2026-01-31`, true);
           const body = { ref: id, graph: read.document, params: read.params, ds: flags.ds ?? today() };
           const progress = new Progress(true);
-          const said = await client.submitGraph(flags.server, body, (done, of) =>
+          const responseBody = await client.submitGraph(flags.server, body, (done, of) =>
             progress.show(`part ${done} of ${of}`),
           );
           progress.end();
           if (flags.watch !== true) {
-            say(flags.json === true ? said : client.statusLine(JSON.parse(said) as never));
-            process.exit(DONE);
+            printLine(flags.json === true ? responseBody : client.statusLine(JSON.parse(responseBody) as never));
+            process.exit(EXIT_SUCCESS);
           }
-          await watch(flags.server, id, flags.json === true);
+          await watchUntilEnd(flags.server, id, flags.json === true);
         }),
     );
 };
 
-const watch = async (server: string, id: string, json: boolean): Promise<never> => {
+const watchUntilEnd = async (server: string, id: string, json: boolean): Promise<never> => {
   const client = await import("./graph-client.js");
   const progress = new Progress(!json);
   const last = await client.watchGraph(server, id, (status) => progress.show(client.statusLine(status)));
   progress.end();
-  say(json ? JSON.stringify(last) : client.statusLine(last));
-  return process.exit(last.phase === "success" ? DONE : REFUSED);
+  printLine(json ? JSON.stringify(last) : client.statusLine(last));
+  return process.exit(last.phase === "success" ? EXIT_SUCCESS : EXIT_FAILURE);
 };
 
 const addStatus = (group: Command): void => {
-  withServer(group.command("status").argument("<run>").description("tell how a run stands"))
+  addServerOption(group.command("status").argument("<run>").description("tell how a run stands"))
     .option("--watch", "until it is over; status 1 unless it is a success")
     .option("--steps", "each step with its state and job")
     .option("--json", "answers as JSON")
-    .addHelpText("after", example("rainridge graph status dr-night_2026-01-31 --server 127.0.0.1:7400 --steps"))
+    .addHelpText("after", exampleText("rainridge graph status dr-night_2026-01-31 --server 127.0.0.1:7400 --steps"))
     .action(
       async (id: string, flags: ServerFlag & JsonFlag & { readonly watch?: boolean; readonly steps?: boolean }) => {
         const client = await import("./graph-client.js");
-        if (flags.watch === true) await watch(flags.server, id, flags.json === true);
+        if (flags.watch === true) await watchUntilEnd(flags.server, id, flags.json === true);
         const status = await client.graphStatus(flags.server, id);
-        say(flags.json === true ? JSON.stringify(status) : client.statusLine(status));
+        printLine(flags.json === true ? JSON.stringify(status) : client.statusLine(status));
         if (flags.steps === true) await printSteps(flags.server, id, flags.json === true);
-        process.exit(DONE);
+        process.exit(EXIT_SUCCESS);
       },
     );
 };
@@ -190,51 +207,51 @@
 }
 
 const printSteps = async (server: string, id: string, json: boolean): Promise<void> => {
-  const { request } = await import("./graph-client.js");
+  const { requestJson } = await import("./graph-client.js");
   for (let from: number | null = 0; from !== null; ) {
-    const page = JSON.parse(await request(server, "GET", `/v2/graphs/${id}/steps?from=${from}`)) as StepsPage;
-    if (json) for (const step of page.steps) say(JSON.stringify(step));
+    const page = JSON.parse(await requestJson(server, "GET", `/v2/graphs/${id}/steps?from=${from}`)) as StepsPage;
+    if (json) for (const step of page.steps) printLine(JSON.stringify(step));
     else {
       const rows = page.steps.map((step) => [step.step, step.state, String(step.try ?? "-"), step.job ?? "-"]);
-      say(table(["step", "state", "try", "job"], rows));
+      printLine(formatTable(["step", "state", "try", "job"], rows));
     }
     from = page.next;
   }
 };
 
-const addOthers = (group: Command): void => {
-  const verb = (name: string, text: string): Command =>
-    withServer(group.command(name).description(text).argument("<run>"))
+const addRunControls = (group: Command): void => {
+  const addRunCommand = (name: string, text: string): Command =>
+    addServerOption(group.command(name).description(text).argument("<run>"))
       .option("--json", "answer as JSON")
       .addHelpText(
         "after",
-        example(
+        exampleText(
           `rainridge graph ${name} dr-night_2026-01-31${name === "clear" ? " check" : ""} --server 127.0.0.1:7400`,
         ),
       );
-  const tell = async (said: string, json: boolean | undefined): Promise<never> => {
+  const printStatusAndExit = async (responseBody: string, json: boolean | undefined): Promise<never> => {
     const { statusLine } = await import("./graph-client.js");
-    say(json === true ? said : statusLine(JSON.parse(said) as never));
-    return process.exit(DONE);
+    printLine(json === true ? responseBody : statusLine(JSON.parse(responseBody) as never));
+    return process.exit(EXIT_SUCCESS);
   };
-  verb("abort", "end a run and all of its steps").action(async (id: string, flags: ServerFlag & JsonFlag) => {
-    const { request } = await import("./graph-client.js");
-    await tell(await request(flags.server, "POST", `/v2/graphs/${id}/abort`), flags.json);
+  addRunCommand("abort", "end a run and all of its steps").action(async (id: string, flags: ServerFlag & JsonFlag) => {
+    const { requestJson } = await import("./graph-client.js");
+    await printStatusAndExit(await requestJson(flags.server, "POST", `/v2/graphs/${id}/abort`), flags.json);
   });
-  verb("clear", "have a step, and what comes after it, run again")
+  addRunCommand("clear", "have a step, and what comes after it, run again")
     .argument("<step>")
     .option("--no-downstream", "the step alone")
     .action(async (id: string, step: string, flags: ServerFlag & JsonFlag & { readonly downstream: boolean }) => {
-      const { request } = await import("./graph-client.js");
+      const { requestJson } = await import("./graph-client.js");
       const body = { step, downstream: flags.downstream };
-      await tell(await request(flags.server, "POST", `/v2/graphs/${id}/clear`, body), flags.json);
+      await printStatusAndExit(await requestJson(flags.server, "POST", `/v2/graphs/${id}/clear`, body), flags.json);
     });
-  withServer(group.command("list").description("list the runs that are under way, or those that have ended"))
+  addServerOption(group.command("list").description("list the runs that are under way, or those that have ended"))
     .option("--ended", "those that have ended")
     .option("--json", "one JSON object a line")
-    .addHelpText("after", example("rainridge graph list --server 127.0.0.1:7400"))
+    .addHelpText("after", exampleText("rainridge graph list --server 127.0.0.1:7400"))
     .action(async (flags: ServerFlag & JsonFlag & { readonly ended?: boolean }) => {
-      const { request } = await import("./graph-client.js");
+      const { requestJson } = await import("./graph-client.js");
       interface Page {
         readonly graphs: readonly {
           readonly ref: string;
@@ -247,27 +264,27 @@
       const rows: string[][] = [];
       for (let from: string | null = ""; from !== null; ) {
         const state = flags.ended === true ? "&state=ended" : "";
-        const page = JSON.parse(await request(flags.server, "GET", `/v2/graphs?from=${from}${state}`)) as Page;
+        const page = JSON.parse(await requestJson(flags.server, "GET", `/v2/graphs?from=${from}${state}`)) as Page;
         for (const run of page.graphs) {
-          if (flags.json === true) say(JSON.stringify(run));
+          if (flags.json === true) printLine(JSON.stringify(run));
           rows.push([run.ref, run.phase, run.dag_id, run.owner]);
         }
         from = page.next;
       }
-      if (flags.json !== true) say(table(["run", "phase", "dag", "owner"], rows));
-      process.exit(DONE);
+      if (flags.json !== true) printLine(formatTable(["run", "phase", "dag", "owner"], rows));
+      process.exit(EXIT_SUCCESS);
     });
 };
 
 /** Adds `graph ...`: graphs of dependent steps in Airflow's terms. */
 export const addGraph = (program: Command): void => {
   const group = program.command("graph").description("graphs of dependent steps, in Airflow's terms");
-  group.addHelpText("after", `\nExit status: 0 done, 1 refused or failed, ${MISUSE} misuse.`);
+  group.addHelpText("after", `\nExit status: 0 done, 1 refused or failed, ${EXIT_MISUSE} misuse.`);
   addSchema(group);
   addCheck(group);
   addShow(group);
   addJobs(group);
   addRun(group);
   addStatus(group);
-  addOthers(group);
+  addRunControls(group);
 };
--- a/src/commands/links.ts
+++ b/src/commands/links.ts
@@ -1,7 +1,7 @@
 /** Text form of a controller's answer to `/links`. */
-import { table } from "./cli.js";
+import { formatTable } from "./cli.js";
 
-const WORDS: Readonly<Record<string, string>> = {
+const LINK_NAMES: Readonly<Record<string, string>> = {
   state: "state service",
   cloud: "cloud",
   workers: "workers",
@@ -10,7 +10,7 @@
 const asRecord = (value: unknown): Readonly<Record<string, unknown>> =>
   typeof value === "object" && value !== null ? (value as Readonly<Record<string, unknown>>) : {};
 
-const names = (value: unknown): string => {
+const formatNames = (value: unknown): string => {
   const list = Array.isArray(value) ? value.map(String) : [];
   const shown = list.slice(0, 5).join(", ");
   return list.length > 5 ? `${shown} and ${list.length - 5} more` : shown;
@@ -23,7 +23,7 @@
   for (const target of ["state", "cloud"]) {
     const standing = links[target];
     if (typeof standing === "string" && standing !== "reached" && standing !== "not asked yet") {
-      lines.push(`${WORDS[target]}: ${standing}`);
+      lines.push(`${LINK_NAMES[target]}: ${standing}`);
     }
   }
   if (links.workers === "cut off from me") lines.push("workers: their reports come through another controller");
@@ -34,13 +34,13 @@
   const machines = asRecord(links.machines);
   if (machines.mayAct === false)
     lines.push("holds the machines without the right to act: no word of the state service");
-  const say = (key: string, text: string): void => {
-    const list = names(machines[key]);
+  const addNames = (key: string, text: string): void => {
+    const list = formatNames(machines[key]);
     if (list !== "") lines.push(`${text}: ${list}`);
   };
-  say("heardNotReached", "machines heard, but not reached");
-  say("silent", "machines silent");
-  say("zonesCut", "zones cut off");
+  addNames("heardNotReached", "machines heard, but not reached");
+  addNames("silent", "machines silent");
+  addNames("zonesCut", "zones cut off");
   if (typeof machines.roomKeptFor === "string") lines.push(`room that comes free is kept for ${machines.roomKeptFor}`);
   return lines;
 };
@@ -49,11 +49,13 @@
 export const linksText = (answer: unknown): string => {
   const links = asRecord(answer);
   const rows = ["state", "cloud", "workers"].flatMap((key) =>
-    typeof links[key] === "string" ? [[WORDS[key] ?? key, String(links[key])]] : [],
+    typeof links[key] === "string" ? [[LINK_NAMES[key] ?? key, String(links[key])]] : [],
   );
   for (const [label, standing] of Object.entries(asRecord(links.siblings))) rows.push([label, String(standing)]);
   const { up } = asRecord(links.machines);
   rows.push(["machines", typeof up === "number" ? `${up} up, held here` : "not held here"]);
   const troubles = troublesIn(answer);
-  return [table(["link", "standing"], rows), "", ...(troubles.length === 0 ? ["no troubles"] : troubles)].join("\n");
+  return [formatTable(["link", "standing"], rows), "", ...(troubles.length === 0 ? ["no troubles"] : troubles)].join(
+    "\n",
+  );
 };
--- a/src/commands/local.ts
+++ b/src/commands/local.ts
@@ -3,8 +3,16 @@
 import type { Command } from "commander";
 import type { Submission } from "../model/index.js";
 import type { GraphOptions } from "../settings/graph-options.js";
-import { CommandError, DONE, Progress, positiveNumber, REFUSED, say, wholeNumber } from "./cli.js";
-import { PROGRAM } from "./with-whatif.js";
+import {
+  CommandError,
+  EXIT_FAILURE,
+  EXIT_SUCCESS,
+  Progress,
+  parsePositiveNumber,
+  parseWholeNumber,
+  printLine,
+} from "./cli.js";
+import { PROGRAM_PATH } from "./with-whatif.js";
 
 interface LocalFlags {
   readonly machines: number;
@@ -18,8 +26,8 @@
   readonly json?: boolean;
 }
 
-const LOOK = 250;
-const MOST_MACHINES = 400;
+const POLL_INTERVAL_MS = 250;
+const MAX_MACHINES = 400;
 
 const readJobs = async (file: string): Promise<readonly Submission[]> => {
   const [{ Ajv }, { jobSchema }] = await Promise.all([import("ajv"), import("../whatif/index.js")]);
@@ -42,11 +50,11 @@
   );
 };
 
-const local = async (flags: LocalFlags): Promise<void> => {
-  if (flags.machines < 4 || flags.machines > MOST_MACHINES) {
-    throw new CommandError(`--machines ${flags.machines}: must be 4 to ${MOST_MACHINES}`, true);
+const runLocal = async (flags: LocalFlags): Promise<void> => {
+  if (flags.machines < 4 || flags.machines > MAX_MACHINES) {
+    throw new CommandError(`--machines ${flags.machines}: must be 4 to ${MAX_MACHINES}`, true);
   }
-  const [model, { Ledger }, { loadOptions }, { summaryOf }] = await Promise.all([
+  const [model, { Ledger }, { loadOptions }, { outcomeText }] = await Promise.all([
     import("../model/index.js"),
     import("../whatif/index.js"),
     import("../settings/options.js"),
@@ -55,12 +63,12 @@
   const options = await loadOptions(flags.options ?? null).catch((error: unknown) => {
     throw new CommandError(error instanceof Error ? error.message : String(error), true);
   });
-  const graph = flags.graph === undefined ? null : await graphToRun(flags.graph, flags.options);
-  const sample = graph === null ? model.sampleJobs(flags.seed) : [];
-  const jobs = flags.jobs === undefined ? sample : await readJobs(flags.jobs);
+  const graph = flags.graph === undefined ? null : await prepareGraph(flags.graph, flags.options);
+  const defaultJobs = graph === null ? model.sampleJobs(flags.seed) : [];
+  const jobs = flags.jobs === undefined ? defaultJobs : await readJobs(flags.jobs);
   const spec = model.sampleSite(flags.machines);
-  const books: InstanceType<typeof Ledger>[] = [];
-  const tell = (text: string): void => {
+  const ledgers: InstanceType<typeof Ledger>[] = [];
+  const printDiagnostic = (text: string): void => {
     process.stderr.write(`${text}\n`);
   };
   const site = await model.LocalSite.start({
@@ -71,18 +79,18 @@
     port: flags.port,
     speed: flags.speed,
     evenBoots: true,
-    program: PROGRAM,
-    onError: (what) => tell(`rainridge: ${what}`),
+    program: PROGRAM_PATH,
+    onError: (what) => printDiagnostic(`rainridge: ${what}`),
     watch: (timeline) => {
       const ledger = new Ledger(() => timeline.now, spec);
-      books.push(ledger);
+      ledgers.push(ledger);
       return { witness: ledger, hearing: ledger };
     },
   }).catch((error: unknown) => {
     if (error instanceof model.PortError) throw new CommandError(`${error.message}; another --port`, true);
     throw error;
   });
-  const [ledger] = books;
+  const [ledger] = ledgers;
   if (ledger === undefined) throw new Error("the local site was started without a ledger");
   process.once("exit", () => site.kill());
   let interrupted = false;
@@ -95,14 +103,16 @@
     process.once("SIGTERM", end);
   });
   const { controllers, state, cloud } = site.addresses;
-  tell(`controllers ${controllers.join(", ")}; state service ${state}; cloud ${cloud}; logs in ${site.folder}`);
+  printDiagnostic(
+    `controllers ${controllers.join(", ")}; state service ${state}; cloud ${cloud}; logs in ${site.folder}`,
+  );
   for (const job of jobs) {
     ledger.opened(job, 0);
     site.submit(job);
   }
   const progress = new Progress(true);
-  const finished = new Promise<void>((resolve) => {
-    const look = (): void => {
+  const allJobsEnded = new Promise<void>((resolve) => {
+    const poll = (): void => {
       if (interrupted) return;
       ledger.sample();
       const { machines, running, queued } = ledger.latest;
@@ -111,61 +121,67 @@
         `${Math.round(site.timeline.now / 1e6)} s: ${machines} machines, ${running} tasks running, ${queued} waiting, ${ledger.openJobs} of ${jobs.length} jobs open, ${done} ended or serving`,
       );
       if (ledger.openJobs === 0) resolve();
-      else setTimeout(look, LOOK);
+      else setTimeout(poll, POLL_INTERVAL_MS);
     };
-    look();
+    poll();
   });
-  const ran = graph === null ? Promise.resolve(true) : graph.run(controllers[0] ?? "", (text) => progress.show(text));
-  const [, good] = (await Promise.race([Promise.all([finished, ran]), stopped])) ?? [undefined, false];
+  const graphSucceeded =
+    graph === null ? Promise.resolve(true) : graph.submitAndWatch(controllers[0] ?? "", (text) => progress.show(text));
+  const [, succeeded] = (await Promise.race([Promise.all([allJobsEnded, graphSucceeded]), stopped])) ?? [
+    undefined,
+    false,
+  ];
   progress.end();
-  const open = ledger.openJobs;
+  const openAtEnd = ledger.openJobs;
   if (flags.stay === true && !interrupted) {
-    tell(`all jobs have ended; serving until Ctrl-C. Try: rainridge submit --server ${controllers[0] ?? ""} job.json`);
+    printDiagnostic(
+      `all jobs have ended; serving until Ctrl-C. Try: rainridge submit --server ${controllers[0] ?? ""} job.json`,
+    );
     await stopped;
   }
   const outcome = ledger.outcome({
     mode: "loopback",
     trace: flags.jobs ?? "sample",
     seed: flags.seed,
-    ended: open === 0 ? "finished" : "until",
+    ended: openAtEnd === 0 ? "finished" : "until",
     unmatched: [],
     remarks: [],
   });
   await site.stop();
-  if (flags.json === true) say(JSON.stringify(outcome));
-  else if (jobs.length > 0) say(summaryOf(outcome));
-  process.exit(open === 0 && good ? DONE : REFUSED);
+  if (flags.json === true) printLine(JSON.stringify(outcome));
+  else if (jobs.length > 0) printLine(outcomeText(outcome));
+  process.exit(openAtEnd === 0 && succeeded ? EXIT_SUCCESS : EXIT_FAILURE);
 };
 
 /** A compiled graph and the options that its controllers need. */
-interface GraphToRun {
+interface LocalGraph {
   readonly options: GraphOptions;
   /** Submits the graph and waits for the end of its run; true if the run succeeded. */
-  readonly run: (server: string, show: (text: string) => void) => Promise<boolean>;
+  readonly submitAndWatch: (server: string, show: (text: string) => void) => Promise<boolean>;
 }
 
 /** Reads and compiles the graph, so that an invalid file is reported before any process starts. */
-const graphToRun = async (file: string, options: string | undefined): Promise<GraphToRun> => {
+const prepareGraph = async (file: string, options: string | undefined): Promise<LocalGraph> => {
   const [files, client] = await Promise.all([import("./graph-files.js"), import("./graph-client.js")]);
   const flags = { param: [], ...(options === undefined ? {} : { options }) };
   const { read, plan } = await files.compileFile(file, "dr-local", flags).catch(async (error: unknown) => {
     if (!(error instanceof files.FileProblems)) throw error;
-    const { placedText } = await files.describing();
+    const { placedText } = await files.loadDefinitionReader();
     const [first] = error.problems;
     throw new CommandError(first === undefined ? file : placedText(file, first));
   });
   return {
-    options: await files.graphOptions(options),
-    run: async (server, show) => {
+    options: await files.loadGraphOptions(options),
+    submitAndWatch: async (server, show) => {
       const body = { ref: "dr-local", graph: read.document, params: read.params, ds: files.today() };
       await client.submitGraph(server, body, () => undefined);
-      say(`${plan.dagId}: ${plan.steps.length} steps submitted as dr-local`);
-      let before = "";
+      printLine(`${plan.dagId}: ${plan.steps.length} steps submitted as dr-local`);
+      let previousLine = "";
       const last = await client.watchGraph(server, "dr-local", (status) => {
         const line = client.statusLine(status);
         show(line);
-        if (line !== before) say(line);
-        before = line;
+        if (line !== previousLine) printLine(line);
+        previousLine = line;
       });
       return last.phase === "success";
     },
@@ -177,10 +193,10 @@
   program
     .command("local")
     .description("run a whole site on loopback: three controllers, emulated machines, state service, cloud and users")
-    .option("--machines <n>", "machines that the emulated cloud has", wholeNumber, 16)
-    .option("--speed <n>", "emulated tasks run so many times faster", positiveNumber, 1)
-    .option("--seed <n>", "luck of the sample's sizes, boots and fetches", wholeNumber, 1)
-    .option("--port <n>", "first of the eight ports for controllers, state service and cloud", wholeNumber, 7_400)
+    .option("--machines <n>", "machines that the emulated cloud has", parseWholeNumber, 16)
+    .option("--speed <n>", "emulated tasks run so many times faster", parsePositiveNumber, 1)
+    .option("--seed <n>", "luck of the sample's sizes, boots and fetches", parseWholeNumber, 1)
+    .option("--port <n>", "first of the eight ports for controllers, state service and cloud", parseWholeNumber, 7_400)
     .option("--jobs <file>", "jobs to submit instead of the sample (JSON list)")
     .option("--graph <file>", "a graph to run instead of the sample (YAML or JSON)")
     .option("--options <file>", "operators' settings (JSON) for the controllers")
@@ -195,5 +211,5 @@
   rainridge local --graph examples/graphs/charge-plan.yaml
   rainridge local --stay        # then: rainridge submit --server 127.0.0.1:7400 examples/job.json`,
     )
-    .action(local);
+    .action(runLocal);
 };
--- a/src/commands/outcome-text.ts
+++ b/src/commands/outcome-text.ts
@@ -1,11 +1,11 @@
 /** Text and CSV forms of the outcome of a replay. */
 import type { Outcome, ServedGroup } from "../whatif/index.js";
-import { span, table } from "./cli.js";
-import { remarkLine } from "./with-whatif.js";
+import { formatDuration, formatTable } from "./cli.js";
+import { formatRemark } from "./with-whatif.js";
 
 const percent = (share: number | null): string => (share === null ? "-" : `${(share * 100).toFixed(1)} %`);
 
-const ENDED: Readonly<Record<Outcome["ended"], string>> = {
+const END_TEXTS: Readonly<Record<Outcome["ended"], string>> = {
   finished: "nothing was left to do",
   until: "the time set was over",
   stuck: "nothing moved any more, though jobs were open",
@@ -20,15 +20,15 @@
 ];
 
 /** Most jobs in a list of late or unstarted jobs. */
-export const LATE_SHOWN = 20;
+export const MAX_JOBS_SHOWN = 20;
 
 /** The outcome as tables for the terminal. */
-export const summaryOf = (outcome: Outcome): string => {
+export const outcomeText = (outcome: Outcome): string => {
   const { totals, waits, served, byCause, jobs, unmatched, remarks } = outcome;
   const parts = [
-    `${outcome.trace}, ${outcome.mode} model, seed ${outcome.seed}: ended after ${span(outcome.endedUs)}, ${ENDED[outcome.ended]}`,
+    `${outcome.trace}, ${outcome.mode} model, seed ${outcome.seed}: ended after ${formatDuration(outcome.endedUs)}, ${END_TEXTS[outcome.ended]}`,
     "",
-    table(
+    formatTable(
       ["jobs", "done", "late", "never started", "starts", "stopped", "lost", "failed"],
       [
         [
@@ -44,7 +44,7 @@
       ],
     ),
     "",
-    table(
+    formatTable(
       ["machines", "refusals", "cost", "price", "utilisation"],
       [
         [
@@ -57,19 +57,19 @@
       ],
     ),
     "",
-    table(
+    formatTable(
       ["class", "first starts", "half within", "90 % within", "99 % within", "longest"],
       Object.entries(waits).map(([name, wait]) => [
         name,
         String(wait.starts),
-        span(wait.p50Us),
-        span(wait.p90Us),
-        span(wait.p99Us),
-        span(wait.mostUs),
+        formatDuration(wait.p50Us),
+        formatDuration(wait.p90Us),
+        formatDuration(wait.p99Us),
+        formatDuration(wait.mostUs),
       ]),
     ),
     "",
-    table(
+    formatTable(
       ["served", "jobs", "started", "done"],
       [
         ...Object.entries(served.classes).map(([name, group]) => servedRow(name, group)),
@@ -77,7 +77,7 @@
       ],
     ),
     "",
-    table(
+    formatTable(
       ["starts by what kept them", "starts"],
       Object.entries(byCause).map(([cause, count]) => [cause, String(count)]),
     ),
@@ -88,12 +88,14 @@
   if (late.length > 0) {
     parts.push(
       "",
-      table(
+      formatTable(
         ["late job", "class", "state", "late by"],
-        late.slice(0, LATE_SHOWN).map(({ id, jobClass, phase, lateUs }) => [id, jobClass, phase, span(lateUs)]),
+        late
+          .slice(0, MAX_JOBS_SHOWN)
+          .map(({ id, jobClass, phase, lateUs }) => [id, jobClass, phase, formatDuration(lateUs)]),
       ),
     );
-    if (late.length > LATE_SHOWN) parts.push(`and ${late.length - LATE_SHOWN} more`);
+    if (late.length > MAX_JOBS_SHOWN) parts.push(`and ${late.length - MAX_JOBS_SHOWN} more`);
   }
   const never = jobs.filter(
     ({ phase }) => phase === "never started" || phase === "refused" || phase === "not accepted",
@@ -101,26 +103,26 @@
   if (never.length > 0) {
     parts.push(
       "",
-      table(
+      formatTable(
         ["job without a start", "state"],
-        never.slice(0, LATE_SHOWN).map(({ id, phase }) => [id, phase]),
+        never.slice(0, MAX_JOBS_SHOWN).map(({ id, phase }) => [id, phase]),
       ),
     );
-    if (never.length > LATE_SHOWN) parts.push(`and ${never.length - LATE_SHOWN} more`);
+    if (never.length > MAX_JOBS_SHOWN) parts.push(`and ${never.length - MAX_JOBS_SHOWN} more`);
   }
   if (unmatched.length > 0) {
     parts.push("", "Events without a counterpart in this replay:");
-    for (const { at, event, about, why } of unmatched) parts.push(`  ${span(at)}: ${event} ${about}: ${why}`);
+    for (const { at, event, about, why } of unmatched) parts.push(`  ${formatDuration(at)}: ${event} ${about}: ${why}`);
   }
   if (remarks.length > 0) {
     parts.push("", "Remarks:");
-    for (const remark of remarks) parts.push(`  ${remarkLine(remark)}`);
+    for (const remark of remarks) parts.push(`  ${formatRemark(remark)}`);
   }
   return parts.join("\n");
 };
 
 /** The jobs of an outcome as CSV, one line each; times are in microseconds. */
-export const csvOf = (outcome: Outcome): string => {
+export const jobsCsv = (outcome: Outcome): string => {
   const head = [
     "job",
     "class",
--- a/src/commands/serving.ts
+++ b/src/commands/serving.ts
@@ -27,7 +27,7 @@
 }
 
 /** Validated settings of a controller and options of its operators. */
-export interface Loaded {
+export interface LoadedConfiguration {
   readonly settings: ReturnType<typeof loadSettings>;
   readonly options: Awaited<ReturnType<typeof loadOptions>>;
 }
@@ -36,7 +36,7 @@
  * Reads and validates both files; without the options flag, `RAINRIDGE_OPTIONS` names their file. Throws a
  * `CommandError` of one line that names the invalid field.
  */
-export const load = async (flags: ServeFlags): Promise<Loaded> => {
+export const loadConfiguration = async (flags: ServeFlags): Promise<LoadedConfiguration> => {
   try {
     if (flags.config === undefined) throw new SettingsError("--config FILE: missing");
     const settings = loadSettings(flags.config);
@@ -48,8 +48,8 @@
 };
 
 /** Listener for cluster events: records a trace, logs at debug level, or does both; null if neither is enabled. */
-const sinkFor = async (
-  { settings, options }: Loaded,
+const createEventListener = async (
+  { settings, options }: LoadedConfiguration,
   clock: Clock,
   log: Log,
   http: HttpClient,
@@ -58,14 +58,14 @@
   if (options.record === null) return debug ? (event) => log.debug("seen", { event }) : null;
   // Loaded only if recording is enabled.
   const { FileRecorder, headerOf, siteOf } = await import("../whatif/index.js");
-  const began = new Date().toISOString();
+  const startedAt = new Date().toISOString();
   let header: ReturnType<typeof headerOf> | null = null;
-  const learn = async (): Promise<void> => {
+  const fetchMachineTypes = async (): Promise<void> => {
     const reply = await new CloudClient(http, settings.cloudAddress, clock, log, 1).listMachineTypes();
-    if (reply.kind === "ok") header = headerOf(siteOf(settings, reply.value.types), "recorded", began);
-    else clock.after(seconds(5), () => void learn());
+    if (reply.kind === "ok") header = headerOf(siteOf(settings, reply.value.types), "recorded", startedAt);
+    else clock.after(seconds(5), () => void fetchMachineTypes());
   };
-  void learn();
+  void fetchMachineTypes();
   const recorder = new FileRecorder(clock, log, settings.label, options.record, () => header);
   return (event) => {
     recorder.take(event);
@@ -74,30 +74,34 @@
 };
 
 /** Returns a function for the used shares of the memory and connection limits; memory is sampled once a second. */
-const loadOf = ({ quota }: Loaded["settings"], clock: Clock, connections: () => number): (() => ProcessLoad) => {
+const createLoadProbe = (
+  { quota }: LoadedConfiguration["settings"],
+  clock: Clock,
+  connections: () => number,
+): (() => ProcessLoad) => {
   let memory = 0;
-  let readAt = Number.NEGATIVE_INFINITY;
+  let sampledAt = Number.NEGATIVE_INFINITY;
   return () => {
-    if (clock.now() - readAt > seconds(1)) {
-      readAt = clock.now();
+    if (clock.now() - sampledAt > seconds(1)) {
+      sampledAt = clock.now();
       const heap = getHeapStatistics();
-      const held = process.memoryUsage.rss() / (quota.memoryMb * 1_048_576);
-      memory = Math.max(heap.used_heap_size / heap.heap_size_limit, held);
+      const rssShare = process.memoryUsage.rss() / (quota.memoryMb * 1_048_576);
+      memory = Math.max(heap.used_heap_size / heap.heap_size_limit, rssShare);
     }
     return { memory, sockets: connections() / quota.maxConnections };
   };
 };
 
 /** Logs if the heap limit is so high that the process can exceed its memory quota, and be killed, below that limit. */
-const checkHeapLimit = ({ quota }: Loaded["settings"], log: Log): void => {
+const logExcessiveHeapLimit = ({ quota }: LoadedConfiguration["settings"], log: Log): void => {
   const heapMb = oldGenerationMb(getHeapStatistics().heap_size_limit);
   const mostMb = maxHeapMb(quota);
   if (heapMb > mostMb) log.info("heap limit too high", { heapMb, mostMb, memoryMb: quota.memoryMb });
 };
 
 /** Factory of the mesh, the connections to the other controllers; its modules are loaded only if it is enabled. */
-const meshOf = async (
-  settings: Loaded["settings"],
+const loadMeshFactory = async (
+  settings: LoadedConfiguration["settings"],
   incarnation: string,
   clock: Clock,
   log: Log,
@@ -109,7 +113,7 @@
 };
 
 /** Serves as one controller until killed. Throws a `CommandError` if it cannot listen at `client_listen`. */
-export const serve = async ({ settings, options }: Loaded): Promise<void> => {
+export const serve = async ({ settings, options }: LoadedConfiguration): Promise<void> => {
   const log = createLog(settings.label, process.env.LOG_LEVEL);
   // No input may end the process; an uncaught exception is a defect, and is logged as one.
   process.on("uncaughtException", (error) => log.error("uncaught exception", { error: describeError(error) }));
@@ -119,14 +123,24 @@
   const connections = allocateConnections(settings.quota.maxConnections);
   // Idle connections are bounded: with a thousand workers that send heartbeats, one to each would exceed the limit.
   const http = new NetHttpClient(clock, connections.idle);
-  const eventListener = await sinkFor({ settings, options }, clock, log, http);
-  const load = loadOf(settings, clock, () => server.connections + http.connections);
+  const eventListener = await createEventListener({ settings, options }, clock, log, http);
+  const load = createLoadProbe(settings, clock, () => server.connections + http.connections);
   // Loaded only if graphs are enabled.
   const extension = options.graphs === null ? null : (await import("../graphs/index.js")).graphsWith(options.graphs);
   const incarnation = randomBytes(8).toString("hex");
-  const mesh = options.mesh ? await meshOf(settings, incarnation, clock, log, http) : null;
-  const outside = { clock, log, http, random: Math.random, eventListener, load, wallClock: Date.now, extension, mesh };
-  const controller = new Controller(outside, settings, options, incarnation);
+  const mesh = options.mesh ? await loadMeshFactory(settings, incarnation, clock, log, http) : null;
+  const environment = {
+    clock,
+    log,
+    http,
+    random: Math.random,
+    eventListener,
+    load,
+    wallClock: Date.now,
+    extension,
+    mesh,
+  };
+  const controller = new Controller(environment, settings, options, incarnation);
   const server: HttpServer = new HttpServer(
     clock,
     {
@@ -146,7 +160,7 @@
     const code = (error as NodeJS.ErrnoException).code ?? "failed";
     throw new CommandError(`client_listen: ${settings.clientListen}: ${code}`, true);
   }
-  checkHeapLimit(settings, log);
+  logExcessiveHeapLimit(settings, log);
   log.info("serving", { listen: settings.clientListen, incarnation });
   controller.start();
 };
--- a/src/commands/whatif-compare.ts
+++ b/src/commands/whatif-compare.ts
@@ -2,10 +2,10 @@
 import { mkdirSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
 import type { Outcome, ScenarioSpec } from "../whatif/index.js";
-import { CommandError, Progress, say, span, table } from "./cli.js";
-import { LATE_SHOWN } from "./outcome-text.js";
-import { specOf } from "./whatif-run.js";
-import { withWhatif } from "./with-whatif.js";
+import { CommandError, formatDuration, formatTable, Progress, printLine } from "./cli.js";
+import { MAX_JOBS_SHOWN } from "./outcome-text.js";
+import { scenarioSpecOf } from "./whatif-run.js";
+import { withWhatifPackage } from "./with-whatif.js";
 
 interface CompareFlags {
   readonly variant: readonly string[];
@@ -20,11 +20,11 @@
 }
 
 /** Parses `name:key=value,key=value`; a name alone stands for the trace without changed settings. */
-const variantSpec = (text: string, flags: CompareFlags): { readonly name: string; readonly spec: ScenarioSpec } => {
+const parseVariant = (text: string, flags: CompareFlags): { readonly name: string; readonly spec: ScenarioSpec } => {
   const at = text.indexOf(":");
   const name = at < 0 ? text : text.slice(0, at);
   const set = at < 0 ? [] : text.slice(at + 1).split(",");
-  return { name, spec: { ...specOf(flags.trace ?? "", { ...flags, set }), name } };
+  return { name, spec: { ...scenarioSpecOf(flags.trace ?? "", { ...flags, set }), name } };
 };
 
 const isOutcome = (value: unknown): value is Outcome =>
@@ -32,29 +32,31 @@
 
 /** Compares outcome files, or replays of scenarios and variants over several seeds; the first is the baseline. */
 export const compareVariants = (files: readonly string[], flags: CompareFlags): Promise<void> =>
-  withWhatif(async (whatif) => {
+  withWhatifPackage(async (whatif) => {
     if (flags.variant.length > 0 && flags.trace === undefined)
       throw new CommandError("--variant goes with --trace", true);
-    const ready: { name: string; outcomes: Outcome[] }[] = [];
-    const open: { readonly name: string; readonly spec: ScenarioSpec }[] = [];
+    const fromFiles: { name: string; outcomes: Outcome[] }[] = [];
+    const toReplay: { readonly name: string; readonly spec: ScenarioSpec }[] = [];
     for (const file of files) {
       const value = whatif.readJsonFile(file);
-      if (isOutcome(value)) ready.push({ name: file, outcomes: [value] });
+      if (isOutcome(value)) fromFiles.push({ name: file, outcomes: [value] });
       else {
         const spec = whatif.readScenario(file);
-        open.push({ name: spec.name ?? file, spec });
+        toReplay.push({ name: spec.name ?? file, spec });
       }
     }
-    open.push(...flags.variant.map((text) => variantSpec(text, flags)));
-    if (ready.length + open.length < 2)
+    toReplay.push(...flags.variant.map((text) => parseVariant(text, flags)));
+    if (fromFiles.length + toReplay.length < 2)
       throw new CommandError("nothing to compare: two results, scenarios or variants at least", true);
-    if (ready.length > 0 && open.length > 0)
+    if (fromFiles.length > 0 && toReplay.length > 0)
       throw new CommandError("results and scenarios cannot be mixed: their seeds differ", true);
     const seeds =
-      ready.length > 0 ? [ready[0]?.outcomes[0]?.seed ?? 1] : Array.from({ length: flags.seeds }, (_, at) => at + 1);
+      fromFiles.length > 0
+        ? [fromFiles[0]?.outcomes[0]?.seed ?? 1]
+        : Array.from({ length: flags.seeds }, (_, at) => at + 1);
     const progress = new Progress(flags.progress === true);
-    const outcomes: Outcome[][] = open.map(() => []);
-    const cells = open.flatMap(({ spec }, which) => seeds.map((seed, at) => ({ spec, seed, which, at })));
+    const outcomes: Outcome[][] = toReplay.map(() => []);
+    const cells = toReplay.flatMap(({ spec }, which) => seeds.map((seed, at) => ({ spec, seed, which, at })));
     let done = 0;
     await whatif.replayAll(cells, flags.threads ?? null, (id, outcome) => {
       const cell = cells[id];
@@ -64,7 +66,7 @@
       progress.show(`${done} of ${cells.length} replays`);
     });
     progress.end();
-    const variants = [...ready, ...open.map(({ name }, at) => ({ name, outcomes: outcomes[at] ?? [] }))];
+    const variants = [...fromFiles, ...toReplay.map(({ name }, at) => ({ name, outcomes: outcomes[at] ?? [] }))];
     const comparison = whatif.compare(variants, seeds);
     if (flags.html !== undefined || flags.svg !== undefined) {
       const { report } = await whatif.loadReport();
@@ -76,13 +78,13 @@
       }
     }
     if (flags.json === true) {
-      say(JSON.stringify(comparison));
+      printLine(JSON.stringify(comparison));
       return;
     }
     const { interval } = await whatif.loadReport();
     const [first, ...others] = comparison.variants;
-    say(
-      table(
+    printLine(
+      formatTable(
         ["figure", ...comparison.variants, ...others.map((name) => `${name} - ${first}`), ...others.map(() => "")],
         comparison.rows.map(({ metric, unit, values, differences, verdicts }) => [
           metric,
@@ -97,9 +99,9 @@
         ["becomes late", becomesLate],
         ["no longer late", noLongerLate],
       ] as const) {
-        say(`\n${name}: ${jobs.length} ${what}`);
-        for (const { job, jobClass, lateByUs } of jobs.slice(0, LATE_SHOWN))
-          say(`  ${job} (${jobClass}), by ${span(lateByUs)}`);
+        printLine(`\n${name}: ${jobs.length} ${what}`);
+        for (const { job, jobClass, lateByUs } of jobs.slice(0, MAX_JOBS_SHOWN))
+          printLine(`  ${job} (${jobClass}), by ${formatDuration(lateByUs)}`);
       }
     }
   });
@@ -114,7 +116,7 @@
 
 /** Searches settings as a sweep file specifies. Results already in the file of `--out` are not computed again. */
 export const runSweep = (file: string, flags: SweepFlags): Promise<void> =>
-  withWhatif(async (whatif) => {
+  withWhatifPackage(async (whatif) => {
     const spec = whatif.readSweep(file);
     const log = new whatif.ResultLog(flags.out, spec);
     const progress = new Progress(flags.progress === true);
@@ -136,12 +138,12 @@
       writeFileSync(flags.svg, await paretoPlot(points, spec.pareto.x, spec.pareto.y));
     }
     if (flags.json === true) {
-      say(JSON.stringify(rows));
+      printLine(JSON.stringify(rows));
       return;
     }
     const names = Object.keys(rows[0]?.figures ?? {});
-    say(
-      table(
+    printLine(
+      formatTable(
         ["settings", "worth", "front", ...names],
         rows.map(({ set, worth, front, figures }) => [
           set.join(" "),
--- a/src/commands/whatif-graphs.ts
+++ b/src/commands/whatif-graphs.ts
@@ -1,7 +1,7 @@
 /** The command `whatif graphs`. */
 import type { GraphCost, GraphLoadResult, GraphLoadSpec, GraphShape } from "../whatif/index.js";
-import { Progress, say, span, table } from "./cli.js";
-import { PROGRAM, withWhatif } from "./with-whatif.js";
+import { formatDuration, formatTable, Progress, printLine } from "./cli.js";
+import { PROGRAM_PATH, withWhatifPackage } from "./with-whatif.js";
 
 /** Flags of `whatif graphs`; times are in microseconds, writes per second. */
 export interface GraphLoadFlags {
@@ -21,24 +21,28 @@
   readonly json?: boolean;
 }
 
-const short = (us: number): string => (us < 10_000_000 ? `${(us / 1_000).toFixed(0)} ms` : span(us));
+const formatShortDuration = (us: number): string =>
+  us < 10_000_000 ? `${(us / 1_000).toFixed(0)} ms` : formatDuration(us);
 
 const rowsOf = (result: GraphLoadResult): readonly (readonly string[])[] => [
   ["runs ended", `${result.ended} of ${result.graphs}, ${result.steps} steps each`],
-  ["lasted", span(result.lastedUs)],
-  ["end to acceptance, half / 99 %", `${short(result.accepted.p50)} / ${short(result.accepted.p99)}`],
+  ["lasted", formatDuration(result.lastedUs)],
+  [
+    "end to acceptance, half / 99 %",
+    `${formatShortDuration(result.accepted.p50)} / ${formatShortDuration(result.accepted.p99)}`,
+  ],
   [
     "end to start, half / 99 % / most",
-    `${short(result.latency.p50)} / ${short(result.latency.p99)} / ${short(result.latency.most)}`,
+    `${formatShortDuration(result.latency.p50)} / ${formatShortDuration(result.latency.p99)} / ${formatShortDuration(result.latency.most)}`,
   ],
-  ...(result.recoveredUs === null ? [] : [["all runs read again after", span(result.recoveredUs)]]),
+  ...(result.recoveredUs === null ? [] : [["all runs read again after", formatDuration(result.recoveredUs)]]),
   ["graphs' own writes a step", result.ownWrites.toFixed(3)],
   ["all writes a step", result.allWrites.toFixed(2)],
 ];
 
 const costRows = (cost: GraphCost): readonly (readonly string[])[] => [
   ["runs", `${cost.graphs} of ${cost.steps} steps`],
-  ["compiled in", short(cost.compileUs)],
+  ["compiled in", formatShortDuration(cost.compileUs)],
   ["plan on record", `${cost.planBytes} bytes`],
   [
     "memory of all runs",
@@ -49,8 +53,8 @@
 ];
 
 /** Measures the delay from the end of a step to the start of the next, and the writes to the state service per step. */
-export const graphLoad = (flags: GraphLoadFlags): Promise<void> =>
-  withWhatif(async (whatif) => {
+export const measureGraphLoad = (flags: GraphLoadFlags): Promise<void> =>
+  withWhatifPackage(async (whatif) => {
     const spec: GraphLoadSpec = {
       shape: flags.shape,
       steps: flags.steps,
@@ -62,18 +66,18 @@
       overUs: flags.over,
       endAllAtUs: flags.endAll === 0 ? null : flags.endAll,
       seed: flags.seed,
-      loopback: flags.loopback === true ? { port: flags.port, program: PROGRAM } : null,
+      loopback: flags.loopback === true ? { port: flags.port, program: PROGRAM_PATH } : null,
     };
     if (flags.cost === true) {
       const cost = await whatif.graphCost(spec);
-      say(flags.json === true ? JSON.stringify(cost) : table(["", flags.shape], costRows(cost)));
+      printLine(flags.json === true ? JSON.stringify(cost) : formatTable(["", flags.shape], costRows(cost)));
       return;
     }
     const progress = new Progress(true);
     const result = await whatif.playGraphLoad(spec, (now, ended) =>
-      progress.show(`${span(now)}: ${ended} of ${flags.graphs} ended`),
+      progress.show(`${formatDuration(now)}: ${ended} of ${flags.graphs} ended`),
     );
     progress.end();
-    say(flags.json === true ? JSON.stringify(result) : table(["", `${flags.shape}`], rowsOf(result)));
+    printLine(flags.json === true ? JSON.stringify(result) : formatTable(["", `${flags.shape}`], rowsOf(result)));
     process.exit(0);
   });
--- a/src/commands/whatif-load.ts
+++ b/src/commands/whatif-load.ts
@@ -2,8 +2,8 @@
 import { mkdirSync, writeFileSync } from "node:fs";
 import { dirname } from "node:path";
 import type { LoadResult, LoadSpec } from "../whatif/index.js";
-import { CommandError, Progress, say, span, table } from "./cli.js";
-import { withWhatif } from "./with-whatif.js";
+import { CommandError, formatDuration, formatTable, Progress, printLine } from "./cli.js";
+import { withWhatifPackage } from "./with-whatif.js";
 
 /** Flags of `whatif load`; times are in microseconds, memory in MB. */
 export interface LoadFlags {
@@ -24,7 +24,7 @@
   readonly svg?: string;
 }
 
-const sizesOf = (text: string): readonly number[] =>
+const parseFleetSizes = (text: string): readonly number[] =>
   text.split(",").map((part) => {
     if (!/^\d{1,6}$/.test(part) || Number(part) < 1) throw new CommandError(`--machines ${part}: not a number`, true);
     return Number(part);
@@ -43,10 +43,10 @@
   `${result.turnedAway} of ${result.submissions}`,
   String(result.killedByLease),
   String(result.ended),
-  result.reachedAt === null ? "none" : `${result.firstLimit} at ${span(result.reachedAt)}`,
+  result.reachedAt === null ? "none" : `${result.firstLimit} at ${formatDuration(result.reachedAt)}`,
 ];
 
-const HEAD = [
+const COLUMNS = [
   "machines",
   "bounded",
   "up",
@@ -61,14 +61,14 @@
 ];
 
 /** Simulates controllers with fleets of several sizes, and prints their load and the first limit that each reaches. */
-export const load = (flags: LoadFlags): Promise<void> =>
-  withWhatif(async (whatif) => {
+export const measureLoad = (flags: LoadFlags): Promise<void> =>
+  withWhatifPackage(async (whatif) => {
     if (flags.endAll >= flags.until && flags.endAll > 0) throw new CommandError("--end-all: not before --until", true);
-    const kinds = flags.both === true ? [false, true] : [flags.unbounded !== true];
+    const boundedModes = flags.both === true ? [false, true] : [flags.unbounded !== true];
     const progress = new Progress(flags.progress === true);
     const results: LoadResult[] = [];
-    for (const machines of sizesOf(flags.machines)) {
-      for (const bounded of kinds) {
+    for (const machines of parseFleetSizes(flags.machines)) {
+      for (const bounded of boundedModes) {
         const spec: LoadSpec = {
           machines,
           bounded,
@@ -80,7 +80,9 @@
           untilUs: flags.until,
           seed: flags.seed,
         };
-        results.push(await whatif.playLoad(spec, (now) => progress.show(`${machines} machines: ${span(now)} played`)));
+        results.push(
+          await whatif.playLoad(spec, (now) => progress.show(`${machines} machines: ${formatDuration(now)} played`)),
+        );
       }
     }
     progress.end();
@@ -89,5 +91,5 @@
       mkdirSync(dirname(flags.svg), { recursive: true });
       writeFileSync(flags.svg, await loadPlot(results));
     }
-    say(flags.json === true ? JSON.stringify(results) : table(HEAD, results.map(rowOf)));
+    printLine(flags.json === true ? JSON.stringify(results) : formatTable(COLUMNS, results.map(rowOf)));
   });
--- a/src/commands/whatif-run.ts
+++ b/src/commands/whatif-run.ts
@@ -2,9 +2,9 @@
 import { mkdirSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
 import type { ScenarioSpec } from "../whatif/index.js";
-import { CommandError, Progress, say, span } from "./cli.js";
-import { csvOf, summaryOf } from "./outcome-text.js";
-import { PROGRAM, withWhatif } from "./with-whatif.js";
+import { CommandError, formatDuration, Progress, printLine } from "./cli.js";
+import { jobsCsv, outcomeText } from "./outcome-text.js";
+import { PROGRAM_PATH, withWhatifPackage } from "./with-whatif.js";
 
 interface RunFlags {
   readonly site?: string;
@@ -23,7 +23,7 @@
 }
 
 /** The scenario that a trace and the flags of `whatif run` describe. */
-export const specOf = (trace: string, flags: Partial<RunFlags>): ScenarioSpec => ({
+export const scenarioSpecOf = (trace: string, flags: Partial<RunFlags>): ScenarioSpec => ({
   trace,
   mode: flags.fast === true ? "fast" : "faithful",
   ...(flags.site === undefined ? {} : { site: flags.site }),
@@ -37,15 +37,15 @@
 
 /** Replays a trace and prints how each job fares; writes the outcome and a new trace where flags ask for it. */
 export const run = (trace: string, flags: RunFlags): Promise<void> =>
-  withWhatif(async (whatif) => {
+  withWhatifPackage(async (whatif) => {
     if (flags.at !== undefined && flags.add === undefined) throw new CommandError("--at goes with --add", true);
-    const spec = specOf(trace, flags);
+    const spec = scenarioSpecOf(trace, flags);
     const request = await whatif.prepare(spec, flags.seed);
     const progress = new Progress(flags.progress === true);
     const recording = flags.record === undefined ? null : new whatif.Recording(request.header);
     const outcome = await whatif.replay(spec, {
       ...request,
-      progress: (now, ledger) => progress.show(`${span(now)} played, ${ledger.openJobs} jobs open`),
+      progress: (now, ledger) => progress.show(`${formatDuration(now)} played, ${ledger.openJobs} jobs open`),
       ...(recording === null ? {} : { onPlayed: recording.played, witness: (now) => recording.witness(now) }),
     });
     progress.end();
@@ -55,13 +55,13 @@
     if (flags.out !== undefined) {
       mkdirSync(flags.out, { recursive: true });
       writeFileSync(join(flags.out, "outcome.json"), `${JSON.stringify(outcome, null, 1)}\n`);
-      writeFileSync(join(flags.out, "jobs.csv"), csvOf(outcome));
+      writeFileSync(join(flags.out, "jobs.csv"), jobsCsv(outcome));
     }
-    say(flags.json === true ? JSON.stringify(outcome) : summaryOf(outcome));
+    printLine(flags.json === true ? JSON.stringify(outcome) : outcomeText(outcome));
   });
 
 /** Delay of the first event, in microseconds. */
-const LEAD = 6_000_000;
+const WARM_UP_US = 6_000_000;
 
 interface VerifyFlags {
   readonly seed: number;
@@ -76,23 +76,25 @@
  * `CommandError` if the orders differ.
  */
 export const verify = (trace: string, flags: VerifyFlags): Promise<void> =>
-  withWhatif(async (whatif) => {
+  withWhatifPackage(async (whatif) => {
     const { PortError } = await import("../model/index.js");
-    const spec = specOf(trace, {});
-    const given = await whatif.prepare(spec, flags.seed);
+    const spec = scenarioSpecOf(trace, {});
+    const prepared = await whatif.prepare(spec, flags.seed);
     // The controllers of both runs must be up and have listed the machines before the first event.
-    const request = { ...given, events: given.events.map((event) => ({ ...event, at: event.at + LEAD })) };
+    const request = { ...prepared, events: prepared.events.map((event) => ({ ...event, at: event.at + WARM_UP_US })) };
     const progress = new Progress(flags.progress === true);
     const replayed = await whatif.replay(spec, request);
-    const real = await whatif
+    const onLoopback = await whatif
       .playOnLoopback({
         ...request,
         port: flags.port,
-        program: PROGRAM,
+        program: PROGRAM_PATH,
         onError: (what) => process.stderr.write(`rainridge: ${what}\n`),
         onSite: (site) => process.once("exit", () => site.kill()),
         progress: (now, ledger) =>
-          progress.show(`${span(now)} of ${span(replayed.endedUs)} played, ${ledger.openJobs} jobs open`),
+          progress.show(
+            `${formatDuration(now)} of ${formatDuration(replayed.endedUs)} played, ${ledger.openJobs} jobs open`,
+          ),
       })
       .catch((error: unknown) => {
         if (error instanceof PortError) throw new CommandError(error.message, true);
@@ -100,19 +102,23 @@
       });
     progress.end();
     const tieUs = flags.tie ?? request.site.workers.reportUs;
-    const result = whatif.agreement(real, replayed, tieUs);
+    const result = whatif.agreement(onLoopback, replayed, tieUs);
     if (flags.json === true)
-      say(JSON.stringify({ ...result, tieUs, loopback: real.finishing, replay: replayed.finishing }));
+      printLine(JSON.stringify({ ...result, tieUs, loopback: onLoopback.finishing, replay: replayed.finishing }));
     else {
-      say(
-        `${result.jobs} jobs finished in both; ${result.pairs} pairs, of which ${result.ties} within ${span(tieUs)} of each other (ties)`,
+      printLine(
+        `${result.jobs} jobs finished in both; ${result.pairs} pairs, of which ${result.ties} within ${formatDuration(tieUs)} of each other (ties)`,
       );
-      say(`finishing times differ by ${span(result.medianGapUs)} in the middle, ${span(result.mostGapUs)} at most`);
-      for (const id of result.onlyInOne) say(`  ${id} finished in one of the two only`);
+      printLine(
+        `finishing times differ by ${formatDuration(result.medianGapUs)} in the middle, ${formatDuration(result.mostGapUs)} at most`,
+      );
+      for (const id of result.onlyInOne) printLine(`  ${id} finished in one of the two only`);
       for (const { first, second, behindUs, aheadUs } of result.disorders) {
-        say(`  ${first} before ${second} by ${span(behindUs)} on loopback, after it by ${span(aheadUs)} in the replay`);
+        printLine(
+          `  ${first} before ${second} by ${formatDuration(behindUs)} on loopback, after it by ${formatDuration(aheadUs)} in the replay`,
+        );
       }
-      say(result.agrees ? "the finishing order is the same" : "the finishing orders differ");
+      printLine(result.agrees ? "the finishing order is the same" : "the finishing orders differ");
     }
     if (!result.agrees) throw new CommandError(`${trace}: finishing orders differ`);
     process.exit(0);
--- a/src/commands/whatif-traces.ts
+++ b/src/commands/whatif-traces.ts
@@ -1,11 +1,11 @@
 /** The commands `whatif check`, `synth`, `convert`, `record` and `schema`. */
 import type { Remark } from "../whatif/index.js";
-import { CommandError, Progress, say, span, table } from "./cli.js";
-import { remarkLine, type Whatif, withWhatif } from "./with-whatif.js";
+import { CommandError, formatDuration, formatTable, Progress, printLine } from "./cli.js";
+import { formatRemark, type WhatifPackage, withWhatifPackage } from "./with-whatif.js";
 
 /** Checks a trace and prints its number of events by kind. */
 export const check = (file: string, flags: { readonly json?: boolean; readonly lenient?: boolean }): Promise<void> =>
-  withWhatif(async (whatif) => {
+  withWhatifPackage(async (whatif) => {
     const { header, events, remarks } = await whatif.readTrace(file, flags.lenient === true);
     const counts = new Map<string, number>();
     let tasks = 0;
@@ -15,7 +15,7 @@
     }
     const spanUs = events.at(-1)?.at ?? 0;
     if (flags.json === true) {
-      say(
+      printLine(
         JSON.stringify({
           site: header.site.name,
           source: header.source,
@@ -27,16 +27,16 @@
       );
       return;
     }
-    say(
-      `${file}: site ${header.site.name}, ${header.source}, ${span(spanUs)}, ${tasks} tasks, ${header.standing.length} machines at the beginning`,
+    printLine(
+      `${file}: site ${header.site.name}, ${header.source}, ${formatDuration(spanUs)}, ${tasks} tasks, ${header.standing.length} machines at the beginning`,
     );
-    say(
-      table(
+    printLine(
+      formatTable(
         ["event", "count"],
         [...counts].map(([kind, count]) => [kind, String(count)]),
       ),
     );
-    for (const remark of remarks) say(remarkLine(remark));
+    for (const remark of remarks) printLine(formatRemark(remark));
   });
 
 /** Writes a synthetic trace, drawn from the distributions of a specification. */
@@ -44,12 +44,12 @@
   file: string,
   flags: { readonly out: string; readonly seed?: number; readonly json?: boolean },
 ): Promise<void> =>
-  withWhatif(async (whatif) => {
-    const given = whatif.readSynthSpec(whatif.readJsonFile(file), file);
-    const { header, events } = whatif.synthesize({ ...given, seed: flags.seed ?? given.seed });
+  withWhatifPackage(async (whatif) => {
+    const spec = whatif.readSynthSpec(whatif.readJsonFile(file), file);
+    const { header, events } = whatif.synthesize({ ...spec, seed: flags.seed ?? spec.seed });
     await whatif.writeTrace(flags.out, header, events);
     const jobs = events.filter(({ event }) => event === "submit").length;
-    say(
+    printLine(
       flags.json === true
         ? JSON.stringify({ out: flags.out, events: events.length, jobs })
         : `${flags.out}: ${jobs} jobs, ${events.length} events`,
@@ -62,43 +62,43 @@
   readonly json?: boolean;
 }
 
-const settingsFrom = async (file: string) => {
-  const { load } = await import("./serving.js");
-  return (await load({ config: file })).settings;
+const readSettings = async (file: string) => {
+  const { loadConfiguration } = await import("./serving.js");
+  return (await loadConfiguration({ config: file })).settings;
 };
 
-const said = (
+const printSummary = (
   out: string,
   events: readonly { readonly event: string }[],
   remarks: readonly Remark[],
   json: boolean,
 ): void => {
   const jobs = events.filter(({ event }) => event === "submit").length;
-  if (json) say(JSON.stringify({ out, jobs, events: events.length, remarks }));
+  if (json) printLine(JSON.stringify({ out, jobs, events: events.length, remarks }));
   else {
-    say(`${out}: ${jobs} jobs, ${events.length} events`);
-    for (const remark of remarks) say(remarkLine(remark));
+    printLine(`${out}: ${jobs} jobs, ${events.length} events`);
+    for (const remark of remarks) printLine(formatRemark(remark));
   }
 };
 
 /** Merges recorded traces or debug logs of several controllers into one trace. */
 export const convertFiles = (files: readonly string[], flags: ConvertFlags): Promise<void> =>
-  withWhatif(async (whatif) => {
-    let site: { readonly header: ReturnType<Whatif["headerOf"]> } | null = null;
+  withWhatifPackage(async (whatif) => {
+    let site: { readonly header: ReturnType<WhatifPackage["headerOf"]> } | null = null;
     if (flags.config !== undefined) {
-      const settings = await settingsFrom(flags.config);
-      const types = await catalogue(settings.cloudAddress);
+      const settings = await readSettings(flags.config);
+      const types = await fetchMachineTypes(settings.cloudAddress);
       site = { header: whatif.headerOf(whatif.siteOf(settings, types), "converted", null) };
     }
     const { header, events, remarks } = await whatif.convert(files, site);
     await whatif.writeTrace(flags.out, header, events);
-    said(flags.out, events, remarks, flags.json === true);
+    printSummary(flags.out, events, remarks, flags.json === true);
   });
 
-const quietLog = { error: () => undefined, info: () => undefined, debug: () => undefined };
+const silentLog = { error: () => undefined, info: () => undefined, debug: () => undefined };
 
 /** Fetches the machine types from the cloud of a site. Throws a `CommandError` if it does not list them. */
-const catalogue = async (address: string) => {
+const fetchMachineTypes = async (address: string) => {
   const [{ NetHttpClient }, { CloudClient }, { systemClock }] = await Promise.all([
     import("../transport/http-client.js"),
     import("../coordination/autoscaling/cloud-client.js"),
@@ -108,7 +108,7 @@
     new NetHttpClient(systemClock, 1),
     address,
     systemClock,
-    quietLog,
+    silentLog,
     1,
   ).listMachineTypes();
   if (reply.kind !== "ok") throw new CommandError(`${address}: no list of machine types from the cloud`);
@@ -125,24 +125,24 @@
 
 /** Records a trace of a running site from its state service and cloud, until a signal or the end of `--for`. */
 export const record = (flags: RecordFlags): Promise<void> =>
-  withWhatif(async (whatif) => {
+  withWhatifPackage(async (whatif) => {
     const [{ NetHttpClient }, { systemClock }] = await Promise.all([
       import("../transport/http-client.js"),
       import("../transport/clock.js"),
     ]);
-    const settings = await settingsFrom(flags.config);
-    const began = systemClock.now();
-    const iso = new Date().toISOString();
+    const settings = await readSettings(flags.config);
+    const startedAt = systemClock.now();
+    const startedAtIso = new Date().toISOString();
     const events: import("../whatif/index.js").TraceEvent[] = [];
     const progress = new Progress(flags.progress === true);
     const observer = new whatif.SiteObserver(
       new NetHttpClient(systemClock, 4),
       systemClock,
-      quietLog,
+      silentLog,
       settings,
       Math.random,
       (event) => {
-        events.push(whatif.traceEventOf(event, systemClock.now() - began));
+        events.push(whatif.traceEventOf(event, systemClock.now() - startedAt));
         progress.show(`${events.length} events`);
       },
     );
@@ -158,17 +158,17 @@
     observer.stop();
     progress.end();
     const remarks: Remark[] = [];
-    const mended = whatif.mend(events, (what) => remarks.push({ line: 0, what }));
-    const header = whatif.headerOf(whatif.siteOf(settings, observer.types), "recorded", iso);
-    await whatif.writeTrace(flags.out, header, mended.events);
-    said(flags.out, mended.events, remarks, flags.json === true);
+    const repaired = whatif.mend(events, (what) => remarks.push({ line: 0, what }));
+    const header = whatif.headerOf(whatif.siteOf(settings, observer.types), "recorded", startedAtIso);
+    await whatif.writeTrace(flags.out, header, repaired.events);
+    printSummary(flags.out, repaired.events, remarks, flags.json === true);
     process.exit(0);
   });
 
 /** Prints the JSON Schema of a kind of file. */
 export const printSchema = (of: string): Promise<void> =>
-  withWhatif(async (whatif) => {
+  withWhatifPackage(async (whatif) => {
     const schema = whatif.schemaOf(of);
     if (schema === null) throw new CommandError(`${of}: no such schema; trace, site, scenario, sweep or synth`, true);
-    say(JSON.stringify(schema, null, 2));
+    printLine(JSON.stringify(schema, null, 2));
   });
--- a/src/commands/with-whatif.ts
+++ b/src/commands/with-whatif.ts
@@ -4,13 +4,13 @@
 import { CommandError } from "./cli.js";
 
 /** Path of the program's entry point, for commands that start controllers as separate processes. */
-export const PROGRAM = fileURLToPath(new URL("../main.js", import.meta.url));
+export const PROGRAM_PATH = fileURLToPath(new URL("../main.js", import.meta.url));
 
 /** Exports of the whatif package. */
-export type Whatif = typeof import("../whatif/index.js");
+export type WhatifPackage = typeof import("../whatif/index.js");
 
 /** Loads the whatif package and runs a command with it. A `TraceError` becomes a `CommandError` of misuse. */
-export const withWhatif = async (run: (whatif: Whatif) => Promise<void>): Promise<void> => {
+export const withWhatifPackage = async (run: (whatif: WhatifPackage) => Promise<void>): Promise<void> => {
   const whatif = await import("../whatif/index.js");
   try {
     await run(whatif);
@@ -21,4 +21,4 @@
 };
 
 /** A remark about a trace as one line, with the number of the trace's line unless that is 0. */
-export const remarkLine = ({ line, what }: Remark): string => (line === 0 ? what : `line ${line}: ${what}`);
+export const formatRemark = ({ line, what }: Remark): string => (line === 0 ? what : `line ${line}: ${what}`);
--- a/src/stats.ts
+++ b/src/stats.ts
@@ -4,10 +4,10 @@
 import { type LatencyHistogram, LatencyHistograms } from "./transport/latency-histogram.js";
 import type { Log } from "./transport/log.js";
 
-const PERIOD = seconds(60);
-const HIGHEST_US = 60_000_000;
+const LOG_INTERVAL = seconds(60);
+const MAX_LATENCY_US = 60_000_000;
 
-const kindOf = (request: HttpRequest): string => {
+const requestKind = (request: HttpRequest): string => {
   if (request.target === "/hello") return "report";
   if (request.target.endsWith("/abort")) return "cancel";
   if (request.method === "POST") return "submit";
@@ -19,10 +19,10 @@
  * minute. Each period starts from zero.
  */
 export const countRequests = (clock: Clock, log: Log, handler: HttpHandler): HttpHandler => {
-  const factory = new LatencyHistograms(clock, log);
+  const histogramFactory = new LatencyHistograms(clock, log);
   const histograms = new Map<string, LatencyHistogram>();
-  const statuses = new Map<string, number>();
-  const report = (): void => {
+  const counts = new Map<string, number>();
+  const logStats = (): void => {
     const latencyUs = Object.fromEntries(
       [...histograms].map(([kind, histogram]) => [
         kind,
@@ -34,19 +34,19 @@
         },
       ]),
     );
-    log.info("stats", { statuses: Object.fromEntries(statuses), latencyUs, rssMb: process.memoryUsage.rss() >> 20 });
+    log.info("stats", { statuses: Object.fromEntries(counts), latencyUs, rssMb: process.memoryUsage.rss() >> 20 });
     histograms.clear();
-    statuses.clear();
-    clock.after(PERIOD, report);
+    counts.clear();
+    clock.after(LOG_INTERVAL, logStats);
   };
-  clock.after(PERIOD, report);
+  clock.after(LOG_INTERVAL, logStats);
   return async (request) => {
     const started = clock.now();
     const response = await handler(request);
-    const kind = kindOf(request);
+    const kind = requestKind(request);
     const key = `${kind} ${response.status}`;
-    statuses.set(key, (statuses.get(key) ?? 0) + 1);
-    const histogram = histograms.get(kind) ?? factory.create(HIGHEST_US);
+    counts.set(key, (counts.get(key) ?? 0) + 1);
+    const histogram = histograms.get(kind) ?? histogramFactory.create(MAX_LATENCY_US);
     if (histogram === null) return response;
     histograms.set(kind, histogram);
     histogram.record(clock.now() - started);
