--- a/src/commands/graph-limits.ts
+++ b/src/commands/graph-limits.ts
@@ -6,7 +6,7 @@
 import { MalformedMessageError, parseJson } from "../protocol/json.js";
 import { CommandError } from "./cli.js";
 import { loadGraphsPackage } from "./graph-files.js";
-import { loadConfiguration } from "./serving.js";
+import { load } from "./serving.js";
 
 const readMachineTypes = (file: string): ReadonlyMap<string, MachineType> => {
   try {
@@ -27,7 +27,7 @@
   config: string,
   typesFile: string | undefined,
 ): Promise<string | null> => {
-  const { settings } = await loadConfiguration({ config });
+  const { settings } = await load({ config });
   const { distinctJobs } = await loadGraphsPackage();
   const types = typesFile === undefined ? null : readMachineTypes(typesFile);
   for (const [step, spec] of distinctJobs(plan)) {
--- a/src/commands/links.ts
+++ b/src/commands/links.ts
@@ -21,14 +21,14 @@
   const links = asRecord(answer);
   const lines: string[] = [];
   for (const target of ["state", "cloud"]) {
-    const standing = links[target];
-    if (typeof standing === "string" && standing !== "reached" && standing !== "not asked yet") {
-      lines.push(`${LINK_NAMES[target]}: ${standing}`);
+    const status = links[target];
+    if (typeof status === "string" && status !== "reached" && status !== "not asked yet") {
+      lines.push(`${LINK_NAMES[target]}: ${status}`);
     }
   }
   if (links.workers === "cut off from me") lines.push("workers: their reports come through another controller");
-  for (const [label, standing] of Object.entries(asRecord(links.siblings))) {
-    if (standing !== "reached") lines.push(`controller ${label}: ${String(standing)}`);
+  for (const [label, status] of Object.entries(asRecord(links.siblings))) {
+    if (status !== "reached") lines.push(`controller ${label}: ${String(status)}`);
   }
   if (links.machines === null || links.machines === undefined) return lines;
   const machines = asRecord(links.machines);
@@ -51,7 +51,7 @@
   const rows = ["state", "cloud", "workers"].flatMap((key) =>
     typeof links[key] === "string" ? [[LINK_NAMES[key] ?? key, String(links[key])]] : [],
   );
-  for (const [label, standing] of Object.entries(asRecord(links.siblings))) rows.push([label, String(standing)]);
+  for (const [label, status] of Object.entries(asRecord(links.siblings))) rows.push([label, String(status)]);
   const { up } = asRecord(links.machines);
   rows.push(["machines", typeof up === "number" ? `${up} up, held here` : "not held here"]);
   const troubles = troublesIn(answer);
--- a/src/commands/outcome-text.ts
+++ b/src/commands/outcome-text.ts
@@ -97,18 +97,18 @@
     );
     if (late.length > MAX_JOBS_SHOWN) parts.push(`and ${late.length - MAX_JOBS_SHOWN} more`);
   }
-  const never = jobs.filter(
+  const notStarted = jobs.filter(
     ({ phase }) => phase === "never started" || phase === "refused" || phase === "not accepted",
   );
-  if (never.length > 0) {
+  if (notStarted.length > 0) {
     parts.push(
       "",
       formatTable(
         ["job without a start", "state"],
-        never.slice(0, MAX_JOBS_SHOWN).map(({ id, phase }) => [id, phase]),
+        notStarted.slice(0, MAX_JOBS_SHOWN).map(({ id, phase }) => [id, phase]),
       ),
     );
-    if (never.length > MAX_JOBS_SHOWN) parts.push(`and ${never.length - MAX_JOBS_SHOWN} more`);
+    if (notStarted.length > MAX_JOBS_SHOWN) parts.push(`and ${notStarted.length - MAX_JOBS_SHOWN} more`);
   }
   if (unmatched.length > 0) {
     parts.push("", "Events without a counterpart in this replay:");
--- a/src/commands/serving.ts
+++ b/src/commands/serving.ts
@@ -36,7 +36,7 @@
  * Reads and validates both files; without the options flag, `RAINRIDGE_OPTIONS` names their file. Throws a
  * `CommandError` of one line that names the invalid field.
  */
-export const loadConfiguration = async (flags: ServeFlags): Promise<LoadedConfiguration> => {
+export const load = async (flags: ServeFlags): Promise<LoadedConfiguration> => {
   try {
     if (flags.config === undefined) throw new SettingsError("--config FILE: missing");
     const settings = loadSettings(flags.config);
@@ -124,7 +124,7 @@
   // Idle connections are bounded: with a thousand workers that send heartbeats, one to each would exceed the limit.
   const http = new NetHttpClient(clock, connections.idle);
   const eventListener = await createEventListener({ settings, options }, clock, log, http);
-  const load = createLoadProbe(settings, clock, () => server.connections + http.connections);
+  const loadProbe = createLoadProbe(settings, clock, () => server.connections + http.connections);
   // Loaded only if graphs are enabled.
   const extension = options.graphs === null ? null : (await import("../graphs/index.js")).graphsWith(options.graphs);
   const incarnation = randomBytes(8).toString("hex");
@@ -135,7 +135,7 @@
     http,
     random: Math.random,
     eventListener,
-    load,
+    load: loadProbe,
     wallClock: Date.now,
     extension,
     mesh,
--- a/src/commands/site.ts
+++ b/src/commands/site.ts
@@ -10,7 +10,7 @@
 export const addControllerCommands = (program: Command): void => {
   const serve = async (flags: ServeFlags): Promise<void> => {
     const serving = await import("./serving.js");
-    await serving.serve(await serving.loadConfiguration(flags));
+    await serving.serve(await serving.load(flags));
   };
   program.option("--config <file>", CONFIG_HELP).option("--options <file>", OPTIONS_HELP).action(serve);
   program
@@ -28,7 +28,7 @@
     .option("--json", "answer as JSON")
     .addHelpText("after", "\nExample:\n  rainridge check --config settings.toml")
     .action(async (flags: ServeFlags & { readonly json?: boolean }) => {
-      const { settings } = await (await import("./serving.js")).loadConfiguration(flags);
+      const { settings } = await (await import("./serving.js")).load(flags);
       const { cancellationTerms, termsInSeconds } = await import("../settings/cancellation.js");
       const { shardLeaseDuration } = await import("../settings/shard-lease.js");
       const terms = termsInSeconds(cancellationTerms(settings.workers, shardLeaseDuration(settings)));
--- a/src/commands/whatif-compare.ts
+++ b/src/commands/whatif-compare.ts
@@ -95,11 +95,11 @@
       ),
     );
     for (const { name, becomesLate, noLongerLate } of comparison.changes) {
-      for (const [what, jobs] of [
+      for (const [change, jobs] of [
         ["becomes late", becomesLate],
         ["no longer late", noLongerLate],
       ] as const) {
-        printLine(`\n${name}: ${jobs.length} ${what}`);
+        printLine(`\n${name}: ${jobs.length} ${change}`);
         for (const { job, jobClass, lateByUs } of jobs.slice(0, MAX_JOBS_SHOWN))
           printLine(`  ${job} (${jobClass}), by ${formatDuration(lateByUs)}`);
       }
--- a/src/commands/whatif-traces.ts
+++ b/src/commands/whatif-traces.ts
@@ -63,8 +63,8 @@
 }
 
 const readSettings = async (file: string) => {
-  const { loadConfiguration } = await import("./serving.js");
-  return (await loadConfiguration({ config: file })).settings;
+  const { load } = await import("./serving.js");
+  return (await load({ config: file })).settings;
 };
 
 const printSummary = (
