--- a/src/commands/links.ts
+++ b/src/commands/links.ts
@@ -1,6 +1,7 @@
-import { table } from "./cli.js";
+/** Text form of a controller's answer to `/links`. */
+import { formatTable } from "./cli.js";
 
-const WORDS: Readonly<Record<string, string>> = {
+const LINK_NAMES: Readonly<Record<string, string>> = {
   state: "state service",
   cloud: "cloud",
   workers: "workers",
@@ -9,50 +10,52 @@
 const asRecord = (value: unknown): Readonly<Record<string, unknown>> =>
   typeof value === "object" && value !== null ? (value as Readonly<Record<string, unknown>>) : {};
 
-const names = (value: unknown): string => {
+const formatNames = (value: unknown): string => {
   const list = Array.isArray(value) ? value.map(String) : [];
   const shown = list.slice(0, 5).join(", ");
   return list.length > 5 ? `${shown} and ${list.length - 5} more` : shown;
 };
 
-/** One line for each trouble that a controller names in its answer to `/links`; none where all is well. */
+/** One line for each problem in a controller's answer to `/links`; empty if there is none. */
 export const troublesIn = (answer: unknown): readonly string[] => {
   const links = asRecord(answer);
   const lines: string[] = [];
   for (const target of ["state", "cloud"]) {
-    const standing = links[target];
-    if (typeof standing === "string" && standing !== "reached" && standing !== "not asked yet") {
-      lines.push(`${WORDS[target]}: ${standing}`);
+    const status = links[target];
+    if (typeof status === "string" && status !== "reached" && status !== "not asked yet") {
+      lines.push(`${LINK_NAMES[target]}: ${status}`);
     }
   }
   if (links.workers === "cut off from me") lines.push("workers: their reports come through another controller");
-  for (const [label, standing] of Object.entries(asRecord(links.siblings))) {
-    if (standing !== "reached") lines.push(`controller ${label}: ${String(standing)}`);
+  for (const [label, status] of Object.entries(asRecord(links.siblings))) {
+    if (status !== "reached") lines.push(`controller ${label}: ${String(status)}`);
   }
   if (links.machines === null || links.machines === undefined) return lines;
   const machines = asRecord(links.machines);
   if (machines.mayAct === false)
     lines.push("holds the machines without the right to act: no word of the state service");
-  const say = (key: string, text: string): void => {
-    const list = names(machines[key]);
+  const addNames = (key: string, text: string): void => {
+    const list = formatNames(machines[key]);
     if (list !== "") lines.push(`${text}: ${list}`);
   };
-  say("heardNotReached", "machines heard, but not reached");
-  say("silent", "machines silent");
-  say("zonesCut", "zones cut off");
+  addNames("heardNotReached", "machines heard, but not reached");
+  addNames("silent", "machines silent");
+  addNames("zonesCut", "zones cut off");
   if (typeof machines.roomKeptFor === "string") lines.push(`room that comes free is kept for ${machines.roomKeptFor}`);
   return lines;
 };
 
-/** How things stand with one controller, as a table and the troubles below it. */
+/** The links of one controller as a table, followed by its problems. */
 export const linksText = (answer: unknown): string => {
   const links = asRecord(answer);
   const rows = ["state", "cloud", "workers"].flatMap((key) =>
-    typeof links[key] === "string" ? [[WORDS[key] ?? key, String(links[key])]] : [],
+    typeof links[key] === "string" ? [[LINK_NAMES[key] ?? key, String(links[key])]] : [],
   );
-  for (const [label, standing] of Object.entries(asRecord(links.siblings))) rows.push([label, String(standing)]);
+  for (const [label, status] of Object.entries(asRecord(links.siblings))) rows.push([label, String(status)]);
   const { up } = asRecord(links.machines);
   rows.push(["machines", typeof up === "number" ? `${up} up, held here` : "not held here"]);
   const troubles = troublesIn(answer);
-  return [table(["link", "standing"], rows), "", ...(troubles.length === 0 ? ["no troubles"] : troubles)].join("\n");
+  return [formatTable(["link", "standing"], rows), "", ...(troubles.length === 0 ? ["no troubles"] : troubles)].join(
+    "\n",
+  );
 };
--- a/src/commands/serving.ts
+++ b/src/commands/serving.ts
@@ -1,3 +1,4 @@
+/** Loads the settings and options of a controller, and serves as one. */
 import { randomBytes } from "node:crypto";
 import { getHeapStatistics } from "node:v8";
 import type { ClusterEventListener } from "../cluster/events.js";
@@ -19,18 +20,23 @@
 import { createLog, isDebug } from "../transport/pino-log.js";
 import { CommandError } from "./cli.js";
 
+/** Flags of `serve` and `check`: paths of the settings (TOML) and of the operators' options (JSON). */
 export interface ServeFlags {
   readonly config?: string;
   readonly options?: string;
 }
 
-export interface Loaded {
+/** Validated settings of a controller and options of its operators. */
+export interface LoadedConfiguration {
   readonly settings: ReturnType<typeof loadSettings>;
   readonly options: Awaited<ReturnType<typeof loadOptions>>;
 }
 
-/** Reads and checks both files; a fault is one line naming the field. */
-export const load = async (flags: ServeFlags): Promise<Loaded> => {
+/**
+ * Reads and validates both files; without the options flag, `RAINRIDGE_OPTIONS` names their file. Throws a
+ * `CommandError` of one line that names the invalid field.
+ */
+export const load = async (flags: ServeFlags): Promise<LoadedConfiguration> => {
   try {
     if (flags.config === undefined) throw new SettingsError("--config FILE: missing");
     const settings = loadSettings(flags.config);
@@ -41,25 +47,25 @@
   }
 };
 
-/** Who is told what happens: a trace in a folder, the log at its most detailed, both, or, as a rule, nobody. */
-const sinkFor = async (
-  { settings, options }: Loaded,
+/** Listener for cluster events: records a trace, logs at debug level, or does both; null if neither is enabled. */
+const createEventListener = async (
+  { settings, options }: LoadedConfiguration,
   clock: Clock,
   log: Log,
   http: HttpClient,
 ): Promise<ClusterEventListener> => {
   const debug = isDebug(process.env.LOG_LEVEL);
   if (options.record === null) return debug ? (event) => log.debug("seen", { event }) : null;
-  // Loaded only where it is switched on.
+  // Loaded only if recording is enabled.
   const { FileRecorder, headerOf, siteOf } = await import("../whatif/index.js");
-  const began = new Date().toISOString();
+  const startedAt = new Date().toISOString();
   let header: ReturnType<typeof headerOf> | null = null;
-  const learn = async (): Promise<void> => {
+  const fetchMachineTypes = async (): Promise<void> => {
     const reply = await new CloudClient(http, settings.cloudAddress, clock, log, 1).listMachineTypes();
-    if (reply.kind === "ok") header = headerOf(siteOf(settings, reply.value.types), "recorded", began);
-    else clock.after(seconds(5), () => void learn());
+    if (reply.kind === "ok") header = headerOf(siteOf(settings, reply.value.types), "recorded", startedAt);
+    else clock.after(seconds(5), () => void fetchMachineTypes());
   };
-  void learn();
+  void fetchMachineTypes();
   const recorder = new FileRecorder(clock, log, settings.label, options.record, () => header);
   return (event) => {
     recorder.take(event);
@@ -67,31 +73,35 @@
   };
 };
 
-/** Shares of the limits that this process takes up; memory is looked at once a second. */
-const loadOf = ({ quota }: Loaded["settings"], clock: Clock, connections: () => number): (() => ProcessLoad) => {
+/** Returns a function for the used shares of the memory and connection limits; memory is sampled once a second. */
+const createLoadProbe = (
+  { quota }: LoadedConfiguration["settings"],
+  clock: Clock,
+  connections: () => number,
+): (() => ProcessLoad) => {
   let memory = 0;
-  let readAt = Number.NEGATIVE_INFINITY;
+  let sampledAt = Number.NEGATIVE_INFINITY;
   return () => {
-    if (clock.now() - readAt > seconds(1)) {
-      readAt = clock.now();
+    if (clock.now() - sampledAt > seconds(1)) {
+      sampledAt = clock.now();
       const heap = getHeapStatistics();
-      const held = process.memoryUsage.rss() / (quota.memoryMb * 1_048_576);
-      memory = Math.max(heap.used_heap_size / heap.heap_size_limit, held);
+      const rssShare = process.memoryUsage.rss() / (quota.memoryMb * 1_048_576);
+      memory = Math.max(heap.used_heap_size / heap.heap_size_limit, rssShare);
     }
     return { memory, sockets: connections() / quota.maxConnections };
   };
 };
 
-/** Says where the process may be ended for its memory before its heap has come to its limit. */
-const checkHeapLimit = ({ quota }: Loaded["settings"], log: Log): void => {
+/** Logs if the heap limit is so high that the process can exceed its memory quota, and be killed, below that limit. */
+const logExcessiveHeapLimit = ({ quota }: LoadedConfiguration["settings"], log: Log): void => {
   const heapMb = oldGenerationMb(getHeapStatistics().heap_size_limit);
   const mostMb = maxHeapMb(quota);
   if (heapMb > mostMb) log.info("heap limit too high", { heapMb, mostMb, memoryMb: quota.memoryMb });
 };
 
-/** Connections to the siblings, loaded only where they are switched on. */
-const meshOf = async (
-  settings: Loaded["settings"],
+/** Factory of the mesh, the connections to the other controllers; its modules are loaded only if it is enabled. */
+const loadMeshFactory = async (
+  settings: LoadedConfiguration["settings"],
   incarnation: string,
   clock: Clock,
   log: Log,
@@ -102,25 +112,35 @@
   return createMeshFactory({ settings, incarnation, clock, log, http, random: Math.random, transport });
 };
 
-/** Serves as one controller until killed. */
-export const serve = async ({ settings, options }: Loaded): Promise<void> => {
+/** Serves as one controller until killed. Throws a `CommandError` if it cannot listen at `client_listen`. */
+export const serve = async ({ settings, options }: LoadedConfiguration): Promise<void> => {
   const log = createLog(settings.label, process.env.LOG_LEVEL);
-  // Nothing that arrives from outside may end the process; what slips through is a defect to be read about.
+  // No input may end the process; an uncaught exception is a defect, and is logged as one.
   process.on("uncaughtException", (error) => log.error("uncaught exception", { error: describeError(error) }));
   process.on("unhandledRejection", (error) => log.error("unhandled rejection", { error: describeError(error) }));
   if (process.env.RAINRIDGE_END_WITH_STDIN === "1") process.stdin.on("end", () => process.exit(0)).resume();
   const clock = systemClock;
   const connections = allocateConnections(settings.quota.maxConnections);
-  // A thousand machines report here, and idle connections to all of them as well would pass the limit.
+  // Idle connections are bounded: with a thousand workers that send heartbeats, one to each would exceed the limit.
   const http = new NetHttpClient(clock, connections.idle);
-  const eventListener = await sinkFor({ settings, options }, clock, log, http);
-  const load = loadOf(settings, clock, () => server.connections + http.connections);
-  // Loaded only where it is switched on.
+  const eventListener = await createEventListener({ settings, options }, clock, log, http);
+  const loadProbe = createLoadProbe(settings, clock, () => server.connections + http.connections);
+  // Loaded only if graphs are enabled.
   const extension = options.graphs === null ? null : (await import("../graphs/index.js")).graphsWith(options.graphs);
   const incarnation = randomBytes(8).toString("hex");
-  const mesh = options.mesh ? await meshOf(settings, incarnation, clock, log, http) : null;
-  const outside = { clock, log, http, random: Math.random, eventListener, load, wallClock: Date.now, extension, mesh };
-  const controller = new Controller(outside, settings, options, incarnation);
+  const mesh = options.mesh ? await loadMeshFactory(settings, incarnation, clock, log, http) : null;
+  const environment = {
+    clock,
+    log,
+    http,
+    random: Math.random,
+    eventListener,
+    load: loadProbe,
+    wallClock: Date.now,
+    extension,
+    mesh,
+  };
+  const controller = new Controller(environment, settings, options, incarnation);
   const server: HttpServer = new HttpServer(
     clock,
     {
@@ -140,7 +160,7 @@
     const code = (error as NodeJS.ErrnoException).code ?? "failed";
     throw new CommandError(`client_listen: ${settings.clientListen}: ${code}`, true);
   }
-  checkHeapLimit(settings, log);
+  logExcessiveHeapLimit(settings, log);
   log.info("serving", { listen: settings.clientListen, incarnation });
   controller.start();
 };
