--- a/test/fault-combinations.test.ts
+++ b/test/fault-combinations.test.ts
@@ -13,8 +13,8 @@
 import { assertRecovered, type Fault, machinesWithTasks, playFaultyDay } from "./sim/faulty-day.js";
 
 /**
- * Combinations of faults in which rules broke, each brought about by one test that also asserts that it did come about
- * (docs/fault-combinations.md has the table). By hand: RAINRIDGE_MEETING_SEEDS=71,72,73,74 plays each with four seeds.
+ * Combinations of faults that once violated a rule of the checker. Each test also asserts that its combination really
+ * occurred (table in docs/fault-combinations.md). RAINRIDGE_MEETING_SEEDS=71,72,73,74 plays each with four seeds.
  */
 const SEEDS = (process.env.RAINRIDGE_MEETING_SEEDS ?? "71").split(",").map(Number);
 
@@ -25,7 +25,7 @@
   assertRecovered(cluster);
 };
 
-/** The limited team runs as much as it may, in jobs of one task that last for long. */
+/** Submits long one-task jobs of the team with a limit, more of them than the limit admits. */
 const atLimit: Fault = (c) => {
   for (let number = 0; number < 24; number += 1) {
     const job = plainJob(`wk-8400${String(number).padStart(2, "0")}`, { owner: "capped", shards: 1, cpus: 1 });
@@ -61,7 +61,7 @@
 };
 
 testCombination(
-  "the leader changes ten times in two minutes, three times of them inside an outage",
+  "the leader changes ten times in two minutes, three of them during an outage of the key-value store",
   submitLongJobs,
   async (c) => {
     const before = c.takeovers;
@@ -76,7 +76,7 @@
 );
 
 testCombination(
-  "a team at its limit, jobs cancelled whose machines are cut off, the leader changes",
+  "jobs of a team at its limit are cancelled while their machines are partitioned and the leader changes",
   atLimit,
   async (c) => {
     assert.equal(usedByCapped(c), 16);
@@ -89,55 +89,74 @@
     const before = c.takeovers;
     c.world.after(2 * S, () => c.crash(c.holder(), 5 * S));
     await c.run(20 * S);
-    assert.ok(c.takeovers > before && withdrawn(c, victims) === 6, "no takeover, or nothing confirmed");
+    assert.ok(c.takeovers > before && withdrawn(c, victims) === 6, "no failover, or not all cancellations confirmed");
   },
 );
 
-testCombination("a team at its limit, jobs cancelled whose machines hang, the leader changes", atLimit, async (c) => {
-  assert.equal(usedByCapped(c), 16);
-  const before = c.takeovers;
-  const ids = [...hangCancelledMachines(c, 15 * S), ...hangCancelledMachines(c, 60 * S)];
-  c.world.after(S, () => c.crash(c.holder(), 5 * S));
-  await c.run(20 * S);
-  assert.ok(c.takeovers > before && ids.length > 0 && withdrawn(c, ids) > 0, "no takeover, or nothing confirmed");
-});
+testCombination(
+  "jobs of a team at its limit are cancelled while their workers hang and the leader changes",
+  atLimit,
+  async (c) => {
+    assert.equal(usedByCapped(c), 16);
+    const before = c.takeovers;
+    const ids = [...hangCancelledMachines(c, 15 * S), ...hangCancelledMachines(c, 60 * S)];
+    c.world.after(S, () => c.crash(c.holder(), 5 * S));
+    await c.run(20 * S);
+    assert.ok(
+      c.takeovers > before && ids.length > 0 && withdrawn(c, ids) > 0,
+      "no failover, or no cancellation confirmed",
+    );
+  },
+);
 
-testCombination("one-task jobs, four a second for two minutes, a quarter cancelled", undefined, async (c) => {
-  const ids = submitSmallJobs(c, 4, 120 * S);
-  const asked = c.state.asked;
-  await c.run(120 * S);
-  const perJob = (c.state.asked - asked) / ids.length;
-  assert.ok(ids.length > 470, `${ids.length} jobs`);
-  // 40 writes a second are all there is; a job costs acceptance, placement, its last word and what it replaces.
-  assert.ok(perJob < 7, `${perJob} writes a job`);
-  await c.run(12 * S);
-  const open = ids.filter((id) => c.checker.finalOf(id) === null).length;
-  assert.ok(open < 20, `${open} of ${ids.length} jobs not over 12 s after the last one came`);
-  assert.ok(withdrawn(c, ids) > 60, "hardly any cancellation came in time");
-});
+testCombination(
+  "four one-task jobs a second for two minutes, a quarter of them cancelled, keep within the write limit",
+  undefined,
+  async (c) => {
+    const ids = submitSmallJobs(c, 4, 120 * S);
+    const asked = c.state.asked;
+    await c.run(120 * S);
+    const perJob = (c.state.asked - asked) / ids.length;
+    assert.ok(ids.length > 470, `${ids.length} jobs`);
+    // The store admits 40 writes/s. A job needs writes for acceptance, placement, outcome and replacing records.
+    assert.ok(perJob < 7, `${perJob} writes per job`);
+    await c.run(12 * S);
+    const open = ids.filter((id) => c.checker.finalOf(id) === null).length;
+    assert.ok(open < 20, `${open} of ${ids.length} jobs not finished 12 s after the last submission`);
+    assert.ok(withdrawn(c, ids) > 60, "too few jobs were cancelled before they completed");
+  },
+);
 
-testCombination("an old report reaches every controller just as a new leader begins", submitLongJobs, async (c) => {
-  const kept = delayHeartbeatCopies(c, 0.5, 40 * S);
-  for (const at of [5, 14, 26]) c.world.after(at * S, () => c.crash(c.holder(), 4 * S));
-  await c.run(45 * S);
-  assert.ok(kept.given > 30, `${kept.given} copies`);
-});
+testCombination(
+  "delayed copies of heartbeats reach every controller as a new shard leader takes over",
+  submitLongJobs,
+  async (c) => {
+    const kept = delayHeartbeatCopies(c, 0.5, 40 * S);
+    for (const at of [5, 14, 26]) c.world.after(at * S, () => c.crash(c.holder(), 4 * S));
+    await c.run(45 * S);
+    assert.ok(kept.given > 30, `${kept.given} copies`);
+  },
+);
 
-testCombination("a report kept from before, and machines back with their counters anew", submitLongJobs, async (c) => {
-  const kept = delayHeartbeatCopies(c, 0.5, 30 * S);
-  c.world.after(6 * S, () => {
-    for (const { worker } of c.cloud.running().slice(0, 4)) worker?.restart(c.random.chance(0.5));
-  });
-  for (const at of [7, 18]) c.world.after(at * S, () => c.crash(c.holder(), 0.3 * S));
-  await c.run(45 * S);
-  assert.ok(kept.given > 30, `${kept.given} copies`);
-});
+testCombination(
+  "delayed copies of heartbeats arrive after workers restarted with their counters reset",
+  submitLongJobs,
+  async (c) => {
+    const kept = delayHeartbeatCopies(c, 0.5, 30 * S);
+    c.world.after(6 * S, () => {
+      for (const { worker } of c.cloud.running().slice(0, 4)) worker?.restart(c.random.chance(0.5));
+    });
+    for (const at of [7, 18]) c.world.after(at * S, () => c.crash(c.holder(), 0.3 * S));
+    await c.run(45 * S);
+    assert.ok(kept.given > 30, `${kept.given} copies`);
+  },
+);
 
-testCombination("jobs are cancelled in the seconds in which the work changes hands", submitLongJobs, async (c) => {
+testCombination("jobs are cancelled during failover", submitLongJobs, async (c) => {
   let at = 0;
   const before = c.takeovers;
   for (const wait of [0, 14, 28]) c.world.after(wait * S, () => c.crash(c.holder(), 6 * S));
-  // One every half second, over all of the handovers.
+  // One cancellation every half second, throughout all failovers.
   for (; at < 80; at += 1) {
     const ref = `wk-8500${String(at).padStart(2, "0")}`;
     c.submit(plainJob(ref, { shards: 2, cpus: 1, sizeGb: 0.1, guessS: 60 }), { runUs: 60 * S });
@@ -147,62 +166,80 @@
   assert.ok(c.takeovers - before >= 3, `${c.takeovers - before} takeovers`);
 });
 
-testCombination("all controllers are away for longer than the lease", submitLongJobs, async (c) => {
+testCombination("all controllers are down for longer than the worker lease", submitLongJobs, async (c) => {
   const over = c.checker.starts;
   for (const at of [0, 1, 2]) c.crash(at, 26 * S);
   await c.run(25 * S);
-  assert.equal(c.checker.isOn("wk-900001/0"), false, "its worker's lease should be over");
+  assert.equal(c.checker.isOn("wk-900001/0"), false, "its worker's lease should have expired");
   c.users.cancel("wk-800004");
   await c.run(15 * S);
-  assert.ok(c.checker.starts > over, "nothing has started again");
+  assert.ok(c.checker.starts > over, "no task was started after the outage");
 });
 
-testCombination("workers reach no controller, while direct commands reach them", submitLongJobs, async (c) => {
-  const muted = machinesWithTasks(c, 4);
-  let orders = 0;
-  c.network.onRequest = (_, to, { target }) => {
-    if (muted.has(to) && target === "/orders") orders += 1;
-  };
-  c.site.mute(muted, 45 * S);
-  const ids = hangCancelledMachines(c, 0);
-  c.world.after(15 * S, () => c.crash(c.holder(), 5 * S));
-  await c.run(46 * S);
-  assert.ok(orders > 0 && ids.length > 0, `${orders} commands to mute machines`);
-});
+testCombination(
+  "workers cannot reach any controller, while direct commands reach the workers",
+  submitLongJobs,
+  async (c) => {
+    const muted = machinesWithTasks(c, 4);
+    let orders = 0;
+    c.network.onRequest = (_, to, { target }) => {
+      if (muted.has(to) && target === "/orders") orders += 1;
+    };
+    c.site.mute(muted, 45 * S);
+    const ids = hangCancelledMachines(c, 0);
+    c.world.after(15 * S, () => c.crash(c.holder(), 5 * S));
+    await c.run(46 * S);
+    assert.ok(
+      orders > 0 && ids.length > 0,
+      `${orders} commands to workers that reach no controller, ${ids.length} cancelled jobs`,
+    );
+  },
+);
 
-testCombination("all workers reach no controller", submitLongJobs, async (c) => {
+testCombination("leases expire when no worker reaches a controller", submitLongJobs, async (c) => {
   c.site.mute(machinesWithTasks(c, 999), 45 * S);
   c.users.cancel("wk-800004");
   await c.run(46 * S);
-  // Their leases run out, whatever else reaches them.
-  assert.ok(c.logged(LogEvent.WorkerIncarnationChanged), "no lease has run out");
+  // The leases expire although commands still reach the workers.
+  assert.ok(c.logged(LogEvent.WorkerIncarnationChanged), "no worker lease expired");
 });
 
-testCombination("machines are up at once and get work while writes lag, and the leader ends", undefined, async (c) => {
-  let ups = 0;
-  const first = c.cloud.running().length;
-  bootInstantly(c);
-  c.state.lateWrites(0.3, 25 * S);
-  for (const at of [3, 8, 16]) c.world.after(at * S, () => c.crash(c.holder(), 0.5 * S));
-  for (let at = 1; at < 12; at += 1) {
-    c.world.after(at * S, () => {
-      ups = Math.max(ups, c.cloud.running().length - first);
-    });
-  }
-  await c.run(30 * S);
-  assert.ok(ups > 0 && c.state.unheard > 0, `${ups} machines, ${c.state.unheard} late transactions`);
-});
+testCombination(
+  "machines boot at once and receive tasks while writes are delayed and the leader crashes",
+  undefined,
+  async (c) => {
+    let ups = 0;
+    const first = c.cloud.running().length;
+    bootInstantly(c);
+    c.state.lateWrites(0.3, 25 * S);
+    for (const at of [3, 8, 16]) c.world.after(at * S, () => c.crash(c.holder(), 0.5 * S));
+    for (let at = 1; at < 12; at += 1) {
+      c.world.after(at * S, () => {
+        ups = Math.max(ups, c.cloud.running().length - first);
+      });
+    }
+    await c.run(30 * S);
+    assert.ok(ups > 0 && c.state.unheard > 0, `${ups} machines, ${c.state.unheard} delayed transactions`);
+  },
+);
 
-testCombination("a cancellation, a question and a repeat meet the end of a job's last task", undefined, async (c) => {
-  c.cancelAtEnd(0.6, 60 * S);
-  c.curious.lookClosely(60 * S, 0);
-  submitSmallJobs(c, 2, 50 * S);
-  await c.run(60 * S);
-  assert.ok(c.cancelledAtEnd > 20 && c.curious.looks > 500, `${c.cancelledAtEnd}, ${c.curious.looks}`);
-});
+testCombination(
+  "cancellations, status queries and repeated submissions coincide with the end of a job's last task",
+  undefined,
+  async (c) => {
+    c.cancelAtEnd(0.6, 60 * S);
+    c.curious.lookClosely(60 * S, 0);
+    submitSmallJobs(c, 2, 50 * S);
+    await c.run(60 * S);
+    assert.ok(
+      c.cancelledAtEnd > 20 && c.curious.looks > 500,
+      `${c.cancelledAtEnd} cancellations, ${c.curious.looks} status queries`,
+    );
+  },
+);
 
 testCombination(
-  "transactions are carried out and only their answers lost, while others read",
+  "transactions are applied but their responses are lost, while users query job status",
   submitLongJobs,
   async (c) => {
     c.state.loseAnswers(0.3, 40 * S);
@@ -210,12 +247,15 @@
     c.cancelAtEnd(0.3, 40 * S);
     c.world.after(20 * S, () => c.crash(c.holder(), 0.5 * S));
     await c.run(50 * S);
-    assert.ok(c.state.unheard > 15 && c.curious.looks > 200, `${c.state.unheard}, ${c.curious.looks}`);
+    assert.ok(
+      c.state.unheard > 15 && c.curious.looks > 200,
+      `${c.state.unheard} lost responses, ${c.curious.looks} status queries`,
+    );
   },
 );
 
 testCombination(
-  "users ask at all nodes within milliseconds, repeat, and cancel, over a change of leader",
+  "users query all controllers within milliseconds, resubmit and cancel, while the leader changes",
   submitLongJobs,
   async (c) => {
     c.curious.lookClosely(60 * S, 0.3);
@@ -223,19 +263,23 @@
     c.site.slowState(0.3, 2 * S, 40 * S);
     for (const at of [10, 30]) c.world.after(at * S, () => c.crash(c.holder(), 0.5 * S));
     await c.run(60 * S);
-    assert.ok(c.curious.looks > 1_000, `${c.curious.looks} looks`);
+    assert.ok(c.curious.looks > 1_000, `${c.curious.looks} status queries`);
   },
 );
 
-testCombination("odd requests while the state service is slow and the leader changes", submitLongJobs, async (c) => {
-  c.curious.sendOdd(60 * S);
-  c.site.slowState(0.4, 3 * S, 30 * S);
-  c.world.after(10 * S, () => c.crash(c.holder(), 5 * S));
-  await c.run(60 * S);
-  assert.ok(c.checker.oddRefused > 20, `${c.checker.oddRefused} refused`);
-});
+testCombination(
+  "invalid requests are refused correctly while the key-value store is slow and the leader changes",
+  submitLongJobs,
+  async (c) => {
+    c.curious.sendOdd(60 * S);
+    c.site.slowState(0.4, 3 * S, 30 * S);
+    c.world.after(10 * S, () => c.crash(c.holder(), 5 * S));
+    await c.run(60 * S);
+    assert.ok(c.checker.oddRefused > 20, `${c.checker.oddRefused} refused`);
+  },
+);
 
-testCombination("jobs bound to one zone, arrays too, lose machines", undefined, async (c) => {
+testCombination("jobs and job arrays restricted to one zone lose machines", undefined, async (c) => {
   for (let number = 0; number < 8; number += 1) {
     const zone = number % 2 === 0 ? { area: "west" } : { together: true };
     const ref = `wk-86000${number}`;
@@ -245,7 +289,7 @@
   const places = Array.from({ length: 8 }, (_, number) => c.checker.placesOf(`wk-86000${number}/0`)[0] ?? "");
   assert.ok(
     places.some((name) => name !== ""),
-    "nothing of them has begun",
+    "none of the jobs has started",
   );
   for (const name of new Set(places.slice(0, 4))) if (name !== "") c.cloud.take(name);
   c.world.after(2 * S, () => c.crash(c.holder(), 3 * S));
@@ -253,24 +297,24 @@
 });
 
 testCombination(
-  "a zone with workers and a controller is cut off for longer than the lease",
+  "a zone with workers and the shard leader is partitioned for longer than the worker lease",
   submitLongJobs,
   async (c) => {
     const { controllers } = c.site.addresses;
     const inside = new Set(
       c.cloud.running().flatMap(({ info, worker }) => (info.zone === "east" && worker ? [worker.host.address] : [])),
     );
-    // The holder is within; what is within reach each other and nobody else.
+    // The shard leader is inside. Hosts inside the partition reach each other and no other host.
     inside.add(controllers[c.holder()] ?? "");
     const before = c.takeovers;
     c.network.cut((a, b) => inside.has(a) !== inside.has(b) && a !== "user" && b !== "user", 45 * S, "hold");
     c.world.after(S, () => c.users.cancel("wk-800004"));
     await c.run(46 * S);
-    assert.ok(c.takeovers > before, "nobody took over");
+    assert.ok(c.takeovers > before, "no failover");
   },
 );
 
-test("more work than room, urgent and not, over slow links, and the leader changes", async () => {
+test("jobs of all priorities exceed the capacity while the key-value store is slow and the leader changes", async () => {
   const c = new Cluster(91, { mesh: true });
   c.rooms.ordinary = 3;
   c.rooms.spot = 2;
@@ -285,14 +329,17 @@
   for (const at of [25, 45]) c.world.at(at * S, () => c.crash(c.holder(), 4 * S));
   await c.run(65 * S);
   const waiting = c.unfinished().length;
-  assert.ok(waiting > 10, `${waiting} jobs wait: there is room`);
+  assert.ok(waiting > 10, `only ${waiting} jobs wait: capacity is not exhausted`);
   c.checker.calmFrom = c.world.now;
   await c.run(400 * S);
   assert.deepEqual(c.unfinished(), []);
   assert.deepEqual(c.checker.starved(), []);
 });
 
-/** A machine is cut off right before work is placed there, and is back before the cut ends with its counters begun anew. */
+/**
+ * Partitions a machine right before a task is placed on it. Its worker restarts with its counters reset before the
+ * partition ends.
+ */
 const playHeldBackStart = async (seed: number, meanwhile: (cluster: Cluster) => void): Promise<void> => {
   const c = new Cluster(seed);
   c.cloud.boots = { never: 0, late: 0, early: 0 };
@@ -303,7 +350,7 @@
   await c.run(30 * S);
   const first = c.checker.placesOf("wk-880000/0")[0];
   const host = c.cloud.running().find(({ info }) => info.name === first)?.worker?.host.address ?? "";
-  // Deletions, the fast proof, are not to be had; the lease of the machine is.
+  // The cloud outage prevents deletions, the fast proof of loss; expiry of the worker lease remains.
   c.cloud.outageUntil = c.world.now + 60 * S;
   c.site.cutMachine(host, 40 * S, "hold");
   for (let number = 2; number < 4; number += 1) {
@@ -321,12 +368,12 @@
   await c.run(60 * S);
 };
 
-test("a start held back by a cut lands on a machine that was back meanwhile with its counters anew", async () => {
+test("a start delayed by a partition reaches a worker that has restarted with its counters reset", async () => {
   await playHeldBackStart(17, () => undefined);
 });
 
-// Guards against a new leader that frees a task of which its predecessor had sent a start without a response.
-test("a start of a leader that is lost lands on a machine that was back meanwhile with its counters anew", async () => {
+// Guards against a new leader that reschedules a task whose start its predecessor sent without receiving a response.
+test("a start from a crashed leader reaches a worker that has restarted with its counters reset", async () => {
   for (const crashAfterS of [1.5, 2, 2.5, 3]) {
     await playHeldBackStart(17, (c) =>
       c.world.after(crashAfterS * S, () => {
@@ -336,28 +383,28 @@
   }
 });
 
-// Guards against a start by a direct command: answered, and copied by the network, it runs a task a second time in the next
-// life of a worker, which takes any token until it has seen one.
-test("a copy of what was sent to a machine lands there after the machine was back with its counters anew", async () => {
+// Guards against running a task twice: the network duplicates a start sent as a direct command, and the copy arrives
+// after the worker restarted. A new incarnation accepts any fencing token until it has received one.
+test("a duplicate of a start command reaches a worker that has restarted with its counters reset", async () => {
   const c = new Cluster(17);
   c.cloud.boots = { never: 0, late: 0, early: 0 };
   c.submit(plainJob("wk-890000", { shards: 1, cpus: 2, area: "east", guessS: 300 }), { runUs: 300 * S });
   await c.run(30 * S);
   const first = c.checker.placesOf("wk-890000/0")[0];
   const worker = c.cloud.running().find(({ info }) => info.name === first)?.worker;
-  assert.ok(worker, "nothing has begun");
+  assert.ok(worker, "the first job has not started");
   const { address } = worker.host;
   c.network.keep((to) => to === address, 1, 60 * S);
   c.submit(plainJob("wk-890001", { shards: 1, cpus: 1, area: "east", guessS: 300, sizeGb: 0.1 }), { runUs: 300 * S });
   await c.run(20 * S);
   assert.deepEqual(c.checker.placesOf("wk-890001/0"), [first]);
-  // Its tasks go on elsewhere.
+  // The termination notice moves its tasks to other machines.
   worker.notice(60 * S);
   await c.run(40 * S);
   assert.notDeepEqual(c.checker.placesOf("wk-890001/0"), [first]);
   assert.ok(c.checker.isOn("wk-890001/0"));
   worker.restart(false);
-  assert.ok(c.network.release([address]) > 0, "nothing was copied");
+  assert.ok(c.network.release([address]) > 0, "no command was duplicated");
   await c.run(30 * S);
   assert.deepEqual(c.errors, []);
 });
--- a/test/sim/fault-combinations.ts
+++ b/test/sim/fault-combinations.ts
@@ -1,3 +1,4 @@
+/** Faults of a simulated cluster and the combinations of them that tests play. */
 import { S } from "../../src/model/index.js";
 import { cancellationTerms } from "../../src/settings/cancellation.js";
 import { parseSettings } from "../../src/settings/parse-settings.js";
@@ -7,15 +8,18 @@
 import { type Fault, machinesWithTasks } from "./faulty-day.js";
 
 const { workers } = parseSettings(settingsText(0));
-/** From a confirmed cancellation until the last of its tasks is gone, at most. */
+/** Longest time from a confirmed cancellation until the last task of the job has ended, in microseconds. */
 export const CANCELLATION_BOUND = cancellationTerms(workers, shardLeaseDuration({ workers })).total;
 
 const swallowed = ["requests", "answers"] as const;
 
-/** A job's id that nobody has taken yet. */
+/** An unused job id. */
 const fresh = (c: Cluster): string => `wk-83${String(c.checker.jobs.size).padStart(4, "0")}`;
 
-/** Copies of reports are kept, and given to every controller in the moment in which one takes the block; says how many. */
+/**
+ * Captures copies of a share of the heartbeats and delivers them to every controller whenever one acquires the shard.
+ * The result counts the copies delivered so far.
+ */
 export const delayHeartbeatCopies = (c: Cluster, share: number, forUs: number): { given: number } => {
   const told = { given: 0 };
   const before = c.onTaken;
@@ -27,7 +31,7 @@
   return told;
 };
 
-/** Running jobs of some length are called off, and their machines hang at the same time; returns the jobs. */
+/** Cancels up to three running jobs and hangs their workers at the same time; returns the job ids. */
 export const hangCancelledMachines = (c: Cluster, forUs: number): readonly string[] => {
   const chosen = c.checker
     .accepted()
@@ -42,7 +46,7 @@
   return chosen;
 };
 
-/** Jobs of one task, so many a second, each fourth of them cancelled; returns their ids, filled as they are submitted. */
+/** Submits `perS` one-task jobs a second and cancels each fourth; the returned list grows with each submission. */
 export const submitSmallJobs = (c: Cluster, perS: number, forUs: number): readonly string[] => {
   const ids: string[] = [];
   const until = c.world.now + forUs;
@@ -58,7 +62,7 @@
   return ids;
 };
 
-/** Work for which there is no machine yet, while nearly all boots take a second. */
+/** Submits jobs that need new machines, while nearly all machines boot within a second. */
 export const bootInstantly: Fault = (c) => {
   c.cloud.boots = { never: 0, late: 0, early: 0.9 };
   for (let number = 0; number < 2; number += 1) {
@@ -68,68 +72,68 @@
 };
 
 /**
- * The troubles that may meet, each for about half a minute: all pairs of them, at offsets up to a little over a worker's
- * lease, are played by `overlapping-faults.test.ts`.
+ * Faults that may overlap, each lasting about half a minute. `overlapping-faults.test.ts` plays all pairs of them, at
+ * offsets up to a little over the worker lease. The order decides which fault a random number selects.
  */
 export const FAULTS: Readonly<Record<string, Fault>> = {
-  "state service refuses the holder": (c) => c.state.refuse(c.site.nodeAddress(c.holder()), 14 * S),
-  "state service away for longer than cancel_s": (c) => c.state.outage(50 * S),
-  "state service slow": (c) => c.site.slowState(0.3, 4 * S, 30 * S),
-  "transactions late": (c) => c.state.lateWrites(0.3, 30 * S),
-  "holder cut from the state service": (c) => c.site.cutFromState(c.holder(), 25 * S, "hold"),
-  "holder with its workers only": (c) => c.site.cutAllButWorkers(c.holder(), 25 * S, "hold"),
-  "holder cut from its workers": (c) => c.site.cutFromWorkers(c.holder(), 25 * S, "reset"),
-  "holder ends": (c) => c.crash(c.holder(), 15 * S),
-  "holder ends and is back at once": (c) => c.crash(c.holder(), 0.2 * S),
-  "all end, one is back at once": (c) => {
+  "key-value store refuses the shard leader": (c) => c.state.refuse(c.site.nodeAddress(c.holder()), 14 * S),
+  "key-value store down for longer than cancel_s": (c) => c.state.outage(50 * S),
+  "key-value store slow": (c) => c.site.slowState(0.3, 4 * S, 30 * S),
+  "transactions delayed": (c) => c.state.lateWrites(0.3, 30 * S),
+  "shard leader partitioned from the key-value store": (c) => c.site.cutFromState(c.holder(), 25 * S, "hold"),
+  "shard leader reaches only its workers": (c) => c.site.cutAllButWorkers(c.holder(), 25 * S, "hold"),
+  "shard leader partitioned from its workers": (c) => c.site.cutFromWorkers(c.holder(), 25 * S, "reset"),
+  "shard leader crashes": (c) => c.crash(c.holder(), 15 * S),
+  "shard leader crashes and restarts at once": (c) => c.crash(c.holder(), 0.2 * S),
+  "all controllers crash, one restarts at once": (c) => {
     for (const at of [0, 1, 2]) c.crash(at, at === 1 ? 0.3 * S : 20 * S);
   },
-  "handed over and back": (c) => {
+  "shard leader crashes four times within three seconds": (c) => {
     for (let at = 0; at < 4; at += 1) c.world.after(at * 0.9 * S, () => c.crash(c.holder(), 0.4 * S));
   },
-  "machines deaf": (c) => c.site.deafen(machinesWithTasks(c, 3), 40 * S, swallowed),
-  "machines that only answers do not reach": (c) => c.site.deafen(machinesWithTasks(c, 3), 40 * S, ["answers"]),
-  "commands held up": (c) => c.site.holdUpCommands("requests", 0.3, 9 * S, 30 * S),
-  "answers to commands held up": (c) => c.site.holdUpCommands("answers", 0.3, 9 * S, 30 * S),
-  "machines hang": (c) => {
+  "workers receive neither commands nor responses": (c) => c.site.deafen(machinesWithTasks(c, 3), 40 * S, swallowed),
+  "workers receive commands but no responses": (c) => c.site.deafen(machinesWithTasks(c, 3), 40 * S, ["answers"]),
+  "commands delayed": (c) => c.site.holdUpCommands("requests", 0.3, 9 * S, 30 * S),
+  "responses to commands delayed": (c) => c.site.holdUpCommands("answers", 0.3, 9 * S, 30 * S),
+  "workers hang": (c) => {
     for (const { worker } of c.cloud.running().slice(0, 4)) worker?.hang(12 * S);
   },
-  "zone cut": (c) => c.site.cutZone("west", 30 * S, "hold"),
-  "reports late": (c) => c.site.copyReports(0.3, 30 * S, 40 * S),
-  "cloud away": (c) => {
+  "zone partitioned": (c) => c.site.cutZone("west", 30 * S, "hold"),
+  "duplicate heartbeats arrive late": (c) => c.site.copyReports(0.3, 30 * S, 40 * S),
+  "cloud API down": (c) => {
     c.cloud.outageUntil = Math.max(c.cloud.outageUntil, c.world.now + 40 * S);
   },
-  "machines back, counters anew": (c) => {
+  "workers restart with counters reset": (c) => {
     for (const { worker } of c.cloud.running().slice(0, 3)) worker?.restart(false);
   },
-  "answers to transactions lost, others look": (c) => {
+  "responses to transactions lost, status queried": (c) => {
     c.state.loseAnswers(0.3, 30 * S);
     c.curious.lookClosely(30 * S, 0.1);
   },
-  "reports kept for the next holder": (c) => {
+  "old heartbeats reach the next shard leader": (c) => {
     delayHeartbeatCopies(c, 0.4, 40 * S);
   },
-  "machines mute": (c) => c.site.mute(machinesWithTasks(c, 3), 40 * S),
-  "cancelled at the end": (c) => c.cancelAtEnd(0.5, 40 * S),
-  "close looks": (c) => c.curious.lookClosely(40 * S, 0.15),
-  "odd requests": (c) => c.curious.sendOdd(30 * S),
-  "machines up at once, writes late": (c) => {
+  "workers cannot reach controllers": (c) => c.site.mute(machinesWithTasks(c, 3), 40 * S),
+  "jobs cancelled as they complete": (c) => c.cancelAtEnd(0.5, 40 * S),
+  "frequent status queries": (c) => c.curious.lookClosely(40 * S, 0.15),
+  "invalid and repeated requests": (c) => c.curious.sendOdd(30 * S),
+  "machines boot at once, writes delayed": (c) => {
     bootInstantly(c);
     c.state.lateWrites(0.3, 20 * S);
   },
-  "hang within the lease, cancelled": (c) => {
+  "cancelled jobs on workers that hang for less than the lease": (c) => {
     hangCancelledMachines(c, 12 * S);
   },
-  "hang beyond the lease, cancelled": (c) => {
+  "cancelled jobs on workers that hang for longer than the lease": (c) => {
     hangCancelledMachines(c, 35 * S);
   },
   "small jobs, four a second": (c) => {
     submitSmallJobs(c, 4, 30 * S);
   },
-  "a new holder every eleven seconds": (c) => {
+  "failover every eleven seconds": (c) => {
     for (let at = 0; at < 5; at += 1) c.world.after(at * 11 * S, () => c.crash(c.holder(), 4 * S));
   },
-  "all away for longer than the lease": (c) => {
+  "all controllers down for longer than the lease": (c) => {
     for (const at of [0, 1, 2]) c.crash(at, 24 * S + at * S);
   },
 };
@@ -139,58 +143,58 @@
 };
 const named = (name: string): Fault => {
   const trouble = FAULTS[name];
-  if (trouble === undefined) throw new Error(`no trouble: ${name}`);
+  if (trouble === undefined) throw new Error(`unknown fault: ${name}`);
   return trouble;
 };
 
-/** Meetings that broke rules elsewhere, each with what comes when. */
+/** Combinations of faults that have violated rules before, each with the start times of its faults. */
 export const KNOWN_COMBINATIONS: Readonly<Record<string, readonly Fault[]>> = {
-  "handed over and back, then all end, and one returns within a second": [
-    named("handed over and back"),
-    after(5, named("all end, one is back at once")),
+  "the shard leader crashes four times, then all controllers crash and one restarts within a second": [
+    named("shard leader crashes four times within three seconds"),
+    after(5, named("all controllers crash, one restarts at once")),
   ],
-  "jobs of two or three tasks end far apart over changes of the holder": [
-    named("holder ends"),
-    after(20, named("holder ends and is back at once")),
-    after(45, named("holder ends")),
+  "tasks of one job end at very different times across several failovers": [
+    named("shard leader crashes"),
+    after(20, named("shard leader crashes and restarts at once")),
+    after(45, named("shard leader crashes")),
   ],
-  "transactions are carried out after newer ones, over a takeover": [
-    named("transactions late"),
-    after(6, named("holder ends and is back at once")),
-    after(14, named("holder ends")),
+  "transactions are applied after newer ones during a failover": [
+    named("transactions delayed"),
+    after(6, named("shard leader crashes and restarts at once")),
+    after(14, named("shard leader crashes")),
   ],
-  "old reports arrive after newer ones, from earlier sessions and attempts as well": [
-    named("reports late"),
-    after(2, named("machines back, counters anew")),
+  "old heartbeats, also of earlier worker incarnations and attempts, arrive after newer ones": [
+    named("duplicate heartbeats arrive late"),
+    after(2, named("workers restart with counters reset")),
     after(4, (c) => {
       for (const { worker } of c.cloud.running().slice(3, 6)) worker?.restart(true);
     }),
-    after(8, named("machines that only answers do not reach")),
-    after(12, named("holder ends and is back at once")),
+    after(8, named("workers receive commands but no responses")),
+    after(12, named("shard leader crashes and restarts at once")),
   ],
-  "the holder has its workers and users only, and jobs are cancelled through the new one": [
-    named("holder with its workers only"),
+  "the shard leader reaches only its workers and users, and jobs are cancelled through its successor": [
+    named("shard leader reaches only its workers"),
     after(1, (c) => c.users.cancel("wk-800004")),
   ],
-  "commands and their answers are held up, and the machines go on": [
-    named("commands held up"),
-    named("answers to commands held up"),
-    after(2, named("machines hang")),
-    after(7, named("holder ends and is back at once")),
+  "commands and their responses are delayed while workers hang and resume": [
+    named("commands delayed"),
+    named("responses to commands delayed"),
+    after(2, named("workers hang")),
+    after(7, named("shard leader crashes and restarts at once")),
   ],
-  "the holder ends while machines with long tasks are deaf or cut off": [
-    named("machines deaf"),
-    named("zone cut"),
-    after(3, named("holder ends")),
+  "the shard leader crashes while machines with long tasks are unreachable": [
+    named("workers receive neither commands nor responses"),
+    named("zone partitioned"),
+    after(3, named("shard leader crashes")),
   ],
-  "the state service is slow, refuses the holder alone, and is then away for all": [
-    named("state service slow"),
-    after(5, named("state service refuses the holder")),
-    after(7, named("state service away for longer than cancel_s")),
+  "the key-value store is slow, then refuses the shard leader, then is down for all controllers": [
+    named("key-value store slow"),
+    after(5, named("key-value store refuses the shard leader")),
+    after(7, named("key-value store down for longer than cancel_s")),
   ],
 };
 
-/** Arrays that run for minutes and are cancelled while the troubles last, and jobs whose few tasks end far apart. */
+/** Submits long job arrays that are cancelled during the faults, and jobs whose tasks end at very different times. */
 export const submitLongJobs: Fault = (cluster) => {
   for (let at = 0; at < 5; at += 1) {
     const ref = `wk-80000${at}`;
@@ -199,7 +203,7 @@
   }
   for (let at = 0; at < 5; at += 1) {
     const shards = 2 + (at % 2);
-    // One at once, one during the troubles, one long after.
+    // The tasks end before, during and long after the faults.
     const runsUs = new Map([8 + at, 50 + 11 * at, 110].map((runS, task) => [task, runS * S]));
     cluster.submit(plainJob(`wk-81000${at}`, { shards, cpus: 1, guessS: 60 }), { runUs: 30 * S, runsUs });
   }
--- a/test/sim/faulty-day.ts
+++ b/test/sim/faulty-day.ts
@@ -1,14 +1,17 @@
+/** A simulated day with a fixed workload into which faults are injected, and the checks after recovery. */
 import assert from "node:assert/strict";
 import { S } from "../../src/model/index.js";
 import { Cluster, plainJob } from "./cluster.js";
 
-/** When the trouble begins, and for how long it lasts where it does not pass by itself. */
+/** Simulated time at which the faults begin, in microseconds. */
 export const FAULT_START = 60 * S;
+/** Duration of faults that do not end by themselves, in microseconds. */
 export const FAULT_DURATION = 90 * S;
 
+/** Injects a fault into a running cluster, or submits the jobs that it needs. */
 export type Fault = (cluster: Cluster) => void;
 
-/** Addresses of some machines that have work, in the order of their names. */
+/** Addresses of the first `count` running machines, in the order in which the cloud lists them. */
 export const machinesWithTasks = (cluster: Cluster, count: number): ReadonlySet<string> =>
   new Set(
     cluster.cloud
@@ -20,11 +23,11 @@
 export interface FaultyDaySetup {
   readonly mesh: boolean;
   readonly seed?: number;
-  /** Further jobs, submitted with the first ones. */
+  /** Submits further jobs together with the initial ones. */
   readonly more?: Fault;
 }
 
-/** Replicas, arrays that run on through the trouble, and a stream of small jobs. */
+/** Submits services, a job array that spans the faults and a stream of small jobs, then injects the faults. */
 export const playFaultyDay = async (
   { mesh, seed = 71, more }: FaultyDaySetup,
   ...troubles: readonly Fault[]
@@ -54,6 +57,7 @@
 export const playFaults = (mesh: boolean, ...troubles: readonly Fault[]): Promise<Cluster> =>
   playFaultyDay({ mesh }, ...troubles);
 
+/** Asserts that all jobs have finished, all replicas run, no class or team was starved and no error was logged. */
 export const assertRecovered = (cluster: Cluster): void => {
   const open = cluster.unfinished();
   assert.deepEqual(open, [], cluster.story(open[0] ?? "-"));
--- a/test/sim/random-day.ts
+++ b/test/sim/random-day.ts
@@ -12,19 +12,19 @@
 /** No fault lasts for longer than this, in microseconds. */
 export const LONGEST_FAULT = 65 * S;
 
-/** The most of each kind that a day may have; how many it has is drawn. */
+/** Upper bounds of what a day contains; the actual numbers are drawn. */
 export interface DayLimits {
-  /** Chains of dependent jobs; 0 also turns version changes off. */
+  /** Chains of dependent jobs; 0 also disables rolling upgrades. */
   readonly chains: number;
-  /** Faults of `badNight`. */
+  /** Faults of `injectHarshFault`. */
   readonly harshFaults: number;
-  /** Faults of `MEETING`. */
+  /** Faults of `FAULTS`. */
   readonly combinations: number;
 }
 
 export const DEFAULT_LIMITS: DayLimits = { chains: 5, harshFaults: 4, combinations: 3 };
 
-/** Jobs that await some of those before them, of other chains as well; some are called off, some come last of all. */
+/** Submits chains of jobs that depend on earlier jobs, also of other chains; some are cancelled. */
 const submitChains = (cluster: Cluster, random: Random, most: number, from: number, until: number): void => {
   const ids: string[] = [];
   for (let number = random.int(0, most); number > 0; number -= 1) {
@@ -49,7 +49,7 @@
       const submit = (): void => {
         const accepted = new Set(cluster.checker.accepted());
         if (awaits.every((id) => accepted.has(id))) cluster.submit(plainJob(ref, { ...fields, owner }), { runUs });
-        // Not for ever: one that it needs may never have been accepted.
+        // Bounded retries: a job that it depends on may never be accepted.
         else if (cluster.world.now < until + 60 * S) cluster.world.after(S / 2, submit);
       };
       cluster.world.at(at, submit);
@@ -60,11 +60,10 @@
 };
 
 /**
- * A simulated cluster in which the jobs, cancellations and faults of the day of that seed are scheduled; nothing has
- * happened yet. Mesh on even seeds, bounded controllers on each third, a version change on about half of them.
+ * Schedules the jobs, cancellations and faults of the day of a seed on a simulated cluster that has not run yet. Even
+ * seeds have a mesh, each third has controllers with little CPU and few connections, about half have a rolling upgrade.
  */
 export const randomDay = (seed: number, limits: DayLimits = DEFAULT_LIMITS): Cluster => {
-  // Every third day on such controllers.
   const mesh = seed % 2 === 0;
   const chains = new Random(seed + 4_000);
   const rolls = limits.chains > 0 && chains.chance(0.5);
@@ -94,11 +93,11 @@
   for (let number = random.int(3, 7); number > 0; number -= 1) {
     cluster.world.at(random.int(10 * S, BUSY_PERIOD), () => injectFault(cluster, random));
   }
-  // With connections between controllers, cuts that leave some links up come on top of everything else.
+  // With a mesh, faults that cut some links and leave others up are added.
   for (let number = mesh ? random.int(1, 4) : 0; number > 0; number -= 1) {
     cluster.world.at(random.int(10 * S, BUSY_PERIOD), () => cutLinksAtRandom(cluster, random));
   }
-  // One-way loss, late copies, lone holders and instant returns over all of that, each from a sequence of its own.
+  // Each further group of faults draws from its own random sequence, so that the draws above stay the same.
   const nights = new Random(seed + 2_000);
   for (let number = nights.int(0, limits.harshFaults); number > 0; number -= 1) {
     cluster.world.at(nights.int(10 * S, BUSY_PERIOD), () => injectHarshFault(cluster, nights));
--- a/test/sim/random-faults.ts
+++ b/test/sim/random-faults.ts
@@ -1,7 +1,8 @@
+/** Random faults; the number and order of random draws decide the days of all seeds. */
 import { type Random, S } from "../../src/model/index.js";
 import type { Cluster } from "./cluster.js";
 
-/** Cuts between machines that leave some links up, two or three of them over each other. */
+/** Injects one to three overlapping faults that cut some links and leave others up. */
 export const cutLinksAtRandom = (cluster: Cluster, random: Random): void => {
   for (let number = random.int(1, 3); number > 0; number -= 1) {
     const node = random.int(0, 2);
@@ -21,7 +22,7 @@
         cluster.site.refusePeers(forUs);
         break;
       default:
-        // A link that flaps every two seconds.
+        // The link goes down and up every two seconds.
         for (let at = 0; at < forUs; at += 4 * S) {
           cluster.world.after(at, () => cluster.site.cutFromState(node, 2 * S, mode));
         }
@@ -29,7 +30,7 @@
   }
 };
 
-/** What came with the added rules: one-way loss, late copies, lone holders, returns within a fraction of a second. */
+/** Injects one-way loss, late duplicates, an isolated shard leader or restarts within a fraction of a second. */
 export const injectHarshFault = (cluster: Cluster, random: Random): void => {
   const forUs = random.int(5, 60) * S;
   const mode = random.pick(["hold", "reset"] as const);
@@ -56,7 +57,7 @@
       cluster.crash(node, back());
       break;
     case 4:
-      // All of them, again and again, also while they elect a leader and take the block.
+      // All controllers crash repeatedly, also while they elect a leader and acquire the shard.
       for (let at = 0; at < random.int(1, 6) * S; at += random.int(50, 900) * 1_000) {
         cluster.world.after(at, () => cluster.crash(random.int(0, 2), back()));
       }
@@ -71,7 +72,7 @@
   }
 };
 
-/** Every kind of trouble the users listed, drawn at random, often several at once. */
+/** Injects one fault drawn at random from the first `kinds` kinds; several calls may overlap. */
 export const injectFault = (cluster: Cluster, random: Random, kinds = 16): void => {
   const length = (): number => random.int(5, 40) * S;
   const node = random.int(0, 2);
@@ -124,7 +125,7 @@
       cluster.site.cutZone(random.pick(["east", "west"]), length(), mode);
       break;
     case 13:
-      // The holder may end before the leases in the zone do, and its successor, too.
+      // The shard leader and its successors may crash before the worker leases in the zone expire.
       cluster.site.cutZone(random.pick(["east", "west"]), length(), mode);
       for (const at of [0, 1, 2]) cluster.world.after(random.int(0, 24 * S), () => cluster.crash(at));
       break;
