--- a/test/fault-combinations.test.ts
+++ b/test/fault-combinations.test.ts
@@ -18,34 +18,34 @@
  */
 const SEEDS = (process.env.RAINRIDGE_MEETING_SEEDS ?? "71").split(",").map(Number);
 
-const come = async (cluster: Cluster, calmAfter = 70 * S, then = 170 * S): Promise<void> => {
-  await cluster.run(calmAfter);
+const runUntilRecovered = async (cluster: Cluster, faultsUs = 70 * S, recoveryUs = 170 * S): Promise<void> => {
+  await cluster.run(faultsUs);
   cluster.checker.calmFrom = cluster.world.now;
-  await cluster.run(then);
+  await cluster.run(recoveryUs);
   assertRecovered(cluster);
 };
 
 /** Submits long one-task jobs of the team with a limit, more of them than the limit admits. */
-const atLimit: Fault = (c) => {
+const submitJobsBeyondLimit: Fault = (c) => {
   for (let number = 0; number < 24; number += 1) {
     const job = plainJob(`wk-8400${String(number).padStart(2, "0")}`, { owner: "capped", shards: 1, cpus: 1 });
     c.submit({ ...job, guessS: 100, sizeGb: 0.1 }, { runUs: 100 * S });
   }
 };
 
-const usedByCapped = (c: Cluster): number =>
+const countRunningOfCappedTeam = (c: Cluster): number =>
   Array.from({ length: 24 }, (_, number) => `wk-8400${String(number).padStart(2, "0")}/0`).filter((task) =>
     c.checker.isOn(task),
   ).length;
 
-const withdrawn = (c: Cluster, ids: readonly string[]): number =>
+const countCancelled = (c: Cluster, ids: readonly string[]): number =>
   ids.filter((id) => c.checker.finalOf(id) === "withdrawn").length;
 
 const testCombination = (
   name: string,
   setup: Fault | undefined,
   play: (cluster: Cluster) => Promise<void>,
-  calmAfter?: number,
+  faultsUs?: number,
 ): void => {
   for (const seed of SEEDS) {
     test(seed === SEEDS[0] ? name : `${name} (seed ${seed})`, async () => {
@@ -55,7 +55,7 @@
         ...(setup === undefined ? {} : { more: setup }),
       });
       await play(cluster);
-      await come(cluster, calmAfter);
+      await runUntilRecovered(cluster, faultsUs);
     });
   }
 };
@@ -77,9 +77,9 @@
 
 testCombination(
   "jobs of a team at its limit are cancelled while their machines are partitioned and the leader changes",
-  atLimit,
+  submitJobsBeyondLimit,
   async (c) => {
-    assert.equal(usedByCapped(c), 16);
+    assert.equal(countRunningOfCappedTeam(c), 16);
     const victims = Array.from({ length: 6 }, (_, number) => `wk-8400${String(number).padStart(2, "0")}`);
     const places = new Set(victims.flatMap((id) => c.checker.placesOf(`${id}/0`)));
     for (const { info, worker } of c.cloud.running()) {
@@ -89,21 +89,24 @@
     const before = c.takeovers;
     c.world.after(2 * S, () => c.crash(c.holder(), 5 * S));
     await c.run(20 * S);
-    assert.ok(c.takeovers > before && withdrawn(c, victims) === 6, "no failover, or not all cancellations confirmed");
+    assert.ok(
+      c.takeovers > before && countCancelled(c, victims) === 6,
+      "no failover, or not all cancellations confirmed",
+    );
   },
 );
 
 testCombination(
   "jobs of a team at its limit are cancelled while their workers hang and the leader changes",
-  atLimit,
+  submitJobsBeyondLimit,
   async (c) => {
-    assert.equal(usedByCapped(c), 16);
+    assert.equal(countRunningOfCappedTeam(c), 16);
     const before = c.takeovers;
     const ids = [...hangCancelledMachines(c, 15 * S), ...hangCancelledMachines(c, 60 * S)];
     c.world.after(S, () => c.crash(c.holder(), 5 * S));
     await c.run(20 * S);
     assert.ok(
-      c.takeovers > before && ids.length > 0 && withdrawn(c, ids) > 0,
+      c.takeovers > before && ids.length > 0 && countCancelled(c, ids) > 0,
       "no failover, or no cancellation confirmed",
     );
   },
@@ -114,16 +117,16 @@
   undefined,
   async (c) => {
     const ids = submitSmallJobs(c, 4, 120 * S);
-    const asked = c.state.asked;
+    const writesBefore = c.state.asked;
     await c.run(120 * S);
-    const perJob = (c.state.asked - asked) / ids.length;
+    const perJob = (c.state.asked - writesBefore) / ids.length;
     assert.ok(ids.length > 470, `${ids.length} jobs`);
     // The store admits 40 writes/s. A job needs writes for acceptance, placement, outcome and replacing records.
     assert.ok(perJob < 7, `${perJob} writes per job`);
     await c.run(12 * S);
     const open = ids.filter((id) => c.checker.finalOf(id) === null).length;
     assert.ok(open < 20, `${open} of ${ids.length} jobs not finished 12 s after the last submission`);
-    assert.ok(withdrawn(c, ids) > 60, "too few jobs were cancelled before they completed");
+    assert.ok(countCancelled(c, ids) > 60, "too few jobs were cancelled before they completed");
   },
 );
 
@@ -131,10 +134,10 @@
   "delayed copies of heartbeats reach every controller as a new shard leader takes over",
   submitLongJobs,
   async (c) => {
-    const kept = delayHeartbeatCopies(c, 0.5, 40 * S);
+    const copies = delayHeartbeatCopies(c, 0.5, 40 * S);
     for (const at of [5, 14, 26]) c.world.after(at * S, () => c.crash(c.holder(), 4 * S));
     await c.run(45 * S);
-    assert.ok(kept.given > 30, `${kept.given} copies`);
+    assert.ok(copies.delivered > 30, `${copies.delivered} copies`);
   },
 );
 
@@ -142,13 +145,13 @@
   "delayed copies of heartbeats arrive after workers restarted with their counters reset",
   submitLongJobs,
   async (c) => {
-    const kept = delayHeartbeatCopies(c, 0.5, 30 * S);
+    const copies = delayHeartbeatCopies(c, 0.5, 30 * S);
     c.world.after(6 * S, () => {
       for (const { worker } of c.cloud.running().slice(0, 4)) worker?.restart(c.random.chance(0.5));
     });
     for (const at of [7, 18]) c.world.after(at * S, () => c.crash(c.holder(), 0.3 * S));
     await c.run(45 * S);
-    assert.ok(kept.given > 30, `${kept.given} copies`);
+    assert.ok(copies.delivered > 30, `${copies.delivered} copies`);
   },
 );
 
@@ -167,13 +170,13 @@
 });
 
 testCombination("all controllers are down for longer than the worker lease", submitLongJobs, async (c) => {
-  const over = c.checker.starts;
+  const startsBefore = c.checker.starts;
   for (const at of [0, 1, 2]) c.crash(at, 26 * S);
   await c.run(25 * S);
   assert.equal(c.checker.isOn("wk-900001/0"), false, "its worker's lease should have expired");
   c.users.cancel("wk-800004");
   await c.run(15 * S);
-  assert.ok(c.checker.starts > over, "no task was started after the outage");
+  assert.ok(c.checker.starts > startsBefore, "no task was started after the outage");
 });
 
 testCombination(
@@ -181,17 +184,17 @@
   submitLongJobs,
   async (c) => {
     const muted = machinesWithTasks(c, 4);
-    let orders = 0;
+    let commands = 0;
     c.network.onRequest = (_, to, { target }) => {
-      if (muted.has(to) && target === "/orders") orders += 1;
+      if (muted.has(to) && target === "/orders") commands += 1;
     };
     c.site.mute(muted, 45 * S);
     const ids = hangCancelledMachines(c, 0);
     c.world.after(15 * S, () => c.crash(c.holder(), 5 * S));
     await c.run(46 * S);
     assert.ok(
-      orders > 0 && ids.length > 0,
-      `${orders} commands to workers that reach no controller, ${ids.length} cancelled jobs`,
+      commands > 0 && ids.length > 0,
+      `${commands} commands to workers that reach no controller, ${ids.length} cancelled jobs`,
     );
   },
 );
@@ -208,18 +211,21 @@
   "machines boot at once and receive tasks while writes are delayed and the leader crashes",
   undefined,
   async (c) => {
-    let ups = 0;
-    const first = c.cloud.running().length;
+    let extraMachines = 0;
+    const machinesBefore = c.cloud.running().length;
     bootInstantly(c);
     c.state.lateWrites(0.3, 25 * S);
     for (const at of [3, 8, 16]) c.world.after(at * S, () => c.crash(c.holder(), 0.5 * S));
     for (let at = 1; at < 12; at += 1) {
       c.world.after(at * S, () => {
-        ups = Math.max(ups, c.cloud.running().length - first);
+        extraMachines = Math.max(extraMachines, c.cloud.running().length - machinesBefore);
       });
     }
     await c.run(30 * S);
-    assert.ok(ups > 0 && c.state.unheard > 0, `${ups} machines, ${c.state.unheard} delayed transactions`);
+    assert.ok(
+      extraMachines > 0 && c.state.unheard > 0,
+      `${extraMachines} machines, ${c.state.unheard} delayed transactions`,
+    );
   },
 );
 
@@ -286,12 +292,12 @@
     c.submit(plainJob(ref, { shards: 5, cpus: 1, sizeGb: 0.1, guessS: 40, ...zone }), { runUs: 40 * S });
   }
   await c.run(8 * S);
-  const places = Array.from({ length: 8 }, (_, number) => c.checker.placesOf(`wk-86000${number}/0`)[0] ?? "");
+  const machineNames = Array.from({ length: 8 }, (_, number) => c.checker.placesOf(`wk-86000${number}/0`)[0] ?? "");
   assert.ok(
-    places.some((name) => name !== ""),
+    machineNames.some((name) => name !== ""),
     "none of the jobs has started",
   );
-  for (const name of new Set(places.slice(0, 4))) if (name !== "") c.cloud.take(name);
+  for (const name of new Set(machineNames.slice(0, 4))) if (name !== "") c.cloud.take(name);
   c.world.after(2 * S, () => c.crash(c.holder(), 3 * S));
   await c.run(20 * S);
 });
@@ -340,7 +346,7 @@
  * Partitions a machine right before a task is placed on it. Its worker restarts with its counters reset before the
  * partition ends.
  */
-const playHeldBackStart = async (seed: number, meanwhile: (cluster: Cluster) => void): Promise<void> => {
+const playDelayedStart = async (seed: number, duringPartition: (cluster: Cluster) => void): Promise<void> => {
   const c = new Cluster(seed);
   c.cloud.boots = { never: 0, late: 0, early: 0 };
   for (const [number, area] of ["east", "west"].entries()) {
@@ -348,8 +354,8 @@
     c.submit(job, { runUs: 300 * S });
   }
   await c.run(30 * S);
-  const first = c.checker.placesOf("wk-880000/0")[0];
-  const host = c.cloud.running().find(({ info }) => info.name === first)?.worker?.host.address ?? "";
+  const machineName = c.checker.placesOf("wk-880000/0")[0];
+  const host = c.cloud.running().find(({ info }) => info.name === machineName)?.worker?.host.address ?? "";
   // The cloud outage prevents deletions, the fast proof of loss; expiry of the worker lease remains.
   c.cloud.outageUntil = c.world.now + 60 * S;
   c.site.cutMachine(host, 40 * S, "hold");
@@ -357,11 +363,11 @@
     const job = plainJob(`wk-88000${number}`, { shards: 1, cpus: 1, guessS: 300, sizeGb: 0.1 });
     c.submit(job, { runUs: 300 * S });
   }
-  meanwhile(c);
+  duringPartition(c);
   c.world.after(35 * S, () => {
     c.cloud
       .running()
-      .find(({ info }) => info.name === first)
+      .find(({ info }) => info.name === machineName)
       ?.worker?.restart(false);
   });
   await c.run(80 * S);
@@ -369,13 +375,13 @@
 };
 
 test("a start delayed by a partition reaches a worker that has restarted with its counters reset", async () => {
-  await playHeldBackStart(17, () => undefined);
+  await playDelayedStart(17, () => undefined);
 });
 
 // Guards against a new leader that reschedules a task whose start its predecessor sent without receiving a response.
 test("a start from a crashed leader reaches a worker that has restarted with its counters reset", async () => {
   for (const crashAfterS of [1.5, 2, 2.5, 3]) {
-    await playHeldBackStart(17, (c) =>
+    await playDelayedStart(17, (c) =>
       c.world.after(crashAfterS * S, () => {
         c.crash(c.holder(), 15 * S);
       }),
--- a/test/sim/fault-combinations.ts
+++ b/test/sim/fault-combinations.ts
@@ -11,24 +11,24 @@
 /** Longest time from a confirmed cancellation until the last task of the job has ended, in microseconds. */
 export const CANCELLATION_BOUND = cancellationTerms(workers, shardLeaseDuration({ workers })).total;
 
-const swallowed = ["requests", "answers"] as const;
+const bothDirections = ["requests", "answers"] as const;
 
 /** An unused job id. */
-const fresh = (c: Cluster): string => `wk-83${String(c.checker.jobs.size).padStart(4, "0")}`;
+const unusedJobId = (c: Cluster): string => `wk-83${String(c.checker.jobs.size).padStart(4, "0")}`;
 
 /**
  * Captures copies of a share of the heartbeats and delivers them to every controller whenever one acquires the shard.
  * The result counts the copies delivered so far.
  */
-export const delayHeartbeatCopies = (c: Cluster, share: number, forUs: number): { given: number } => {
-  const told = { given: 0 };
-  const before = c.onTaken;
+export const delayHeartbeatCopies = (c: Cluster, share: number, forUs: number): { delivered: number } => {
+  const copies = { delivered: 0 };
+  const previousHandler = c.onTaken;
   c.site.keepReports(share, forUs);
   c.onTaken = (at) => {
-    before(at);
-    told.given += c.site.releaseReports();
+    previousHandler(at);
+    copies.delivered += c.site.releaseReports();
   };
-  return told;
+  return copies;
 };
 
 /** Cancels up to three running jobs and hangs their workers at the same time; returns the job ids. */
@@ -50,15 +50,15 @@
 export const submitSmallJobs = (c: Cluster, perS: number, forUs: number): readonly string[] => {
   const ids: string[] = [];
   const until = c.world.now + forUs;
-  const next = (): void => {
+  const submitNext = (): void => {
     if (c.world.now >= until) return;
-    const ref = fresh(c);
+    const ref = unusedJobId(c);
     ids.push(ref);
     c.submit(plainJob(ref, { shards: 1, cpus: 1, sizeGb: 0.1, guessS: 4 }), { runUs: 4 * S });
     if (ids.length % 4 === 0) c.world.after(c.random.int(0, 5 * S), () => c.users.cancel(ref));
-    c.world.after(S / perS, next);
+    c.world.after(S / perS, submitNext);
   };
-  next();
+  submitNext();
   return ids;
 };
 
@@ -66,7 +66,7 @@
 export const bootInstantly: Fault = (c) => {
   c.cloud.boots = { never: 0, late: 0, early: 0.9 };
   for (let number = 0; number < 2; number += 1) {
-    const job = plainJob(fresh(c), { shards: 6, cpus: 8, sizeGb: 0.2, guessS: 15 });
+    const job = plainJob(unusedJobId(c), { shards: 6, cpus: 8, sizeGb: 0.2, guessS: 15 });
     c.submit(job, { runUs: 15 * S });
   }
 };
@@ -91,7 +91,8 @@
   "shard leader crashes four times within three seconds": (c) => {
     for (let at = 0; at < 4; at += 1) c.world.after(at * 0.9 * S, () => c.crash(c.holder(), 0.4 * S));
   },
-  "workers receive neither commands nor responses": (c) => c.site.deafen(machinesWithTasks(c, 3), 40 * S, swallowed),
+  "workers receive neither commands nor responses": (c) =>
+    c.site.deafen(machinesWithTasks(c, 3), 40 * S, bothDirections),
   "workers receive commands but no responses": (c) => c.site.deafen(machinesWithTasks(c, 3), 40 * S, ["answers"]),
   "commands delayed": (c) => c.site.holdUpCommands("requests", 0.3, 9 * S, 30 * S),
   "responses to commands delayed": (c) => c.site.holdUpCommands("answers", 0.3, 9 * S, 30 * S),
@@ -138,59 +139,59 @@
   },
 };
 
-const after = (seconds: number, trouble: Fault): Fault => {
-  return (c) => c.world.after(seconds * S, () => trouble(c));
+const startAfter = (seconds: number, fault: Fault): Fault => {
+  return (c) => c.world.after(seconds * S, () => fault(c));
 };
-const named = (name: string): Fault => {
-  const trouble = FAULTS[name];
-  if (trouble === undefined) throw new Error(`unknown fault: ${name}`);
-  return trouble;
+const faultNamed = (name: string): Fault => {
+  const fault = FAULTS[name];
+  if (fault === undefined) throw new Error(`unknown fault: ${name}`);
+  return fault;
 };
 
 /** Combinations of faults that have violated rules before, each with the start times of its faults. */
 export const KNOWN_COMBINATIONS: Readonly<Record<string, readonly Fault[]>> = {
   "the shard leader crashes four times, then all controllers crash and one restarts within a second": [
-    named("shard leader crashes four times within three seconds"),
-    after(5, named("all controllers crash, one restarts at once")),
+    faultNamed("shard leader crashes four times within three seconds"),
+    startAfter(5, faultNamed("all controllers crash, one restarts at once")),
   ],
   "tasks of one job end at very different times across several failovers": [
-    named("shard leader crashes"),
-    after(20, named("shard leader crashes and restarts at once")),
-    after(45, named("shard leader crashes")),
+    faultNamed("shard leader crashes"),
+    startAfter(20, faultNamed("shard leader crashes and restarts at once")),
+    startAfter(45, faultNamed("shard leader crashes")),
   ],
   "transactions are applied after newer ones during a failover": [
-    named("transactions delayed"),
-    after(6, named("shard leader crashes and restarts at once")),
-    after(14, named("shard leader crashes")),
+    faultNamed("transactions delayed"),
+    startAfter(6, faultNamed("shard leader crashes and restarts at once")),
+    startAfter(14, faultNamed("shard leader crashes")),
   ],
   "old heartbeats, also of earlier worker incarnations and attempts, arrive after newer ones": [
-    named("duplicate heartbeats arrive late"),
-    after(2, named("workers restart with counters reset")),
-    after(4, (c) => {
+    faultNamed("duplicate heartbeats arrive late"),
+    startAfter(2, faultNamed("workers restart with counters reset")),
+    startAfter(4, (c) => {
       for (const { worker } of c.cloud.running().slice(3, 6)) worker?.restart(true);
     }),
-    after(8, named("workers receive commands but no responses")),
-    after(12, named("shard leader crashes and restarts at once")),
+    startAfter(8, faultNamed("workers receive commands but no responses")),
+    startAfter(12, faultNamed("shard leader crashes and restarts at once")),
   ],
   "the shard leader reaches only its workers and users, and jobs are cancelled through its successor": [
-    named("shard leader reaches only its workers"),
-    after(1, (c) => c.users.cancel("wk-800004")),
+    faultNamed("shard leader reaches only its workers"),
+    startAfter(1, (c) => c.users.cancel("wk-800004")),
   ],
   "commands and their responses are delayed while workers hang and resume": [
-    named("commands delayed"),
-    named("responses to commands delayed"),
-    after(2, named("workers hang")),
-    after(7, named("shard leader crashes and restarts at once")),
+    faultNamed("commands delayed"),
+    faultNamed("responses to commands delayed"),
+    startAfter(2, faultNamed("workers hang")),
+    startAfter(7, faultNamed("shard leader crashes and restarts at once")),
   ],
   "the shard leader crashes while machines with long tasks are unreachable": [
-    named("workers receive neither commands nor responses"),
-    named("zone partitioned"),
-    after(3, named("shard leader crashes")),
+    faultNamed("workers receive neither commands nor responses"),
+    faultNamed("zone partitioned"),
+    startAfter(3, faultNamed("shard leader crashes")),
   ],
   "the key-value store is slow, then refuses the shard leader, then is down for all controllers": [
-    named("key-value store slow"),
-    after(5, named("key-value store refuses the shard leader")),
-    after(7, named("key-value store down for longer than cancel_s")),
+    faultNamed("key-value store slow"),
+    startAfter(5, faultNamed("key-value store refuses the shard leader")),
+    startAfter(7, faultNamed("key-value store down for longer than cancel_s")),
   ],
 };
 
--- a/test/sim/faulty-day.ts
+++ b/test/sim/faulty-day.ts
@@ -30,7 +30,7 @@
 /** Submits services, a job array that spans the faults and a stream of small jobs, then injects the faults. */
 export const playFaultyDay = async (
   { mesh, seed = 71, more }: FaultyDaySetup,
-  ...troubles: readonly Fault[]
+  ...faults: readonly Fault[]
 ): Promise<Cluster> => {
   const cluster = new Cluster(seed, { mesh });
   cluster.rooms.ordinary = 12;
@@ -41,21 +41,21 @@
   cluster.submit(plainJob("wk-900003", { jobclass: "long", shards: 20, cpus: 2, guessS: 70 }), { runUs: 70 * S });
   more?.(cluster);
   let number = 0;
-  const next = (): void => {
+  const submitNext = (): void => {
     number += 1;
     const ref = `wk-${String(number).padStart(6, "0")}`;
     cluster.submit(plainJob(ref, { shards: 1 + (number % 3), cpus: 1, loaner: number % 2 === 0 }), { runUs: 8 * S });
     if (number % 7 === 0) cluster.world.after(3 * S, () => cluster.users.cancel(ref));
-    if (cluster.world.now < FAULT_START + FAULT_DURATION) cluster.world.after(2 * S, next);
+    if (cluster.world.now < FAULT_START + FAULT_DURATION) cluster.world.after(2 * S, submitNext);
   };
-  cluster.world.after(20 * S, next);
+  cluster.world.after(20 * S, submitNext);
   await cluster.run(FAULT_START);
-  for (const trouble of troubles) trouble(cluster);
+  for (const fault of faults) fault(cluster);
   return cluster;
 };
 
-export const playFaults = (mesh: boolean, ...troubles: readonly Fault[]): Promise<Cluster> =>
-  playFaultyDay({ mesh }, ...troubles);
+export const playFaults = (mesh: boolean, ...faults: readonly Fault[]): Promise<Cluster> =>
+  playFaultyDay({ mesh }, ...faults);
 
 /** Asserts that all jobs have finished, all replicas run, no class or team was starved and no error was logged. */
 export const assertRecovered = (cluster: Cluster): void => {
--- a/test/sim/random-day.ts
+++ b/test/sim/random-day.ts
@@ -25,22 +25,28 @@
 export const DEFAULT_LIMITS: DayLimits = { chains: 5, harshFaults: 4, combinations: 3 };
 
 /** Submits chains of jobs that depend on earlier jobs, also of other chains; some are cancelled. */
-const submitChains = (cluster: Cluster, random: Random, most: number, from: number, until: number): void => {
+const submitDependencyChains = (
+  cluster: Cluster,
+  random: Random,
+  maxChains: number,
+  from: number,
+  until: number,
+): void => {
   const ids: string[] = [];
-  for (let number = random.int(0, most); number > 0; number -= 1) {
+  for (let number = random.int(0, maxChains); number > 0; number -= 1) {
     let at = random.int(from, until);
     for (let stage = random.int(1, 6); stage > 0; stage -= 1) {
       const ref = `wk-5${String(number).padStart(2, "0")}${String(stage).padStart(3, "0")}`;
-      const before = ids.filter(() => random.chance(0.3)).slice(-4);
-      const own = ids.at(-1);
-      const awaits = [...new Set(own === undefined ? before : [...before, own])];
+      const earlierJobs = ids.filter(() => random.chance(0.3)).slice(-4);
+      const previousJob = ids.at(-1);
+      const dependencies = [...new Set(previousJob === undefined ? earlierJobs : [...earlierJobs, previousJob])];
       const rank = random.pick(["high", "best_effort"] as const);
       const fields = {
         rank,
         shards: random.int(1, 4),
         cpus: 1,
         sizeGb: 0.2,
-        awaits,
+        awaits: dependencies,
         dueS: random.chance(0.3) ? 90 : null,
       };
       ids.push(ref);
@@ -48,7 +54,8 @@
       const runUs = random.int(2, 12) * S;
       const submit = (): void => {
         const accepted = new Set(cluster.checker.accepted());
-        if (awaits.every((id) => accepted.has(id))) cluster.submit(plainJob(ref, { ...fields, owner }), { runUs });
+        if (dependencies.every((id) => accepted.has(id)))
+          cluster.submit(plainJob(ref, { ...fields, owner }), { runUs });
         // Bounded retries: a job that it depends on may never be accepted.
         else if (cluster.world.now < until + 60 * S) cluster.world.after(S / 2, submit);
       };
@@ -65,28 +72,28 @@
  */
 export const randomDay = (seed: number, limits: DayLimits = DEFAULT_LIMITS): Cluster => {
   const mesh = seed % 2 === 0;
-  const chains = new Random(seed + 4_000);
-  const rolls = limits.chains > 0 && chains.chance(0.5);
+  const chainRandom = new Random(seed + 4_000);
+  const hasUpgrade = limits.chains > 0 && chainRandom.chance(0.5);
   const cluster = new Cluster(
     seed,
     { mesh },
-    rolls ? withAnnouncedLimits : undefined,
+    hasUpgrade ? withAnnouncedLimits : undefined,
     seed % 3 === 0 ? SMALL : undefined,
   );
-  if (rolls) {
+  if (hasUpgrade) {
     const { upgrade } = playRollout(seed, mesh, withAnnouncedLimits, cluster);
-    const turns = [0, 1, 2].map((at) => (8 + chains.int(0, 30) + at * chains.int(1, 12)) * S);
-    for (const [at, turn] of turns.entries()) cluster.world.at(turn, () => upgrade(at));
-    cluster.world.at(chains.int(75, 140) * S, () => cluster.state.lower(LOWER_LIMITS));
-    submitChains(cluster, chains, limits.chains, Math.max(...turns) + 5 * S, 140 * S);
-  } else submitChains(cluster, chains, limits.chains, 5 * S, 140 * S);
+    const upgradeTimes = [0, 1, 2].map((at) => (8 + chainRandom.int(0, 30) + at * chainRandom.int(1, 12)) * S);
+    for (const [at, turn] of upgradeTimes.entries()) cluster.world.at(turn, () => upgrade(at));
+    cluster.world.at(chainRandom.int(75, 140) * S, () => cluster.state.lower(LOWER_LIMITS));
+    submitDependencyChains(cluster, chainRandom, limits.chains, Math.max(...upgradeTimes) + 5 * S, 140 * S);
+  } else submitDependencyChains(cluster, chainRandom, limits.chains, 5 * S, 140 * S);
   const random = new Random(seed + 1_000);
   for (let number = 0; number < 26; number += 1) {
     const job = randomJob(random, number);
     const at = number < 6 ? 2 * S : random.int(2 * S, BUSY_PERIOD);
     cluster.world.at(at, () => cluster.submit(job, { runUs: job.shape === "daemon" ? null : random.int(3, 30) * S }));
-    const given = random.chance(0.2);
-    if (given) cluster.world.at(at + random.int(0, 40 * S), () => cluster.users.cancel(job.ref));
+    const cancelled = random.chance(0.2);
+    if (cancelled) cluster.world.at(at + random.int(0, 40 * S), () => cluster.users.cancel(job.ref));
   }
   for (let number = 0; number < 8; number += 1)
     cluster.world.at(random.int(0, BUSY_PERIOD), () => cluster.users.askOnce("wk-900000"));
@@ -98,13 +105,15 @@
     cluster.world.at(random.int(10 * S, BUSY_PERIOD), () => cutLinksAtRandom(cluster, random));
   }
   // Each further group of faults draws from its own random sequence, so that the draws above stay the same.
-  const nights = new Random(seed + 2_000);
-  for (let number = nights.int(0, limits.harshFaults); number > 0; number -= 1) {
-    cluster.world.at(nights.int(10 * S, BUSY_PERIOD), () => injectHarshFault(cluster, nights));
+  const harshRandom = new Random(seed + 2_000);
+  for (let number = harshRandom.int(0, limits.harshFaults); number > 0; number -= 1) {
+    cluster.world.at(harshRandom.int(10 * S, BUSY_PERIOD), () => injectHarshFault(cluster, harshRandom));
   }
-  const meetings = new Random(seed + 3_000);
-  for (let number = meetings.int(0, limits.combinations); number > 0; number -= 1) {
-    cluster.world.at(meetings.int(10 * S, BUSY_PERIOD), () => meetings.pick(Object.values(FAULTS))(cluster));
+  const combinationRandom = new Random(seed + 3_000);
+  for (let number = combinationRandom.int(0, limits.combinations); number > 0; number -= 1) {
+    cluster.world.at(combinationRandom.int(10 * S, BUSY_PERIOD), () =>
+      combinationRandom.pick(Object.values(FAULTS))(cluster),
+    );
   }
   return cluster;
 };
--- a/test/sim/random-faults.ts
+++ b/test/sim/random-faults.ts
@@ -35,13 +35,13 @@
   const forUs = random.int(5, 60) * S;
   const mode = random.pick(["hold", "reset"] as const);
   const machines = cluster.cloud.running().flatMap(({ worker }) => (worker === null ? [] : [worker]));
-  const back = (): number => random.int(1, 900) * 1_000;
+  const restartDelay = (): number => random.int(1, 900) * 1_000;
   const node = random.int(0, 2);
   switch (random.int(0, 7)) {
     case 0: {
       const chosen = machines.filter(() => random.chance(random.pick([0.1, 0.5, 1])));
-      const swallows = random.pick([["requests", "answers"], ["requests"], ["answers"]] as const);
-      cluster.site.deafen(new Set(chosen.map(({ host }) => host.address)), forUs, swallows);
+      const lostDirections = random.pick([["requests", "answers"], ["requests"], ["answers"]] as const);
+      cluster.site.deafen(new Set(chosen.map(({ host }) => host.address)), forUs, lostDirections);
       break;
     }
     case 1:
@@ -54,16 +54,16 @@
       cluster.site.cutAllButWorkers(node, forUs, mode, random.chance(0.5));
       break;
     case 3:
-      cluster.crash(node, back());
+      cluster.crash(node, restartDelay());
       break;
     case 4:
       // All controllers crash repeatedly, also while they elect a leader and acquire the shard.
       for (let at = 0; at < random.int(1, 6) * S; at += random.int(50, 900) * 1_000) {
-        cluster.world.after(at, () => cluster.crash(random.int(0, 2), back()));
+        cluster.world.after(at, () => cluster.crash(random.int(0, 2), restartDelay()));
       }
       break;
     case 5:
-      for (const at of [0, 1, 2]) cluster.crash(at, back());
+      for (const at of [0, 1, 2]) cluster.crash(at, restartDelay());
       break;
     default: {
       const kept = random.chance(0.5);
@@ -114,8 +114,8 @@
       break;
     case 9:
       if (machines.length > 0 && random.chance(0.5)) {
-        const sick = random.pick(machines).worker;
-        sick?.sicken();
+        const worker = random.pick(machines).worker;
+        worker?.sicken();
       }
       break;
     case 10:
