--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -54,7 +54,7 @@
     cluster.world.at(40 * S, () => cluster.submit(plainJob("wk-000003", { shards: 1 }), { runUs: 60 * S }));
     // Like a controller that starts a task on a second machine without proof that the first has lost it.
     const copied = new Set<string>();
-    cluster.alsoStart((task) => {
+    cluster.duplicateStarts((task) => {
       if (!task.startsWith("wk-000003") || copied.size > 0) return false;
       copied.add(task);
       return true;
--- a/test/fault-combinations.test.ts
+++ b/test/fault-combinations.test.ts
@@ -230,13 +230,13 @@
   "cancellations, status queries and repeated submissions coincide with the end of a job's last task",
   undefined,
   async (c) => {
-    c.cancelAtEnd(0.6, 60 * S);
+    c.cancelOnCompletion(0.6, 60 * S);
     c.curious.lookClosely(60 * S, 0);
     submitSmallJobs(c, 2, 50 * S);
     await c.run(60 * S);
     assert.ok(
-      c.cancelledAtEnd > 20 && c.curious.looks > 500,
-      `${c.cancelledAtEnd} cancellations, ${c.curious.looks} status queries`,
+      c.cancelledOnCompletion > 20 && c.curious.looks > 500,
+      `${c.cancelledOnCompletion} cancellations, ${c.curious.looks} status queries`,
     );
   },
 );
@@ -247,7 +247,7 @@
   async (c) => {
     c.state.loseAnswers(0.3, 40 * S);
     c.curious.lookClosely(50 * S, 0.2);
-    c.cancelAtEnd(0.3, 40 * S);
+    c.cancelOnCompletion(0.3, 40 * S);
     c.world.after(20 * S, () => c.crash(c.holder(), 0.5 * S));
     await c.run(50 * S);
     assert.ok(
@@ -278,7 +278,7 @@
     c.site.slowState(0.4, 3 * S, 30 * S);
     c.world.after(10 * S, () => c.crash(c.holder(), 5 * S));
     await c.run(60 * S);
-    assert.ok(c.checker.oddRefused > 20, `${c.checker.oddRefused} refused`);
+    assert.ok(c.checker.invalidRefused > 20, `${c.checker.invalidRefused} refused`);
   },
 );
 
--- a/test/sim/checker.ts
+++ b/test/sim/checker.ts
@@ -289,14 +289,14 @@
   };
 
   /** Invalid submissions that received a final response. */
-  oddRefused = 0;
+  invalidRefused = 0;
 
   oddAnswered(why: Odd, status: number, detail: string): void {
     if (status === 429 || status === 503) return;
     const expectedStatus = why === "lacks a field" ? 400 : 422;
     const namesField = why !== "lacks a field" || detail.includes("cpus");
     if (status !== expectedStatus || !namesField) this.recordViolation("odd", `${why}: ${status} ${detail}`);
-    this.oddRefused += 1;
+    this.invalidRefused += 1;
   }
 
   cancelAsked(id: string): void {
@@ -333,7 +333,10 @@
     } else if (view.accepted && now - view.lastAnsweredAt > 90_000_000) {
       const others = this.polls.filter((poll) => poll.job !== id);
       if (others.length > 10 && others.filter((poll) => poll.good).length > others.length / 2) {
-        this.recordViolation("forgotten", `${id}: no status response for 90 s, while most other jobs got one`);
+        this.recordViolation(
+          "forgotten",
+          `${id}: no status response for 90 s, while most other status queries got one`,
+        );
       }
     }
   }
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -124,12 +124,12 @@
   readonly errors: string[] = [];
   readonly curious: Curious;
   /** Called with the index of a controller when it has acquired the shard. */
-  onTaken: (controller: number) => void = () => undefined;
+  onShardAcquired: (controller: number) => void = () => undefined;
   /** Number of times that a controller acquired the shard. */
   takeovers = 0;
   /** Cancellations requested at the moment when the last task of the job completed. */
-  cancelledAtEnd = 0;
-  private cancellationAtEnd = { share: 0, until: 0 };
+  cancelledOnCompletion = 0;
+  private completionCancellation = { share: 0, until: 0 };
   readonly log: string[] = [];
   /** Events that controllers emit for recording; only on sites with graphs. */
   readonly seen: { readonly at: number; readonly event: ClusterEvent }[] = [];
@@ -180,7 +180,7 @@
           taskOff: (task, machine) => checker?.taskOff(task, machine),
           taskDone: (task) => {
             checker?.taskDone(task);
-            this.maybeCancelAtEnd(task);
+            this.maybeCancelOnCompletion(task);
           },
         };
         return {
@@ -193,7 +193,7 @@
             );
             if (event === LogEvent.ShardAcquired) {
               this.takeovers += 1;
-              this.onTaken(at);
+              this.onShardAcquired(at);
             }
             this.log.push(`${(world.now / S).toFixed(3)} ctl-${at} ${event} ${text}`);
             // The emulated services never send malformed responses, so any logged error is a defect.
@@ -247,16 +247,16 @@
   }
 
   /** For a while, cancels this share of the completing jobs at the moment when their last task completes. */
-  cancelAtEnd(share: number, forUs: number): void {
-    this.cancellationAtEnd = { share, until: this.world.now + forUs };
+  cancelOnCompletion(share: number, forUs: number): void {
+    this.completionCancellation = { share, until: this.world.now + forUs };
   }
 
-  private maybeCancelAtEnd(task: string): void {
+  private maybeCancelOnCompletion(task: string): void {
     const id = task.slice(0, task.lastIndexOf("/"));
-    const { share, until } = this.cancellationAtEnd;
+    const { share, until } = this.completionCancellation;
     if (this.world.now > until || this.checker.finished.get(id)?.size !== this.checker.jobs.get(id)?.tasks) return;
     if (!this.random.chance(share)) return;
-    this.cancelledAtEnd += 1;
+    this.cancelledOnCompletion += 1;
     this.users.cancel(id);
   }
 
@@ -307,7 +307,7 @@
   }
 
   /** Copies chosen starts in heartbeat responses to every other machine. */
-  alsoStart(choose: (task: string) => boolean): void {
+  duplicateStarts(choose: (task: string) => boolean): void {
     this.network.tamper = (from, to, request, response) => {
       if (request.target !== "/hello" || response.status !== 200) return response;
       const { baton, orders } = JSON.parse(response.body) as {
--- a/test/sim/fault-combinations.ts
+++ b/test/sim/fault-combinations.ts
@@ -22,9 +22,9 @@
  */
 export const delayHeartbeatCopies = (c: Cluster, share: number, forUs: number): { delivered: number } => {
   const copies = { delivered: 0 };
-  const previousHandler = c.onTaken;
+  const previousHandler = c.onShardAcquired;
   c.site.keepReports(share, forUs);
-  c.onTaken = (at) => {
+  c.onShardAcquired = (at) => {
     previousHandler(at);
     copies.delivered += c.site.releaseReports();
   };
@@ -115,7 +115,7 @@
     delayHeartbeatCopies(c, 0.4, 40 * S);
   },
   "workers cannot reach controllers": (c) => c.site.mute(machinesWithTasks(c, 3), 40 * S),
-  "jobs cancelled as they complete": (c) => c.cancelAtEnd(0.5, 40 * S),
+  "jobs cancelled as they complete": (c) => c.cancelOnCompletion(0.5, 40 * S),
   "frequent status queries": (c) => c.curious.lookClosely(40 * S, 0.15),
   "invalid and repeated requests": (c) => c.curious.sendOdd(30 * S),
   "machines boot at once, writes delayed": (c) => {
