--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -55,29 +55,29 @@
 
 /** The emulated site that the settings describe. */
 const siteSpecFrom = (text: string): SiteSpec => {
-  const truth = parseSettings(text);
+  const settings = parseSettings(text);
   return {
     name: "test",
-    zones: truth.zones,
+    zones: settings.zones,
     controllers: ["east", "east", "east"],
     teams: [],
     types: TYPES,
     capacity: [],
     objectives: [],
     workers: {
-      reportUs: truth.workers.heartbeatInterval,
-      leaseUs: truth.workers.lease,
-      cancelUs: truth.workers.cancellationBound,
+      reportUs: settings.workers.heartbeatInterval,
+      leaseUs: settings.workers.lease,
+      cancelUs: settings.workers.cancellationBound,
       gangWaitUs: 30 * S,
       gangPeerUs: 8 * S,
     },
     state: {
-      rps: truth.store.requestsPerS,
-      writeRps: truth.store.writesPerS,
-      valueKb: truth.store.valueBytes / 1_024,
-      txnOps: truth.store.transactionWrites,
+      rps: settings.store.requestsPerS,
+      writeRps: settings.store.writesPerS,
+      valueKb: settings.store.valueBytes / 1_024,
+      txnOps: settings.store.transactionWrites,
     },
-    cloud: { rps: truth.cloud.requestsPerS, listLagUs: truth.cloud.listLag },
+    cloud: { rps: settings.cloud.requestsPerS, listLagUs: settings.cloud.listLag },
     quota: { cpuShare: 0.4, memMb: 256, maxConnections: 500 },
   };
 };
@@ -103,7 +103,7 @@
   ...(job.awaits === undefined ? {} : { awaits: job.awaits }),
 });
 
-/** Longest image fetch, in microseconds: images have up to 3 GB; several at once share 1 GB/s, give or take a third. */
+/** Bound for image fetches, in microseconds: several images of up to 3 GB at once, each at 1 GB/s, give or take a third. */
 const MAX_FETCH_US = 25 * S;
 
 /** Controllers with too few connections and so little CPU that a burst of requests delays them by seconds. */
@@ -151,7 +151,7 @@
       if (team.limit.cpu !== null) limits.set(team.name, team.limit.cpu / 1_000);
     // Announced limits are not in force yet; a test puts them into force itself.
     const spec = siteSpecFrom(alter(settingsText(0)).replace(/\[deployment\.state\.next\][^[]*/, ""));
-    const truth = parseSettings(alter(settingsText(0)));
+    const settings = parseSettings(alter(settingsText(0)));
     let checker: Checker | null = null;
     this.site = new Site({
       spec,
@@ -168,8 +168,8 @@
       },
       watch: (world) => {
         // A start may follow a confirmed cancellation by a shard lease and the command time, and then fetches an image.
-        const { shardLease: right, startCommand: start } = cancellationTerms(truth.workers, shardLeaseDuration(truth));
-        checker = new Checker(() => world.now, limits, spec.workers.cancelUs, right + start + MAX_FETCH_US);
+        const { shardLease, startCommand } = cancellationTerms(settings.workers, shardLeaseDuration(settings));
+        checker = new Checker(() => world.now, limits, spec.workers.cancelUs, shardLease + startCommand + MAX_FETCH_US);
         const { hearing } = checker;
         const witness: Witness = {
           ...nobody,
@@ -206,7 +206,7 @@
     this.checker = checker;
     this.checker.hasRoom = (job) => this.hasRoom(job);
     this.curious = new Curious(this.users, this.world, new Random(seed + 77), this.site.addresses.controllers);
-    // The behaviour of a graph step's job follows from its stored job record, since no test submits that job.
+    // Emulated workers derive the behaviour of a graph step's job from its stored job record.
     this.site.truth.lookUp = (id) => this.behaviourFromRecord(id);
   }
 
