--- a/test/sim/checker.ts
+++ b/test/sim/checker.ts
@@ -21,6 +21,7 @@
   readonly awaits?: readonly string[];
 }
 
+/** A machine as the emulated cloud runs it. */
 export interface TrueMachine {
   readonly name: string;
   readonly type: string;
@@ -28,6 +29,7 @@
   readonly spot: boolean;
 }
 
+/** Rules that the checker enforces. */
 export type Rule =
   | "ran_twice"
   | "quota"
@@ -44,6 +46,7 @@
   /** Waits after the faults ended though an eligible machine has free capacity and its team is below its quota. */
   | "left_waiting";
 
+/** A violation; the message is the rule and the job, task or team concerned. */
 export class BrokenRule extends Error {
   constructor(
     readonly rule: Rule,
@@ -53,6 +56,7 @@
   }
 }
 
+/** Requests of users about one job and the responses that they received. */
 interface UserView {
   accepted: boolean;
   /** When a user first received the terminal phase, in microseconds; 0 before. */
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -103,7 +103,7 @@
   ...(job.awaits === undefined ? {} : { awaits: job.awaits }),
 });
 
-/** Bound for image fetches, in microseconds: several images of up to 3 GB at once, each at 1 GB/s, give or take a third. */
+/** Bound for image fetches, in microseconds: several of up to 3 GB at once, each at 1 GB/s, give or take a third. */
 const MAX_FETCH_US = 25 * S;
 
 /** Controllers with too few connections and so little CPU that a burst of requests delays them by seconds. */
