--- a/test/sim/faulty-day.ts
+++ b/test/sim/faulty-day.ts
@@ -1,14 +1,17 @@
+/** A simulated day with a fixed workload into which faults are injected, and the checks after recovery. */
 import assert from "node:assert/strict";
 import { S } from "../../src/model/index.js";
 import { Cluster, plainJob } from "./cluster.js";
 
-/** When the trouble begins, and for how long it lasts where it does not pass by itself. */
+/** Simulated time at which the faults begin, in microseconds. */
 export const FAULT_START = 60 * S;
+/** Duration of faults that do not end by themselves, in microseconds. */
 export const FAULT_DURATION = 90 * S;
 
+/** Injects a fault into a running cluster, or submits the jobs that it needs. */
 export type Fault = (cluster: Cluster) => void;
 
-/** Addresses of some machines that have work, in the order of their names. */
+/** Addresses of the first `count` running machines, in the order in which the cloud lists them. */
 export const machinesWithTasks = (cluster: Cluster, count: number): ReadonlySet<string> =>
   new Set(
     cluster.cloud
@@ -20,14 +23,14 @@
 export interface FaultyDaySetup {
   readonly mesh: boolean;
   readonly seed?: number;
-  /** Further jobs, submitted with the first ones. */
+  /** Submits further jobs together with the initial ones. */
   readonly more?: Fault;
 }
 
-/** Replicas, arrays that run on through the trouble, and a stream of small jobs. */
+/** Submits services, a job array that spans the faults and a stream of small jobs, then injects the faults. */
 export const playFaultyDay = async (
   { mesh, seed = 71, more }: FaultyDaySetup,
-  ...troubles: readonly Fault[]
+  ...faults: readonly Fault[]
 ): Promise<Cluster> => {
   const cluster = new Cluster(seed, { mesh });
   cluster.rooms.ordinary = 12;
@@ -38,22 +41,23 @@
   cluster.submit(plainJob("wk-900003", { jobclass: "long", shards: 20, cpus: 2, guessS: 70 }), { runUs: 70 * S });
   more?.(cluster);
   let number = 0;
-  const next = (): void => {
+  const submitNext = (): void => {
     number += 1;
     const ref = `wk-${String(number).padStart(6, "0")}`;
     cluster.submit(plainJob(ref, { shards: 1 + (number % 3), cpus: 1, loaner: number % 2 === 0 }), { runUs: 8 * S });
     if (number % 7 === 0) cluster.world.after(3 * S, () => cluster.users.cancel(ref));
-    if (cluster.world.now < FAULT_START + FAULT_DURATION) cluster.world.after(2 * S, next);
+    if (cluster.world.now < FAULT_START + FAULT_DURATION) cluster.world.after(2 * S, submitNext);
   };
-  cluster.world.after(20 * S, next);
+  cluster.world.after(20 * S, submitNext);
   await cluster.run(FAULT_START);
-  for (const trouble of troubles) trouble(cluster);
+  for (const fault of faults) fault(cluster);
   return cluster;
 };
 
-export const playFaults = (mesh: boolean, ...troubles: readonly Fault[]): Promise<Cluster> =>
-  playFaultyDay({ mesh }, ...troubles);
+export const playFaults = (mesh: boolean, ...faults: readonly Fault[]): Promise<Cluster> =>
+  playFaultyDay({ mesh }, ...faults);
 
+/** Asserts that all jobs have finished, all replicas run, no class or team was starved and no error was logged. */
 export const assertRecovered = (cluster: Cluster): void => {
   const open = cluster.unfinished();
   assert.deepEqual(open, [], cluster.story(open[0] ?? "-"));
--- a/test/sim/random-day.ts
+++ b/test/sim/random-day.ts
@@ -12,35 +12,41 @@
 /** No fault lasts for longer than this, in microseconds. */
 export const LONGEST_FAULT = 65 * S;
 
-/** The most of each kind that a day may have; how many it has is drawn. */
+/** Upper bounds of what a day contains; the actual numbers are drawn. */
 export interface DayLimits {
-  /** Chains of dependent jobs; 0 also turns version changes off. */
+  /** Chains of dependent jobs; 0 also disables rolling upgrades. */
   readonly chains: number;
-  /** Faults of `badNight`. */
+  /** Faults of `injectHarshFault`. */
   readonly harshFaults: number;
-  /** Faults of `MEETING`. */
+  /** Faults of `FAULTS`. */
   readonly combinations: number;
 }
 
 export const DEFAULT_LIMITS: DayLimits = { chains: 5, harshFaults: 4, combinations: 3 };
 
-/** Jobs that await some of those before them, of other chains as well; some are called off, some come last of all. */
-const submitChains = (cluster: Cluster, random: Random, most: number, from: number, until: number): void => {
+/** Submits chains of jobs that depend on earlier jobs, also of other chains; some are cancelled. */
+const submitDependencyChains = (
+  cluster: Cluster,
+  random: Random,
+  maxChains: number,
+  from: number,
+  until: number,
+): void => {
   const ids: string[] = [];
-  for (let number = random.int(0, most); number > 0; number -= 1) {
+  for (let number = random.int(0, maxChains); number > 0; number -= 1) {
     let at = random.int(from, until);
     for (let stage = random.int(1, 6); stage > 0; stage -= 1) {
       const ref = `wk-5${String(number).padStart(2, "0")}${String(stage).padStart(3, "0")}`;
-      const before = ids.filter(() => random.chance(0.3)).slice(-4);
-      const own = ids.at(-1);
-      const awaits = [...new Set(own === undefined ? before : [...before, own])];
+      const earlierJobs = ids.filter(() => random.chance(0.3)).slice(-4);
+      const previousJob = ids.at(-1);
+      const dependencies = [...new Set(previousJob === undefined ? earlierJobs : [...earlierJobs, previousJob])];
       const rank = random.pick(["high", "best_effort"] as const);
       const fields = {
         rank,
         shards: random.int(1, 4),
         cpus: 1,
         sizeGb: 0.2,
-        awaits,
+        awaits: dependencies,
         dueS: random.chance(0.3) ? 90 : null,
       };
       ids.push(ref);
@@ -48,8 +54,9 @@
       const runUs = random.int(2, 12) * S;
       const submit = (): void => {
         const accepted = new Set(cluster.checker.accepted());
-        if (awaits.every((id) => accepted.has(id))) cluster.submit(plainJob(ref, { ...fields, owner }), { runUs });
-        // Not for ever: one that it needs may never have been accepted.
+        if (dependencies.every((id) => accepted.has(id)))
+          cluster.submit(plainJob(ref, { ...fields, owner }), { runUs });
+        // Bounded retries: a job that it depends on may never be accepted.
         else if (cluster.world.now < until + 60 * S) cluster.world.after(S / 2, submit);
       };
       cluster.world.at(at, submit);
@@ -60,52 +67,53 @@
 };
 
 /**
- * A simulated cluster in which the jobs, cancellations and faults of the day of that seed are scheduled; nothing has
- * happened yet. Mesh on even seeds, bounded controllers on each third, a version change on about half of them.
+ * Schedules the jobs, cancellations and faults of the day of a seed on a simulated cluster that has not run yet. Even
+ * seeds have a mesh, each third has controllers with little CPU and few connections, about half have a rolling upgrade.
  */
 export const randomDay = (seed: number, limits: DayLimits = DEFAULT_LIMITS): Cluster => {
-  // Every third day on such controllers.
   const mesh = seed % 2 === 0;
-  const chains = new Random(seed + 4_000);
-  const rolls = limits.chains > 0 && chains.chance(0.5);
+  const chainRandom = new Random(seed + 4_000);
+  const hasUpgrade = limits.chains > 0 && chainRandom.chance(0.5);
   const cluster = new Cluster(
     seed,
     { mesh },
-    rolls ? withAnnouncedLimits : undefined,
+    hasUpgrade ? withAnnouncedLimits : undefined,
     seed % 3 === 0 ? SMALL : undefined,
   );
-  if (rolls) {
+  if (hasUpgrade) {
     const { upgrade } = playRollout(seed, mesh, withAnnouncedLimits, cluster);
-    const turns = [0, 1, 2].map((at) => (8 + chains.int(0, 30) + at * chains.int(1, 12)) * S);
-    for (const [at, turn] of turns.entries()) cluster.world.at(turn, () => upgrade(at));
-    cluster.world.at(chains.int(75, 140) * S, () => cluster.state.lower(LOWER_LIMITS));
-    submitChains(cluster, chains, limits.chains, Math.max(...turns) + 5 * S, 140 * S);
-  } else submitChains(cluster, chains, limits.chains, 5 * S, 140 * S);
+    const upgradeTimes = [0, 1, 2].map((at) => (8 + chainRandom.int(0, 30) + at * chainRandom.int(1, 12)) * S);
+    for (const [at, turn] of upgradeTimes.entries()) cluster.world.at(turn, () => upgrade(at));
+    cluster.world.at(chainRandom.int(75, 140) * S, () => cluster.state.lower(LOWER_LIMITS));
+    submitDependencyChains(cluster, chainRandom, limits.chains, Math.max(...upgradeTimes) + 5 * S, 140 * S);
+  } else submitDependencyChains(cluster, chainRandom, limits.chains, 5 * S, 140 * S);
   const random = new Random(seed + 1_000);
   for (let number = 0; number < 26; number += 1) {
     const job = randomJob(random, number);
     const at = number < 6 ? 2 * S : random.int(2 * S, BUSY_PERIOD);
     cluster.world.at(at, () => cluster.submit(job, { runUs: job.shape === "daemon" ? null : random.int(3, 30) * S }));
-    const given = random.chance(0.2);
-    if (given) cluster.world.at(at + random.int(0, 40 * S), () => cluster.users.cancel(job.ref));
+    const cancelled = random.chance(0.2);
+    if (cancelled) cluster.world.at(at + random.int(0, 40 * S), () => cluster.users.cancel(job.ref));
   }
   for (let number = 0; number < 8; number += 1)
     cluster.world.at(random.int(0, BUSY_PERIOD), () => cluster.users.askOnce("wk-900000"));
   for (let number = random.int(3, 7); number > 0; number -= 1) {
     cluster.world.at(random.int(10 * S, BUSY_PERIOD), () => injectFault(cluster, random));
   }
-  // With connections between controllers, cuts that leave some links up come on top of everything else.
+  // With a mesh, faults that cut some links and leave others up are added.
   for (let number = mesh ? random.int(1, 4) : 0; number > 0; number -= 1) {
     cluster.world.at(random.int(10 * S, BUSY_PERIOD), () => cutLinksAtRandom(cluster, random));
   }
-  // One-way loss, late copies, lone holders and instant returns over all of that, each from a sequence of its own.
-  const nights = new Random(seed + 2_000);
-  for (let number = nights.int(0, limits.harshFaults); number > 0; number -= 1) {
-    cluster.world.at(nights.int(10 * S, BUSY_PERIOD), () => injectHarshFault(cluster, nights));
+  // Each further group of faults draws from its own random sequence, so that the draws above stay the same.
+  const harshRandom = new Random(seed + 2_000);
+  for (let number = harshRandom.int(0, limits.harshFaults); number > 0; number -= 1) {
+    cluster.world.at(harshRandom.int(10 * S, BUSY_PERIOD), () => injectHarshFault(cluster, harshRandom));
   }
-  const meetings = new Random(seed + 3_000);
-  for (let number = meetings.int(0, limits.combinations); number > 0; number -= 1) {
-    cluster.world.at(meetings.int(10 * S, BUSY_PERIOD), () => meetings.pick(Object.values(FAULTS))(cluster));
+  const combinationRandom = new Random(seed + 3_000);
+  for (let number = combinationRandom.int(0, limits.combinations); number > 0; number -= 1) {
+    cluster.world.at(combinationRandom.int(10 * S, BUSY_PERIOD), () =>
+      combinationRandom.pick(Object.values(FAULTS))(cluster),
+    );
   }
   return cluster;
 };
