--- a/src/graphs/service/describing.ts
+++ b/src/graphs/service/describing.ts
@@ -3,11 +3,11 @@
 let loaded: Description | null = null;
 
 /**
- * What reads definitions: YAML, schema and templates. Their libraries load with the first definition that comes, and
- * not with a controller's start, which is to be quick.
+ * The module that reads definitions (YAML, schema, templates). Its libraries are loaded with the first definition
+ * instead of at start-up, so that a controller starts quickly.
  */
 export const describing = async (): Promise<Description> => {
-  // An import takes its time even for what is there already, and simulated clocks do not wait for it.
+  // Even the import of a loaded module is asynchronous, and simulated clocks do not wait for it.
   loaded ??= await import("../description/index.js");
   return loaded;
 };
--- a/src/graphs/service/door.ts
+++ b/src/graphs/service/door.ts
@@ -58,16 +58,16 @@
 } from "./records.js";
 import { LARGE_RUN } from "./run-writes.js";
 
-/** A plan up to this many characters lies in the header, and comes to all controllers with it. */
+/** Plans of up to this many characters are stored in the run's header, which every controller's watch cache holds. */
 const INLINE = 3_000;
-/** No line of an answer may exceed 64 KiB, with names as long as they may be. */
+/** Steps per page: a line of a response must not exceed 64 KiB, even with the longest permitted names. */
 const STEPS_PAGE = 150;
 const RUNS_PAGE = 100;
 const FULL_S = 30;
 
 type Phase = "pending" | "running" | RunEnd;
 
-/** Fields in one order, so that a repetition that was written anew is still the same. */
+/** JSON with sorted keys, so that a repeated submission has the same digest whatever the order of its fields. */
 const canonical = (value: unknown): string =>
   JSON.stringify(value, (_, inner: unknown) => {
     if (typeof inner === "bigint") return inner.toString();
@@ -75,7 +75,7 @@
     return Object.fromEntries(Object.entries(inner).sort(([a], [b]) => (a < b ? -1 : 1)));
   });
 
-/** The users' interface for graphs, the same at every controller. */
+/** The HTTP API for DAG runs (`/v2/graphs`). Every controller serves it, whether or not it leads the run's shard. */
 export class GraphDoor {
   private readonly glimpses: Glimpses;
   private readonly parts: Parts;
@@ -84,7 +84,7 @@
     private readonly services: Services,
     private readonly types: ReadonlyMap<string, MachineType>,
     private readonly options: GraphOptions,
-    /** The run's states, where this controller holds it. */
+    /** The run's step states if this controller leads the run's shard and has loaded the run; else null. */
     private readonly live: (id: string) => RunStates | null,
   ) {
     this.glimpses = new Glimpses(services, options);
@@ -95,7 +95,7 @@
     });
   }
 
-  /** Null: not a path of graphs. */
+  /** Null if the path does not belong to this API. A malformed request resolves to a 400 response. */
   handle(request: HttpRequest): Promise<HttpResponse> | null {
     const [path = "", query = ""] = request.target.split("?");
     if (path !== "/v2/graphs" && !path.startsWith("/v2/graphs/")) return null;
@@ -136,7 +136,7 @@
     return isSubmission(value) ? this.take(value) : refuse(400, whyNot(isSubmission));
   }
 
-  /** `parts`: keys of what it was put together from. */
+  /** `parts`: keys of the stored parts that the submission was assembled from; deleted once the run is accepted. */
   private async take(submission: Submission, parts: readonly string[] = []): Promise<HttpResponse> {
     const { cache, transactions, loadShedder } = this.services;
     const id = submission.ref;
@@ -167,7 +167,7 @@
 
   private neverRuns(plan: Plan): string | null {
     for (const [step, spec] of distinctJobs(plan)) {
-      // Beside the specification a record holds the id, the graph's and counts of failures.
+      // Besides the specification, a job record holds the job id, the run id and failure counts: up to 400 bytes.
       if (JSON.stringify(jobSpecCodec.encode(spec)).length + 400 > this.services.settings.store.valueBytes) {
         return `step ${step.id}: its job is too large for a record`;
       }
@@ -214,7 +214,7 @@
       clear: null,
       before,
     };
-    // What the marker says of parts stays: should this end here, the last part comes again.
+    // The marker keeps its list of parts: if this controller crashes here, the user sends the last part again.
     const marked = this.services.cache.entries.get(uploadKey(id));
     const uploaded: Upload = marked === undefined ? {} : readUpload(marked.value);
     const marker: WriteOperation = {
@@ -228,9 +228,9 @@
       const write: WriteOperation = { kind: "put", key: planKey(id, digest, at), value };
       const first = at === 0;
       const put = await transactions.submit(first ? unchanged : new Map(), first ? [marker, write] : [write], "user");
-      // The key holds the digest, so a chunk that is there already is this one.
+      // The key contains the plan's digest, so a chunk that already exists under it has the same content.
       if (put.kind !== "ok") return comeBack("state service unavailable");
-      // Chunks are cleared away under their marker: as long as it is this one, none has been.
+      // Deletion of chunks is conditional on the marker's version: while that is unchanged, no chunk has been deleted.
       if (first) conditions.set(uploadKey(id), put.version);
     }
     writes.push({ kind: "put", key: graphKey(id), value: writeHeader(header) });
@@ -248,9 +248,9 @@
     return this.tell(id, known);
   }
 
-  // Questions -----------------------------------------------------------------------------------------------
+  // Queries -------------------------------------------------------------------------------------------------
 
-  /** No older than the question. */
+  /** Looks up a run's record; the result is at least as recent as the call. */
   private async find(id: string): Promise<Found> {
     const { cache, store } = this.services;
     if (!(await cache.sync())) return { kind: "unknown" };
@@ -346,7 +346,7 @@
     return answer(200, { graphs, next: last !== undefined && last !== ids.at(-1) ? last : null });
   }
 
-  // Abort and clearing --------------------------------------------------------------------------------------
+  // Abort and clear -----------------------------------------------------------------------------------------
 
   private async abort(id: string): Promise<HttpResponse> {
     const { transactions } = this.services;
@@ -381,7 +381,7 @@
       if (header.clear !== null) return comeBack("an earlier clearing is under way");
       const plan = await loadPlan(this.services.store, id, header);
       if (plan === null) return comeBack("state service unavailable");
-      // A mapped task's name stands for all of its steps.
+      // The name of a mapped task selects all of its steps.
       const steps = plan.steps.flatMap((one, at) => (one.id === step || one.id.startsWith(`${step}[`) ? [at] : []));
       if (steps.length === 0) return refuse(404, `no step ${step}`);
       const done =
@@ -393,7 +393,7 @@
     return comeBack("busy");
   }
 
-  /** Put on record here; its holder carries it out, since it knows what is under way. */
+  /** Only stores the request: the shard leader carries it out, since it knows which attempts are running. */
   private async clearCurrent(
     id: string,
     { header, version }: Extract<Found, { kind: "current" }>,
@@ -409,7 +409,7 @@
     return result.kind === "conflict" ? null : comeBack("state service unavailable");
   }
 
-  /** Nothing is under way, so it is carried out at once: the run goes on from what is not cleared. */
+  /** No attempt is running, so the clear is carried out at once; steps that are not cleared keep their states. */
   private async clearEnded(
     id: string,
     { ended, version }: Extract<Found, { kind: "ended" }>,
--- a/src/graphs/service/extension.ts
+++ b/src/graphs/service/extension.ts
@@ -8,7 +8,7 @@
 import { graphKey, isCalledOff, readHeader } from "./records.js";
 import { Runner } from "./runner.js";
 
-/** Graphs beside the kernel of one controller. */
+/** The scheduler extension of one controller that runs DAGs: serves their API and runs them in the shards it leads. */
 class Graphs implements Extension {
   private readonly runners = new Set<Runner>();
   private readonly door: GraphDoor;
@@ -52,6 +52,7 @@
   }
 }
 
+/** Creates the factory of the extension that runs DAGs. */
 export const graphsWith =
   (options: GraphOptions): ExtensionFactory =>
   (services, types) =>
--- a/src/graphs/service/glimpses.ts
+++ b/src/graphs/service/glimpses.ts
@@ -7,11 +7,11 @@
 import { loadRun, pastOf } from "./loading.js";
 import type { Header } from "./records.js";
 
-/** What a question about a run needs of it. */
+/** The part of a run's states that status queries need. */
 export type RunStates = Pick<DagRun, "plan" | "stateOf" | "attemptOf" | "count">;
 
 const KEPT = 8;
-/** Questions within this time share one look; states may lag by three seconds. */
+/** Queries within this time share one snapshot. Reported states may lag by up to three seconds. */
 const FRESH = seconds(1.5);
 
 interface Glimpse {
@@ -21,7 +21,7 @@
   readonly states: RunStates;
 }
 
-/** Runs as they stand by the records, for a controller that does not hold them. */
+/** Cached snapshots of runs, computed from stored records, for a controller that does not lead their shard. */
 export class Glimpses {
   private readonly kept = new Map<string, Glimpse>();
   private readonly looking = new Map<string, Promise<RunStates | null>>();
@@ -31,7 +31,7 @@
     private readonly options: GraphOptions,
   ) {}
 
-  /** Null where the state service did not answer. */
+  /** Null if the state service did not answer. */
   look(id: string, header: Header): Promise<RunStates | null> {
     const known = this.kept.get(id);
     const { clock } = this.services;
@@ -58,7 +58,7 @@
       frozen: saved.finals,
       clearings: saved.clearings,
       past: pastOf(id, header, ended, (key) => cache.entries.has(key)),
-      // Whether an earlier run holds a step up is its holder's to know: here it is shown as about to start.
+      // Only the shard leader knows whether an earlier run blocks a step: here the step appears as about to start.
       pastRun: () => "go",
       onRetry: () => undefined,
     });
