--- a/src/graphs/service/loading.ts
+++ b/src/graphs/service/loading.ts
@@ -15,16 +15,17 @@
   segmentPrefix,
 } from "./records.js";
 
-/** All that is on record of a run, beside its header and its open jobs. */
+/** The stored data of a run other than its header and its open jobs. */
 export interface Loaded {
   readonly plan: Plan;
   readonly saved: Saved;
-  /** By job id. */
+  /** Outcomes of ended attempts, by job id. */
   readonly ended: Map<string, Outcome>;
 }
 
 const NOTHING_SAVED = (): Saved => ({ finals: new Map(), clearings: new Map() });
 
+/** Null if the state service did not answer, or if a chunk of the plan is missing. */
 export const loadPlan = async (store: KeyValueStore, id: string, header: Header): Promise<Plan | null> => {
   if ("text" in header.plan) return decodePlan(header.plan.text);
   let text = "";
@@ -36,6 +37,7 @@
   return decodePlan(text);
 };
 
+/** Reads the run's saved segments; null if the state service did not answer. */
 export const loadSaved = async (store: KeyValueStore, id: string, header: Header): Promise<Saved | null> => {
   const reply = await store.list(segmentPrefix(id));
   if (reply.kind !== "ok") return null;
@@ -46,7 +48,7 @@
   return readSegments(header.segment, segments);
 };
 
-/** Null where the state service did not answer. One request for a small run that was never cleared. */
+/** Null if the state service did not answer. A small run that was never cleared takes one request. */
 export const loadRun = async (
   store: KeyValueStore,
   id: string,
@@ -66,7 +68,7 @@
   return { plan, saved, ended };
 };
 
-/** What the run's jobs on record say. `isCurrent`: by the view, the job has not ended. */
+/** State of the run's attempts by their stored records. `isCurrent`: whether the watch cache holds the job record. */
 export const pastOf = (
   id: string,
   header: Header,
--- a/src/graphs/service/past-runs.ts
+++ b/src/graphs/service/past-runs.ts
@@ -7,14 +7,14 @@
 
 const REMEMBERED = 64;
 
-/** How steps ended in the run of the same DAG before a given one, for those that depend on it. */
+/** Decides for steps with `depends_on_past` by the states of the DAG's previous run. */
 export class PastRuns {
   private readonly ended = new Map<string, ReadonlyMap<string, StepState>>();
 
   constructor(
     private readonly store: KeyValueStore,
     private readonly live: (run: string) => DagRun | null,
-    /** Its header is there, so its states are not final. */
+    /** Whether the run's header exists, so that its states are not final yet. */
     private readonly isCurrent: (run: string) => boolean,
   ) {}
 
@@ -22,7 +22,7 @@
     this.ended.delete(run);
   }
 
-  /** Reads what `said` needs of a run that has ended; false where the state service did not answer. */
+  /** Loads the previous run's final states for `said` if it has ended; false if the state service did not answer. */
   async prepare(plan: Plan, { before }: Header): Promise<boolean> {
     if (before === null || !plan.steps.some(({ dependsOnPast }) => dependsOnPast)) return true;
     if (this.ended.has(before) || this.isCurrent(before)) return true;
@@ -47,7 +47,10 @@
     if (this.ended.size > REMEMBERED && oldest !== undefined) this.ended.delete(oldest);
   }
 
-  /** As Airflow: the step of the same name must have succeeded or been skipped; one that was not there bars nothing. */
+  /**
+   * As in Airflow: the step of the same name in the previous run must have succeeded or been skipped; a step that the
+   * previous run does not have blocks nothing.
+   */
   said({ before }: Header, step: string): PastRun {
     if (before === null) return "go";
     const states = this.ended.get(before);
@@ -60,7 +63,7 @@
     const at = run.plan.steps.findIndex(({ id }) => id === step);
     const state = at < 0 ? "success" : run.stateOf(at);
     if (state === "success" || state === "skipped") return "go";
-    // Its run may yet be cleared while it goes on; once that has ended, its states are on record.
+    // While the previous run is active, a failed step may still be cleared; its states are final once the run ends.
     return "wait";
   }
 }
--- a/src/graphs/service/records.ts
+++ b/src/graphs/service/records.ts
@@ -10,13 +10,14 @@
 import { FINALS, type FinalState } from "../run/states.js";
 
 /**
- * Keys. A run's header lies below `c/` while the run goes on, so that every controller's view has it. Its plan, where
- * that is too large for the header, and its saved states lie outside of what is watched, and stay where they are.
+ * Keys and stored forms of DAG runs. While a run is active its header is stored below `c/`, so that every controller's
+ * watch cache holds it. A plan too large for the header and the saved step states are stored outside the watched
+ * prefix, and stay there when the run ends.
  */
 export const graphKey = (id: string): string => `c/graph/${id}`;
 export const graphOfKey = (key: string): string | null =>
   key.startsWith("c/graph/") ? key.slice("c/graph/".length) : null;
-/** Counts of a large run, for controllers that do not hold it. */
+/** Key of a large run's counts of steps by state, for controllers that do not lead its shard. */
 export const summaryKey = (id: string): string => `c/gsum/${id}`;
 export const endedPrefix = "ge/";
 export const endedKey = (id: string): string => `${endedPrefix}${id}`;
@@ -26,10 +27,10 @@
 export const partPrefix = (id: string): string => `g/${id}/u/`;
 export const partKey = (id: string, part: number, piece: number): string =>
   `${partPrefix(id)}${String(part).padStart(4, "0")}/${String(piece).padStart(2, "0")}`;
-/** The run of a DAG that was accepted last; only kept where steps depend on it. */
+/** Key of the id of the DAG's last accepted run; stored only if some step has `depends_on_past`. */
 export const lastRunKey = (owner: string, dag: string): string =>
   `gl/${bytesToHex(sha256(Buffer.from(JSON.stringify([owner, dag]), "utf8"))).slice(0, 32)}`;
-/** There while something lies below `g/` that no header speaks of yet. */
+/** Key of the marker that exists while there are records below `g/` that no header refers to yet. */
 export const uploadKey = (id: string): string => `c/upload/${id}`;
 export const uploadOfKey = (key: string): string | null =>
   key.startsWith("c/upload/") ? key.slice("c/upload/".length) : null;
@@ -41,9 +42,9 @@
 const INDEX_WIDTH = 4;
 
 /**
- * A step's job is told by its run, the run's definition, the step and the attempt: whoever submits it comes to the same
- * id, so that no attempt is submitted twice, and whoever uploads descriptions knows it beforehand. Digits of the
- * definition keep a job that somebody else has chosen the id of from passing as a step. In order of the steps.
+ * The id of a step's job, derived from run, plan digest, step and attempt: every controller computes the same id, so no
+ * attempt is submitted twice, and a client that uploads job descriptions knows it in advance. The digits of the digest
+ * prevent a job whose id another user chose from being taken for a step's. Ids sort in the order of the steps.
  */
 export const jobIdOf = (run: string, digest: string, step: number, attempt: number): string =>
   `${jobPrefix(run, digest)}${step.toString(BASE).padStart(INDEX_WIDTH, "0")}.${attempt}`;
@@ -56,7 +57,7 @@
   return { step: Number.parseInt(step, BASE), attempt: Number(attempt) };
 };
 
-/** How an attempt ended, by its job's last word. */
+/** How an attempt ended, according to its job's outcome record. */
 export const outcomeOf = (end: OutcomeRecord): Outcome => {
   if (end.phase === "done") return "done";
   if (end.cancellationReason === undefined) return "killed";
@@ -65,59 +66,60 @@
     : "aborted";
 };
 
-/** Where a plan is kept: in the record itself, or in so many chunks. */
+/** Where a plan is stored: in the header itself (`text`), or in this number of separate chunks. */
 export type PlanPlace = { readonly text: string } | { readonly chunks: number };
 
-/** A clearing that is accepted and not carried out yet. */
+/** A request to clear steps that has been accepted but not carried out yet. */
 export interface Clear {
   readonly steps: readonly number[];
   readonly downstream: boolean;
 }
 
 export interface Header {
-  /** Of the plan. */
+  /** Digest of the plan. */
   readonly digest: string;
-  /** Of what the user sent: tells a repetition from another run under the same id. */
+  /** Digest of the user's request: distinguishes a repeated submission from another run with the same id. */
   readonly request: string;
   readonly dag: string;
   readonly owner: string;
+  /** Shard of the run. */
   readonly block: number;
   readonly steps: number;
-  /** Runs of the DAG that may be under way at once. */
+  /** Maximum number of active runs of the DAG. */
   readonly mostRuns: number;
-  /** Steps of one saved segment. */
+  /** Number of steps per saved segment. */
   readonly segment: number;
   readonly plan: PlanPlace;
-  /** Time of day in milliseconds; 0 where none was to be had. */
+  /** Wall-clock time in milliseconds since the epoch; 0 if the controller had no wall clock. */
   readonly acceptedMs: number;
   readonly aborted: boolean;
   readonly timedOut: boolean;
-  /** Clearings carried out so far. */
+  /** Number of clears carried out so far. */
   readonly round: number;
   readonly clear: Clear | null;
-  /** The run of the same DAG accepted before this one, where steps depend on it. */
+  /** The previous run of the same DAG in order of acceptance, if some step has `depends_on_past`; else null. */
   readonly before: string | null;
 }
 
-/** Nothing of the run is to go on. */
+/** Whether the run was aborted or timed out: its jobs are cancelled and no step starts any more. */
 export const isCalledOff = ({ aborted, timedOut }: Header): boolean => aborted || timedOut;
 
 export type RunEnd = "success" | "failed" | "withdrawn";
 
-/** A run's last word; the header as it last was, how it ended, and when. */
+/** Record of a run that has ended: its last header, its final phase, and the wall-clock time of its end. */
 export interface Ended {
   readonly header: Header;
   readonly phase: RunEnd;
   readonly counts: Readonly<Record<string, number>>;
   readonly endedMs: number;
-  /** Final states, where one segment holds them all; else they are below `g/`. */
+  /** Final states if one segment holds them all; null: the segments are stored below `g/`. */
   readonly states: Segment | null;
 }
 
-/** Saved states of the steps from `segment * size` on. Each set is a bitmap, deflated. */
+/** Saved states of the `size` steps from number `segment * size` on: for each state a deflated bitmap of its steps. */
 export interface Segment {
   readonly finals: Readonly<Partial<Record<FinalState, string>>>;
-  /** Clearing of each step, a byte a step, deflated; null: none has been cleared. */
+  /** Number of the clear that each step last went through, one byte per step, deflated; null: none was cleared. */
   readonly clearings: string | null;
 }
 
@@ -125,7 +127,7 @@
 const unpack = (text: string, most: number): Buffer =>
   inflateRawSync(Buffer.from(text, "base64"), { maxOutputLength: most });
 
-/** Bytes that a segment takes at most: five bitmaps and the clearings, hardly compressible at worst. */
+/** Upper bound of a segment's size: five bitmaps and the clearings byte, assumed to be hardly compressible. */
 const BYTES_PER_STEP = 1.6;
 const MOST_SEGMENT = 4_096;
 export const segmentSize = (valueBytes: number): number =>
@@ -167,7 +169,7 @@
   });
 };
 
-/** Saved states after a clearing: those that are not cleared keep theirs, the others count their attempts anew. */
+/** Saved states after a clear: cleared steps lose their state and number their attempts anew, others keep theirs. */
 export const clearedSegments = (
   { steps, segment }: Header,
   finals: Iterable<readonly [number, FinalState]>,
@@ -214,7 +216,7 @@
   return { finals, clearings };
 };
 
-/** What lies below `g/` of a run that is not accepted yet: parts that have come, or chunks of its plan. */
+/** Upload marker of a run that is not accepted yet: lists its records below `g/`, which are parts or plan chunks. */
 export interface Upload {
   readonly parts?: number;
   readonly have?: readonly number[];
@@ -224,7 +226,7 @@
 
 const uploadForm = new RecordCodec<Upload>({ parts: "parts", have: "have", plan: "plan", chunks: "chunks" });
 
-// Written by this program alone.
+// Only this program writes this record, so the field types are not validated.
 export const readUpload = (value: unknown): Upload => uploadForm.decode(asObject(value, "upload"));
 export const writeUpload = (upload: Upload): JsonObject => uploadForm.encode(upload);
 
@@ -284,7 +286,7 @@
   };
 };
 
-// Written by this program alone, so the inner shape of segments and counts is taken as it is.
+// Only this program writes these records, so the inner structure of segments and counts is not validated.
 const segmentForm = new RecordCodec<Segment>({ finals: "finals", clearings: "clearings" });
 
 export const readSegment = (value: unknown): Segment => segmentForm.decode(asObject(value, "segment"));
