--- a/src/graphs/service/job-notes.ts
+++ b/src/graphs/service/job-notes.ts
@@ -6,15 +6,15 @@
 import { describeError } from "../../transport/log.js";
 
 interface Wish {
-  /** Failures by task. */
+  /** Number of failures by task index. */
   errors: Readonly<Record<string, number>>;
   why: CancellationReason | null;
   writing: boolean;
 }
 
 /**
- * Brings what is wanted of steps' jobs on their records: failures that count, and the word that an attempt is given up.
- * They are on record with the job itself, so that whoever takes the block over goes on counting.
+ * Writes failure counts and cancellations into the job records of steps. They are stored with the job itself, so that
+ * the next shard leader continues the count.
  */
 export class JobNotes {
   private readonly wishes = new Map<string, Wish>();
@@ -26,7 +26,7 @@
     this.stopped = true;
   }
 
-  /** Counts a failure; returns how many of this task there have been. */
+  /** Counts a failure of the task; returns the task's number of failures so far. */
   count(job: string, index: number): number {
     const wish = this.wish(job);
     const count = (wish.errors[index] ?? 0) + 1;
@@ -35,6 +35,7 @@
     return count;
   }
 
+  /** Cancels the attempt's job; the first reason given stays. */
   giveUp(job: string, why: CancellationReason): void {
     const wish = this.wish(job);
     if (wish.why !== null) return;
@@ -42,7 +43,7 @@
     this.write(job, wish);
   }
 
-  /** The job has ended: nothing is wanted of it any more. */
+  /** The job has ended: drops its pending changes. */
   forget(job: string): void {
     this.wishes.delete(job);
   }
@@ -74,7 +75,7 @@
       }, undefined);
   }
 
-  /** True once the record says what is wanted, or can't any more. */
+  /** True once the record has all pending changes, or none are possible since the job has ended or is cancelled. */
   private async bring(job: string, wish: Wish): Promise<boolean> {
     const { transactions, cache, lease } = this.context;
     const entry = cache.entries.get(jobKey(job));
--- a/src/graphs/service/live-run.ts
+++ b/src/graphs/service/live-run.ts
@@ -5,37 +5,42 @@
 import type { Loaded } from "./loading.js";
 import type { Header } from "./records.js";
 
-/** A run under way, as its block's holder has it. Forgotten with the lease. */
+/** In-memory state of an active run at its shard leader; discarded when the lease is lost. */
 export interface LiveRun {
   readonly id: string;
   header: Header;
   version: Uint64;
-  /** May have steps under way: not more than `max_active_runs` of its DAG may. */
+  /** Whether its steps may start: at most `max_active_runs` runs of its DAG are active. */
   active: boolean;
   loading: boolean;
   loaded: Loaded | null;
   engine: DagRun | null;
   limits: readonly Limits[];
   order: Uint32Array;
-  /** Jobs of open steps. */
+  /** Job ids of open steps, by step. */
   readonly open: Map<number, string>;
   /** Steps whose job is being submitted. */
   readonly starting: Set<number>;
-  /** Steps that hold a slot of a pool. */
+  /** Pool names of the steps that hold a pool slot, by step. */
   readonly pooled: Map<number, string>;
-  /** Running time of the present attempt, where that is limited. */
+  /** Time that the current attempt has been running, by step; only for steps with an execution timeout. */
   readonly spent: Map<number, Micros>;
+  /** Whether any step has an execution timeout. */
   timed: boolean;
+  /** Whether a write of the header or the segments is in progress. */
   writing: boolean;
+  /** Whether the check that precedes the end of a halted run is in progress. */
   settling: boolean;
-  /** What has ended while the run was being loaded. */
+  /** Handlers of jobs that ended while the run was being loaded; called after the load. */
   late: (() => void)[];
+  /** Counts last written to the summary record, comma-separated; empty: none. */
   summed: string;
+  /** Time of the last summary write, or of the creation of this object. */
   summedAt: Micros;
   readonly seenAt: Micros;
 }
 
-/** Runs of one DAG take turns where it asks for that; a DAG is its owner's. */
+/** Key of the run's DAG for `max_active_runs`; DAGs of different owners are distinct even if their ids are equal. */
 export const dagOf = ({ owner, dag }: Header): string => JSON.stringify([owner, dag]);
 
 export const newRun = (id: string, header: Header, version: Uint64, now: Micros): LiveRun => ({
--- a/src/graphs/service/parts.ts
+++ b/src/graphs/service/parts.ts
@@ -19,26 +19,26 @@
   writeUpload,
 } from "./records.js";
 
-/** Of a part in one transaction. */
+/** Maximum length of a compressed part in base64, since a part is stored in one transaction. */
 const MOST_PACKED = 48 * 1_024;
-/** Of a definition put together from its parts. */
+/** Maximum length of a definition assembled from its parts. */
 const MOST_BODY = 4 * 1_024 * 1_024;
 
-/** What parts need of the users' interface. */
+/** Operations of the graph API that the upload in parts uses. */
 export interface PartsDoor {
   readonly find: (id: string) => Promise<Found>;
   readonly tell: (id: string, found: Exclude<Found, Absent>) => Promise<HttpResponse>;
   readonly submit: (submission: Submission, parts: readonly string[]) => Promise<HttpResponse>;
 }
 
-/** Definitions that come in numbered parts, since they are larger than a request may be. */
+/** Accepts definitions that are too large for one request and are therefore sent in numbered parts. */
 export class Parts {
   constructor(
     private readonly services: Services,
     private readonly door: PartsDoor,
   ) {}
 
-  /** Parts may come to any controller, in any order, and more than once; the last one makes the run. */
+  /** Parts may be sent to any controller, in any order and repeatedly; the last missing one submits the run. */
   async take(given: Part): Promise<HttpResponse> {
     const { ref: id, part, parts } = given;
     if (!isRunId(id)) return refuse(400, "ref: not a graph id like dr-night_2026-01-31");
@@ -48,7 +48,7 @@
     for (let tries = 0; tries < TRIES; tries += 1) {
       const known = await this.door.find(id);
       if (known.kind === "unknown") return comeBack("state service unavailable");
-      // All parts have come, or it is another graph: the parts alone don't tell.
+      // Either all parts were received already or this is another run; a single part does not tell which.
       if (known.kind !== "never") return this.door.tell(id, known);
       if (this.services.transactions.userWriteDelay > MOST_BACKLOG) return comeBack("busy", BUSY_S);
       const have = await this.keepPart(given, pieces);
@@ -59,7 +59,7 @@
     return comeBack("busy");
   }
 
-  /** As it lies in the state service; null where it does not fit into one transaction. */
+  /** The part in its stored form, split into values; null if it does not fit into one transaction. */
   private piecesOf({ ref: id, part, text }: Part): readonly (WriteOperation & { readonly kind: "put" })[] | null {
     const { valueBytes, transactionWrites } = this.services.settings.store;
     const packed = gzipSync(text).toString("base64");
@@ -72,7 +72,7 @@
     });
   }
 
-  /** Puts a part on record; how many there are then, or what else there is to say. */
+  /** Stores a part. Returns the number of stored parts, `again` to retry, or an error response. */
   private async keepPart(
     { ref: id, part, parts, text }: Part,
     pieces: readonly WriteOperation[],
@@ -91,7 +91,7 @@
       return refuse(409, `part ${part} of ${id} is there with other content: choose a new id`);
     }
     const write: WriteOperation = { kind: "put", key, value: writeUpload({ parts, have: [...have, part] }) };
-    // Once it has become a run the mark is gone: a part come late must not bring it back.
+    // The marker is deleted once the run is accepted; these conditions keep a late part from creating it again.
     const conditions = new Map<string, Uint64>([
       [key, entry?.version ?? 0],
       [graphKey(id), 0],
@@ -130,7 +130,7 @@
     );
   }
 
-  /** What is left after a crash here is found by its marker. */
+  /** Deletes the parts, then the marker: after a crash, the cleanup finds the remaining parts by their marker. */
   async clearAway(id: string, parts: readonly string[]): Promise<void> {
     const { transactions, log, cache } = this.services;
     try {
--- a/src/graphs/service/pools.ts
+++ b/src/graphs/service/pools.ts
@@ -1,13 +1,13 @@
 import type { DagRun } from "../run/dag-run.js";
 import type { LiveRun } from "./live-run.js";
 
-/** Slots of the operators' pools, over all runs of a block. */
+/** Slots of the configured pools, shared by all runs of a shard. */
 export class Pools {
   private readonly used = new Map<string, number>();
-  /** By pool without a free slot, the runs that have a step for it, in the order in which they asked. */
+  /** By pool without a free slot: the runs with a ready step for it, first come first served. */
   private readonly queues = new Map<string, Set<LiveRun>>();
 
-  /** `onSlot`: told of a run that may find a slot now. */
+  /** `onSlot` is called with a waiting run when a slot may be free for it. */
   constructor(
     private readonly slots: Readonly<Record<string, number>>,
     private readonly onSlot: (run: LiveRun) => void,
@@ -17,7 +17,7 @@
     return (this.used.get(pool) ?? 0) < (this.slots[pool] ?? 0);
   }
 
-  /** The step holds a slot of its pool, if it has one, until it is given back. */
+  /** Occupies a slot of the step's pool, if it has a pool, until `giveBack`. */
   take(run: LiveRun, step: number): void {
     const pool = run.engine?.plan.steps[step]?.pool;
     if (pool === null || pool === undefined || run.pooled.has(step)) return;
@@ -33,13 +33,13 @@
     this.offer(pool);
   }
 
-  /** The run has ended, or is read anew. */
+  /** Releases all slots of a run that has ended or is reloaded, and removes it from the queues. */
   forget(run: LiveRun): void {
     for (const queue of this.queues.values()) queue.delete(run);
     for (const step of [...run.pooled.keys()]) this.giveBack(run, step);
   }
 
-  /** The run has steps for pools that are full now. */
+  /** Queues the run for those pools of its ready steps that have no free slot. */
   wait(run: LiveRun, engine: DagRun): void {
     for (const pool of engine.readyPools()) {
       if (pool === "" || this.hasRoom(pool)) continue;
@@ -49,12 +49,12 @@
     }
   }
 
-  /** Slots that those they were offered to had no use for any more. */
+  /** Offers free slots again that the runs they were offered to did not use. */
   offerAll(): void {
     for (const pool of [...this.queues.keys()]) this.offer(pool);
   }
 
-  /** A free slot is the first one's in the queue. */
+  /** Offers a free slot to the first queued run that still has a ready step. */
   private offer(pool: string): void {
     const queue = this.queues.get(pool);
     if (queue === undefined || !this.hasRoom(pool)) return;
--- a/src/graphs/service/run-writes.ts
+++ b/src/graphs/service/run-writes.ts
@@ -23,25 +23,29 @@
   writeSegments,
 } from "./records.js";
 
-/** In place of the counts that were last put on record: they may not be. */
+/** Value of `summed` after a failed write, when the stored counts are unknown; differs from all counts. */
 const NOT_WRITTEN = "?";
 const RETRY = ms(300);
-/** Larger runs have their counts on record for the controllers that do not hold them. */
+/** Number of steps from which a run's counts are stored for controllers that do not lead its shard. */
 export const LARGE_RUN = 500;
 const SUMMARY_PERIOD = seconds(3);
 
-/** What the writes of runs need of whoever takes the runs forward. */
+/** Callbacks of `RunWrites` into the runner. */
 export interface RunsAround {
-  /** The header is on record in this stored form; the view may not have it yet. */
+  /** The header was written in this stored form; the watch cache may not have it yet. */
   readonly seen: (id: string, value: unknown, version: Uint64) => void;
+  /** The run has ended and its header was deleted. */
   readonly drop: (id: string) => void;
-  /** Something may be to be done for the run, if it is still there. */
+  /** Checks the run, if it is still active, for work that has become possible. */
   readonly moved: (run: LiveRun) => void;
-  /** Brings what runs and what waits up to date in the run's states. */
+  /** Updates which steps of the run are running and which are queued. */
   readonly refresh: (id: string) => void;
 }
 
-/** What a run has on record of its own beside its jobs: its end, clearings, its timeout, counts. One write at a time. */
+/**
+ * Writes the records of a run other than its jobs: its end, clears, its timeout and its counts. At most one write of a
+ * run's header is in progress at a time.
+ */
 export class RunWrites {
   constructor(
     private readonly context: ShardContext,
@@ -60,6 +64,7 @@
     return Math.round(this.context.wallClock?.() ?? 0);
   }
 
+  /** Replaces the header by the record of the ended run. Retries after a delay if the write fails. */
   async finish(run: LiveRun, engine: DagRun): Promise<void> {
     if (run.writing) return;
     run.writing = true;
@@ -118,7 +123,7 @@
     return false;
   }
 
-  /** Carries out a clearing that is on record: what is not cleared stays as it is, whatever the others come to. */
+  /** Carries out a stored clear request. Steps that are not cleared keep their states, whatever the others end in. */
   async clear(run: LiveRun, engine: DagRun, clear: Clear): Promise<void> {
     if (run.writing || run.loaded === null) return;
     run.writing = true;
@@ -145,7 +150,7 @@
     }
   }
 
-  /** By the time of day where there is one, since a run may outlive many holders. */
+  /** Marks the run as timed out. Uses the wall clock if there is one, since a run may outlive many shard leaders. */
   timeOut(run: LiveRun, engine: DagRun): void {
     const { timeoutS } = engine.plan;
     const { header } = run;
@@ -167,6 +172,7 @@
     );
   }
 
+  /** Stores the counts of a large run, at most once per `SUMMARY_PERIOD` and only if they changed. */
   summarize(run: LiveRun, engine: DagRun): void {
     const { clock, transactions, cache } = this.context;
     if (run.header.steps < LARGE_RUN || run.writing || clock.now() - run.summedAt < SUMMARY_PERIOD) return;
@@ -177,7 +183,7 @@
     run.summed = text;
     run.summedAt = clock.now();
     const key = summaryKey(run.id);
-    // An earlier one come late must not stand for this one.
+    // The condition keeps a delayed earlier write from overwriting this one.
     const conditions = this.conditions(run).set(key, cache.entries.get(key)?.version ?? 0);
     const write: WriteOperation = { kind: "put", key, value: counts };
     void this.guard(
--- a/src/graphs/service/runner.ts
+++ b/src/graphs/service/runner.ts
@@ -26,19 +26,20 @@
 import { Uploads } from "./uploads.js";
 
 const TICK = ms(500);
-/** Submissions under way at once, as a multiple of what one transaction takes. */
+/** Maximum number of concurrent step submissions, as a multiple of the writes that one transaction takes. */
 const IN_FLIGHT = 2;
+/** Maximum number of runs loaded concurrently. */
 const LOADING = 4;
 const RETRY = ms(300);
 
-/** Takes the runs of a block forward for as long as this process holds the block. */
+/** Executes the runs of one shard while this controller leads it: submits steps and writes the runs' records. */
 export class Runner implements ShardExtension {
   private readonly runs = new Map<string, LiveRun>();
   private readonly dags = new Map<string, Set<LiveRun>>();
-  /** Runs with steps to submit, each in turn. */
+  /** Runs with steps to submit, served round-robin. */
   private readonly ring = new Set<LiveRun>();
   private readonly toLoad = new Set<LiveRun>();
-  /** By run, the one of its DAG that was accepted next, where that depends on it. */
+  /** By run id, the next run of the same DAG, if its steps depend on this run (`depends_on_past`). */
   private readonly followers = new Map<string, LiveRun>();
   private readonly pools: Pools;
   private readonly writes: RunWrites;
@@ -46,7 +47,7 @@
   private readonly uploads: Uploads;
   private readonly past: PastRuns;
   private loadingCount = 0;
-  /** Since when the runs that were under way at a takeover are being read; null: they have been. */
+  /** When the load of the runs found at the takeover started; null once it has finished. */
   private readingSince: Micros | null = null;
   private inFlight = 0;
   private stopped = false;
@@ -90,7 +91,7 @@
     this.notes.stop();
   }
 
-  /** The run's states, once they are known here. */
+  /** The run's step states; null if the run is not loaded. */
   stateOf(id: string): DagRun | null {
     const run = this.runs.get(id);
     if (run === undefined || run.engine === null) return null;
@@ -104,7 +105,7 @@
     return false;
   }
 
-  // What the kernel tells -----------------------------------------------------------------------------------
+  // Events of the scheduler core ----------------------------------------------------------------------------
 
   onChange(change: KeyChange): void {
     if (this.stopped) return;
@@ -118,8 +119,9 @@
   }
 
   /**
-   * Whether a job is withdrawn is told by the view's header. A run's own timeout is known here before the view has it:
-   * its jobs were not swept then, and not later either, since the header brought nothing new.
+   * Cancels the jobs of an aborted or timed-out run. The scheduler core consults the header in the watch cache. After a
+   * timeout the runner knows the new header before the cache does, so cancelling at that moment has no effect, and the
+   * later cache update is not a newer version; hence this runs on every change of the header.
    */
   private sweep(id: string): void {
     const run = this.runs.get(id);
@@ -127,7 +129,7 @@
     this.doors.cancelWithdrawnJobs(run.open.values());
   }
 
-  /** A submission of which there was no answer may turn up here, long after it was given up for lost. */
+  /** A submission whose response was lost may become visible here long afterwards. */
   private jobSeen(change: KeyChange): void {
     const job = jobOfKey(change.key);
     if (job === null || change.kind !== "put" || !job.startsWith("wk-dr-")) return;
@@ -138,7 +140,7 @@
     this.adopt(run, run.engine, parts.step, parts.attempt, job);
   }
 
-  /** The step's job is there, though the step was not known to be submitted. */
+  /** Registers a job that exists although its step counts as not submitted. */
   private adopt(run: LiveRun, engine: DagRun, step: number, attempt: number, job: string): void {
     if (engine.stateOf(step) !== "scheduled" || engine.nextAttempt(step) !== attempt) return;
     this.pools.take(run, step);
@@ -154,7 +156,7 @@
     run.loaded?.ended.set(spec.id, outcome);
     if (run.engine !== null) this.adopt(run, run.engine, parts.step, parts.attempt, spec.id);
     this.release(run, parts.step, spec.id);
-    // While it is being loaded, the jobs that end are read with the others, or told again by `late`.
+    // During a load, the outcome of a job that ends is either read with the others or applied afterwards from `late`.
     if (run.engine === null) run.late.push(() => run.engine?.ended(parts.step, parts.attempt, outcome));
     else {
       run.engine.ended(parts.step, parts.attempt, outcome);
@@ -201,7 +203,7 @@
     else if (known.engine !== null) this.follow(known, known.engine);
   }
 
-  /** What the header asks for. */
+  /** Acts on a new header: halts the run if it was aborted or timed out. */
   private follow(run: LiveRun, engine: DagRun): void {
     if (isCalledOff(run.header) && !engine.isHalted) {
       engine.halt();
@@ -229,14 +231,14 @@
     if (next !== undefined) this.lookAtPast(next);
   }
 
-  /** The earliest of a DAG's runs go ahead, as many as it allows. */
+  /** Activates the DAG's earliest accepted runs, up to the DAG's limit of active runs. */
   private activate(dag: ReadonlySet<LiveRun>): void {
     let active = 0;
     for (const run of dag) if (run.active) active += 1;
     const waiting = [...dag].filter((run) => !run.active);
     waiting.sort((a, b) => a.header.acceptedMs - b.header.acceptedMs || (a.id < b.id ? -1 : 1));
     for (const run of waiting) {
-      // One that is to end anyway needs no turn.
+      // An aborted run is activated beyond the limit: it starts no steps and only has to be ended.
       if (active >= run.header.mostRuns && !run.header.aborted) continue;
       run.active = true;
       active += 1;
@@ -283,7 +285,7 @@
     this.readAll();
   }
 
-  /** For operators, who want to know how long a takeover held runs up. */
+  /** Logs how long the load of runs after a takeover took, once it has finished. */
   private readAll(): void {
     if (this.readingSince === null || this.toLoad.size > 0 || this.loadingCount > 0) return;
     const { clock, log } = this.context;
@@ -295,8 +297,8 @@
     const { store, cache, clock } = this.context;
     const { header, version, id } = run;
     run.late = [];
-    // All that was submitted under the header as it was before a clearing is in the view after this. At a takeover it
-    // is there already: whoever held the block could write nothing more once it was leased anew.
+    // After this sync the watch cache holds all jobs submitted under the header from before a clear. At a takeover it
+    // holds them already: the previous leader could not write any more once the shard's lease had been acquired anew.
     if (header.round > 0 && !(await cache.sync())) return false;
     const loaded = await loadRun(store, id, header, run.loaded?.plan ?? null);
     if (loaded === null || this.stopped || this.runs.get(id) !== run) return false;
@@ -338,7 +340,7 @@
     return true;
   }
 
-  /** Jobs of attempts from before a clearing, which their steps wait for. */
+  /** Cancels jobs of attempts from before a clear; their steps start again only once these have ended. */
   private stopCleared(run: LiveRun, engine: DagRun): void {
     const { cache } = this.context;
     for (const [step, attempt] of engine.outdated()) {
@@ -359,7 +361,7 @@
       .catch((error: unknown) => this.context.log.error("past not read", { error: describeError(error) }));
   }
 
-  /** Something of the run has changed: there may be more to submit, or nothing left to do. */
+  /** Called after any change of the run: starts the writes that have become due and submits steps that are ready. */
   private moved(run: LiveRun): void {
     const { engine } = run;
     if (engine === null || this.stopped) return;
@@ -373,7 +375,10 @@
     this.pump();
   }
 
-  /** Only once it is sure that no submission from before the word has got through. */
+  /**
+   * Ends a halted run. A submission from before the abort or timeout may have been applied without a response, so the
+   * watch cache is synced first.
+   */
   private async settleHalted(run: LiveRun, engine: DagRun): Promise<void> {
     const quiet = (): boolean => run.engine === engine && engine.openSteps === 0 && run.starting.size === 0;
     if (!quiet() || run.settling) return;
@@ -401,11 +406,14 @@
     return engine.openSteps + run.starting.size < most;
   }
 
-  /** One step of each run in turn, as many as a few transactions take: the others' writes come in between. */
+  /**
+   * Submits ready steps, one per run in turn. Only a few transactions' worth is in flight at once, so that other writes
+   * are interleaved.
+   */
   private pump(): void {
     const { settings, lease, loadShedder } = this.context;
     const most = settings.store.transactionWrites * IN_FLIGHT;
-    // What users are turned away from, steps are kept from, too; what is ready waits for the next tick.
+    // While user submissions are shed, no steps are submitted either; ready steps wait for the next tick.
     if (!lease.isValid() || loadShedder.atLeast("saturated")) return;
     for (const run of this.ring) {
       if (this.inFlight >= most || this.stopped) return;
@@ -430,7 +438,7 @@
     const value: JobRecord = { spec, shard: shardOf(spec.team), cancelled: false };
     const conditions = new Map<string, Uint64>([
       [lease.key, lease.version],
-      // An abort or a clearing changes it: what was under way then comes too late.
+      // An abort or a clear changes the header, so submissions still in flight then fail.
       [graphKey(run.id), run.version],
       [jobKey(job), 0],
       [outcomeKey(job), 0],
@@ -456,7 +464,7 @@
         clock.after(RETRY, () => this.again(run, engine, step));
         break;
       case "lost":
-        // It may have been applied, or may yet be: then the next try, or the view, finds it.
+        // The write may have been applied or may yet be; the next try or the watch cache reveals it.
         log.info("step perhaps submitted", { job });
         clock.after(RETRY, () => {
           if (run.engine === engine) void this.guard(this.resolve(run, engine, step, attempt, job));
@@ -482,12 +490,12 @@
     engine.submitted(step, attempt);
     run.open.set(step, job);
     this.record(run, engine, step, attempt, job);
-    // The word came in between: the job is there, so it is swept like the others.
+    // The run was aborted or timed out during the submission: the job exists, so it is cancelled like the others.
     if (isCalledOff(run.header)) this.doors.cancelWithdrawnJobs([job]);
     if (engine.hasReady) this.ring.add(run);
   }
 
-  /** For a trace: what the job waited for. */
+  /** Reports to the trace which jobs this one waited for. */
   private record(run: LiveRun, engine: DagRun, step: number, attempt: number, job: string): void {
     const { eventListener } = this.context;
     if (eventListener === null) return;
@@ -499,7 +507,7 @@
       return;
     }
     const after: string[] = [];
-    // Steps that run nothing stand for those before them.
+    // A step without a job is replaced by its upstream steps.
     const work = [...(engine.plan.steps[step]?.upstream ?? [])];
     const seen = new Set(work);
     for (let at = work.pop(); at !== undefined; at = work.pop()) {
@@ -514,11 +522,14 @@
     if (after.length > 0) eventListener({ kind: "job follows", job, after, pause: 0 as Micros });
   }
 
-  /** The header has changed, or the job is there already: by an earlier try of which there was no answer. */
+  /**
+   * Finds out what became of a submission that conflicted or got no response: the header may have changed, or the job
+   * may exist already from an earlier try whose response was lost.
+   */
   private async resolve(run: LiveRun, engine: DagRun, step: number, attempt: number, job: string): Promise<void> {
     const { cache, store, log } = this.context;
-    // It counts as being submitted until it is known what became of it: a run that was aborted ended in between once,
-    // since nothing of it seemed to be under way, and left jobs behind.
+    // The step counts as being submitted until its fate is known. Otherwise an aborted run could end in the meantime,
+    // since no step appears to be in progress, and leave its job behind.
     run.starting.add(step);
     const synced = await cache.sync();
     if (run.engine !== engine || this.stopped) return;
@@ -555,7 +566,7 @@
     } else this.again(run, engine, step);
   }
 
-  // Time ----------------------------------------------------------------------------------------------------
+  // Timer ---------------------------------------------------------------------------------------------------
 
   private tick(): void {
     if (this.stopped) return;
--- a/src/graphs/service/uploads.ts
+++ b/src/graphs/service/uploads.ts
@@ -3,12 +3,12 @@
 import { describeError } from "../../transport/log.js";
 import { endedKey, graphKey, partPrefix, planKey, readUpload, uploadKey, uploadOfKey } from "./records.js";
 
-/** Parts of a definition whose rest has not come by then are dropped; users give up long before. */
+/** Incomplete uploads are deleted after this time; clients stop retrying long before. */
 const PATIENCE = seconds(900);
 const PERIOD = seconds(30);
 const AT_ONCE = 50;
 
-/** Clears away what was uploaded in parts and never became a run. */
+/** Deletes uploaded parts and plan chunks that never became a run, or whose run has been accepted. */
 export class Uploads {
   private readonly firstSeen = new Map<string, Micros>();
   private sweptAt: Micros;
@@ -20,6 +20,7 @@
     this.sweptAt = context.clock.now();
   }
 
+  /** Deletes at most one stale upload per `PERIOD`. */
   sweep(): void {
     const { cache, clock, log } = this.context;
     const now = clock.now();
@@ -46,12 +47,12 @@
       }, undefined);
   }
 
-  /** The parts first, the marker last: what is left after a crash is found again. */
+  /** Deletes the parts first and the marker last, so that the next sweep finds what a crash leaves behind. */
   private async drop(id: string): Promise<void> {
     const { store, transactions, lease, log, cache } = this.context;
     const marker = cache.entries.get(uploadKey(id));
     if (marker === undefined) return;
-    // Whoever uploads it anew writes the marker first: then all of these come too late.
+    // A new upload under the same id writes the marker first, so these deletes fail from then on.
     const still = new Map([
       [lease.key, lease.version],
       [marker.key, marker.version],
@@ -65,7 +66,7 @@
     if (reply.value.entries.length > AT_ONCE) return;
     const { plan, chunks = 0 } = readUpload(marker.value);
     if (plan !== undefined && !cache.entries.has(graphKey(id))) {
-      // Its run may have ended since: then the chunks are what it is remembered by.
+      // If the run has been accepted and has ended since, its record still refers to the chunks: they stay.
       const ended = await store.get(endedKey(id));
       if (ended.kind !== "ok" && ended.kind !== "missing") return;
       for (let at = 0; ended.kind === "missing" && at < chunks; at += 1) {
