--- a/src/graphs/service/answers.ts
+++ b/src/graphs/service/answers.ts
@@ -8,15 +8,15 @@
 import type { Ended, Header } from "./records.js";
 
 /** If user writes wait longer than this for the write budget, submissions are answered 503 with a Retry-After. */
-export const MOST_BACKLOG = ms(1_500);
-export const BUSY_S = 5;
+export const MAX_WRITE_DELAY = ms(1_500);
+export const BUSY_RETRY_AFTER_S = 5;
 /** Maximum number of tries of a write whose conditions fail. */
-export const TRIES = 4;
+export const MAX_WRITE_TRIES = 4;
 
-export const answer = (status: number, body: unknown): HttpResponse => ({ status, body: formatJson(body) });
-export const refuse = (status: number, error: string): HttpResponse => answer(status, { error });
+export const jsonResponse = (status: number, body: unknown): HttpResponse => ({ status, body: formatJson(body) });
+export const errorResponse = (status: number, error: string): HttpResponse => jsonResponse(status, { error });
 /** A 503 response that asks the client to retry. */
-export const comeBack = (error: string, retryAfterS = 1): HttpResponse => ({
+export const retryLater = (error: string, retryAfterS = 1): HttpResponse => ({
   status: 503,
   body: formatJson({ error }),
   retryAfterS,
@@ -25,16 +25,17 @@
 /** The first 128 bits of the text's SHA-256, in hex. */
 export const digestOf = (text: string): string => bytesToHex(sha256(Buffer.from(text, "utf8"))).slice(0, 32);
 
-/** Result of looking up a run's records. `never`: no such run; `unknown`: the state service did not answer. */
-export type Found =
+/** Result of looking up a run's records. `missing`: no such run; `unavailable`: the state service did not answer. */
+export type RunLookup =
   | { readonly kind: "current"; readonly header: Header; readonly version: Uint64 }
   | { readonly kind: "ended"; readonly ended: Ended; readonly version: Uint64 }
-  | Absent;
+  | FailedLookup;
 
-export type Absent = { readonly kind: "never" } | { readonly kind: "unknown" };
+export type FailedLookup = { readonly kind: "missing" } | { readonly kind: "unavailable" };
 
-export const isAbsent = (found: Found): found is Absent => found.kind === "never" || found.kind === "unknown";
+export const isFailedLookup = (found: RunLookup): found is FailedLookup =>
+  found.kind === "missing" || found.kind === "unavailable";
 
 /** Response for a run that does not exist (404) or whose record could not be read (503). */
-export const absent = ({ kind }: Absent): HttpResponse =>
-  kind === "never" ? refuse(404, "no such graph") : comeBack("state service unavailable");
+export const failedLookupResponse = ({ kind }: FailedLookup): HttpResponse =>
+  kind === "missing" ? errorResponse(404, "no such graph") : retryLater("state service unavailable");
--- a/src/graphs/service/extension.ts
+++ b/src/graphs/service/extension.ts
@@ -4,21 +4,21 @@
 import type { JobSpec } from "../../protocol/job-spec.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
 import type { HttpRequest, HttpResponse } from "../../transport/http.js";
-import { GraphDoor } from "./door.js";
-import { graphKey, isCalledOff, readHeader } from "./records.js";
+import { GraphApi } from "./door.js";
+import { graphKey, isStopped, readHeader } from "./records.js";
 import { Runner } from "./runner.js";
 
 /** The scheduler extension of one controller that runs DAGs: serves their API and runs them in the shards it leads. */
-class Graphs implements Extension {
+class GraphExtension implements Extension {
   private readonly runners = new Set<Runner>();
-  private readonly door: GraphDoor;
+  private readonly api: GraphApi;
 
   constructor(
     private readonly services: Services,
     types: ReadonlyMap<string, MachineType>,
     private readonly options: GraphOptions,
   ) {
-    this.door = new GraphDoor(services, types, options, (id) => {
+    this.api = new GraphApi(services, types, options, (id) => {
       for (const runner of this.runners) {
         const states = runner.stateOf(id);
         if (states !== null) return states;
@@ -28,11 +28,11 @@
   }
 
   handle(request: HttpRequest): Promise<HttpResponse> | null {
-    return this.door.handle(request);
+    return this.api.handle(request);
   }
 
-  acquireShard(context: ShardContext, doors: ShardControls): ShardExtension {
-    const runner = new Runner(context, doors, this.options);
+  acquireShard(context: ShardContext, controls: ShardControls): ShardExtension {
+    const runner = new Runner(context, controls, this.options);
     this.runners.add(runner);
     return {
       onChange: (change) => runner.onChange(change),
@@ -48,7 +48,7 @@
   isWithdrawn(spec: JobSpec): boolean {
     if (spec.origin === undefined) return false;
     const entry = this.services.cache.entries.get(graphKey(spec.origin.graph));
-    return entry !== undefined && isCalledOff(readHeader(entry.value));
+    return entry !== undefined && isStopped(readHeader(entry.value));
   }
 }
 
@@ -56,4 +56,4 @@
 export const graphsWith =
   (options: GraphOptions): ExtensionFactory =>
   (services, types) =>
-    new Graphs(services, types, options);
+    new GraphExtension(services, types, options);
--- a/src/graphs/service/job-notes.ts
+++ b/src/graphs/service/job-notes.ts
@@ -5,10 +5,10 @@
 import { ms } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 
-interface Wish {
+interface PendingUpdate {
   /** Number of failures by task index. */
-  errors: Readonly<Record<string, number>>;
-  why: CancellationReason | null;
+  failures: Readonly<Record<string, number>>;
+  cancellation: CancellationReason | null;
   writing: boolean;
 }
 
@@ -16,8 +16,8 @@
  * Writes failure counts and cancellations into the job records of steps. They are stored with the job itself, so that
  * the next shard leader continues the count.
  */
-export class JobNotes {
-  private readonly wishes = new Map<string, Wish>();
+export class JobRecordUpdates {
+  private readonly updates = new Map<string, PendingUpdate>();
   private stopped = false;
 
   constructor(private readonly context: Pick<ShardContext, "transactions" | "cache" | "lease" | "clock" | "log">) {}
@@ -27,78 +27,78 @@
   }
 
   /** Counts a failure of the task; returns the task's number of failures so far. */
-  count(job: string, index: number): number {
-    const wish = this.wish(job);
-    const count = (wish.errors[index] ?? 0) + 1;
-    wish.errors = { ...wish.errors, [index]: count };
-    this.write(job, wish);
+  countFailure(job: string, index: number): number {
+    const update = this.updateFor(job);
+    const count = (update.failures[index] ?? 0) + 1;
+    update.failures = { ...update.failures, [index]: count };
+    this.startWrite(job, update);
     return count;
   }
 
   /** Cancels the attempt's job; the first reason given stays. */
-  giveUp(job: string, why: CancellationReason): void {
-    const wish = this.wish(job);
-    if (wish.why !== null) return;
-    wish.why = why;
-    this.write(job, wish);
+  cancel(job: string, reason: CancellationReason): void {
+    const update = this.updateFor(job);
+    if (update.cancellation !== null) return;
+    update.cancellation = reason;
+    this.startWrite(job, update);
   }
 
   /** The job has ended: drops its pending changes. */
   forget(job: string): void {
-    this.wishes.delete(job);
+    this.updates.delete(job);
   }
 
-  private wish(job: string): Wish {
-    const known = this.wishes.get(job);
+  private updateFor(job: string): PendingUpdate {
+    const known = this.updates.get(job);
     if (known !== undefined) return known;
     const entry = this.context.cache.entries.get(jobKey(job));
-    const wish: Wish = {
-      errors: entry === undefined ? {} : (decodeJobRecord(entry.value).failuresByTask ?? {}),
-      why: null,
+    const update: PendingUpdate = {
+      failures: entry === undefined ? {} : (decodeJobRecord(entry.value).failuresByTask ?? {}),
+      cancellation: null,
       writing: false,
     };
-    this.wishes.set(job, wish);
-    return wish;
+    this.updates.set(job, update);
+    return update;
   }
 
-  private write(job: string, wish: Wish): void {
-    if (wish.writing || this.stopped) return;
-    wish.writing = true;
-    this.bring(job, wish)
+  private startWrite(job: string, update: PendingUpdate): void {
+    if (update.writing || this.stopped) return;
+    update.writing = true;
+    this.writeOnce(job, update)
       .catch((error: unknown) => {
         this.context.log.error("note on a job failed", { error: describeError(error) });
         return true;
       })
       .then((settled) => {
-        wish.writing = false;
-        if (!settled) this.context.clock.after(ms(100), () => this.write(job, wish));
+        update.writing = false;
+        if (!settled) this.context.clock.after(ms(100), () => this.startWrite(job, update));
       }, undefined);
   }
 
   /** True once the record has all pending changes, or none are possible since the job has ended or is cancelled. */
-  private async bring(job: string, wish: Wish): Promise<boolean> {
+  private async writeOnce(job: string, update: PendingUpdate): Promise<boolean> {
     const { transactions, cache, lease } = this.context;
     const entry = cache.entries.get(jobKey(job));
-    if (entry === undefined || this.wishes.get(job) !== wish || this.stopped) return true;
+    if (entry === undefined || this.updates.get(job) !== update || this.stopped) return true;
     const record = decodeJobRecord(entry.value);
     if (record.cancelled) return true;
-    const { errors, why } = wish;
+    const { failures, cancellation } = update;
     const value: JobRecord = {
       ...record,
-      failuresByTask: errors,
-      ...(why === null ? {} : { cancelled: true, cancellationReason: why }),
+      failuresByTask: failures,
+      ...(cancellation === null ? {} : { cancelled: true, cancellationReason: cancellation }),
     };
     const conditions = new Map([
       [lease.key, lease.version],
       [entry.key, entry.version],
     ]);
-    const urgency = why === null ? "deferred" : "cancellation";
+    const urgency = cancellation === null ? "deferred" : "cancellation";
     const result = await transactions.submit(
       conditions,
       [{ kind: "put", key: entry.key, value: encodeJobRecord(value) }],
       urgency,
     );
     await cache.sync();
-    return result.kind === "ok" && wish.errors === errors && wish.why === why;
+    return result.kind === "ok" && update.failures === failures && update.cancellation === cancellation;
   }
 }
--- a/src/graphs/service/live-run.ts
+++ b/src/graphs/service/live-run.ts
@@ -2,7 +2,7 @@
 import type { Micros } from "../../transport/clock.js";
 import type { DagRun } from "../run/dag-run.js";
 import type { Limits } from "../run/retry.js";
-import type { Loaded } from "./loading.js";
+import type { LoadedRun } from "./loading.js";
 import type { Header } from "./records.js";
 
 /** In-memory state of an active run at its shard leader; discarded when the lease is lost. */
@@ -13,35 +13,35 @@
   /** Whether its steps may start: at most `max_active_runs` runs of its DAG are active. */
   active: boolean;
   loading: boolean;
-  loaded: Loaded | null;
+  loaded: LoadedRun | null;
   engine: DagRun | null;
   limits: readonly Limits[];
   order: Uint32Array;
   /** Job ids of open steps, by step. */
-  readonly open: Map<number, string>;
+  readonly openJobs: Map<number, string>;
   /** Steps whose job is being submitted. */
-  readonly starting: Set<number>;
+  readonly submitting: Set<number>;
   /** Pool names of the steps that hold a pool slot, by step. */
-  readonly pooled: Map<number, string>;
+  readonly poolSlots: Map<number, string>;
   /** Time that the current attempt has been running, by step; only for steps with an execution timeout. */
-  readonly spent: Map<number, Micros>;
+  readonly runTimes: Map<number, Micros>;
   /** Whether any step has an execution timeout. */
-  timed: boolean;
+  hasStepTimeouts: boolean;
   /** Whether a write of the header or the segments is in progress. */
   writing: boolean;
   /** Whether the check that precedes the end of a halted run is in progress. */
-  settling: boolean;
+  endingHalted: boolean;
   /** Handlers of jobs that ended while the run was being loaded; called after the load. */
-  late: (() => void)[];
+  deferredEvents: (() => void)[];
   /** Counts last written to the summary record, comma-separated; empty: none. */
-  summed: string;
+  lastSummary: string;
   /** Time of the last summary write, or of the creation of this object. */
-  summedAt: Micros;
-  readonly seenAt: Micros;
+  summaryWrittenAt: Micros;
+  readonly firstSeenAt: Micros;
 }
 
 /** Key of the run's DAG for `max_active_runs`; DAGs of different owners are distinct even if their ids are equal. */
-export const dagOf = ({ owner, dag }: Header): string => JSON.stringify([owner, dag]);
+export const dagKey = ({ owner, dag }: Header): string => JSON.stringify([owner, dag]);
 
 export const newRun = (id: string, header: Header, version: Uint64, now: Micros): LiveRun => ({
   id,
@@ -53,15 +53,15 @@
   engine: null,
   limits: [],
   order: new Uint32Array(0),
-  open: new Map(),
-  starting: new Set(),
-  pooled: new Map(),
-  spent: new Map(),
-  timed: false,
+  openJobs: new Map(),
+  submitting: new Set(),
+  poolSlots: new Map(),
+  runTimes: new Map(),
+  hasStepTimeouts: false,
   writing: false,
-  settling: false,
-  late: [],
-  summed: "",
-  summedAt: now,
-  seenAt: now,
+  endingHalted: false,
+  deferredEvents: [],
+  lastSummary: "",
+  summaryWrittenAt: now,
+  firstSeenAt: now,
 });
--- a/src/graphs/service/loading.ts
+++ b/src/graphs/service/loading.ts
@@ -11,19 +11,19 @@
   planKey,
   readSegment,
   readSegments,
-  type Saved,
+  type SavedStates,
   segmentPrefix,
 } from "./records.js";
 
 /** The stored data of a run other than its header and its open jobs. */
-export interface Loaded {
+export interface LoadedRun {
   readonly plan: Plan;
-  readonly saved: Saved;
+  readonly saved: SavedStates;
   /** Outcomes of ended attempts, by job id. */
-  readonly ended: Map<string, Outcome>;
+  readonly outcomes: Map<string, Outcome>;
 }
 
-const NOTHING_SAVED = (): Saved => ({ finals: new Map(), clearings: new Map() });
+const noSavedStates = (): SavedStates => ({ finals: new Map(), clearings: new Map() });
 
 /** Null if the state service did not answer, or if a chunk of the plan is missing. */
 export const loadPlan = async (store: KeyValueStore, id: string, header: Header): Promise<Plan | null> => {
@@ -38,7 +38,11 @@
 };
 
 /** Reads the run's saved segments; null if the state service did not answer. */
-export const loadSaved = async (store: KeyValueStore, id: string, header: Header): Promise<Saved | null> => {
+export const loadSavedStates = async (
+  store: KeyValueStore,
+  id: string,
+  header: Header,
+): Promise<SavedStates | null> => {
   const reply = await store.list(segmentPrefix(id));
   if (reply.kind !== "ok") return null;
   const segments: ReturnType<typeof readSegment>[] = [];
@@ -53,34 +57,34 @@
   store: KeyValueStore,
   id: string,
   header: Header,
-  known: Plan | null,
-): Promise<Loaded | null> => {
-  const plan = known ?? (await loadPlan(store, id, header));
+  knownPlan: Plan | null,
+): Promise<LoadedRun | null> => {
+  const plan = knownPlan ?? (await loadPlan(store, id, header));
   if (plan === null) return null;
-  const saved = header.round === 0 ? NOTHING_SAVED() : await loadSaved(store, id, header);
+  const saved = header.round === 0 ? noSavedStates() : await loadSavedStates(store, id, header);
   if (saved === null) return null;
   const prefix = outcomeKey(jobPrefix(id, header.digest));
   const reply = await store.list(prefix);
   if (reply.kind !== "ok") return null;
-  const ended = new Map<string, Outcome>();
+  const outcomes = new Map<string, Outcome>();
   for (const { key, value } of reply.value.entries)
-    ended.set(key.slice(outcomeKey("").length), outcomeOf(decodeOutcomeRecord(value)));
-  return { plan, saved, ended };
+    outcomes.set(key.slice(outcomeKey("").length), outcomeOf(decodeOutcomeRecord(value)));
+  return { plan, saved, outcomes };
 };
 
 /** State of the run's attempts by their stored records. `isCurrent`: whether the watch cache holds the job record. */
-export const pastOf = (
+export const recordedAttempts = (
   id: string,
   header: Header,
-  ended: ReadonlyMap<string, Outcome>,
+  outcomes: ReadonlyMap<string, Outcome>,
   isCurrent: (key: string) => boolean,
 ): Past => {
   const jobOf = (step: number, attempt: number): string => jobIdOf(id, header.digest, step, attempt);
   return {
-    outcome: (step, attempt) => ended.get(jobOf(step, attempt)) ?? null,
+    outcome: (step, attempt) => outcomes.get(jobOf(step, attempt)) ?? null,
     isOpen: (step, attempt) => {
       const job = jobOf(step, attempt);
-      return !ended.has(job) && isCurrent(jobKey(job));
+      return !outcomes.has(job) && isCurrent(jobKey(job));
     },
   };
 };
--- a/src/graphs/service/parts.ts
+++ b/src/graphs/service/parts.ts
@@ -5,7 +5,17 @@
 import type { HttpResponse } from "../../transport/http.js";
 import { describeError } from "../../transport/log.js";
 import type { Part, Submission } from "../description/requests.js";
-import { type Absent, answer, BUSY_S, comeBack, digestOf, type Found, MOST_BACKLOG, refuse, TRIES } from "./answers.js";
+import {
+  BUSY_RETRY_AFTER_S,
+  digestOf,
+  errorResponse,
+  type FailedLookup,
+  jsonResponse,
+  MAX_WRITE_DELAY,
+  MAX_WRITE_TRIES,
+  type RunLookup,
+  retryLater,
+} from "./answers.js";
 import { describing } from "./describing.js";
 import {
   endedKey,
@@ -20,60 +30,65 @@
 } from "./records.js";
 
 /** Maximum length of a compressed part in base64, since a part is stored in one transaction. */
-const MOST_PACKED = 48 * 1_024;
+const MAX_COMPRESSED_PART_CHARS = 48 * 1_024;
 /** Maximum length of a definition assembled from its parts. */
-const MOST_BODY = 4 * 1_024 * 1_024;
+const MAX_DEFINITION_CHARS = 4 * 1_024 * 1_024;
 
 /** Operations of the graph API that the upload in parts uses. */
-export interface PartsDoor {
-  readonly find: (id: string) => Promise<Found>;
-  readonly tell: (id: string, found: Exclude<Found, Absent>) => Promise<HttpResponse>;
-  readonly submit: (submission: Submission, parts: readonly string[]) => Promise<HttpResponse>;
+export interface PartUploadApi {
+  readonly lookUp: (id: string) => Promise<RunLookup>;
+  readonly statusResponse: (id: string, found: Exclude<RunLookup, FailedLookup>) => Promise<HttpResponse>;
+  readonly submit: (submission: Submission, partKeys: readonly string[]) => Promise<HttpResponse>;
 }
 
 /** Accepts definitions that are too large for one request and are therefore sent in numbered parts. */
-export class Parts {
+export class PartUploads {
   constructor(
     private readonly services: Services,
-    private readonly door: PartsDoor,
+    private readonly api: PartUploadApi,
   ) {}
 
   /** Parts may be sent to any controller, in any order and repeatedly; the last missing one submits the run. */
-  async take(given: Part): Promise<HttpResponse> {
-    const { ref: id, part, parts } = given;
-    if (!isRunId(id)) return refuse(400, "ref: not a graph id like dr-night_2026-01-31");
-    if (part >= parts) return refuse(400, `part: must be below ${parts}`);
-    const pieces = this.piecesOf(given);
-    if (pieces === null) return refuse(413, "text: send smaller parts");
-    for (let tries = 0; tries < TRIES; tries += 1) {
-      const known = await this.door.find(id);
-      if (known.kind === "unknown") return comeBack("state service unavailable");
+  async receive(received: Part): Promise<HttpResponse> {
+    const { ref: id, part, parts } = received;
+    if (!isRunId(id)) return errorResponse(400, "ref: not a graph id like dr-night_2026-01-31");
+    if (part >= parts) return errorResponse(400, `part: must be below ${parts}`);
+    const pieces = this.piecesOf(received);
+    if (pieces === null) return errorResponse(413, "text: send smaller parts");
+    for (let tries = 0; tries < MAX_WRITE_TRIES; tries += 1) {
+      const existing = await this.api.lookUp(id);
+      if (existing.kind === "unavailable") return retryLater("state service unavailable");
       // Either all parts were received already or this is another run; a single part does not tell which.
-      if (known.kind !== "never") return this.door.tell(id, known);
-      if (this.services.transactions.userWriteDelay > MOST_BACKLOG) return comeBack("busy", BUSY_S);
-      const have = await this.keepPart(given, pieces);
-      if (have === "again") continue;
-      if (typeof have !== "number") return have;
-      return have < parts ? answer(202, { ref: id, phase: "partial", parts, have }) : this.assemble(id, parts);
+      if (existing.kind !== "missing") return this.api.statusResponse(id, existing);
+      if (this.services.transactions.userWriteDelay > MAX_WRITE_DELAY) return retryLater("busy", BUSY_RETRY_AFTER_S);
+      const stored = await this.storePart(received, pieces);
+      if (stored === "again") continue;
+      if (typeof stored !== "number") return stored;
+      return stored < parts
+        ? jsonResponse(202, { ref: id, phase: "partial", parts, have: stored })
+        : this.assemble(id, parts);
     }
-    return comeBack("busy");
+    return retryLater("busy");
   }
 
   /** The part in its stored form, split into values; null if it does not fit into one transaction. */
   private piecesOf({ ref: id, part, text }: Part): readonly (WriteOperation & { readonly kind: "put" })[] | null {
     const { valueBytes, transactionWrites } = this.services.settings.store;
-    const packed = gzipSync(text).toString("base64");
-    const most = valueBytes - 200;
-    const count = Math.ceil(packed.length / most);
-    if (count > transactionWrites - 1 || packed.length > MOST_PACKED) return null;
+    const compressed = gzipSync(text).toString("base64");
+    const maxPieceChars = valueBytes - 200;
+    const count = Math.ceil(compressed.length / maxPieceChars);
+    if (count > transactionWrites - 1 || compressed.length > MAX_COMPRESSED_PART_CHARS) return null;
     return Array.from({ length: count }, (_, at) => {
-      const value = { text: packed.slice(at * most, (at + 1) * most), ...(at === 0 ? { digest: digestOf(text) } : {}) };
+      const value = {
+        text: compressed.slice(at * maxPieceChars, (at + 1) * maxPieceChars),
+        ...(at === 0 ? { digest: digestOf(text) } : {}),
+      };
       return { kind: "put", key: partKey(id, part, at), value };
     });
   }
 
   /** Stores a part. Returns the number of stored parts, `again` to retry, or an error response. */
-  private async keepPart(
+  private async storePart(
     { ref: id, part, parts, text }: Part,
     pieces: readonly WriteOperation[],
   ): Promise<number | "again" | HttpResponse> {
@@ -83,12 +98,13 @@
     const marker: Upload = entry === undefined ? { parts } : readUpload(entry.value);
     const have = marker.have ?? [];
     if (marker.parts !== parts)
-      return refuse(409, `${id} is under way in ${marker.parts ?? "no"} parts: choose a new id`);
+      return errorResponse(409, `${id} is under way in ${marker.parts ?? "no"} parts: choose a new id`);
     if (have.includes(part)) {
-      const known = await store.get(partKey(id, part, 0));
-      if (known.kind !== "ok") return known.kind === "missing" ? "again" : comeBack("state service unavailable");
-      if ((known.value.value as { readonly digest?: string }).digest === digestOf(text)) return have.length;
-      return refuse(409, `part ${part} of ${id} is there with other content: choose a new id`);
+      const firstPiece = await store.get(partKey(id, part, 0));
+      if (firstPiece.kind !== "ok")
+        return firstPiece.kind === "missing" ? "again" : retryLater("state service unavailable");
+      if ((firstPiece.value.value as { readonly digest?: string }).digest === digestOf(text)) return have.length;
+      return errorResponse(409, `part ${part} of ${id} is there with other content: choose a new id`);
     }
     const write: WriteOperation = { kind: "put", key, value: writeUpload({ parts, have: [...have, part] }) };
     // The marker is deleted once the run is accepted; these conditions keep a late part from creating it again.
@@ -99,47 +115,47 @@
     ]);
     const put = await transactions.submit(conditions, [write, ...pieces], "user");
     if (put.kind === "ok") return have.length + 1;
-    return put.kind === "conflict" ? "again" : comeBack("state service unavailable");
+    return put.kind === "conflict" ? "again" : retryLater("state service unavailable");
   }
 
   private async assemble(id: string, parts: number): Promise<HttpResponse> {
     const { store, log } = this.services;
     const listed = await store.list(partPrefix(id));
-    if (listed.kind !== "ok") return comeBack("state service unavailable");
-    const packed = new Map<number, string>();
+    if (listed.kind !== "ok") return retryLater("state service unavailable");
+    const compressed = new Map<number, string>();
     for (const { key, value } of listed.value.entries) {
       const part = Number(key.slice(partPrefix(id).length).split("/")[0]);
-      packed.set(part, (packed.get(part) ?? "") + String((value as { readonly text?: unknown }).text ?? ""));
+      compressed.set(part, (compressed.get(part) ?? "") + String((value as { readonly text?: unknown }).text ?? ""));
     }
-    let whole = "";
+    let definition = "";
     for (let part = 0; part < parts; part += 1) {
-      const left = MOST_BODY - whole.length;
-      if (left <= 0) return refuse(413, `more than ${MOST_BODY / 1_048_576} MiB`);
-      const text = packed.get(part);
-      if (text === undefined) return comeBack("parts are being cleared away");
-      whole += gunzipSync(Buffer.from(text, "base64"), { maxOutputLength: left + 65_536 }).toString("utf8");
+      const left = MAX_DEFINITION_CHARS - definition.length;
+      if (left <= 0) return errorResponse(413, `more than ${MAX_DEFINITION_CHARS / 1_048_576} MiB`);
+      const text = compressed.get(part);
+      if (text === undefined) return retryLater("parts are being cleared away");
+      definition += gunzipSync(Buffer.from(text, "base64"), { maxOutputLength: left + 65_536 }).toString("utf8");
     }
-    const submission = parseJson(whole);
+    const submission = parseJson(definition);
     const { isSubmission, whyNot } = await describing();
-    if (!isSubmission(submission)) return refuse(400, whyNot(isSubmission));
-    if (submission.ref !== id) return refuse(400, "ref: differs between the parts and what they hold");
-    log.info("graph complete", { run: id, parts, bytes: whole.length });
-    return this.door.submit(
+    if (!isSubmission(submission)) return errorResponse(400, whyNot(isSubmission));
+    if (submission.ref !== id) return errorResponse(400, "ref: differs between the parts and what they hold");
+    log.info("graph complete", { run: id, parts, bytes: definition.length });
+    return this.api.submit(
       submission,
       listed.value.entries.map((entry) => entry.key),
     );
   }
 
   /** Deletes the parts, then the marker: after a crash, the cleanup finds the remaining parts by their marker. */
-  async clearAway(id: string, parts: readonly string[]): Promise<void> {
+  async deleteParts(id: string, partKeys: readonly string[]): Promise<void> {
     const { transactions, log, cache } = this.services;
     try {
       await cache.sync();
-      const mark = cache.entries.get(uploadKey(id));
-      if (mark === undefined) return;
-      const still = new Map([[mark.key, mark.version]]);
-      for (const key of [...parts, mark.key]) {
-        const result = await transactions.submit(still, [{ kind: "delete", key }], "maintenance");
+      const marker = cache.entries.get(uploadKey(id));
+      if (marker === undefined) return;
+      const conditions = new Map([[marker.key, marker.version]]);
+      for (const key of [...partKeys, marker.key]) {
+        const result = await transactions.submit(conditions, [{ kind: "delete", key }], "maintenance");
         if (result.kind !== "ok") return;
       }
     } catch (error) {
--- a/src/graphs/service/pools.ts
+++ b/src/graphs/service/pools.ts
@@ -7,42 +7,42 @@
   /** By pool without a free slot: the runs with a ready step for it, first come first served. */
   private readonly queues = new Map<string, Set<LiveRun>>();
 
-  /** `onSlot` is called with a waiting run when a slot may be free for it. */
+  /** `onFreeSlot` is called with a waiting run when a slot may be free for it. */
   constructor(
     private readonly slots: Readonly<Record<string, number>>,
-    private readonly onSlot: (run: LiveRun) => void,
+    private readonly onFreeSlot: (run: LiveRun) => void,
   ) {}
 
-  hasRoom(pool: string): boolean {
+  hasFreeSlot(pool: string): boolean {
     return (this.used.get(pool) ?? 0) < (this.slots[pool] ?? 0);
   }
 
-  /** Occupies a slot of the step's pool, if it has a pool, until `giveBack`. */
-  take(run: LiveRun, step: number): void {
+  /** Occupies a slot of the step's pool, if it has a pool, until `release`. */
+  acquire(run: LiveRun, step: number): void {
     const pool = run.engine?.plan.steps[step]?.pool;
-    if (pool === null || pool === undefined || run.pooled.has(step)) return;
-    run.pooled.set(step, pool);
+    if (pool === null || pool === undefined || run.poolSlots.has(step)) return;
+    run.poolSlots.set(step, pool);
     this.used.set(pool, (this.used.get(pool) ?? 0) + 1);
   }
 
-  giveBack(run: LiveRun, step: number): void {
-    const pool = run.pooled.get(step);
+  release(run: LiveRun, step: number): void {
+    const pool = run.poolSlots.get(step);
     if (pool === undefined) return;
-    run.pooled.delete(step);
+    run.poolSlots.delete(step);
     this.used.set(pool, (this.used.get(pool) ?? 1) - 1);
     this.offer(pool);
   }
 
   /** Releases all slots of a run that has ended or is reloaded, and removes it from the queues. */
-  forget(run: LiveRun): void {
+  releaseAll(run: LiveRun): void {
     for (const queue of this.queues.values()) queue.delete(run);
-    for (const step of [...run.pooled.keys()]) this.giveBack(run, step);
+    for (const step of [...run.poolSlots.keys()]) this.release(run, step);
   }
 
   /** Queues the run for those pools of its ready steps that have no free slot. */
-  wait(run: LiveRun, engine: DagRun): void {
+  enqueue(run: LiveRun, engine: DagRun): void {
     for (const pool of engine.readyPools()) {
-      if (pool === "" || this.hasRoom(pool)) continue;
+      if (pool === "" || this.hasFreeSlot(pool)) continue;
       const queue = this.queues.get(pool) ?? new Set();
       queue.add(run);
       this.queues.set(pool, queue);
@@ -57,11 +57,11 @@
   /** Offers a free slot to the first queued run that still has a ready step. */
   private offer(pool: string): void {
     const queue = this.queues.get(pool);
-    if (queue === undefined || !this.hasRoom(pool)) return;
+    if (queue === undefined || !this.hasFreeSlot(pool)) return;
     for (const run of queue) {
       queue.delete(run);
       if (run.engine?.hasReady !== true) continue;
-      this.onSlot(run);
+      this.onFreeSlot(run);
       break;
     }
     if (queue.size === 0) this.queues.delete(pool);
--- a/src/graphs/service/records.ts
+++ b/src/graphs/service/records.ts
@@ -38,7 +38,7 @@
 const RUN_ID = /^dr-[A-Za-z0-9_-]{1,36}$/;
 export const isRunId = (text: string): boolean => RUN_ID.test(text);
 
-const BASE = 36;
+const INDEX_RADIX = 36;
 const INDEX_WIDTH = 4;
 
 /**
@@ -47,14 +47,14 @@
  * prevent a job whose id another user chose from being taken for a step's. Ids sort in the order of the steps.
  */
 export const jobIdOf = (run: string, digest: string, step: number, attempt: number): string =>
-  `${jobPrefix(run, digest)}${step.toString(BASE).padStart(INDEX_WIDTH, "0")}.${attempt}`;
+  `${jobPrefix(run, digest)}${step.toString(INDEX_RADIX).padStart(INDEX_WIDTH, "0")}.${attempt}`;
 
 export const jobPrefix = (run: string, digest: string): string => `wk-${run}.${digest.slice(0, 8)}.`;
 
 export const partsOfJobId = (id: string): { readonly step: number; readonly attempt: number } | null => {
   const [, step, attempt] = /\.([0-9a-z]{4})\.(\d+)$/.exec(id) ?? [];
   if (step === undefined || attempt === undefined) return null;
-  return { step: Number.parseInt(step, BASE), attempt: Number(attempt) };
+  return { step: Number.parseInt(step, INDEX_RADIX), attempt: Number(attempt) };
 };
 
 /** How an attempt ended, according to its job's outcome record. */
@@ -67,10 +67,10 @@
 };
 
 /** Where a plan is stored: in the header itself (`text`), or in this number of separate chunks. */
-export type PlanPlace = { readonly text: string } | { readonly chunks: number };
+export type PlanLocation = { readonly text: string } | { readonly chunks: number };
 
 /** A request to clear steps that has been accepted but not carried out yet. */
-export interface Clear {
+export interface ClearRequest {
   readonly steps: readonly number[];
   readonly downstream: boolean;
 }
@@ -89,27 +89,27 @@
   readonly mostRuns: number;
   /** Number of steps per saved segment. */
   readonly segment: number;
-  readonly plan: PlanPlace;
+  readonly plan: PlanLocation;
   /** Wall-clock time in milliseconds since the epoch; 0 if the controller had no wall clock. */
   readonly acceptedMs: number;
   readonly aborted: boolean;
   readonly timedOut: boolean;
   /** Number of clears carried out so far. */
   readonly round: number;
-  readonly clear: Clear | null;
+  readonly clear: ClearRequest | null;
   /** The previous run of the same DAG in order of acceptance, if some step has `depends_on_past`; else null. */
   readonly before: string | null;
 }
 
 /** Whether the run was aborted or timed out: its jobs are cancelled and no step starts any more. */
-export const isCalledOff = ({ aborted, timedOut }: Header): boolean => aborted || timedOut;
+export const isStopped = ({ aborted, timedOut }: Header): boolean => aborted || timedOut;
 
-export type RunEnd = "success" | "failed" | "withdrawn";
+export type FinalPhase = "success" | "failed" | "withdrawn";
 
 /** Record of a run that has ended: its last header, its final phase, and the wall-clock time of its end. */
 export interface Ended {
   readonly header: Header;
-  readonly phase: RunEnd;
+  readonly phase: FinalPhase;
   readonly counts: Readonly<Record<string, number>>;
   readonly endedMs: number;
   /** Final states if one segment holds them all; null: the segments are stored below `g/`. */
@@ -123,15 +123,15 @@
   readonly clearings: string | null;
 }
 
-const pack = (bytes: Uint8Array): string => deflateRawSync(bytes).toString("base64");
-const unpack = (text: string, most: number): Buffer =>
-  inflateRawSync(Buffer.from(text, "base64"), { maxOutputLength: most });
+const deflate = (bytes: Uint8Array): string => deflateRawSync(bytes).toString("base64");
+const inflate = (text: string, maxBytes: number): Buffer =>
+  inflateRawSync(Buffer.from(text, "base64"), { maxOutputLength: maxBytes });
 
 /** Upper bound of a segment's size: five bitmaps and the clearings byte, assumed to be hardly compressible. */
 const BYTES_PER_STEP = 1.6;
-const MOST_SEGMENT = 4_096;
+const MAX_SEGMENT_STEPS = 4_096;
 export const segmentSize = (valueBytes: number): number =>
-  Math.max(64, Math.min(MOST_SEGMENT, Math.floor((valueBytes * 0.8) / BYTES_PER_STEP / 32) * 32));
+  Math.max(64, Math.min(MAX_SEGMENT_STEPS, Math.floor((valueBytes * 0.8) / BYTES_PER_STEP / 32) * 32));
 
 export const writeSegments = (
   steps: number,
@@ -155,7 +155,7 @@
       bytes[at % size] = clearing;
       cleared = true;
     }
-    const words = (set: TypedFastBitSet): Uint8Array => {
+    const bitmapOf = (set: TypedFastBitSet): Uint8Array => {
       const packed = Buffer.alloc(Math.ceil(size / 8));
       set.forEach((at) => {
         packed[at >> 3] = (packed[at >> 3] ?? 0) | (1 << (at & 7));
@@ -163,8 +163,8 @@
       return packed;
     };
     return {
-      finals: Object.fromEntries([...states].map(([state, set]) => [state, pack(words(set))])),
-      clearings: cleared ? pack(bytes) : null,
+      finals: Object.fromEntries([...states].map(([state, set]) => [state, deflate(bitmapOf(set))])),
+      clearings: cleared ? deflate(bytes) : null,
     };
   });
 };
@@ -186,13 +186,13 @@
 export const segmentWrites = (id: string, segments: readonly Segment[]): readonly WriteOperation[] =>
   segments.map((segment, at) => ({ kind: "put", key: segmentKey(id, at), value: writeSegment(segment) }));
 
-export interface Saved {
+export interface SavedStates {
   readonly finals: Map<number, FinalState>;
   readonly clearings: Map<number, number>;
 }
 
 /** The inverse of `writeSegments`. */
-export const readSegments = (size: number, segments: readonly (Segment | undefined)[]): Saved => {
+export const readSegments = (size: number, segments: readonly (Segment | undefined)[]): SavedStates => {
   const finals = new Map<number, FinalState>();
   const clearings = new Map<number, number>();
   for (const [number, segment] of segments.entries()) {
@@ -201,7 +201,7 @@
       const text = segment.finals[state];
       if (text === undefined) continue;
       const set = new TypedFastBitSet();
-      for (const [at, byte] of unpack(text, size).entries()) {
+      for (const [at, byte] of inflate(text, size).entries()) {
         for (let bit = 0; bit < 8; bit += 1) if ((byte & (1 << bit)) !== 0) set.add(at * 8 + bit);
       }
       set.forEach((at) => {
@@ -209,7 +209,7 @@
       });
     }
     if (segment.clearings === null) continue;
-    for (const [at, clearing] of unpack(segment.clearings, size).entries()) {
+    for (const [at, clearing] of inflate(segment.clearings, size).entries()) {
       if (clearing > 0) clearings.set(number * size + at, clearing);
     }
   }
@@ -230,21 +230,21 @@
 export const readUpload = (value: unknown): Upload => uploadForm.decode(asObject(value, "upload"));
 export const writeUpload = (upload: Upload): JsonObject => uploadForm.encode(upload);
 
-const readPlace = (value: unknown): PlanPlace => {
+const readPlanLocation = (value: unknown): PlanLocation => {
   const fields = asObject(value, "plan");
   return typeof fields.text === "string" ? { text: fields.text } : { chunks: readNonNegative(fields, "chunks") };
 };
 
-const readClear = (fields: JsonObject, name: string): Clear => {
+const readClear = (fields: JsonObject, name: string): ClearRequest => {
   const clear = asObject(fields[name], name);
   return { steps: asArray(clear.steps, "steps").map(Number), downstream: clear.downstream === true };
 };
 
-const planPlaceForm: ValueCodec<PlanPlace> = {
+const planLocationForm: ValueCodec<PlanLocation> = {
   encode: (place) => ("text" in place ? { text: place.text } : { chunks: place.chunks }),
-  decode: readPlace,
+  decode: readPlanLocation,
 };
-const clearForm = new RecordCodec<Clear>({ steps: "steps", downstream: "downstream" });
+const clearForm = new RecordCodec<ClearRequest>({ steps: "steps", downstream: "downstream" });
 const headerForm = new RecordCodec<Header>({
   digest: "digest",
   request: "request",
@@ -254,7 +254,7 @@
   steps: "steps",
   mostRuns: "mostRuns",
   segment: "segment",
-  plan: { name: "plan", codec: planPlaceForm },
+  plan: { name: "plan", codec: planLocationForm },
   acceptedMs: "acceptedMs",
   aborted: "aborted",
   timedOut: "timedOut",
@@ -276,7 +276,7 @@
     block: readNonNegative(fields, "block"),
     steps: readNonNegative(fields, "steps"),
     segment: readNonNegative(fields, "segment"),
-    plan: readPlace(fields.plan),
+    plan: readPlanLocation(fields.plan),
     acceptedMs: readNonNegative(fields, "acceptedMs"),
     aborted: fields.aborted === true,
     timedOut: fields.timedOut === true,
--- a/src/graphs/service/run-writes.ts
+++ b/src/graphs/service/run-writes.ts
@@ -8,13 +8,13 @@
 import { countsOf, STATES } from "../run/states.js";
 import type { LiveRun } from "./live-run.js";
 import {
-  type Clear,
+  type ClearRequest,
   clearedSegments,
   type Ended,
   endedKey,
+  type FinalPhase,
   graphKey,
   type Header,
-  type RunEnd,
   type Segment,
   segmentWrites,
   summaryKey,
@@ -23,21 +23,21 @@
   writeSegments,
 } from "./records.js";
 
-/** Value of `summed` after a failed write, when the stored counts are unknown; differs from all counts. */
-const NOT_WRITTEN = "?";
-const RETRY = ms(300);
+/** Value of `lastSummary` after a failed write, when the stored counts are unknown; differs from all counts. */
+const UNKNOWN_SUMMARY = "?";
+const RETRY_DELAY = ms(300);
 /** Number of steps from which a run's counts are stored for controllers that do not lead its shard. */
-export const LARGE_RUN = 500;
+export const LARGE_RUN_STEPS = 500;
 const SUMMARY_PERIOD = seconds(3);
 
 /** Callbacks of `RunWrites` into the runner. */
-export interface RunsAround {
+export interface RunCallbacks {
   /** The header was written in this stored form; the watch cache may not have it yet. */
-  readonly seen: (id: string, value: unknown, version: Uint64) => void;
+  readonly headerWritten: (id: string, value: unknown, version: Uint64) => void;
   /** The run has ended and its header was deleted. */
-  readonly drop: (id: string) => void;
+  readonly runEnded: (id: string) => void;
   /** Checks the run, if it is still active, for work that has become possible. */
-  readonly moved: (run: LiveRun) => void;
+  readonly advance: (run: LiveRun) => void;
   /** Updates which steps of the run are running and which are queued. */
   readonly refresh: (id: string) => void;
 }
@@ -49,7 +49,7 @@
 export class RunWrites {
   constructor(
     private readonly context: ShardContext,
-    private readonly around: RunsAround,
+    private readonly callbacks: RunCallbacks,
   ) {}
 
   private conditions(run: LiveRun): Map<string, Uint64> {
@@ -71,44 +71,44 @@
     try {
       const { header } = run;
       const result = engine.result ?? "failed";
-      const phase: RunEnd = header.aborted ? "withdrawn" : header.timedOut ? "failed" : result;
-      const saved = run.loaded?.saved.clearings ?? new Map<number, number>();
-      const segments = writeSegments(header.steps, header.segment, engine.finals(), saved);
+      const phase: FinalPhase = header.aborted ? "withdrawn" : header.timedOut ? "failed" : result;
+      const clearings = run.loaded?.saved.clearings ?? new Map<number, number>();
+      const segments = writeSegments(header.steps, header.segment, engine.finals(), clearings);
       const counts = countsOf((state) => engine.count(state));
       const [only] = segments;
-      const one = segments.length === 1 && only !== undefined;
-      if (!one && !(await this.writeSegments(run, segments))) return;
-      const ended: Ended = { header, phase, counts, endedMs: this.nowMs(), states: one ? only : null };
+      const isSingle = segments.length === 1 && only !== undefined;
+      if (!isSingle && !(await this.writeSegments(run, segments))) return;
+      const ended: Ended = { header, phase, counts, endedMs: this.nowMs(), states: isSingle ? only : null };
       const writes: WriteOperation[] = [
         { kind: "put", key: endedKey(run.id), value: writeEnded(ended) },
         { kind: "delete", key: graphKey(run.id) },
       ];
-      if (run.summed !== "") writes.push({ kind: "delete", key: summaryKey(run.id) });
+      if (run.lastSummary !== "") writes.push({ kind: "delete", key: summaryKey(run.id) });
       const written = await this.context.transactions.submit(
         this.conditions(run).set(endedKey(run.id), 0),
         writes,
         "normal",
       );
       if (written.kind !== "ok") {
-        this.refused(run, written.kind === "conflict" ? written.keys : []);
+        this.handleFailedWrite(run, written.kind === "conflict" ? written.keys : []);
         return;
       }
       this.context.log.info("run ended", { run: run.id, phase, ...counts });
-      this.around.drop(run.id);
+      this.callbacks.runEnded(run.id);
     } finally {
       run.writing = false;
     }
   }
 
-  private refused(run: LiveRun, keys: readonly string[]): void {
+  private handleFailedWrite(run: LiveRun, keys: readonly string[]): void {
     const { lease, cache, clock } = this.context;
     if (keys.includes(lease.key)) {
       this.context.onFenced();
       return;
     }
-    void this.guard(cache.sync());
-    clock.after(RETRY, () => {
-      this.around.moved(run);
+    void this.logFailure(cache.sync());
+    clock.after(RETRY_DELAY, () => {
+      this.callbacks.advance(run);
     });
   }
 
@@ -119,12 +119,12 @@
       "normal",
     );
     if (written.kind === "ok") return true;
-    this.refused(run, written.kind === "conflict" ? written.keys : []);
+    this.handleFailedWrite(run, written.kind === "conflict" ? written.keys : []);
     return false;
   }
 
   /** Carries out a stored clear request. Steps that are not cleared keep their states, whatever the others end in. */
-  async clear(run: LiveRun, engine: DagRun, clear: Clear): Promise<void> {
+  async clear(run: LiveRun, engine: DagRun, clear: ClearRequest): Promise<void> {
     if (run.writing || run.loaded === null) return;
     run.writing = true;
     try {
@@ -140,60 +140,61 @@
       ];
       const written = await this.context.transactions.submit(this.conditions(run), writes, "normal");
       if (written.kind !== "ok") {
-        this.refused(run, written.kind === "conflict" ? written.keys : []);
+        this.handleFailedWrite(run, written.kind === "conflict" ? written.keys : []);
         return;
       }
       this.context.log.info("steps cleared", { run: run.id, steps: cleared.size, round });
-      this.around.seen(run.id, value, written.version);
+      this.callbacks.headerWritten(run.id, value, written.version);
     } finally {
       run.writing = false;
     }
   }
 
   /** Marks the run as timed out. Uses the wall clock if there is one, since a run may outlive many shard leaders. */
-  timeOut(run: LiveRun, engine: DagRun): void {
+  checkTimeout(run: LiveRun, engine: DagRun): void {
     const { timeoutS } = engine.plan;
     const { header } = run;
     if (timeoutS === null || header.timedOut || header.aborted || run.writing || header.clear !== null) return;
     const now = this.nowMs();
-    const passed =
-      now > 0 && header.acceptedMs > 0 ? now - header.acceptedMs : (this.context.clock.now() - run.seenAt) / 1_000;
-    if (passed < timeoutS * 1_000) return;
+    const elapsedMs =
+      now > 0 && header.acceptedMs > 0 ? now - header.acceptedMs : (this.context.clock.now() - run.firstSeenAt) / 1_000;
+    if (elapsedMs < timeoutS * 1_000) return;
     run.writing = true;
     const next: Header = { ...header, timedOut: true };
     const value = writeHeader(next);
     const write: WriteOperation = { kind: "put", key: graphKey(run.id), value };
-    void this.guard(
+    void this.logFailure(
       this.context.transactions.submit(this.conditions(run), [write], "cancellation").then((written) => {
         run.writing = false;
-        if (written.kind === "ok") this.around.seen(run.id, value, written.version);
-        else this.refused(run, written.kind === "conflict" ? written.keys : []);
+        if (written.kind === "ok") this.callbacks.headerWritten(run.id, value, written.version);
+        else this.handleFailedWrite(run, written.kind === "conflict" ? written.keys : []);
       }),
     );
   }
 
   /** Stores the counts of a large run, at most once per `SUMMARY_PERIOD` and only if they changed. */
-  summarize(run: LiveRun, engine: DagRun): void {
+  writeSummary(run: LiveRun, engine: DagRun): void {
     const { clock, transactions, cache } = this.context;
-    if (run.header.steps < LARGE_RUN || run.writing || clock.now() - run.summedAt < SUMMARY_PERIOD) return;
-    this.around.refresh(run.id);
+    if (run.header.steps < LARGE_RUN_STEPS || run.writing || clock.now() - run.summaryWrittenAt < SUMMARY_PERIOD)
+      return;
+    this.callbacks.refresh(run.id);
     const counts = STATES.map((state) => engine.count(state));
     const text = counts.join();
-    if (text === run.summed) return;
-    run.summed = text;
-    run.summedAt = clock.now();
+    if (text === run.lastSummary) return;
+    run.lastSummary = text;
+    run.summaryWrittenAt = clock.now();
     const key = summaryKey(run.id);
     // The condition keeps a delayed earlier write from overwriting this one.
     const conditions = this.conditions(run).set(key, cache.entries.get(key)?.version ?? 0);
     const write: WriteOperation = { kind: "put", key, value: counts };
-    void this.guard(
+    void this.logFailure(
       transactions.submit(conditions, [write], "deferred").then((written) => {
-        if (written.kind !== "ok") run.summed = NOT_WRITTEN;
+        if (written.kind !== "ok") run.lastSummary = UNKNOWN_SUMMARY;
       }),
     );
   }
 
-  private guard(work: Promise<unknown>): Promise<void> {
+  private logFailure(work: Promise<unknown>): Promise<void> {
     return work.then(
       () => undefined,
       (error: unknown) => this.context.log.error("run not written", { error: describeError(error) }),
--- a/src/graphs/service/uploads.ts
+++ b/src/graphs/service/uploads.ts
@@ -4,12 +4,12 @@
 import { endedKey, graphKey, partPrefix, planKey, readUpload, uploadKey, uploadOfKey } from "./records.js";
 
 /** Incomplete uploads are deleted after this time; clients stop retrying long before. */
-const PATIENCE = seconds(900);
-const PERIOD = seconds(30);
-const AT_ONCE = 50;
+const MAX_UPLOAD_AGE = seconds(900);
+const SWEEP_PERIOD = seconds(30);
+const MAX_DELETES_PER_SWEEP = 50;
 
 /** Deletes uploaded parts and plan chunks that never became a run, or whose run has been accepted. */
-export class Uploads {
+export class UploadCleanup {
   private readonly firstSeen = new Map<string, Micros>();
   private sweptAt: Micros;
   private sweeping = false;
@@ -20,11 +20,11 @@
     this.sweptAt = context.clock.now();
   }
 
-  /** Deletes at most one stale upload per `PERIOD`. */
+  /** Deletes at most one stale upload per `SWEEP_PERIOD`. */
   sweep(): void {
     const { cache, clock, log } = this.context;
     const now = clock.now();
-    if (this.sweeping || now - this.sweptAt < PERIOD) return;
+    if (this.sweeping || now - this.sweptAt < SWEEP_PERIOD) return;
     this.sweptAt = now;
     const stale: string[] = [];
     const present = new Set<string>();
@@ -34,13 +34,13 @@
       present.add(id);
       const since = this.firstSeen.get(id) ?? now;
       this.firstSeen.set(id, since);
-      if (now - since > PATIENCE || cache.entries.has(graphKey(id))) stale.push(id);
+      if (now - since > MAX_UPLOAD_AGE || cache.entries.has(graphKey(id))) stale.push(id);
     }
     for (const id of this.firstSeen.keys()) if (!present.has(id)) this.firstSeen.delete(id);
     const [next] = stale;
     if (next === undefined) return;
     this.sweeping = true;
-    this.drop(next)
+    this.deleteUpload(next)
       .catch((error: unknown) => log.error("upload not cleared away", { error: describeError(error) }))
       .then(() => {
         this.sweeping = false;
@@ -48,22 +48,22 @@
   }
 
   /** Deletes the parts first and the marker last, so that the next sweep finds what a crash leaves behind. */
-  private async drop(id: string): Promise<void> {
+  private async deleteUpload(id: string): Promise<void> {
     const { store, transactions, lease, log, cache } = this.context;
     const marker = cache.entries.get(uploadKey(id));
     if (marker === undefined) return;
     // A new upload under the same id writes the marker first, so these deletes fail from then on.
-    const still = new Map([
+    const conditions = new Map([
       [lease.key, lease.version],
       [marker.key, marker.version],
     ]);
     const reply = await store.list(partPrefix(id));
     if (reply.kind !== "ok") return;
-    for (const { key } of reply.value.entries.slice(0, AT_ONCE)) {
-      const result = await transactions.submit(still, [{ kind: "delete", key }], "maintenance");
+    for (const { key } of reply.value.entries.slice(0, MAX_DELETES_PER_SWEEP)) {
+      const result = await transactions.submit(conditions, [{ kind: "delete", key }], "maintenance");
       if (result.kind !== "ok") return;
     }
-    if (reply.value.entries.length > AT_ONCE) return;
+    if (reply.value.entries.length > MAX_DELETES_PER_SWEEP) return;
     const { plan, chunks = 0 } = readUpload(marker.value);
     if (plan !== undefined && !cache.entries.has(graphKey(id))) {
       // If the run has been accepted and has ended since, its record still refers to the chunks: they stay.
@@ -71,11 +71,11 @@
       if (ended.kind !== "ok" && ended.kind !== "missing") return;
       for (let at = 0; ended.kind === "missing" && at < chunks; at += 1) {
         const key = planKey(id, plan, at);
-        const result = await transactions.submit(still, [{ kind: "delete", key }], "maintenance");
+        const result = await transactions.submit(conditions, [{ kind: "delete", key }], "maintenance");
         if (result.kind !== "ok") return;
       }
     }
-    await transactions.submit(still, [{ kind: "delete", key: marker.key }], "maintenance");
+    await transactions.submit(conditions, [{ kind: "delete", key: marker.key }], "maintenance");
     log.info("upload cleared away", { run: id });
   }
 }
