--- a/src/graphs/service/door.ts
+++ b/src/graphs/service/door.ts
@@ -169,7 +169,7 @@
 
   private unrunnableReason(plan: Plan): string | null {
     for (const [step, spec] of distinctJobs(plan)) {
-      // Besides the specification, a job record holds the job id, the run id and failure counts: up to 400 bytes.
+      // Besides the specification, a job record holds the job id, the run id and failure counts: at most 400 bytes.
       if (JSON.stringify(jobSpecCodec.encode(spec)).length + 400 > this.services.settings.store.valueBytes) {
         return `step ${step.id}: its job is too large for a record`;
       }
--- a/src/graphs/service/past-runs.ts
+++ b/src/graphs/service/past-runs.ts
@@ -7,7 +7,7 @@
 
 const MAX_CACHED_RUNS = 64;
 
-/** Decides for steps with `depends_on_past` by the states of the DAG's previous run. */
+/** Decides by the states of the DAG's previous run whether a step with `depends_on_past` may start. */
 export class PreviousRuns {
   private readonly finalStates = new Map<string, ReadonlyMap<string, StepState>>();
 
--- a/src/graphs/service/records.ts
+++ b/src/graphs/service/records.ts
@@ -51,6 +51,7 @@
 
 export const jobPrefix = (run: string, digest: string): string => `wk-${run}.${digest.slice(0, 8)}.`;
 
+/** Step and attempt of a step's job; null if the job id does not have that form. */
 export const partsOfJobId = (id: string): { readonly step: number; readonly attempt: number } | null => {
   const [, step, attempt] = /\.([0-9a-z]{4})\.(\d+)$/.exec(id) ?? [];
   if (step === undefined || attempt === undefined) return null;
@@ -106,7 +107,7 @@
 
 export type FinalPhase = "success" | "failed" | "withdrawn";
 
-/** Record of a run that has ended: its last header, its final phase, and the wall-clock time of its end. */
+/** Record of a run that has ended: its last header, its final phase, and when it ended (wall clock). */
 export interface Ended {
   readonly header: Header;
   readonly phase: FinalPhase;
@@ -127,12 +128,14 @@
 const inflate = (text: string, maxBytes: number): Buffer =>
   inflateRawSync(Buffer.from(text, "base64"), { maxOutputLength: maxBytes });
 
-/** Upper bound of a segment's size: five bitmaps and the clearings byte, assumed to be hardly compressible. */
+/** Upper bound of a segment's bytes per step: five bitmaps and a byte for the clearings, assumed to be incompressible. */
 const BYTES_PER_STEP = 1.6;
 const MAX_SEGMENT_STEPS = 4_096;
+/** Number of steps per segment, chosen so that a segment fits into a stored value of `valueBytes` bytes. */
 export const segmentSize = (valueBytes: number): number =>
   Math.max(64, Math.min(MAX_SEGMENT_STEPS, Math.floor((valueBytes * 0.8) / BYTES_PER_STEP / 32) * 32));
 
+/** Splits the final states and clearings of a run's steps into segments of `size` steps each. */
 export const writeSegments = (
   steps: number,
   size: number,
--- a/src/graphs/service/uploads.ts
+++ b/src/graphs/service/uploads.ts
@@ -8,7 +8,10 @@
 const SWEEP_PERIOD = seconds(30);
 const MAX_DELETES_PER_SWEEP = 50;
 
-/** Deletes uploaded parts and plan chunks that never became a run, or whose run has been accepted. */
+/**
+ * Deletes the parts of uploads that were abandoned or whose run has been accepted, and the plan chunks of runs that were
+ * never accepted.
+ */
 export class UploadCleanup {
   private readonly firstSeen = new Map<string, Micros>();
   private sweptAt: Micros;
