--- a/src/graphs/service/records.ts
+++ b/src/graphs/service/records.ts
@@ -128,7 +128,7 @@
 const inflate = (text: string, maxBytes: number): Buffer =>
   inflateRawSync(Buffer.from(text, "base64"), { maxOutputLength: maxBytes });
 
-/** Upper bound of a segment's bytes per step: five bitmaps and a byte for the clearings, assumed to be incompressible. */
+/** Upper bound of a segment's bytes per step: five bitmaps and a byte for the clearings, as if incompressible. */
 const BYTES_PER_STEP = 1.6;
 const MAX_SEGMENT_STEPS = 4_096;
 /** Number of steps per segment, chosen so that a segment fits into a stored value of `valueBytes` bytes. */
--- a/src/graphs/service/uploads.ts
+++ b/src/graphs/service/uploads.ts
@@ -9,8 +9,8 @@
 const MAX_DELETES_PER_SWEEP = 50;
 
 /**
- * Deletes the parts of uploads that were abandoned or whose run has been accepted, and the plan chunks of runs that were
- * never accepted.
+ * Deletes the parts of uploads that were abandoned or whose run has been accepted, and the plan chunks of runs that
+ * were never accepted.
  */
 export class UploadCleanup {
   private readonly firstSeen = new Map<string, Micros>();
