--- a/test/graph-days.test.ts
+++ b/test/graph-days.test.ts
@@ -10,10 +10,10 @@
 
 const { compile, GraphError, readDocument } = await describing();
 
-/** Many more are run by hand: RAINRIDGE_GRAPH_SEEDS=1000 (docs/results.md). */
+/** Number of seeds; RAINRIDGE_GRAPH_SEEDS=1000 runs many more by hand (docs/results.md). */
 const SEEDS = Number(process.env.RAINRIDGE_GRAPH_SEEDS ?? 12);
 const FROM = Number(process.env.RAINRIDGE_FROM ?? 1);
-/** All kinds but those that make steps fail by chance. */
+/** Number of fault kinds used: all but those that make tasks fail at random. */
 const KINDS_WITHOUT_SICK = 9;
 
 interface Graph {
@@ -22,7 +22,7 @@
   readonly plan: Plan;
 }
 
-/** A random run as its planner would write it; null where its definition is refused. */
+/** A random graph as a user would submit it, with its compiled plan; null if the definition is refused. */
 const randomGraph = (random: Random, id: string): Graph | null => {
   const { steps } = randomPlan(random);
   const tasks = steps.map((step, at) => ({
@@ -56,28 +56,29 @@
   }
 };
 
-/** Whether an attempt fails is settled beforehand, by its name alone. */
+/** Outcome of each attempt, predetermined by seed, graph, step and attempt number. */
 const fateOf =
   (seed: number, graph: number) =>
   (step: number, attempt: number): Outcome =>
     new Random(seed * 1_000_003 + graph * 10_007 + step * 101 + attempt).chance(0.2) ? "error" : "done";
 
-/** The step and all that comes after it. */
+/** The step and all steps downstream of it. */
 const withDownstream = (plan: Plan, step: number): ReadonlySet<number> => {
   const all = new Set([step]);
   for (const [at, { upstream }] of plan.steps.entries()) if (upstream.some((up) => all.has(up))) all.add(at);
   return all;
 };
 
+/** A simulated cluster with random graphs, whose course is checked against the trigger rules. */
 class Day {
   readonly graphs: Graph[] = [];
-  /** Of graphs whose user had steps cleared: how often each was; null where it is not sure what was answered. */
+  /** By id of a graph with a clear: number of clears by step; null if no definite response was received. */
   readonly clearings = new Map<string, Map<number, number> | null>();
   readonly aborted = new Set<string>();
-  /** Final states as users were told them. */
+  /** Final states as reported to users, by run and step. */
   private readonly told = new Map<string, string>();
   readonly site: GraphSite;
-  /** How often each step's job was put on record where there was none. */
+  /** By key of a step's job record: how often it was created. */
   readonly created = new Map<string, number>();
   private readonly present = new Set<string>();
 
@@ -102,7 +103,10 @@
     };
   }
 
-  /** Rules that speak of all upstream steps let nothing start before the last of those that run has ended. */
+  /**
+   * Reports an error if a step was submitted too early: under rules that depend on all upstream steps, it must not
+   * start before the last upstream step with a job has ended.
+   */
   private early(key: string): void {
     const { seed, site } = this;
     const graph = this.graphs.find(({ id }) => key.startsWith(`c/job/wk-${id}.`));
@@ -123,7 +127,7 @@
     }
   }
 
-  /** Submits as users do, for as long as it takes. */
+  /** Submits the graph at time `at`, and retries as users do until it is accepted. */
   submit(graph: Graph, at: number): void {
     this.graphs.push(graph);
     const attempt = (): void => {
@@ -140,7 +144,7 @@
     const { site } = this;
     site.world.at(at, () => {
       const known = this.clearings.get(graph.id);
-      // From here on its states may go back, as its user wishes.
+      // From here on, final states may be reset by the clear.
       this.clearings.set(graph.id, known ?? null);
       const body = { step: graph.plan.steps[step]?.id };
       void site.put("POST", `/v2/graphs/${graph.id}/clear`, body).then((status) => {
@@ -163,7 +167,7 @@
     site.world.at(at, ask);
   }
 
-  /** What any controller tells of steps: what is final stays as it is. */
+  /** Polls the steps' states and reports an error if a final state changes without a clear. */
   watch(untilUs: number): void {
     for (const { id } of this.graphs) {
       void this.site.steps(id).then((steps) => {
@@ -211,7 +215,7 @@
       );
       for (const [at, step] of plan.steps.entries()) {
         if (clearing !== undefined) break;
-        // What ran at all ran as often as its fate and its class say, and each attempt was submitted once.
+        // A step that ran made as many attempts as its outcomes and job class imply, and each was submitted once.
         const own = [...this.created].filter(([key]) => {
           const parts = partsOfJobId(key);
           return key.startsWith(`c/job/wk-${id}.`) && parts?.step === at;
@@ -227,7 +231,7 @@
       }
     }
     const left = site.state.keys("c/").filter((key) => /^c\/(graph|gsum|job\/wk-dr-)/.test(key));
-    assert.deepEqual(left, [], `seed ${seed}: left behind`);
+    assert.deepEqual(left, [], `seed ${seed}: records left behind`);
   }
 }
 
@@ -247,7 +251,7 @@
   for (let number = random.int(2, 5); number > 0; number -= 1) {
     site.world.at(random.int(5 * S, busy), () => injectFault(site, random, KINDS_WITHOUT_SICK));
   }
-  // Every other day somebody changes their mind.
+  // In every other scenario, a user clears a step of one graph and aborts another.
   const [first, second] = today.graphs;
   if (seed % 2 === 0 && first !== undefined && second !== undefined) {
     today.clear(first, random.int(0, first.plan.steps.length - 1), random.int(10 * S, 200 * S));
@@ -258,11 +262,11 @@
   await today.check();
 };
 
-test("random graphs through random troubles end as Airflow's rules say", { timeout: 6_000_000 }, async () => {
+test("random graphs end as Airflow's trigger rules say despite random faults", { timeout: 6_000_000 }, async () => {
   for (let seed = FROM; seed < FROM + SEEDS; seed += 1) await day(seed);
 });
 
-test("a run comes through days on which many writes are carried out late and without an answer", async () => {
+test("runs finish correctly although many writes are applied late and without a response", async () => {
   for (let seed = 1; seed <= 4; seed += 1) {
     const today = new Day(seed);
     const random = new Random(seed);
@@ -282,11 +286,11 @@
   }
 });
 
-test("an abort holds, whatever becomes of the submissions under way", async () => {
+test("an aborted run starts no task and leaves no job behind, whatever becomes of submissions in flight", async () => {
   for (let seed = 1; seed <= 10; seed += 1) {
     const site = new GraphSite(seed);
     await site.run(3 * S);
-    // Long enough for what is left behind to be there at the end.
+    // Long enough for a job that is left behind to be still running at the end.
     site.stepBehaviour = () => ({ runUs: 2_000 * S });
     const tasks = Array.from({ length: 30 }, (_, at) => ({ task_id: `t${at}` }));
     site.state.unanswered = 0.4;
@@ -298,7 +302,7 @@
     await site.run((seed % 5) * 0.2 * S);
     while ((await site.ask("POST", "/v2/graphs/dr-1/abort")).status !== 200) await site.run(S);
     const told = site.world.now;
-    // From now on all goes well, but for what is still under way: the run has ended before the last of that lands.
+    // New writes succeed from now on; earlier ones are still in flight, and the run ends before the last is applied.
     site.state.unanswered = 0;
     if (seed % 3 === 0) site.crash(site.holder());
     await site.run(45 * S);
@@ -307,14 +311,14 @@
     assert.equal(site.begun.length, begun, `seed ${seed}: started after the abort of ${told / S} s`);
     await site.until("dr-1", ["withdrawn"], 200);
     const on = [...site.checker.jobs.keys()].filter((job) => site.checker.isOn(`${job}/0`));
-    assert.deepEqual(on, [], `seed ${seed}: still there\n${site.story(on[0] ?? "-")}`);
+    assert.deepEqual(on, [], `seed ${seed}: still running\n${site.story(on[0] ?? "-")}`);
     await site.run(60 * S);
     assert.deepEqual(site.state.keys("c/job/"), [], `seed ${seed}`);
     assert.equal(site.state.value("c/graph/dr-1"), undefined);
   }
 });
 
-test("a run survives the end of its holder, or of all controllers, after every single write", async () => {
+test("a run survives a crash of its shard leader, or of all controllers, after any of its writes", async () => {
   const tasks = [
     { task_id: "s0" },
     { task_id: "s1", upstream: ["s0"] },
@@ -335,7 +339,7 @@
       if (!keys.some((key) => key.includes("dr-1"))) return;
       applied += 1;
       if (applied !== killAfter) return;
-      // Before any answer to the write can arrive.
+      // Crashes before a response to the write can arrive.
       if (killAfter % 2 === 0) for (const at of [0, 1, 2]) site.crash(at);
       else site.crash(site.holder());
     };
--- a/test/graph-fixtures.ts
+++ b/test/graph-fixtures.ts
@@ -2,6 +2,7 @@
 import type { Random } from "../src/model/index.js";
 import { DEFAULT_RETRIES } from "../src/settings/graph-options.js";
 
+/** Retry limits of the tests' job classes: three attempts; the first counted failure of a task ends an attempt. */
 export const CLASS = { ...DEFAULT_RETRIES, attempts: 3, backOffS: 1, mostBackOffS: 4, errors: 1 };
 
 export const JOB = {
@@ -46,7 +47,7 @@
   ...fields,
 });
 
-/** Random steps, upstream lists, rules and deciding steps. */
+/** A random plan of up to `most` steps with random kinds, upstream steps, trigger rules, retries and weights. */
 export const randomPlan = (random: Random, most = 14): Plan => {
   const count = random.int(1, most);
   const steps: Step[] = [];
--- a/test/graph-service.test.ts
+++ b/test/graph-service.test.ts
@@ -15,7 +15,7 @@
 const chain = (count: number): readonly unknown[] =>
   Array.from({ length: count }, (_, at) => ({ task_id: `t${at}`, upstream: at === 0 ? [] : [`t${at - 1}`] }));
 
-test("a graph runs to its end, is told alike by every controller, and leaves what is watched", async () => {
+test("every controller reports the same end of a run, and the ended run's header is deleted", async () => {
   const site = await ready(1);
   const posted = await site.post("dr-a", [
     { task_id: "a" },
@@ -40,7 +40,7 @@
   assert.deepEqual(site.errors, []);
 });
 
-test("a repetition is answered with what stands; the same id with other content, and what can't run, are refused", async () => {
+test("a repeated submission returns the run's status; a reused id or an unrunnable graph is refused", async () => {
   const site = await ready(2);
   assert.equal((await site.post("dr-a", chain(2))).status, 201);
   assert.equal((await site.post("dr-a", chain(2))).status, 200);
@@ -59,7 +59,7 @@
   assert.equal((await site.ask("POST", "/v2/graphs", "{")).status, 400);
 });
 
-test("a middle step that fails on every machine is tried as often as its class permits, then fails", async () => {
+test("a step that fails on every machine is tried as often as its job class permits, then fails", async () => {
   const site = await ready(3);
   const tried = new Set<string>();
   site.stepBehaviour = (job) => {
@@ -77,7 +77,7 @@
   assert.equal(tried.size, CLASS.attempts);
 });
 
-test("preempted and lost machines do not count against a step", async () => {
+test("losses of machines do not count as failed attempts of a step", async () => {
   const site = await ready(4);
   await site.post("dr-a", chain(1), {});
   site.stepBehaviour = () => ({ runUs: 20 * S });
@@ -89,7 +89,7 @@
   await site.until("dr-b", ["success"]);
 });
 
-test("an abort reaches steps that run, that wait and that are being submitted", async () => {
+test("an abort cancels running, waiting and in-flight steps", async () => {
   for (let seed = 5; seed < 13; seed += 1) {
     const site = await ready(seed);
     site.stepBehaviour = () => ({ runUs: 60 * S });
@@ -97,19 +97,19 @@
       "dr-a",
       Array.from({ length: 40 }, (_, at) => ({ task_id: `t${at}` })),
     );
-    // In the midst of the submissions.
+    // The abort falls at different points of the submissions.
     await site.run((seed - 5) * 0.4 * S);
     const told = await site.ask("POST", "/v2/graphs/dr-a/abort", "", seed % 3);
     assert.deepEqual([told.status, told.body.phase], [200, "withdrawn"]);
     await site.run(45 * S);
     const { body } = await site.until("dr-a", ["withdrawn"]);
     assert.equal((body.counts?.failed ?? 0) + (body.counts?.skipped ?? 0), 40);
-    assert.equal(site.state.value("c/graph/dr-a"), undefined, "ended");
-    assert.ok(![...site.checker.jobs.keys()].some((job) => site.checker.isOn(`${job}/0`)), "nothing left");
+    assert.equal(site.state.value("c/graph/dr-a"), undefined, "header record deleted");
+    assert.ok(![...site.checker.jobs.keys()].some((job) => site.checker.isOn(`${job}/0`)), "no task left running");
   }
 });
 
-test("a cleared step and what comes after it run again; the rest stays as it is", async () => {
+test("a cleared step and its downstream steps run again; the other steps keep their states", async () => {
   const site = await ready(14);
   let broken = true;
   const runs: string[] = [];
@@ -126,7 +126,7 @@
   const { body } = await site.until("dr-a", ["success"]);
   assert.deepEqual(body.counts, { success: 4 });
   assert.deepEqual(runs.map((run) => run.slice(0, 4)).sort().length, 2);
-  // Without what comes after, while the run goes on.
+  // Clears a step without its downstream steps while the run is active.
   site.stepBehaviour = (job) => ({ runUs: job.includes(".0000.") ? 60 * S : 3 * S });
   await site.post("dr-b", [{ task_id: "slow" }, { task_id: "quick" }, { task_id: "after", upstream: ["quick"] }]);
   await site.run(40 * S);
@@ -137,7 +137,7 @@
   assert.equal(attempts.length, 4, attempts.join());
 });
 
-test("a run's own timeout ends it, and an execution timeout ends an attempt", async () => {
+test("dagrun_timeout ends the run, and execution_timeout ends an attempt", async () => {
   const site = await ready(15);
   site.stepBehaviour = () => ({ runUs: 500 * S });
   await site.post("dr-a", chain(2), { dagrun_timeout: 20 });
@@ -149,7 +149,7 @@
   assert.equal([...site.checker.jobs.keys()].filter((job) => job.startsWith("wk-dr-b")).length, 2);
 });
 
-test("no more runs of a DAG go at once than it allows, and a step waits for its own past", async () => {
+test("max_active_runs limits a DAG's runs, and depends_on_past makes a step wait for the previous run", async () => {
   const site = await ready(16);
   const tasks = [
     { task_id: "a", depends_on_past: true },
@@ -162,7 +162,7 @@
   for (const id of ["dr-1", "dr-2", "dr-3"]) phases.push((await site.ask("GET", `/v2/graphs/${id}`)).body.phase);
   assert.equal(phases[2], "pending");
   for (const id of ["dr-1", "dr-2", "dr-3"]) await site.until(id, ["success"]);
-  // What failed bars the next run's step of the same name.
+  // A failed step blocks the step of the same name in the next run.
   site.stepBehaviour = () => ({ failsAlways: true });
   await site.post("dr-4", tasks, { max_active_runs: 2 });
   await site.until("dr-4", ["failed"]);
@@ -171,7 +171,7 @@
   assert.deepEqual(body.counts, { upstream_failed: 2 });
 });
 
-test("a pool bounds its steps over all graphs, max_active_tasks those of one", async () => {
+test("a pool limits its running steps over all runs, max_active_tasks those of one run", async () => {
   const site = await ready(17);
   site.stepBehaviour = () => ({ runUs: 8 * S });
   const pooled = [0, 1, 2].map((at) => ({ task_id: `p${at}`, pool: "gate" }));
@@ -196,7 +196,7 @@
   for (const id of ["dr-a", "dr-b", "dr-c"]) await site.until(id, ["success"]);
 });
 
-test("parts become a graph at once, in any order, at any controller, and repeated", async () => {
+test("a definition is accepted in parts, sent in any order, to any controller and repeatedly", async () => {
   const site = await ready(18);
   const tasks = Array.from({ length: 900 }, (_, at) => ({
     task_id: `task-with-a-rather-long-name-${at}`,
@@ -225,11 +225,11 @@
   assert.equal((await site.ask("POST", "/v2/graphs/dr-a/abort")).status, 200);
   await site.until("dr-a", ["withdrawn"], 200);
   await site.run(120 * S);
-  assert.equal(site.state.value("g/dr-a/u/0000/00"), undefined, "parts cleared away");
+  assert.equal(site.state.value("g/dr-a/u/0000/00"), undefined, "parts deleted");
   assert.equal(site.state.value("c/upload/dr-a"), undefined);
 });
 
-test("a graph submitted while all machines are drained starts once there are others", async () => {
+test("a graph submitted while all machines are draining starts once there are new ones", async () => {
   const site = await ready(19);
   await site.post("dr-w", chain(2));
   await site.until("dr-w", ["success"]);
@@ -241,7 +241,10 @@
   await site.until("dr-a", ["success"]);
 });
 
-/** Starts of the named jobs' first tasks, in their order, and when each job was asked for. */
+/**
+ * Submits `count` jobs, those selected by `graphs` as graphs of one step, the others as single jobs. Returns the task
+ * starts in order, with the wait of each since its submission.
+ */
 const startsIn = async (
   graphs: (at: number) => boolean,
   count: number,
@@ -277,7 +280,7 @@
   return { ref, ds: "2026-01-01", graph: { dag_id: ref, owner, tasks: [{ task_id: "a", job: rest }] } };
 };
 
-test("a graph submitted while the block changes hands runs, and one under way goes on", async () => {
+test("a graph submitted during a failover of its shard runs, and an active run goes on", async () => {
   for (const all of [false, true]) {
     const site = await ready(22);
     await site.post("dr-a", chain(5));
@@ -290,8 +293,8 @@
   }
 });
 
-test("a job that no record could hold is refused at once, as a step and by itself", async () => {
-  // It was answered 503 for ever: the state service refuses the record however often it is written.
+test("a job too large for a stored record is refused at once, as a step and as a single job", async () => {
+  // Without the check the response is 503 for ever: the state service refuses the record on every try.
   const site = await ready(23);
   const flavors = Array.from({ length: 60 }, (_, at) => `${"long-name-of-a-type-".repeat(9)}${at}`).concat("big");
   const step = await site.post("dr-a", [{ task_id: "a", job: { flavors } }]);
@@ -300,7 +303,7 @@
   assert.deepEqual([alone.status, alone.body.error], [400, "job: too large"]);
 });
 
-test("a page of steps stays within a line, however long their names", async () => {
+test("a page of steps stays within the limit of a response line, however long the steps' names are", async () => {
   const site = await ready(24);
   const long = "n".repeat(95);
   const tasks = Array.from({ length: 150 }, (_, at) => ({ task_id: `${long}${at}` }));
@@ -312,7 +315,7 @@
   await site.ask("POST", "/v2/graphs/dr-a/abort");
 });
 
-test("graphs and single jobs of the same demands start in the same order after the same waits", async () => {
+test("graphs and single jobs with equal resource requests start in the same order after the same waits", async () => {
   const [single, graphs, mixed] = [
     await startsIn(() => false, 30),
     await startsIn(() => true, 30),
--- a/test/sim/graph-site.ts
+++ b/test/sim/graph-site.ts
@@ -5,7 +5,7 @@
 import { CLASS, JOB } from "../graph-fixtures.js";
 import { Cluster } from "./cluster.js";
 
-// Loaded beforehand: no simulated clock waits for files to be read.
+// Loaded in advance, since simulated clocks do not wait for files to be read.
 await describing();
 
 export const { owner: _owner, ...JOB_FIELDS } = JOB;
@@ -24,12 +24,13 @@
   };
 }
 
-/** A whole simulated site that takes graphs, and a user of it. */
+/** A simulated cluster with the graph extension, and a user who sends requests to it. */
 export class GraphSite extends Cluster {
   constructor(seed: number, options: Partial<GraphOptions> = {}) {
     super(seed, { graphs: { ...GRAPH_OPTIONS, ...options } });
   }
 
+  /** Sends a request and runs the simulation until the response arrives; status 0: there was none. */
   async ask(method: string, target: string, body: unknown = "", node = 0): Promise<Answer> {
     const text = typeof body === "string" ? body : JSON.stringify(body);
     const answer = this.call(method, target, text, node);
@@ -43,16 +44,19 @@
     return { status: said.status, body: JSON.parse(said.text) as Answer["body"] };
   }
 
-  /** Without waiting: the status once it is there, 0 where there was none. */
+  /** Sends a request to a random controller without advancing the clock; resolves to the status, 0: no response. */
   async put(method: string, target: string, body: unknown): Promise<number> {
     return (await this.call(method, target, JSON.stringify(body), this.random.int(0, 2)))?.status ?? 0;
   }
 
-  /** All steps as some controller tells them now; empty where it can't. */
+  /**
+   * The first page of steps as a random controller reports them; empty if it does not respond with 200. `drive`:
+   * advances the simulation and retries.
+   */
   async steps(id: string, drive = false): Promise<readonly { readonly step: string; readonly state: string }[]> {
     for (let tries = 0; tries < (drive ? 50 : 1); tries += 1) {
       const answer = this.call("GET", `/v2/graphs/${id}/steps`, "", this.random.int(0, 2));
-      // Nobody moves the clock once the day is over.
+      // After the end of a scenario, nothing else advances the clock.
       for (let turn = 0; drive && turn < 8; turn += 1) await this.run(S / 4);
       const said = await answer;
       if (said?.status === 200) {
@@ -74,7 +78,7 @@
     return outcome.kind === "answer" ? { status: outcome.status, text: outcome.body } : null;
   }
 
-  /** As users do: again until it is taken or refused for good. */
+  /** Submits a graph, and retries as users do until it is accepted or permanently refused. */
   async post(ref: string, tasks: readonly unknown[], more: Readonly<Record<string, unknown>> = {}): Promise<Answer> {
     const graph = { dag_id: "d", owner: "open", default_args: { job: JOB_FIELDS }, tasks, ...more };
     for (let tries = 0; ; tries += 1) {
@@ -84,12 +88,13 @@
     }
   }
 
+  /** Polls the run until it is in one of the phases; throws after `mostS` polls a simulated second apart. */
   async until(id: string, phases: readonly string[], mostS = 300): Promise<Answer> {
     for (let spent = 0; spent < mostS; spent += 1) {
       const answer = await this.ask("GET", `/v2/graphs/${id}`, "", spent % 3);
       if (answer.status === 200 && phases.includes(answer.body.phase ?? "")) return answer;
       await this.run(S);
     }
-    throw new Error(`${id} did not come to ${phases.join()}\n${this.log.slice(-30).join("\n")}`);
+    throw new Error(`${id} did not reach phase ${phases.join()} in ${mostS} polls\n${this.log.slice(-30).join("\n")}`);
   }
 }
