--- a/test/graph-days.test.ts
+++ b/test/graph-days.test.ts
@@ -11,10 +11,10 @@
 const { compile, GraphError, readDocument } = await describing();
 
 /** Number of seeds; RAINRIDGE_GRAPH_SEEDS=1000 runs many more by hand (docs/results.md). */
-const SEEDS = Number(process.env.RAINRIDGE_GRAPH_SEEDS ?? 12);
-const FROM = Number(process.env.RAINRIDGE_FROM ?? 1);
+const SEED_COUNT = Number(process.env.RAINRIDGE_GRAPH_SEEDS ?? 12);
+const FIRST_SEED = Number(process.env.RAINRIDGE_FROM ?? 1);
 /** Number of fault kinds used: all but those that make tasks fail at random. */
-const KINDS_WITHOUT_SICK = 9;
+const FAULT_KINDS_WITHOUT_TASK_FAILURES = 9;
 
 interface Graph {
   readonly id: string;
@@ -57,7 +57,7 @@
 };
 
 /** Outcome of each attempt, predetermined by seed, graph, step and attempt number. */
-const fateOf =
+const fixedOutcomes =
   (seed: number, graph: number) =>
   (step: number, attempt: number): Outcome =>
     new Random(seed * 1_000_003 + graph * 10_007 + step * 101 + attempt).chance(0.2) ? "error" : "done";
@@ -70,33 +70,33 @@
 };
 
 /** A simulated cluster with random graphs, whose course is checked against the trigger rules. */
-class Day {
+class Scenario {
   readonly graphs: Graph[] = [];
   /** By id of a graph with a clear: number of clears by step; null if no definite response was received. */
   readonly clearings = new Map<string, Map<number, number> | null>();
   readonly aborted = new Set<string>();
   /** Final states as reported to users, by run and step. */
-  private readonly told = new Map<string, string>();
+  private readonly reportedFinals = new Map<string, string>();
   readonly site: GraphSite;
   /** By key of a step's job record: how often it was created. */
   readonly created = new Map<string, number>();
-  private readonly present = new Set<string>();
+  private readonly existing = new Set<string>();
 
   constructor(readonly seed: number) {
     this.site = new GraphSite(seed);
     this.site.stepBehaviour = (job) => {
       const parts = partsOfJobId(job);
       const graph = Number(/^wk-dr-(\d+)/.exec(job)?.[1] ?? 0);
-      const fails = parts !== null && fateOf(seed, graph)(parts.step, parts.attempt) === "error";
+      const fails = parts !== null && fixedOutcomes(seed, graph)(parts.step, parts.attempt) === "error";
       return { failsAlways: fails, runUs: (1 + ((parts?.step ?? 0) % 4)) * S };
     };
     this.site.state.onApplied = (keys) => {
       for (const key of keys) {
         if (!key.startsWith("c/job/wk-dr-")) continue;
-        if (this.site.state.value(key) === undefined) this.present.delete(key);
-        else if (!this.present.has(key)) {
-          this.present.add(key);
-          this.early(key);
+        if (this.site.state.value(key) === undefined) this.existing.delete(key);
+        else if (!this.existing.has(key)) {
+          this.existing.add(key);
+          this.checkNotEarly(key);
           this.created.set(key, (this.created.get(key) ?? 0) + 1);
         }
       }
@@ -107,7 +107,7 @@
    * Reports an error if a step was submitted too early: under rules that depend on all upstream steps, it must not
    * start before the last upstream step with a job has ended.
    */
-  private early(key: string): void {
+  private checkNotEarly(key: string): void {
     const { seed, site } = this;
     const graph = this.graphs.find(({ id }) => key.startsWith(`c/job/wk-${id}.`));
     const parts = partsOfJobId(key);
@@ -115,15 +115,16 @@
     if (graph !== undefined && this.clearings.has(graph.id)) return;
     if (graph === undefined || step === undefined || step.rule === "always" || step.rule.startsWith("one_")) return;
     const limits = planLimits(graph.plan, GRAPH_OPTIONS);
-    const fate = fateOf(seed, Number(graph.id.slice(3)));
-    const ends = bruteForce(graph.plan, fate, (at) => limits[at]?.attempts ?? 1);
+    const outcomeOf = fixedOutcomes(seed, Number(graph.id.slice(3)));
+    const expected = bruteForce(graph.plan, outcomeOf, (at) => limits[at]?.attempts ?? 1);
     for (const up of step.upstream) {
-      if (graph.plan.steps[up]?.kind !== "job" || !["success", "failed"].includes(ends[up] ?? "")) continue;
+      if (graph.plan.steps[up]?.kind !== "job" || !["success", "failed"].includes(expected[up] ?? "")) continue;
       const index = up.toString(36).padStart(4, "0");
-      const words = site.state.keys(`e/wk-${graph.id}.`).filter((end) => end.includes(`.${index}.`));
+      const outcomes = site.state.keys(`e/wk-${graph.id}.`).filter((end) => end.includes(`.${index}.`));
       let tries = 1;
-      while (tries < (limits[up]?.attempts ?? 1) && fate(up, tries) === "error") tries += 1;
-      if (words.length < tries) site.errors.push(`${key} was submitted before ${graph.plan.steps[up]?.id} had ended`);
+      while (tries < (limits[up]?.attempts ?? 1) && outcomeOf(up, tries) === "error") tries += 1;
+      if (outcomes.length < tries)
+        site.errors.push(`${key} was submitted before ${graph.plan.steps[up]?.id} had ended`);
     }
   }
 
@@ -143,9 +144,9 @@
   clear(graph: Graph, step: number, at: number): void {
     const { site } = this;
     site.world.at(at, () => {
-      const known = this.clearings.get(graph.id);
+      const earlier = this.clearings.get(graph.id);
       // From here on, final states may be reset by the clear.
-      this.clearings.set(graph.id, known ?? null);
+      this.clearings.set(graph.id, earlier ?? null);
       const body = { step: graph.plan.steps[step]?.id };
       void site.put("POST", `/v2/graphs/${graph.id}/clear`, body).then((status) => {
         if (status >= 400 && status < 500 && status !== 429) this.clearings.set(graph.id, new Map());
@@ -158,31 +159,31 @@
 
   abort(graph: Graph, at: number): void {
     const { site } = this;
-    const ask = (): void => {
+    const attempt = (): void => {
       void site.put("POST", `/v2/graphs/${graph.id}/abort`, "").then((status) => {
         if (status === 200) this.aborted.add(graph.id);
-        else site.world.after(S, ask);
+        else site.world.after(S, attempt);
       });
     };
-    site.world.at(at, ask);
+    site.world.at(at, attempt);
   }
 
   /** Polls the steps' states and reports an error if a final state changes without a clear. */
-  watch(untilUs: number): void {
+  watchFinals(untilUs: number): void {
     for (const { id } of this.graphs) {
       void this.site.steps(id).then((steps) => {
         if (this.clearings.has(id)) return;
         for (const { step, state } of steps) {
           const key = `${id} ${step}`;
-          const before = this.told.get(key);
+          const before = this.reportedFinals.get(key);
           if (before !== undefined && before !== state) {
             this.site.errors.push(`${key} went from ${before} to ${state}`);
           }
-          if (["success", "failed", "upstream_failed", "skipped"].includes(state)) this.told.set(key, state);
+          if (["success", "failed", "upstream_failed", "skipped"].includes(state)) this.reportedFinals.set(key, state);
         }
       });
     }
-    if (this.site.world.now < untilUs) this.site.world.after(7 * S, () => this.watch(untilUs));
+    if (this.site.world.now < untilUs) this.site.world.after(7 * S, () => this.watchFinals(untilUs));
   }
 
   async check(): Promise<void> {
@@ -192,9 +193,10 @@
       const limits = planLimits(plan, GRAPH_OPTIONS);
       const attempts = (at: number): number => limits[at]?.attempts ?? 1;
       const clearing = this.clearings.get(id);
-      const own = fateOf(seed, Number(id.slice(3)));
-      const fate = (at: number, attempt: number): Outcome => own(at, (clearing?.get(at) ?? 0) * 64 + attempt);
-      const wanted = bruteForce(plan, fate, attempts);
+      const originalOutcomeOf = fixedOutcomes(seed, Number(id.slice(3)));
+      const outcomeOf = (at: number, attempt: number): Outcome =>
+        originalOutcomeOf(at, (clearing?.get(at) ?? 0) * 64 + attempt);
+      const expected = bruteForce(plan, outcomeOf, attempts);
       const steps = await site.steps(id, true);
       const lines = (): string =>
         site.log
@@ -210,79 +212,79 @@
       assert.ok(phase === "success" || phase === "failed", `seed ${seed}: ${id} never ended\n${lines()}`);
       assert.deepEqual(
         steps.map(({ state }) => state),
-        wanted,
+        expected,
         `seed ${seed} ${id}\n${lines()}`,
       );
       for (const [at, step] of plan.steps.entries()) {
         if (clearing !== undefined) break;
         // A step that ran made as many attempts as its outcomes and job class imply, and each was submitted once.
-        const own = [...this.created].filter(([key]) => {
+        const submissions = [...this.created].filter(([key]) => {
           const parts = partsOfJobId(key);
           return key.startsWith(`c/job/wk-${id}.`) && parts?.step === at;
         });
         assert.ok(
-          own.every(([, count]) => count === 1),
+          submissions.every(([, count]) => count === 1),
           `seed ${seed}: ${id} ${step.id} submitted twice`,
         );
         let tries = 1;
-        while (tries < attempts(at) && fate(at, tries) === "error") tries += 1;
-        const ran = step.kind === "job" && (wanted[at] === "success" || wanted[at] === "failed");
-        assert.equal(own.length, ran ? tries : 0, `seed ${seed}: attempts of ${id} ${step.id}`);
+        while (tries < attempts(at) && outcomeOf(at, tries) === "error") tries += 1;
+        const ran = step.kind === "job" && (expected[at] === "success" || expected[at] === "failed");
+        assert.equal(submissions.length, ran ? tries : 0, `seed ${seed}: attempts of ${id} ${step.id}`);
       }
     }
-    const left = site.state.keys("c/").filter((key) => /^c\/(graph|gsum|job\/wk-dr-)/.test(key));
-    assert.deepEqual(left, [], `seed ${seed}: records left behind`);
+    const leftover = site.state.keys("c/").filter((key) => /^c\/(graph|gsum|job\/wk-dr-)/.test(key));
+    assert.deepEqual(leftover, [], `seed ${seed}: records left behind`);
   }
 }
 
-const day = async (seed: number): Promise<void> => {
+const runScenario = async (seed: number): Promise<void> => {
   const random = new Random(seed + 7_000);
-  const today = new Day(seed);
-  const { site } = today;
-  const busy = 120 * S;
-  for (let number = 0; today.graphs.length < 5; number += 1) {
+  const scenario = new Scenario(seed);
+  const { site } = scenario;
+  const submissionEnd = 120 * S;
+  for (let number = 0; scenario.graphs.length < 5; number += 1) {
     const graph = randomGraph(random, `dr-${number}`);
-    if (graph !== null) today.submit(graph, random.int(2 * S, busy));
+    if (graph !== null) scenario.submit(graph, random.int(2 * S, submissionEnd));
   }
   for (let number = 0; number < 6; number += 1) {
     const job = plainJob(`wk-${number}`, { shards: random.int(1, 4) });
-    site.world.at(random.int(2 * S, busy), () => site.submit(job, { runUs: 6 * S }));
+    site.world.at(random.int(2 * S, submissionEnd), () => site.submit(job, { runUs: 6 * S }));
   }
   for (let number = random.int(2, 5); number > 0; number -= 1) {
-    site.world.at(random.int(5 * S, busy), () => injectFault(site, random, KINDS_WITHOUT_SICK));
+    site.world.at(random.int(5 * S, submissionEnd), () => injectFault(site, random, FAULT_KINDS_WITHOUT_TASK_FAILURES));
   }
   // In every other scenario, a user clears a step of one graph and aborts another.
-  const [first, second] = today.graphs;
+  const [first, second] = scenario.graphs;
   if (seed % 2 === 0 && first !== undefined && second !== undefined) {
-    today.clear(first, random.int(0, first.plan.steps.length - 1), random.int(10 * S, 200 * S));
-    today.abort(second, random.int(10 * S, 150 * S));
+    scenario.clear(first, random.int(0, first.plan.steps.length - 1), random.int(10 * S, 200 * S));
+    scenario.abort(second, random.int(10 * S, 150 * S));
   }
-  site.world.at(5 * S, () => today.watch(500 * S));
+  site.world.at(5 * S, () => scenario.watchFinals(500 * S));
   await site.run(900 * S);
-  await today.check();
+  await scenario.check();
 };
 
 test("random graphs end as Airflow's trigger rules say despite random faults", { timeout: 6_000_000 }, async () => {
-  for (let seed = FROM; seed < FROM + SEEDS; seed += 1) await day(seed);
+  for (let seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed += 1) await runScenario(seed);
 });
 
 test("runs finish correctly although many writes are applied late and without a response", async () => {
   for (let seed = 1; seed <= 4; seed += 1) {
-    const today = new Day(seed);
+    const scenario = new Scenario(seed);
     const random = new Random(seed);
-    for (let number = 0; today.graphs.length < 3; number += 1) {
+    for (let number = 0; scenario.graphs.length < 3; number += 1) {
       const graph = randomGraph(random, `dr-${number}`);
-      if (graph !== null) today.submit(graph, 3 * S);
+      if (graph !== null) scenario.submit(graph, 3 * S);
     }
-    today.site.world.at(4 * S, () => {
-      today.site.state.unanswered = 0.4;
+    scenario.site.world.at(4 * S, () => {
+      scenario.site.state.unanswered = 0.4;
     });
-    for (const at of [30, 60, 90]) today.site.world.at(at * S, () => today.site.crash(today.site.holder()));
-    today.site.world.at(150 * S, () => {
-      today.site.state.unanswered = 0;
+    for (const at of [30, 60, 90]) scenario.site.world.at(at * S, () => scenario.site.crash(scenario.site.holder()));
+    scenario.site.world.at(150 * S, () => {
+      scenario.site.state.unanswered = 0;
     });
-    await today.site.run(700 * S);
-    await today.check();
+    await scenario.site.run(700 * S);
+    await scenario.check();
   }
 });
 
@@ -301,14 +303,14 @@
     }
     await site.run((seed % 5) * 0.2 * S);
     while ((await site.ask("POST", "/v2/graphs/dr-1/abort")).status !== 200) await site.run(S);
-    const told = site.world.now;
+    const abortedAt = site.world.now;
     // New writes succeed from now on; earlier ones are still in flight, and the run ends before the last is applied.
     site.state.unanswered = 0;
     if (seed % 3 === 0) site.crash(site.holder());
     await site.run(45 * S);
     const begun = site.begun.length;
     await site.run(60 * S);
-    assert.equal(site.begun.length, begun, `seed ${seed}: started after the abort of ${told / S} s`);
+    assert.equal(site.begun.length, begun, `seed ${seed}: started after the abort of ${abortedAt / S} s`);
     await site.until("dr-1", ["withdrawn"], 200);
     const on = [...site.checker.jobs.keys()].filter((job) => site.checker.isOn(`${job}/0`));
     assert.deepEqual(on, [], `seed ${seed}: still running\n${site.story(on[0] ?? "-")}`);
@@ -329,25 +331,25 @@
   const body = { ref: "dr-1", ds: "2026-01-01", graph };
   const plan = compile(readDocument(graph), { id: "dr-1", ds: "2026-01-01", params: {} }, GRAPH_OPTIONS);
   let writes = Number.POSITIVE_INFINITY;
-  for (let killAfter = 1; killAfter < writes; killAfter += 1) {
-    const today = new Day(3);
-    const { site } = today;
-    const own = site.state.onApplied;
+  for (let crashAfter = 1; crashAfter < writes; crashAfter += 1) {
+    const scenario = new Scenario(3);
+    const { site } = scenario;
+    const checkCreation = site.state.onApplied;
     let applied = 0;
     site.state.onApplied = (keys) => {
-      own(keys);
+      checkCreation(keys);
       if (!keys.some((key) => key.includes("dr-1"))) return;
       applied += 1;
-      if (applied !== killAfter) return;
+      if (applied !== crashAfter) return;
       // Crashes before a response to the write can arrive.
-      if (killAfter % 2 === 0) for (const at of [0, 1, 2]) site.crash(at);
+      if (crashAfter % 2 === 0) for (const at of [0, 1, 2]) site.crash(at);
       else site.crash(site.holder());
     };
     await site.run(3 * S);
-    today.submit({ id: "dr-1", body, plan }, 3 * S);
+    scenario.submit({ id: "dr-1", body, plan }, 3 * S);
     await site.run(150 * S);
-    await today.check();
-    if (applied < killAfter) writes = killAfter;
+    await scenario.check();
+    if (applied < crashAfter) writes = crashAfter;
   }
   assert.ok(writes > 15, `${writes} writes`);
 });
--- a/test/graph-fixtures.ts
+++ b/test/graph-fixtures.ts
@@ -47,14 +47,14 @@
   ...fields,
 });
 
-/** A random plan of up to `most` steps with random kinds, upstream steps, trigger rules, retries and weights. */
-export const randomPlan = (random: Random, most = 14): Plan => {
-  const count = random.int(1, most);
+/** A random plan of up to `maxSteps` steps with random kinds, upstream steps, trigger rules, retries and weights. */
+export const randomPlan = (random: Random, maxSteps = 14): Plan => {
+  const count = random.int(1, maxSteps);
   const steps: Step[] = [];
   for (let at = 0; at < count; at += 1) {
     const upstream = steps.map((_, up) => up).filter(() => random.chance(2 / Math.max(2, at)));
-    const luck = random.int(0, 11);
-    const kind = luck === 0 ? "skip" : luck === 1 ? "empty" : luck === 2 ? "short_circuit" : "job";
+    const kindRoll = random.int(0, 11);
+    const kind = kindRoll === 0 ? "skip" : kindRoll === 1 ? "empty" : kindRoll === 2 ? "short_circuit" : "job";
     steps.push(
       stepOf({
         id: `s${at}`,
--- a/test/graph-service.test.ts
+++ b/test/graph-service.test.ts
@@ -6,17 +6,17 @@
 import { plainJob } from "./sim/cluster.js";
 import { type Answer, GraphSite, JOB_FIELDS } from "./sim/graph-site.js";
 
-const ready = async (seed: number, options: Partial<GraphOptions> = {}): Promise<GraphSite> => {
+const startSite = async (seed: number, options: Partial<GraphOptions> = {}): Promise<GraphSite> => {
   const site = new GraphSite(seed, options);
   await site.run(3 * S);
   return site;
 };
 
-const chain = (count: number): readonly unknown[] =>
+const chainOf = (count: number): readonly unknown[] =>
   Array.from({ length: count }, (_, at) => ({ task_id: `t${at}`, upstream: at === 0 ? [] : [`t${at - 1}`] }));
 
 test("every controller reports the same end of a run, and the ended run's header is deleted", async () => {
-  const site = await ready(1);
+  const site = await startSite(1);
   const posted = await site.post("dr-a", [
     { task_id: "a" },
     { task_id: "b", upstream: ["a"] },
@@ -41,12 +41,12 @@
 });
 
 test("a repeated submission returns the run's status; a reused id or an unrunnable graph is refused", async () => {
-  const site = await ready(2);
-  assert.equal((await site.post("dr-a", chain(2))).status, 201);
-  assert.equal((await site.post("dr-a", chain(2))).status, 200);
-  const other = await site.post("dr-a", chain(3));
+  const site = await startSite(2);
+  assert.equal((await site.post("dr-a", chainOf(2))).status, 201);
+  assert.equal((await site.post("dr-a", chainOf(2))).status, 200);
+  const other = await site.post("dr-a", chainOf(3));
   assert.deepEqual([other.status, other.body.error], [409, "dr-a is another graph: choose a new id"]);
-  assert.equal((await site.post("dr/a", chain(1))).status, 400);
+  assert.equal((await site.post("dr/a", chainOf(1))).status, 400);
   const huge = await site.post("dr-b", [{ task_id: "a", job: { cpus: 400 } }]);
   assert.equal(huge.status, 422);
   assert.match(huge.body.error ?? "", /step a/);
@@ -60,7 +60,7 @@
 });
 
 test("a step that fails on every machine is tried as often as its job class permits, then fails", async () => {
-  const site = await ready(3);
+  const site = await startSite(3);
   const tried = new Set<string>();
   site.stepBehaviour = (job) => {
     if (!job.includes(".0001.")) return {};
@@ -68,7 +68,7 @@
     return { failsAlways: true };
   };
   await site.post("dr-a", [
-    ...chain(3),
+    ...chainOf(3),
     { task_id: "alarm", upstream: ["t1"], trigger_rule: "one_failed" },
     { task_id: "end", upstream: ["t2", "alarm"], trigger_rule: "none_failed" },
   ]);
@@ -77,9 +77,9 @@
   assert.equal(tried.size, CLASS.attempts);
 });
 
-test("losses of machines do not count as failed attempts of a step", async () => {
-  const site = await ready(4);
-  await site.post("dr-a", chain(1), {});
+test("the loss of a machine does not count as a failed attempt of a step", async () => {
+  const site = await startSite(4);
+  await site.post("dr-a", chainOf(1), {});
   site.stepBehaviour = () => ({ runUs: 20 * S });
   await site.post("dr-b", [{ task_id: "a", retries: 0 }]);
   for (let turn = 0; turn < 3; turn += 1) {
@@ -91,7 +91,7 @@
 
 test("an abort cancels running, waiting and in-flight steps", async () => {
   for (let seed = 5; seed < 13; seed += 1) {
-    const site = await ready(seed);
+    const site = await startSite(seed);
     site.stepBehaviour = () => ({ runUs: 60 * S });
     await site.post(
       "dr-a",
@@ -99,8 +99,8 @@
     );
     // The abort falls at different points of the submissions.
     await site.run((seed - 5) * 0.4 * S);
-    const told = await site.ask("POST", "/v2/graphs/dr-a/abort", "", seed % 3);
-    assert.deepEqual([told.status, told.body.phase], [200, "withdrawn"]);
+    const aborted = await site.ask("POST", "/v2/graphs/dr-a/abort", "", seed % 3);
+    assert.deepEqual([aborted.status, aborted.body.phase], [200, "withdrawn"]);
     await site.run(45 * S);
     const { body } = await site.until("dr-a", ["withdrawn"]);
     assert.equal((body.counts?.failed ?? 0) + (body.counts?.skipped ?? 0), 40);
@@ -110,14 +110,14 @@
 });
 
 test("a cleared step and its downstream steps run again; the other steps keep their states", async () => {
-  const site = await ready(14);
+  const site = await startSite(14);
   let broken = true;
   const runs: string[] = [];
   site.stepBehaviour = (job) => {
     runs.push(job.slice(-6));
     return job.includes(".0001.") && broken ? { failsAlways: true } : {};
   };
-  await site.post("dr-a", [...chain(3), { task_id: "other" }]);
+  await site.post("dr-a", [...chainOf(3), { task_id: "other" }]);
   await site.until("dr-a", ["failed"]);
   broken = false;
   runs.length = 0;
@@ -138,9 +138,9 @@
 });
 
 test("dagrun_timeout ends the run, and execution_timeout ends an attempt", async () => {
-  const site = await ready(15);
+  const site = await startSite(15);
   site.stepBehaviour = () => ({ runUs: 500 * S });
-  await site.post("dr-a", chain(2), { dagrun_timeout: 20 });
+  await site.post("dr-a", chainOf(2), { dagrun_timeout: 20 });
   const { body } = await site.until("dr-a", ["failed"], 90);
   assert.deepEqual(body.counts, { failed: 1, upstream_failed: 1 });
   await site.post("dr-b", [{ task_id: "a", execution_timeout: 5, retries: 1 }]);
@@ -150,7 +150,7 @@
 });
 
 test("max_active_runs limits a DAG's runs, and depends_on_past makes a step wait for the previous run", async () => {
-  const site = await ready(16);
+  const site = await startSite(16);
   const tasks = [
     { task_id: "a", depends_on_past: true },
     { task_id: "b", upstream: ["a"] },
@@ -172,7 +172,7 @@
 });
 
 test("a pool limits its running steps over all runs, max_active_tasks those of one run", async () => {
-  const site = await ready(17);
+  const site = await startSite(17);
   site.stepBehaviour = () => ({ runUs: 8 * S });
   const pooled = [0, 1, 2].map((at) => ({ task_id: `p${at}`, pool: "gate" }));
   await site.post("dr-a", pooled);
@@ -197,7 +197,7 @@
 });
 
 test("a definition is accepted in parts, sent in any order, to any controller and repeatedly", async () => {
-  const site = await ready(18);
+  const site = await startSite(18);
   const tasks = Array.from({ length: 900 }, (_, at) => ({
     task_id: `task-with-a-rather-long-name-${at}`,
     upstream: at === 0 ? [] : ["task-with-a-rather-long-name-0"],
@@ -230,30 +230,30 @@
 });
 
 test("a graph submitted while all machines are draining starts once there are new ones", async () => {
-  const site = await ready(19);
-  await site.post("dr-w", chain(2));
+  const site = await startSite(19);
+  await site.post("dr-w", chainOf(2));
   await site.until("dr-w", ["success"]);
   for (const { info, worker } of site.cloud.running()) {
     worker?.notice(20 * S);
     site.world.after(20 * S, () => site.cloud.take(info.name));
   }
-  assert.equal((await site.post("dr-a", chain(4))).status, 201);
+  assert.equal((await site.post("dr-a", chainOf(4))).status, 201);
   await site.until("dr-a", ["success"]);
 });
 
 /**
- * Submits `count` jobs, those selected by `graphs` as graphs of one step, the others as single jobs. Returns the task
+ * Submits `count` jobs, those selected by `isGraph` as graphs of one step, the others as single jobs. Returns the task
  * starts in order, with the wait of each since its submission.
  */
-const startsIn = async (
-  graphs: (at: number) => boolean,
+const startsOf = async (
+  isGraph: (at: number) => boolean,
   count: number,
 ): Promise<readonly { readonly name: string; readonly waitS: number }[]> => {
-  const site = await ready(20);
+  const site = await startSite(20);
   site.rooms.spot = 0;
   site.rooms.ordinary = 1;
   site.stepBehaviour = () => ({ runUs: 9 * S });
-  const asked = new Map<string, number>();
+  const submittedAt = new Map<string, number>();
   for (let at = 0; at < count; at += 1) {
     const name = `${at}`.padStart(3, "0");
     const demand = {
@@ -262,32 +262,32 @@
       flavors: ["big"],
       area: "east",
     } as const;
-    asked.set(name, site.world.now);
+    submittedAt.set(name, site.world.now);
     const job = { ...JOB, ...demand } as const;
-    if (graphs(at)) void site.ask("POST", "/v2/graphs", onePiece(`dr-${name}`, job), 0);
+    if (isGraph(at)) void site.ask("POST", "/v2/graphs", singleStepGraph(`dr-${name}`, job), 0);
     else site.submit(plainJob(`wk-${name}`, { ...job, shape: "sweep" }), { runUs: 9 * S });
     await site.run(1.5 * S);
   }
   await site.run(400 * S);
   return site.begun.map(({ task, at }) => {
     const name = /^wk-(?:dr-)?(\d{3})/.exec(task)?.[1] ?? "";
-    return { name, waitS: (at - (asked.get(name) ?? 0)) / S };
+    return { name, waitS: (at - (submittedAt.get(name) ?? 0)) / S };
   });
 };
 
-const onePiece = (ref: string, job: Readonly<Record<string, unknown>>): unknown => {
+const singleStepGraph = (ref: string, job: Readonly<Record<string, unknown>>): unknown => {
   const { owner, ...rest } = job;
   return { ref, ds: "2026-01-01", graph: { dag_id: ref, owner, tasks: [{ task_id: "a", job: rest }] } };
 };
 
 test("a graph submitted during a failover of its shard runs, and an active run goes on", async () => {
   for (const all of [false, true]) {
-    const site = await ready(22);
-    await site.post("dr-a", chain(5));
+    const site = await startSite(22);
+    await site.post("dr-a", chainOf(5));
     await site.run(6 * S);
     if (all) for (const at of [0, 1, 2]) site.crash(at);
     else site.crash(site.holder());
-    assert.ok([200, 201].includes((await site.post("dr-b", chain(3))).status));
+    assert.ok([200, 201].includes((await site.post("dr-b", chainOf(3))).status));
     for (const id of ["dr-a", "dr-b"]) await site.until(id, ["success"]);
     assert.deepEqual(site.errors, []);
   }
@@ -295,7 +295,7 @@
 
 test("a job too large for a stored record is refused at once, as a step and as a single job", async () => {
   // Without the check the response is 503 for ever: the state service refuses the record on every try.
-  const site = await ready(23);
+  const site = await startSite(23);
   const flavors = Array.from({ length: 60 }, (_, at) => `${"long-name-of-a-type-".repeat(9)}${at}`).concat("big");
   const step = await site.post("dr-a", [{ task_id: "a", job: { flavors } }]);
   assert.deepEqual([step.status, step.body.error], [422, "step a: its job is too large for a record"]);
@@ -304,7 +304,7 @@
 });
 
 test("a page of steps stays within the limit of a response line, however long the steps' names are", async () => {
-  const site = await ready(24);
+  const site = await startSite(24);
   const long = "n".repeat(95);
   const tasks = Array.from({ length: 150 }, (_, at) => ({ task_id: `${long}${at}` }));
   await site.post("dr-a", [], { task_groups: [{ group_id: "g".repeat(99), tasks }] });
@@ -317,9 +317,9 @@
 
 test("graphs and single jobs with equal resource requests start in the same order after the same waits", async () => {
   const [single, graphs, mixed] = [
-    await startsIn(() => false, 30),
-    await startsIn(() => true, 30),
-    await startsIn((at) => at % 2 === 0, 30),
+    await startsOf(() => false, 30),
+    await startsOf(() => true, 30),
+    await startsOf((at) => at % 2 === 0, 30),
   ];
   const names = (starts: typeof single): readonly string[] => starts.map(({ name }) => name);
   assert.equal(single.length, 30);
@@ -338,7 +338,7 @@
 
 test("a single job waits no longer behind a graph of many ready steps than behind as many single jobs", async () => {
   const waits = async (graph: boolean): Promise<readonly number[]> => {
-    const site = await ready(21);
+    const site = await startSite(21);
     site.rooms.spot = 0;
     site.rooms.ordinary = 1;
     site.stepBehaviour = () => ({ runUs: 4 * S });
--- a/test/sim/graph-site.ts
+++ b/test/sim/graph-site.ts
@@ -34,14 +34,14 @@
   async ask(method: string, target: string, body: unknown = "", node = 0): Promise<Answer> {
     const text = typeof body === "string" ? body : JSON.stringify(body);
     const answer = this.call(method, target, text, node);
-    let there = false;
+    let responded = false;
     void answer.then(() => {
-      there = true;
+      responded = true;
     });
-    for (let turn = 0; !there && turn < 300; turn += 1) await this.run(S / 20);
-    const said = await answer;
-    if (said === null) return { status: 0, body: {} };
-    return { status: said.status, body: JSON.parse(said.text) as Answer["body"] };
+    for (let turn = 0; !responded && turn < 300; turn += 1) await this.run(S / 20);
+    const response = await answer;
+    if (response === null) return { status: 0, body: {} };
+    return { status: response.status, body: JSON.parse(response.text) as Answer["body"] };
   }
 
   /** Sends a request to a random controller without advancing the clock; resolves to the status, 0: no response. */
@@ -50,17 +50,18 @@
   }
 
   /**
-   * The first page of steps as a random controller reports them; empty if it does not respond with 200. `drive`:
-   * advances the simulation and retries.
+   * The first page of steps as a random controller reports them; empty if it does not respond with 200. With
+   * `advanceClock`, advances the simulation meanwhile, and retries.
    */
-  async steps(id: string, drive = false): Promise<readonly { readonly step: string; readonly state: string }[]> {
-    for (let tries = 0; tries < (drive ? 50 : 1); tries += 1) {
+  async steps(id: string, advanceClock = false): Promise<readonly { readonly step: string; readonly state: string }[]> {
+    for (let tries = 0; tries < (advanceClock ? 50 : 1); tries += 1) {
       const answer = this.call("GET", `/v2/graphs/${id}/steps`, "", this.random.int(0, 2));
       // After the end of a scenario, nothing else advances the clock.
-      for (let turn = 0; drive && turn < 8; turn += 1) await this.run(S / 4);
-      const said = await answer;
-      if (said?.status === 200) {
-        return (JSON.parse(said.text) as { steps: readonly { readonly step: string; readonly state: string }[] }).steps;
+      for (let turn = 0; advanceClock && turn < 8; turn += 1) await this.run(S / 4);
+      const response = await answer;
+      if (response?.status === 200) {
+        return (JSON.parse(response.text) as { steps: readonly { readonly step: string; readonly state: string }[] })
+          .steps;
       }
     }
     return [];
@@ -95,6 +96,6 @@
       if (answer.status === 200 && phases.includes(answer.body.phase ?? "")) return answer;
       await this.run(S);
     }
-    throw new Error(`${id} did not reach phase ${phases.join()} in ${mostS} polls\n${this.log.slice(-30).join("\n")}`);
+    throw new Error(`${id} did not reach phase ${phases.join()}\n${this.log.slice(-30).join("\n")}`);
   }
 }
