--- a/src/graphs/service/live-run.ts
+++ b/src/graphs/service/live-run.ts
@@ -2,41 +2,46 @@
 import type { Micros } from "../../transport/clock.js";
 import type { DagRun } from "../run/dag-run.js";
 import type { Limits } from "../run/retry.js";
-import type { Loaded } from "./loading.js";
+import type { LoadedRun } from "./loading.js";
 import type { Header } from "./records.js";
 
-/** A run under way, as its block's holder has it. Forgotten with the lease. */
+/** In-memory state of an active run at its shard leader; discarded when the lease is lost. */
 export interface LiveRun {
   readonly id: string;
   header: Header;
   version: Uint64;
-  /** May have steps under way: not more than `max_active_runs` of its DAG may. */
+  /** Whether its steps may start: at most `max_active_runs` runs of its DAG are active. */
   active: boolean;
   loading: boolean;
-  loaded: Loaded | null;
+  loaded: LoadedRun | null;
   engine: DagRun | null;
   limits: readonly Limits[];
   order: Uint32Array;
-  /** Jobs of open steps. */
-  readonly open: Map<number, string>;
+  /** Job ids of open steps, by step. */
+  readonly openJobs: Map<number, string>;
   /** Steps whose job is being submitted. */
-  readonly starting: Set<number>;
-  /** Steps that hold a slot of a pool. */
-  readonly pooled: Map<number, string>;
-  /** Running time of the present attempt, where that is limited. */
-  readonly spent: Map<number, Micros>;
-  timed: boolean;
+  readonly submitting: Set<number>;
+  /** Pool names of the steps that hold a pool slot, by step. */
+  readonly poolSlots: Map<number, string>;
+  /** Time that the current attempt has been running, by step; only for steps with an execution timeout. */
+  readonly runTimes: Map<number, Micros>;
+  /** Whether any step has an execution timeout. */
+  hasStepTimeouts: boolean;
+  /** Whether a write of the header or the segments is in progress. */
   writing: boolean;
-  settling: boolean;
-  /** What has ended while the run was being loaded. */
-  late: (() => void)[];
-  summed: string;
-  summedAt: Micros;
-  readonly seenAt: Micros;
+  /** Whether the check that precedes the end of a halted run is in progress. */
+  endingHalted: boolean;
+  /** Handlers of jobs that ended while the run was being loaded; called after the load. */
+  deferredEvents: (() => void)[];
+  /** Counts last written to the summary record, comma-separated; empty: none. */
+  lastSummary: string;
+  /** Time of the last summary write, or of the creation of this object. */
+  summaryWrittenAt: Micros;
+  readonly firstSeenAt: Micros;
 }
 
-/** Runs of one DAG take turns where it asks for that; a DAG is its owner's. */
-export const dagOf = ({ owner, dag }: Header): string => JSON.stringify([owner, dag]);
+/** Key of the run's DAG for `max_active_runs`; DAGs of different owners are distinct even if their ids are equal. */
+export const dagKey = ({ owner, dag }: Header): string => JSON.stringify([owner, dag]);
 
 export const newRun = (id: string, header: Header, version: Uint64, now: Micros): LiveRun => ({
   id,
@@ -48,15 +53,15 @@
   engine: null,
   limits: [],
   order: new Uint32Array(0),
-  open: new Map(),
-  starting: new Set(),
-  pooled: new Map(),
-  spent: new Map(),
-  timed: false,
+  openJobs: new Map(),
+  submitting: new Set(),
+  poolSlots: new Map(),
+  runTimes: new Map(),
+  hasStepTimeouts: false,
   writing: false,
-  settling: false,
-  late: [],
-  summed: "",
-  summedAt: now,
-  seenAt: now,
+  endingHalted: false,
+  deferredEvents: [],
+  lastSummary: "",
+  summaryWrittenAt: now,
+  firstSeenAt: now,
 });
--- a/src/graphs/service/past-runs.ts
+++ b/src/graphs/service/past-runs.ts
@@ -2,65 +2,71 @@
 import type { DagRun, PastRun } from "../run/dag-run.js";
 import type { Plan } from "../run/plan.js";
 import type { StepState } from "../run/states.js";
-import { loadPlan, loadSaved } from "./loading.js";
+import { loadPlan, loadSavedStates } from "./loading.js";
 import { endedKey, type Header, readEnded, readSegments } from "./records.js";
 
-const REMEMBERED = 64;
+const MAX_CACHED_RUNS = 64;
 
-/** How steps ended in the run of the same DAG before a given one, for those that depend on it. */
-export class PastRuns {
-  private readonly ended = new Map<string, ReadonlyMap<string, StepState>>();
+/** Decides by the states of the DAG's previous run whether a step with `depends_on_past` may start. */
+export class PreviousRuns {
+  private readonly finalStates = new Map<string, ReadonlyMap<string, StepState>>();
 
   constructor(
     private readonly store: KeyValueStore,
-    private readonly live: (run: string) => DagRun | null,
-    /** Its header is there, so its states are not final. */
-    private readonly isCurrent: (run: string) => boolean,
+    private readonly activeRun: (run: string) => DagRun | null,
+    /** Whether the run's header exists, so that its states are not final yet. */
+    private readonly isActive: (run: string) => boolean,
   ) {}
 
   forget(run: string): void {
-    this.ended.delete(run);
+    this.finalStates.delete(run);
   }
 
-  /** Reads what `said` needs of a run that has ended; false where the state service did not answer. */
+  /** Loads the previous run's final states for `decide` if it has ended; false if the state service did not answer. */
   async prepare(plan: Plan, { before }: Header): Promise<boolean> {
     if (before === null || !plan.steps.some(({ dependsOnPast }) => dependsOnPast)) return true;
-    if (this.ended.has(before) || this.isCurrent(before)) return true;
+    if (this.finalStates.has(before) || this.isActive(before)) return true;
     const reply = await this.store.get(endedKey(before));
     if (reply.kind === "missing") {
-      this.remember(before, new Map());
+      this.cacheStates(before, new Map());
       return true;
     }
     if (reply.kind !== "ok") return false;
     const { header, states } = readEnded(reply.value.value);
-    const earlier = await loadPlan(this.store, before, header);
+    const previousPlan = await loadPlan(this.store, before, header);
     const saved =
-      states === null ? await loadSaved(this.store, before, header) : readSegments(header.segment, [states]);
-    if (earlier === null || saved === null) return false;
-    this.remember(before, new Map([...saved.finals].map(([at, state]) => [earlier.steps[at]?.id ?? "", state])));
+      states === null ? await loadSavedStates(this.store, before, header) : readSegments(header.segment, [states]);
+    if (previousPlan === null || saved === null) return false;
+    this.cacheStates(
+      before,
+      new Map([...saved.finals].map(([at, state]) => [previousPlan.steps[at]?.id ?? "", state])),
+    );
     return true;
   }
 
-  private remember(run: string, states: ReadonlyMap<string, StepState>): void {
-    this.ended.set(run, states);
-    const oldest = this.ended.keys().next().value;
-    if (this.ended.size > REMEMBERED && oldest !== undefined) this.ended.delete(oldest);
+  private cacheStates(run: string, states: ReadonlyMap<string, StepState>): void {
+    this.finalStates.set(run, states);
+    const oldest = this.finalStates.keys().next().value;
+    if (this.finalStates.size > MAX_CACHED_RUNS && oldest !== undefined) this.finalStates.delete(oldest);
   }
 
-  /** As Airflow: the step of the same name must have succeeded or been skipped; one that was not there bars nothing. */
-  said({ before }: Header, step: string): PastRun {
+  /**
+   * As in Airflow: the step of the same name in the previous run must have succeeded or been skipped; a step that the
+   * previous run does not have blocks nothing.
+   */
+  decide({ before }: Header, step: string): PastRun {
     if (before === null) return "go";
-    const states = this.ended.get(before);
+    const states = this.finalStates.get(before);
     if (states !== undefined) {
       const state = states.get(step);
       return state === undefined || state === "success" || state === "skipped" ? "go" : "never";
     }
-    const run = this.live(before);
+    const run = this.activeRun(before);
     if (run === null) return "wait";
     const at = run.plan.steps.findIndex(({ id }) => id === step);
     const state = at < 0 ? "success" : run.stateOf(at);
     if (state === "success" || state === "skipped") return "go";
-    // Its run may yet be cleared while it goes on; once that has ended, its states are on record.
+    // While the previous run is active, a failed step may still be cleared; its states are final once the run ends.
     return "wait";
   }
 }
--- a/src/graphs/service/records.ts
+++ b/src/graphs/service/records.ts
@@ -10,13 +10,14 @@
 import { FINALS, type FinalState } from "../run/states.js";
 
 /**
- * Keys. A run's header lies below `c/` while the run goes on, so that every controller's view has it. Its plan, where
- * that is too large for the header, and its saved states lie outside of what is watched, and stay where they are.
+ * Keys and stored forms of DAG runs. While a run is active its header is stored below `c/`, so that every controller's
+ * watch cache holds it. A plan too large for the header and the saved step states are stored outside the watched
+ * prefix, and stay there when the run ends.
  */
 export const graphKey = (id: string): string => `c/graph/${id}`;
 export const graphOfKey = (key: string): string | null =>
   key.startsWith("c/graph/") ? key.slice("c/graph/".length) : null;
-/** Counts of a large run, for controllers that do not hold it. */
+/** Key of a large run's counts of steps by state, for controllers that do not lead its shard. */
 export const summaryKey = (id: string): string => `c/gsum/${id}`;
 export const endedPrefix = "ge/";
 export const endedKey = (id: string): string => `${endedPrefix}${id}`;
@@ -26,10 +27,10 @@
 export const partPrefix = (id: string): string => `g/${id}/u/`;
 export const partKey = (id: string, part: number, piece: number): string =>
   `${partPrefix(id)}${String(part).padStart(4, "0")}/${String(piece).padStart(2, "0")}`;
-/** The run of a DAG that was accepted last; only kept where steps depend on it. */
+/** Key of the id of the DAG's last accepted run; stored only if some step has `depends_on_past`. */
 export const lastRunKey = (owner: string, dag: string): string =>
   `gl/${bytesToHex(sha256(Buffer.from(JSON.stringify([owner, dag]), "utf8"))).slice(0, 32)}`;
-/** There while something lies below `g/` that no header speaks of yet. */
+/** Key of the marker that exists while there are records below `g/` that no header refers to yet. */
 export const uploadKey = (id: string): string => `c/upload/${id}`;
 export const uploadOfKey = (key: string): string | null =>
   key.startsWith("c/upload/") ? key.slice("c/upload/".length) : null;
@@ -37,26 +38,27 @@
 const RUN_ID = /^dr-[A-Za-z0-9_-]{1,36}$/;
 export const isRunId = (text: string): boolean => RUN_ID.test(text);
 
-const BASE = 36;
+const INDEX_RADIX = 36;
 const INDEX_WIDTH = 4;
 
 /**
- * A step's job is told by its run, the run's definition, the step and the attempt: whoever submits it comes to the same
- * id, so that no attempt is submitted twice, and whoever uploads descriptions knows it beforehand. Digits of the
- * definition keep a job that somebody else has chosen the id of from passing as a step. In order of the steps.
+ * The id of a step's job, derived from run, plan digest, step and attempt: every controller computes the same id, so no
+ * attempt is submitted twice, and a client that uploads job descriptions knows it in advance. The digits of the digest
+ * prevent a job whose id another user chose from being taken for a step's. Ids sort in the order of the steps.
  */
 export const jobIdOf = (run: string, digest: string, step: number, attempt: number): string =>
-  `${jobPrefix(run, digest)}${step.toString(BASE).padStart(INDEX_WIDTH, "0")}.${attempt}`;
+  `${jobPrefix(run, digest)}${step.toString(INDEX_RADIX).padStart(INDEX_WIDTH, "0")}.${attempt}`;
 
 export const jobPrefix = (run: string, digest: string): string => `wk-${run}.${digest.slice(0, 8)}.`;
 
+/** Step and attempt of a step's job; null if the job id does not have that form. */
 export const partsOfJobId = (id: string): { readonly step: number; readonly attempt: number } | null => {
   const [, step, attempt] = /\.([0-9a-z]{4})\.(\d+)$/.exec(id) ?? [];
   if (step === undefined || attempt === undefined) return null;
-  return { step: Number.parseInt(step, BASE), attempt: Number(attempt) };
+  return { step: Number.parseInt(step, INDEX_RADIX), attempt: Number(attempt) };
 };
 
-/** How an attempt ended, by its job's last word. */
+/** How an attempt ended, according to its job's outcome record. */
 export const outcomeOf = (end: OutcomeRecord): Outcome => {
   if (end.phase === "done") return "done";
   if (end.cancellationReason === undefined) return "killed";
@@ -65,72 +67,75 @@
     : "aborted";
 };
 
-/** Where a plan is kept: in the record itself, or in so many chunks. */
-export type PlanPlace = { readonly text: string } | { readonly chunks: number };
+/** Where a plan is stored: in the header itself (`text`), or in this number of separate chunks. */
+export type PlanLocation = { readonly text: string } | { readonly chunks: number };
 
-/** A clearing that is accepted and not carried out yet. */
-export interface Clear {
+/** A request to clear steps that has been accepted but not carried out yet. */
+export interface ClearRequest {
   readonly steps: readonly number[];
   readonly downstream: boolean;
 }
 
 export interface Header {
-  /** Of the plan. */
+  /** Digest of the plan. */
   readonly digest: string;
-  /** Of what the user sent: tells a repetition from another run under the same id. */
+  /** Digest of the user's request: distinguishes a repeated submission from another run with the same id. */
   readonly request: string;
   readonly dag: string;
   readonly owner: string;
+  /** Shard of the run. */
   readonly block: number;
   readonly steps: number;
-  /** Runs of the DAG that may be under way at once. */
+  /** Maximum number of active runs of the DAG. */
   readonly mostRuns: number;
-  /** Steps of one saved segment. */
+  /** Number of steps per saved segment. */
   readonly segment: number;
-  readonly plan: PlanPlace;
-  /** Time of day in milliseconds; 0 where none was to be had. */
+  readonly plan: PlanLocation;
+  /** Wall-clock time in milliseconds since the epoch; 0 if the controller had no wall clock. */
   readonly acceptedMs: number;
   readonly aborted: boolean;
   readonly timedOut: boolean;
-  /** Clearings carried out so far. */
+  /** Number of clears carried out so far. */
   readonly round: number;
-  readonly clear: Clear | null;
-  /** The run of the same DAG accepted before this one, where steps depend on it. */
+  readonly clear: ClearRequest | null;
+  /** The previous run of the same DAG in order of acceptance, if some step has `depends_on_past`; else null. */
   readonly before: string | null;
 }
 
-/** Nothing of the run is to go on. */
-export const isCalledOff = ({ aborted, timedOut }: Header): boolean => aborted || timedOut;
+/** Whether the run was aborted or timed out: its jobs are cancelled and no step starts any more. */
+export const isStopped = ({ aborted, timedOut }: Header): boolean => aborted || timedOut;
 
-export type RunEnd = "success" | "failed" | "withdrawn";
+export type FinalPhase = "success" | "failed" | "withdrawn";
 
-/** A run's last word; the header as it last was, how it ended, and when. */
+/** Record of a run that has ended: its last header, its final phase, and when it ended (wall clock). */
 export interface Ended {
   readonly header: Header;
-  readonly phase: RunEnd;
+  readonly phase: FinalPhase;
   readonly counts: Readonly<Record<string, number>>;
   readonly endedMs: number;
-  /** Final states, where one segment holds them all; else they are below `g/`. */
+  /** Final states if one segment holds them all; null: the segments are stored below `g/`. */
   readonly states: Segment | null;
 }
 
-/** Saved states of the steps from `segment * size` on. Each set is a bitmap, deflated. */
+/** Saved states of the `size` steps from number `segment * size` on: for each state a deflated bitmap of its steps. */
 export interface Segment {
   readonly finals: Readonly<Partial<Record<FinalState, string>>>;
-  /** Clearing of each step, a byte a step, deflated; null: none has been cleared. */
+  /** Number of the clear that each step last went through, one byte per step, deflated; null: none was cleared. */
   readonly clearings: string | null;
 }
 
-const pack = (bytes: Uint8Array): string => deflateRawSync(bytes).toString("base64");
-const unpack = (text: string, most: number): Buffer =>
-  inflateRawSync(Buffer.from(text, "base64"), { maxOutputLength: most });
+const deflate = (bytes: Uint8Array): string => deflateRawSync(bytes).toString("base64");
+const inflate = (text: string, maxBytes: number): Buffer =>
+  inflateRawSync(Buffer.from(text, "base64"), { maxOutputLength: maxBytes });
 
-/** Bytes that a segment takes at most: five bitmaps and the clearings, hardly compressible at worst. */
+/** Upper bound of a segment's bytes per step: five bitmaps and a byte for the clearings, as if incompressible. */
 const BYTES_PER_STEP = 1.6;
-const MOST_SEGMENT = 4_096;
+const MAX_SEGMENT_STEPS = 4_096;
+/** Number of steps per segment, chosen so that a segment fits into a stored value of `valueBytes` bytes. */
 export const segmentSize = (valueBytes: number): number =>
-  Math.max(64, Math.min(MOST_SEGMENT, Math.floor((valueBytes * 0.8) / BYTES_PER_STEP / 32) * 32));
+  Math.max(64, Math.min(MAX_SEGMENT_STEPS, Math.floor((valueBytes * 0.8) / BYTES_PER_STEP / 32) * 32));
 
+/** Splits the final states and clearings of a run's steps into segments of `size` steps each. */
 export const writeSegments = (
   steps: number,
   size: number,
@@ -153,7 +158,7 @@
       bytes[at % size] = clearing;
       cleared = true;
     }
-    const words = (set: TypedFastBitSet): Uint8Array => {
+    const bitmapOf = (set: TypedFastBitSet): Uint8Array => {
       const packed = Buffer.alloc(Math.ceil(size / 8));
       set.forEach((at) => {
         packed[at >> 3] = (packed[at >> 3] ?? 0) | (1 << (at & 7));
@@ -161,13 +166,13 @@
       return packed;
     };
     return {
-      finals: Object.fromEntries([...states].map(([state, set]) => [state, pack(words(set))])),
-      clearings: cleared ? pack(bytes) : null,
+      finals: Object.fromEntries([...states].map(([state, set]) => [state, deflate(bitmapOf(set))])),
+      clearings: cleared ? deflate(bytes) : null,
     };
   });
 };
 
-/** Saved states after a clearing: those that are not cleared keep theirs, the others count their attempts anew. */
+/** Saved states after a clear: cleared steps lose their state and number their attempts anew, others keep theirs. */
 export const clearedSegments = (
   { steps, segment }: Header,
   finals: Iterable<readonly [number, FinalState]>,
@@ -184,13 +189,13 @@
 export const segmentWrites = (id: string, segments: readonly Segment[]): readonly WriteOperation[] =>
   segments.map((segment, at) => ({ kind: "put", key: segmentKey(id, at), value: writeSegment(segment) }));
 
-export interface Saved {
+export interface SavedStates {
   readonly finals: Map<number, FinalState>;
   readonly clearings: Map<number, number>;
 }
 
 /** The inverse of `writeSegments`. */
-export const readSegments = (size: number, segments: readonly (Segment | undefined)[]): Saved => {
+export const readSegments = (size: number, segments: readonly (Segment | undefined)[]): SavedStates => {
   const finals = new Map<number, FinalState>();
   const clearings = new Map<number, number>();
   for (const [number, segment] of segments.entries()) {
@@ -199,7 +204,7 @@
       const text = segment.finals[state];
       if (text === undefined) continue;
       const set = new TypedFastBitSet();
-      for (const [at, byte] of unpack(text, size).entries()) {
+      for (const [at, byte] of inflate(text, size).entries()) {
         for (let bit = 0; bit < 8; bit += 1) if ((byte & (1 << bit)) !== 0) set.add(at * 8 + bit);
       }
       set.forEach((at) => {
@@ -207,14 +212,14 @@
       });
     }
     if (segment.clearings === null) continue;
-    for (const [at, clearing] of unpack(segment.clearings, size).entries()) {
+    for (const [at, clearing] of inflate(segment.clearings, size).entries()) {
       if (clearing > 0) clearings.set(number * size + at, clearing);
     }
   }
   return { finals, clearings };
 };
 
-/** What lies below `g/` of a run that is not accepted yet: parts that have come, or chunks of its plan. */
+/** Upload marker of a run that is not accepted yet: lists its records below `g/`, which are parts or plan chunks. */
 export interface Upload {
   readonly parts?: number;
   readonly have?: readonly number[];
@@ -224,25 +229,25 @@
 
 const uploadForm = new RecordCodec<Upload>({ parts: "parts", have: "have", plan: "plan", chunks: "chunks" });
 
-// Written by this program alone.
+// Only this program writes this record, so the field types are not validated.
 export const readUpload = (value: unknown): Upload => uploadForm.decode(asObject(value, "upload"));
 export const writeUpload = (upload: Upload): JsonObject => uploadForm.encode(upload);
 
-const readPlace = (value: unknown): PlanPlace => {
+const readPlanLocation = (value: unknown): PlanLocation => {
   const fields = asObject(value, "plan");
   return typeof fields.text === "string" ? { text: fields.text } : { chunks: readNonNegative(fields, "chunks") };
 };
 
-const readClear = (fields: JsonObject, name: string): Clear => {
+const readClear = (fields: JsonObject, name: string): ClearRequest => {
   const clear = asObject(fields[name], name);
   return { steps: asArray(clear.steps, "steps").map(Number), downstream: clear.downstream === true };
 };
 
-const planPlaceForm: ValueCodec<PlanPlace> = {
+const planLocationForm: ValueCodec<PlanLocation> = {
   encode: (place) => ("text" in place ? { text: place.text } : { chunks: place.chunks }),
-  decode: readPlace,
+  decode: readPlanLocation,
 };
-const clearForm = new RecordCodec<Clear>({ steps: "steps", downstream: "downstream" });
+const clearForm = new RecordCodec<ClearRequest>({ steps: "steps", downstream: "downstream" });
 const headerForm = new RecordCodec<Header>({
   digest: "digest",
   request: "request",
@@ -252,7 +257,7 @@
   steps: "steps",
   mostRuns: "mostRuns",
   segment: "segment",
-  plan: { name: "plan", codec: planPlaceForm },
+  plan: { name: "plan", codec: planLocationForm },
   acceptedMs: "acceptedMs",
   aborted: "aborted",
   timedOut: "timedOut",
@@ -274,7 +279,7 @@
     block: readNonNegative(fields, "block"),
     steps: readNonNegative(fields, "steps"),
     segment: readNonNegative(fields, "segment"),
-    plan: readPlace(fields.plan),
+    plan: readPlanLocation(fields.plan),
     acceptedMs: readNonNegative(fields, "acceptedMs"),
     aborted: fields.aborted === true,
     timedOut: fields.timedOut === true,
@@ -284,7 +289,7 @@
   };
 };
 
-// Written by this program alone, so the inner shape of segments and counts is taken as it is.
+// Only this program writes these records, so the inner structure of segments and counts is not validated.
 const segmentForm = new RecordCodec<Segment>({ finals: "finals", clearings: "clearings" });
 
 export const readSegment = (value: unknown): Segment => segmentForm.decode(asObject(value, "segment"));
--- a/test/graph-fixtures.ts
+++ b/test/graph-fixtures.ts
@@ -2,6 +2,7 @@
 import type { Random } from "../src/model/index.js";
 import { DEFAULT_RETRIES } from "../src/settings/graph-options.js";
 
+/** Retry limits of the tests' job classes: three attempts; the first counted failure of a task ends an attempt. */
 export const CLASS = { ...DEFAULT_RETRIES, attempts: 3, backOffS: 1, mostBackOffS: 4, errors: 1 };
 
 export const JOB = {
@@ -46,14 +47,14 @@
   ...fields,
 });
 
-/** Random steps, upstream lists, rules and deciding steps. */
-export const randomPlan = (random: Random, most = 14): Plan => {
-  const count = random.int(1, most);
+/** A random plan of up to `maxSteps` steps with random kinds, upstream steps, trigger rules, retries and weights. */
+export const randomPlan = (random: Random, maxSteps = 14): Plan => {
+  const count = random.int(1, maxSteps);
   const steps: Step[] = [];
   for (let at = 0; at < count; at += 1) {
     const upstream = steps.map((_, up) => up).filter(() => random.chance(2 / Math.max(2, at)));
-    const luck = random.int(0, 11);
-    const kind = luck === 0 ? "skip" : luck === 1 ? "empty" : luck === 2 ? "short_circuit" : "job";
+    const kindRoll = random.int(0, 11);
+    const kind = kindRoll === 0 ? "skip" : kindRoll === 1 ? "empty" : kindRoll === 2 ? "short_circuit" : "job";
     steps.push(
       stepOf({
         id: `s${at}`,
