--- a/src/graphs/index.ts
+++ b/src/graphs/index.ts
@@ -1,4 +1,4 @@
-/** Airflow-style graphs of dependent steps: the package's only door. */
+/** Airflow-style graphs of dependent steps: the only module of this package that others import. */
 export type {
   GraphDocument,
   PlacedProblem,
--- a/src/graphs/run/closure.ts
+++ b/src/graphs/run/closure.ts
@@ -1,6 +1,6 @@
 import { downstreamOf, type Plan } from "./plan.js";
 
-/** These steps, and with `downstream` all that come after them. */
+/** The given steps and, with `downstream`, all their direct and indirect downstream steps. */
 export const closure = (plan: Plan, steps: readonly number[], downstream: boolean): ReadonlySet<number> => {
   const found = new Set(steps);
   if (!downstream) return found;
--- a/src/graphs/run/dag-run.ts
+++ b/src/graphs/run/dag-run.ts
@@ -1,3 +1,4 @@
+/** State machine of one DAG run: states of its steps, attempts, retries, and the order in which steps start. */
 import TinyQueue from "tinyqueue";
 import type { Micros } from "../../transport/clock.js";
 import { downstreamOf, type Plan, type Step } from "./plan.js";
@@ -6,41 +7,45 @@
 import { type FinalState, isFinal, isOpen, STATES, type StepState } from "./states.js";
 
 /**
- * How the job of an attempt ended. `error` and `timeout` use up an attempt; `killed`: its user withdrew the job itself,
- * which no retry is to undo; `aborted`: the run was ended from outside.
+ * How the job of an attempt ended. After `error` and `timeout` the step is retried while it has attempts left. `killed`:
+ * a user withdrew the job itself, which no retry may undo; `aborted`: the run was ended from outside.
  */
 export type Outcome = "done" | "error" | "timeout" | "killed" | "aborted";
 
-/** Attempts are numbered by the clearing that the step last went through, then by try. */
+/** An attempt's number holds the clearing that the step last went through and the try since: clearing * 64 + try. */
 export const TRIES_A_CLEARING = 64;
 export const MOST_CLEARINGS = 15;
 export const firstAttempt = (clearing: number): number => clearing * TRIES_A_CLEARING + 1;
 export const tryOf = (attempt: number): number => attempt % TRIES_A_CLEARING;
 
-/** What is on record of a step's attempts. */
+/** The stored attempts of the run's steps, read when a run is loaded or a step starts. */
 export interface Past {
+  /** Null: no end of this attempt is on record. */
   outcome(step: number, attempt: number): Outcome | null;
-  /** Its job is accepted and not on record as ended. */
+  /** Whether the attempt's job is accepted and not on record as ended. */
   isOpen(step: number, attempt: number): boolean;
 }
 
 export const NO_PAST: Past = { outcome: () => null, isOpen: () => false };
 
-/** What earlier runs of the same DAG say to a step that depends on them. */
+/** Whether earlier runs of the same DAG let a step with `depends_on_past` start: now, later, or never. */
 export type PastRun = "go" | "wait" | "never";
 
 export interface RunSetup {
   readonly plan: Plan;
-  /** Places in the graph's own order. */
+  /** Rank of each step in the graph's own order, from `ownOrder`; the lowest starts first. */
   readonly order: Uint32Array;
   readonly limits: readonly Limits[];
-  /** Final whatever else: decided before a clearing that left these alone, or saved to shorten a takeover. */
+  /**
+   * Steps with a final state that is not computed again: decided before a clearing that did not include them, or stored
+   * to shorten a takeover.
+   */
   readonly frozen: ReadonlyMap<number, FinalState>;
-  /** Clearing of each step that went through one. */
+  /** Number of the last clearing of each cleared step. */
   readonly clearings: ReadonlyMap<number, number>;
   readonly past: Past;
   readonly pastRun: (step: Step) => PastRun;
-  /** The attempt may be repeated after so long. */
+  /** Called when a step enters `up_for_retry`; the caller calls `retryDue` after the given delay. */
   readonly onRetry: (step: number, after: Micros) => void;
 }
 
@@ -49,10 +54,10 @@
 const FIRED_FOR_ALL = 2;
 
 /**
- * One run of a graph: a pure state machine. Its states follow from the plan and from how the jobs of its steps ended,
- * in whatever order that is learnt; so a run is on record once its plan and its jobs are, and whoever takes it over
- * plays the jobs on record through it. Work for an event is that of the step's direct downstream steps, and of what is
- * decided by it in turn.
+ * One DAG run as a pure state machine. The states of its steps follow from the plan and from the outcomes of their jobs,
+ * whatever the order in which the outcomes arrive. Storing the plan and the jobs therefore stores the run: after a
+ * failover, the new shard leader replays the stored jobs. An event costs work in proportion to the step's direct
+ * downstream steps and those of the steps that the event decides in turn.
  */
 export class DagRun {
   readonly plan: Plan;
@@ -62,7 +67,7 @@
   private readonly setupSuccess: Uint16Array;
   private readonly setupSkipped: Uint16Array;
   private readonly setups: Uint16Array;
-  /** Upstream steps that may cut the step off and are not final yet. */
+  /** Number of each step's upstream steps that may cut it (see `Step.cuts`) and are not final yet. */
   private readonly gates: Uint16Array;
   private readonly fired: Uint8Array;
   private readonly spreads: Uint8Array;
@@ -70,13 +75,13 @@
   private readonly cuts = new Map<number, ReadonlySet<number>>();
   private readonly ready = new Map<string, TinyQueue<number>>();
   private readonly waitingForPast = new Set<number>();
-  /** An attempt from before a clearing has not ended yet. */
+  /** Attempts from before a clearing that are still open, by step. The cleared step starts after the attempt's end. */
   private readonly held = new Map<number, number>();
   private readonly tallies = new Map<StepState, number>();
   private open = 0;
   private left: number;
   private halted = false;
-  /** Steps looked at so far. */
+  /** Number of downstream steps visited so far; a measure of the work done. */
   looks = 0;
 
   constructor(private readonly setup: RunSetup) {
@@ -112,7 +117,7 @@
       }
     }
     for (const [at, state] of setup.frozen) this.freeze(at, state);
-    // Upstream steps have lower numbers, so one pass settles all that is decided already.
+    // Upstream steps have lower numbers, so one pass in order decides every step that can be decided by now.
     for (let at = 0; at < count; at += 1) this.evaluate(at);
   }
 
@@ -120,31 +125,34 @@
     return STATES[this.state[at] ?? 0] ?? "none";
   }
 
-  /** Last attempt that was made, or is being made; 0: none. */
+  /** Number of the latest attempt, open or ended; 0: none. */
   attemptOf(at: number): number {
     return this.last[at] ?? 0;
   }
 
-  /** Which try of the present clearing that is. */
+  /** Number of the latest attempt, counted from 1 since the step's last clearing. */
   tryOf(at: number): number {
     return tryOf(this.attemptOf(at));
   }
 
+  /** Number of steps that are `queued` or `running`. */
   get openSteps(): number {
     return this.open;
   }
 
+  /** Number of steps in the given state. */
   count(state: StepState): number {
     return this.tallies.get(state) ?? 0;
   }
 
-  /** Null while it goes on. The last steps decide, as with Airflow. */
+  /** Null until all steps are final. Steps without downstream steps decide, as in Airflow. */
   get result(): "success" | "failed" | null {
     if (this.left > 0) return null;
     const bad = (at: number): boolean => ["failed", "upstream_failed"].includes(this.stateOf(at));
     return this.plan.steps.some((_, at) => this.downstream[at]?.length === 0 && bad(at)) ? "failed" : "success";
   }
 
+  /** The steps in a final state, with that state. */
   *finals(): Iterable<readonly [number, FinalState]> {
     for (let at = 0; at < this.state.length; at += 1) {
       const state = this.stateOf(at);
@@ -171,7 +179,7 @@
     this.tell(at, state);
   }
 
-  /** Counts a final state with the direct downstream steps. */
+  /** Counts a step's final state in its direct downstream steps and applies its cuts to them. */
   private tell(at: number, state: FinalState): void {
     const counts = this.counts[state];
     const step = this.plan.steps[at];
@@ -190,12 +198,12 @@
     }
   }
 
-  /** Final, and all that follows from it. Not by recursion: a chain may be ten thousand steps long. */
+  /** Makes a step final, and all steps that this decides. Iterative, because a chain may be ten thousand steps long. */
   private settle(at: number, state: FinalState): void {
     const work: [number, FinalState][] = [[at, state]];
     for (let next = work.pop(); next !== undefined; next = work.pop()) {
       const [step, final] = next;
-      // Decided by two upstream steps that were settled in one go.
+      // Two upstream steps that became final in this pass may both have decided it.
       if (isFinal(this.stateOf(step))) continue;
       this.enter(step, final);
       this.tell(step, final);
@@ -206,6 +214,7 @@
     }
   }
 
+  /** Decides a step without going on to its downstream steps, for a pass in topological order. */
   private evaluate(at: number): void {
     const decided = this.decide(at);
     if (decided === null) return;
@@ -213,7 +222,7 @@
     this.tell(at, decided);
   }
 
-  /** What becomes of a step by its upstream steps: a final state, or null where it starts or waits. */
+  /** Applies cuts and trigger rule to a step in state `none`. Returns its final state; null: it started, or waits. */
   private decide(at: number): FinalState | null {
     const step = this.plan.steps[at];
     if (step === undefined || this.state[at] !== CODE.none || this.waitingForPast.has(at)) return null;
@@ -236,6 +245,7 @@
     return this.begin(at, step);
   }
 
+  /** Starts a step whose trigger rule is met. Returns its final state; null: it runs a job, or waits for past runs. */
   private begin(at: number, step: Step): FinalState | null {
     if (step.kind === "skip") return "skipped";
     if (step.kind !== "job") return "success";
@@ -250,7 +260,7 @@
     return this.replay(at);
   }
 
-  /** Goes through the attempts on record; what they leave open is scheduled. */
+  /** Replays a step's stored attempts. Returns its final state; null: it is open, awaits a retry, or is scheduled. */
   private replay(at: number): FinalState | null {
     const { past, clearings } = this.setup;
     const clearing = clearings.get(at) ?? 0;
@@ -267,7 +277,7 @@
       return null;
     }
     if (attempt > firstAttempt(clearing)) {
-      // How much of the pause is over is not on record: it begins anew.
+      // The elapsed part of the retry delay is not stored, so the full delay starts again.
       this.enter(at, "up_for_retry");
       this.retryLater(at);
       return null;
@@ -283,7 +293,7 @@
     this.setup.onRetry(at, this.setup.limits[at]?.delay(this.tryOf(at)) ?? (0 as Micros));
   }
 
-  /** The attempt from before the clearing that has not ended yet; 0: none. */
+  /** The latest attempt from before the clearing whose job is still open; 0: none. */
   private openBefore(at: number, clearing: number): number {
     for (let attempt = firstAttempt(clearing) - 1; attempt > 0; attempt -= 1) {
       if (this.setup.past.isOpen(at, attempt)) return attempt;
@@ -291,6 +301,7 @@
     return 0;
   }
 
+  /** Adds a scheduled step to the queue of its pool. */
   private offer(at: number): void {
     const pool = this.plan.steps[at]?.pool ?? "";
     const { order } = this.setup;
@@ -299,19 +310,22 @@
     this.ready.set(pool, queue);
   }
 
-  /** Null: by this outcome the step is to be tried again. */
+  /** The step's state after its latest attempt ended with this outcome; null: it is retried. */
   private finalOf(at: number, outcome: Outcome): FinalState | null {
     if (outcome === "done") return "success";
     if (outcome === "killed" || outcome === "aborted") return "failed";
     return this.tryOf(at) < (this.setup.limits[at]?.attempts ?? 1) ? null : "failed";
   }
 
-  /** Attempts from before a clearing that steps wait for the end of. */
+  /** Step and number of each open attempt from before a clearing; the cleared step starts after the attempt's end. */
   outdated(): Iterable<readonly [number, number]> {
     return this.held;
   }
 
-  /** The first of the scheduled steps, by the graph's own order, whose pool has room; it is then up to the caller. */
+  /**
+   * Removes and returns the first scheduled step, in the graph's own order, whose pool has a free slot; null: none, or
+   * the run is halted. The caller submits its job and calls `submitted`, or calls `putBack`.
+   */
   take(hasRoom: (pool: string) => boolean): number | null {
     if (this.halted) return null;
     const { order } = this.setup;
@@ -325,12 +339,12 @@
     return best?.queue.pop() ?? null;
   }
 
-  /** Pools for which some step is ready; the empty name stands for none. */
+  /** Pools with a scheduled step; the empty name stands for steps without a pool. */
   *readyPools(): Iterable<string> {
     for (const [pool, queue] of this.ready) if (this.headOf(queue) !== undefined) yield pool;
   }
 
-  /** Passes over steps that were found to be submitted already. */
+  /** First scheduled step of a queue. Drops queued steps that have left that state, such as those already submitted. */
   private headOf(queue: TinyQueue<number>): number | undefined {
     for (let head = queue.peek(); head !== undefined; head = queue.peek()) {
       if (this.state[head] === CODE.scheduled) return head;
@@ -339,35 +353,36 @@
     return undefined;
   }
 
-  /** Whether `take` could find one, were there room in all pools. */
+  /** Whether `take` would return a step if all pools had free slots. */
   get hasReady(): boolean {
     if (this.halted) return false;
     for (const queue of this.ready.values()) if (this.headOf(queue) !== undefined) return true;
     return false;
   }
 
-  /** Which attempt a step that was taken makes next. */
+  /** Number of the next attempt of a step returned by `take`. */
   nextAttempt(at: number): number {
     const first = firstAttempt(this.setup.clearings.get(at) ?? 0);
     return Math.max(first, this.attemptOf(at) + 1);
   }
 
-  /** It was taken, but its job could not be submitted now. */
+  /** Queues a step again that `take` returned and whose job could not be submitted. */
   putBack(at: number): void {
     if (this.stateOf(at) === "scheduled") this.offer(at);
   }
 
+  /** The job of the given attempt was accepted. */
   submitted(at: number, attempt: number): void {
     this.last[at] = attempt;
     this.enter(at, "queued");
   }
 
-  /** Some of its tasks run, or none does. */
+  /** Sets an open step to `running` or, if none of its job's tasks runs, to `queued`. */
   running(at: number, runs: boolean): void {
     if (isOpen(this.stateOf(at))) this.enter(at, runs ? "running" : "queued");
   }
 
-  /** Counted once: what is not the step's open attempt changes nothing. */
+  /** The job of an attempt ended. Idempotent: the end of any attempt other than the open one changes nothing. */
   ended(at: number, attempt: number, outcome: Outcome): void {
     if (this.held.get(at) === attempt) {
       this.held.delete(at);
@@ -384,13 +399,14 @@
     this.retryLater(at);
   }
 
+  /** The retry delay of a step is over: schedules the next attempt. */
   retryDue(at: number): void {
     if (this.stateOf(at) !== "up_for_retry") return;
     this.enter(at, "scheduled");
     this.offer(at);
   }
 
-  /** Earlier runs have moved on. */
+  /** Checks steps that wait for earlier runs of the DAG once more, after one of those runs changed. */
   lookAtPast(): void {
     const waiting = [...this.waitingForPast].sort((a, b) => a - b);
     this.waitingForPast.clear();
@@ -401,8 +417,8 @@
   }
 
   /**
-   * Nothing starts any more. Steps that need no job go on being decided, and what is open ends first: else what the
-   * others come to would hang on when that was learnt.
+   * Starts no more jobs. Steps without a job are still decided, and open steps end first: otherwise the final states of
+   * the other steps would depend on when the halt was received.
    */
   halt(): void {
     this.halted = true;
@@ -412,7 +428,7 @@
     return this.halted;
   }
 
-  /** Once nothing is open or being submitted, what never started is skipped. */
+  /** Skips all steps of a halted run that are not final. Call it once no job is open or being submitted. */
   finishHalted(): void {
     if (!this.halted || this.open > 0) return;
     for (let at = 0; at < this.state.length; at += 1) if (!isFinal(this.stateOf(at))) this.enter(at, "skipped");
--- a/src/graphs/run/plan.ts
+++ b/src/graphs/run/plan.ts
@@ -1,3 +1,4 @@
+/** The plan of a run: its steps in topological order, and its stored form. */
 import { gunzipSync, gzipSync } from "node:zlib";
 import { sha256 } from "@noble/hashes/sha2.js";
 import { bytesToHex } from "@noble/hashes/utils.js";
@@ -8,60 +9,64 @@
 export const WEIGHT_RULES = ["downstream", "upstream", "absolute"] as const;
 export type WeightRule = (typeof WEIGHT_RULES)[number];
 
-/** `job` runs a job; the others decide at once and run nothing. `skip`: mapped over an empty list. */
+/** Only `job` runs a job; steps of other kinds end as soon as they start. `skip`: a task mapped over an empty list. */
 export type StepKind = "job" | "empty" | "short_circuit" | "branch" | "skip";
 
 export interface Retry {
-  /** Attempts after the first; null: as many as the class permits. */
+  /** Attempts after the first; null: as many as the job class permits. */
   readonly retries: number | null;
+  /** Delay before a retry, in seconds. */
   readonly delayS: number;
+  /** Whether the delay doubles with each retry. */
   readonly exponential: boolean;
+  /** Upper bound of the delay, in seconds; null: none. */
   readonly maxDelayS: number | null;
 }
 
-/** One step of a run, mapping, groups, defaults and templates worked out. */
+/** One step of a run (Airflow's task instance), with mapping, groups, defaults and templates already resolved. */
 export interface Step {
-  /** `group.task`, with `[3]` behind it for the fourth of a mapped one. */
+  /** `group.task`, followed by `[3]` for the fourth instance of a mapped task. */
   readonly id: string;
   readonly kind: StepKind;
   /** Numbers of the direct upstream steps; all lower than this step's own. */
   readonly upstream: readonly number[];
   readonly rule: TriggerRule;
   readonly retry: Retry;
-  /** Of running time; null: no limit of the graph's own. */
+  /** Running time of an attempt, in seconds; null: the graph sets no limit. */
   readonly timeoutS: number | null;
   readonly pool: string | null;
   readonly weight: number;
   readonly weightRule: WeightRule;
   readonly dependsOnPast: boolean;
   readonly setup: boolean;
-  /** Where it decides, the direct downstream steps that are skipped once it has succeeded. */
+  /** Direct downstream steps that a branch or short circuit skips when it succeeds. */
   readonly cuts: readonly number[];
-  /** Whether what a cut skips passes it on to all that comes after, whatever their rules say. */
+  /** Whether a cut skips all indirect downstream steps, too, whatever their trigger rules. */
   readonly cutsAll: boolean;
-  /** Which of the plan's `jobs` it runs; null for steps that run nothing. */
+  /** Index into the plan's `jobs`; null for steps that run no job. */
   readonly job: number | null;
 }
 
-/** All that a run needs, in topological order. Made once, when the graph is accepted. */
+/** The definition of one run, steps in topological order. Made once, when the graph is accepted. */
 export interface Plan {
   readonly dagId: string;
   readonly description: string;
   readonly owner: string;
   readonly tags: readonly string[];
+  /** Logical date, `YYYY-MM-DD`. */
   readonly ds: string;
   readonly maxActiveTasks: number;
   readonly maxActiveRuns: number;
   readonly timeoutS: number | null;
-  /** As a user would submit them, less `ref`. Steps with the same demands share one. */
+  /** Job submissions without `ref`. Steps with equal submissions share one. */
   readonly jobs: readonly JsonObject[];
   readonly steps: readonly Step[];
 }
 
-/** A plan of this many bytes of JSON is taken for damaged. */
+/** In bytes of JSON. A larger stored plan is damaged: decoding it fails. */
 const MOST_TEXT = 32 * 1_024 * 1_024;
 
-/** What a step is that says nothing. */
+/** Values of the fields that a stored step omits. */
 export const DEFAULT_STEP: Step = {
   id: "",
   kind: "job",
@@ -81,7 +86,7 @@
 
 const same = (a: unknown, b: unknown): boolean => a === b || JSON.stringify(a) === JSON.stringify(b);
 
-/** Only what differs from the defaults, so that a step of a wide graph is some forty bytes before compression. */
+/** Only the fields that differ from the defaults: a step of a wide graph takes some 40 bytes before compression. */
 const slim = (step: Step): Partial<Step> =>
   Object.fromEntries(Object.entries(step).filter(([name, value]) => !same(value, DEFAULT_STEP[name as keyof Step])));
 
@@ -109,7 +114,7 @@
   job: "job",
 });
 
-/** Of steps, what differs from the defaults is stored. */
+/** Stores only those fields of a step that differ from `DEFAULT_STEP`. */
 const planForm = new RecordCodec<Plan>({
   dagId: "dagId",
   description: "description",
@@ -129,27 +134,27 @@
   },
 });
 
-/** As text for the state service, with the digest that tells two definitions apart. */
+/** The plan as base64 text for the key-value store, and a digest that differs between different plans. */
 export const encodePlan = (plan: Plan): { readonly text: string; readonly digest: string } => {
   const json = JSON.stringify(planForm.encode(plan));
   const digest = bytesToHex(sha256(Buffer.from(json, "utf8"))).slice(0, 16);
   return { text: gzipSync(json, { level: 6 }).toString("base64"), digest };
 };
 
-/** Throws where the text is not one that `encodePlan` made. */
+/** Throws unless the text was made by `encodePlan`. */
 export const decodePlan = (text: string): Plan => {
   const json = gunzipSync(Buffer.from(text, "base64"), { maxOutputLength: MOST_TEXT }).toString("utf8");
   return planForm.decode(JSON.parse(json));
 };
 
-/** Numbers of each step's direct downstream steps. */
+/** Numbers of the direct downstream steps of each step. */
 export const downstreamOf = (plan: Plan): readonly (readonly number[])[] => {
   const lists: number[][] = plan.steps.map(() => []);
   for (const [at, step] of plan.steps.entries()) for (const up of step.upstream) lists[up]?.push(at);
   return lists;
 };
 
-/** Longest way to an end, in seconds of the owners' estimates, the step's own included. */
+/** Per step, the longest path to a step without downstream steps, in seconds of estimated run time, its own included. */
 export const criticalPaths = (plan: Plan): Float64Array => {
   const { steps, jobs } = plan;
   const after = new Float64Array(steps.length);
--- a/src/graphs/run/retry.ts
+++ b/src/graphs/run/retry.ts
@@ -1,23 +1,25 @@
+/** Attempts, timeouts and retry delays of steps. */
 import type { ClassRetries, GraphOptions } from "../../settings/graph-options.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import type { Plan, Step } from "./plan.js";
 
-/** What one step may use, by its class and by what its graph asks for. */
+/** Retry and time limits of one step, from its job class and its graph. */
 export interface Limits {
-  /** In all, the first one included. */
+  /** Attempts in all, the first one included. */
   readonly attempts: number;
-  /** Of running time; null: none. */
+  /** Running time of an attempt; null: no limit. */
   readonly timeout: Micros | null;
-  /** So many failures of one task end an attempt. */
+  /** Number of failures of one task that fails the attempt. */
   readonly errors: number;
+  /** Kinds of task failures that count towards `errors`. */
   readonly counts: ReadonlySet<string>;
-  /** Between the end of the given try and the next one. */
+  /** Delay between the end of the given try, counted from 1, and the next one. */
   readonly delay: (tries: number) => Micros;
 }
 
 const MOST_DOUBLINGS = 20;
 
-/** A graph may ask for fewer attempts, longer pauses and a shorter time than its class has, never for more. */
+/** A graph may tighten the limits of the job class (fewer attempts, longer delays, shorter timeout), never loosen them. */
 export const limitsOf = ({ retry, timeoutS }: Step, allowed: ClassRetries): Limits => {
   const { retries, delayS, exponential, maxDelayS } = retry;
   const own = timeoutS ?? Number.POSITIVE_INFINITY;
@@ -35,7 +37,7 @@
   };
 };
 
-/** Steps with the same demands and wishes share theirs. */
+/** Limits of each step. Steps with equal settings share one object. */
 export const planLimits = (plan: Plan, options: GraphOptions): readonly Limits[] => {
   const known = new Map<string, Limits>();
   return plan.steps.map((step) => {
--- a/src/graphs/run/rules.ts
+++ b/src/graphs/run/rules.ts
@@ -16,7 +16,7 @@
 ] as const;
 export type TriggerRule = (typeof TRIGGER_RULES)[number];
 
-/** How many direct upstream steps there are, and how many of them ended how. */
+/** Number of direct upstream steps in all, and by final state. */
 export interface Tally {
   readonly total: number;
   readonly success: number;
@@ -24,17 +24,20 @@
   readonly upstreamFailed: number;
   readonly skipped: number;
   readonly removed: number;
+  /** Upstream steps that are setup tasks. */
   readonly setups: number;
   readonly setupSuccess: number;
   readonly setupSkipped: number;
 }
 
+/** Result of a trigger rule: wait for more upstream steps, run the step, or end it in that state. */
 export type Verdict = "wait" | "run" | "skipped" | "upstream_failed";
 
 /**
- * What a rule says, as soon as nothing that is still to come can change it. Airflow decides by what it happens to see:
- * with one upstream step skipped and another one about to fail, `all_success` skips or fails by the order of the two.
- * Here the outcome is a function of how the upstream steps ended, so that whoever takes a run over comes to the same.
+ * Evaluates a trigger rule as soon as the upstream steps that are still open can't change the result. Airflow evaluates
+ * it on the states at that moment: with one upstream step skipped and another about to fail, the result of `all_success`
+ * depends on which ends first. Here it is a function of the final states only, so a new shard leader comes to the same
+ * result.
  */
 export const judge = (rule: TriggerRule, tally: Tally): Verdict => {
   const { total, success, skipped, removed } = tally;
--- a/src/graphs/run/states.ts
+++ b/src/graphs/run/states.ts
@@ -1,4 +1,4 @@
-/** Airflow's names of a step's states; `none` is what Airflow writes as no state at all. */
+/** States of a step under Airflow's names; `none` is Airflow's null state. */
 export const STATES = [
   "none",
   "scheduled",
@@ -19,9 +19,9 @@
 const finals: ReadonlySet<StepState> = new Set(FINALS);
 export const isFinal = (state: StepState): state is FinalState => finals.has(state);
 
-/** How many steps are in each state, those in which none is left out. */
+/** Number of steps in each state, without states that no step is in. */
 export const countsOf = (count: (state: StepState, at: number) => number): Readonly<Record<string, number>> =>
   Object.fromEntries(STATES.map((state, at) => [state, count(state, at)] as const).filter(([, steps]) => steps > 0));
 
-/** Its job is accepted and has not ended. */
+/** Whether the step's job is accepted and has not ended. */
 export const isOpen = (state: StepState): boolean => state === "queued" || state === "running";
--- a/src/graphs/run/weights.ts
+++ b/src/graphs/run/weights.ts
@@ -1,10 +1,11 @@
+/** The order in which steps of one run start, from Airflow's priority weights. */
 import { TypedFastBitSet } from "typedfastbitset";
 import { criticalPaths, downstreamOf, type Plan } from "./plan.js";
 
-/** Beyond this many steps the sets of what each one reaches are a square that holds a controller up for minutes. */
+/** Sets of reachable steps take quadratic memory and time: beyond this many steps they block a controller for minutes. */
 const MOST_COUNTED = 1_000;
 
-/** For large graphs: weights along the heaviest way. */
+/** Total weight along the heaviest path from each step, for large graphs. */
 const pathSums = (plan: Plan, order: readonly number[], next: readonly (readonly number[])[]): Float64Array => {
   const sums = new Float64Array(plan.steps.length);
   for (const at of order) {
@@ -15,7 +16,7 @@
   return sums;
 };
 
-/** Weights of the step and of all that it reaches along `next`, each once, however many ways lead there. */
+/** Total weight of each step and all steps reachable along `next`, each counted once however many paths lead to it. */
 const reachSums = (plan: Plan, order: readonly number[], next: readonly (readonly number[])[]): Float64Array => {
   if (plan.steps.length > MOST_COUNTED) return pathSums(plan, order, next);
   const sums = new Float64Array(plan.steps.length);
@@ -29,7 +30,7 @@
       const reached = sets.get(to);
       if (reached !== undefined) set.union(reached);
       users[to] = (users[to] ?? 1) - 1;
-      // Kept only until the last step that leads here has been seen: all of them at once are a square.
+      // Dropped after the last step that refers to it: keeping all sets takes quadratic memory.
       if (users[to] === 0) sets.delete(to);
     }
     let sum = 0;
@@ -43,8 +44,8 @@
 };
 
 /**
- * Each step's place in its own graph's order: by Airflow's weight, then by the critical path. It decides between steps
- * of one graph only, never between a step and anybody else's job.
+ * Rank of each step in the start order of its own graph: by Airflow's priority weight, then by critical path. It orders
+ * steps of one graph only, never a step against jobs outside the graph.
  */
 export const ownOrder = (plan: Plan): Uint32Array => {
   const { steps } = plan;
