--- a/src/graphs/description/compile.ts
+++ b/src/graphs/description/compile.ts
@@ -1,3 +1,4 @@
+/** Turns a graph definition into the plan of one run: defaults, mapping, templates, branches and checks. */
 import { decodeSubmission } from "../../protocol/job-messages.js";
 import { MalformedMessageError } from "../../protocol/json.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
@@ -11,7 +12,7 @@
 import { neverReached } from "./reach.js";
 import { bare, type Names, TemplateError, Templates } from "./templates.js";
 
-/** What a run is made with, beside its definition. */
+/** The parameters of one run of a definition. */
 export interface RunWords {
   readonly id: string;
   /** The run's logical date, `YYYY-MM-DD`. */
@@ -22,7 +23,7 @@
 export type Bounds = Pick<GraphOptions, "mostSteps" | "pools">;
 
 const MOST_EDGES = 200_000;
-/** More would only repeat what the first ones say. */
+/** Further problems are mostly consequences of the first ones. */
 const MOST_PROBLEMS = 50;
 
 const NUMBERS: ReadonlySet<string> = new Set([
@@ -54,13 +55,13 @@
 const YES: ReadonlySet<string> = new Set(["true", "yes", "1", "on"]);
 const NO: ReadonlySet<string> = new Set(["false", "no", "0", "off", "none", ""]);
 
-/** One of a mapped task's instances, or the task itself. */
+/** One instance of a mapped task, or a task that is not mapped. */
 interface Instance {
   readonly id: string;
   readonly names: Names;
 }
 
-/** Turns a definition into the plan of one run. Throws a `GraphError` with all that is wrong, up to a bound. */
+/** Turns a definition into the plan of one run. Throws a `GraphError` with the problems found, up to a bound. */
 export const compile = (graph: GraphDocument, words: RunWords, bounds: Bounds): Plan =>
   new Compiler(graph, words, bounds).plan();
 
@@ -70,10 +71,10 @@
   private readonly jobs: Readonly<Record<string, unknown>>[] = [];
   private readonly jobNumbers = new Map<string, number>();
   private readonly steps: Step[] = [];
-  /** Numbers of each task's steps. */
+  /** Numbers of the steps of each task, by task id. */
   private readonly numbers = new Map<string, readonly number[]>();
   private readonly params: Readonly<Record<string, unknown>>;
-  /** As templates see them. */
+  /** `params` for templates: without prototypes. */
   private readonly bareParams: unknown;
 
   constructor(
@@ -182,7 +183,7 @@
       this.fail([...task.path, "expand"], `more than ${this.bounds.mostSteps} steps`);
       return [];
     }
-    // Mapped over nothing, a task is skipped, and what comes after it goes by its rules.
+    // A task mapped over an empty list is skipped; trigger rules decide its downstream steps.
     if (maps.length === 0) return [{ id: task.id, names: this.namesFor(task, {}, -1) }];
     return maps.map((map, at) => ({ id: `${task.id}[${at}]`, names: this.namesFor(task, map, at) }));
   }
@@ -255,7 +256,7 @@
     return number;
   }
 
-  /** The job as a user would submit it, checked as that would be. */
+  /** Number of the task's job in `jobs`. The job is checked as if a user submitted it. */
   private jobOf(task: FlatTask, names: Names): number {
     const path = [...task.path, "job"];
     const given = Object.entries(task.args.job ?? {}).map(
@@ -272,7 +273,7 @@
     } catch (error) {
       if (!(error instanceof MalformedMessageError)) throw error;
       const [field = "", ...rest] = error.message.split(": ");
-      // A template that failed has been told of already.
+      // Where a template failed, that problem is listed already.
       if (this.problems.length === before) this.fail([...path, field], rest.join(": ") || error.message);
     }
     this.jobs.push(job);
@@ -280,7 +281,7 @@
     return this.jobs.length - 1;
   }
 
-  /** What branches and short circuits skip is known now, since they decide by params. */
+  /** Adds the steps that branches and short circuits skip. These depend on params only, so they are known by now. */
   private cuts(tasks: ReadonlyMap<string, FlatTask>, upstream: ReadonlyMap<string, ReadonlySet<string>>): void {
     const downstream = new Map<string, string[]>();
     for (const id of upstream.keys()) downstream.set(id, []);
@@ -308,7 +309,7 @@
     }
   }
 
-  /** As Airflow's branches: direct downstream tasks neither followed nor reached from one that is. */
+  /** As in Airflow: the direct downstream tasks that are neither followed nor downstream of a followed task. */
   private notFollowed(
     task: FlatTask,
     direct: readonly string[],
--- a/src/graphs/description/dependencies.ts
+++ b/src/graphs/description/dependencies.ts
@@ -1,4 +1,6 @@
-/** An edge between two names, which are tasks or groups. */
+/** Parses dependency lists such as `a >> [b, c]`. */
+
+/** An edge between two tasks or groups, by the names in the text. */
 export interface Edge {
   readonly from: string;
   readonly to: string;
@@ -24,7 +26,7 @@
   readonly list: boolean;
 }
 
-/** A name, or a list of names in brackets; and where it ends. */
+/** A name or a bracketed list of names, and the index of the token after it. Null: neither. */
 const termAt = (tokens: readonly string[], at: number): { term: Term; next: number } | null => {
   const token = tokens[at];
   if (isName(token)) return { term: { names: [token], list: false }, next: at + 1 };
@@ -40,8 +42,8 @@
 };
 
 /**
- * `a >> [b, c] >> d` and `d << c` as Airflow's operators read them, from left to right. Returns what is wrong as text.
- * Two lists side by side are refused, as Python refuses them.
+ * Parses `a >> [b, c] >> d` and `d << c` from left to right, as Airflow's operators. Returns the problem as text if
+ * the list is invalid. An arrow between two lists is refused, as in Python.
  */
 export const readDependencies = (text: string): readonly Edge[] | string => {
   const tokens = tokensOf(text);
--- a/src/graphs/description/document.ts
+++ b/src/graphs/description/document.ts
@@ -1,7 +1,9 @@
+/** Types of graph definitions and their check against the JSON schema. Field names are those of graph files. */
 import { Ajv, type ErrorObject } from "ajv";
 import { GraphError, type Path, type Problem } from "./problem.js";
 import { graphSchema } from "./schema.js";
 
+/** Settings of a task, also used as `default_args`. Times are seconds. */
 export interface TaskArgs {
   readonly owner?: string;
   readonly trigger_rule?: string;
@@ -37,7 +39,7 @@
   readonly task_groups?: readonly GroupDocument[];
 }
 
-/** A graph's definition as it was written, in the shape that the schema asks for. */
+/** A graph definition as written, valid by `graphSchema`. */
 export interface GraphDocument {
   readonly dag_id: string;
   readonly description?: string;
@@ -69,11 +71,11 @@
   return { path, message: error.message ?? "invalid" };
 };
 
-/** Throws a `GraphError` naming the first field that does not fit. */
+/** Throws a `GraphError` with the first field that violates the schema. */
 export const readDocument = (value: unknown): GraphDocument => {
   if (validate(value)) return value;
   const errors = validate.errors ?? [];
-  // Of several ways to be right, the innermost complaint says most.
+  // Where `anyOf` allows several forms, the error within one of them is more specific than that of `anyOf`.
   const worst = errors.find(({ keyword }) => keyword !== "anyOf") ?? errors[0];
   throw new GraphError([worst === undefined ? { path: [], message: "invalid" } : problemOf(worst)]);
 };
--- a/src/graphs/description/flatten.ts
+++ b/src/graphs/description/flatten.ts
@@ -1,8 +1,9 @@
+/** Resolves task groups and defaults into a flat list of tasks with their direct upstream tasks. */
 import { type Edge, readDependencies } from "./dependencies.js";
 import type { GraphDocument, GroupDocument, TaskArgs, TaskDocument } from "./document.js";
 import type { Path, Problem } from "./problem.js";
 
-/** A task with its group's name before its own and all defaults worked in. */
+/** A task with its full id, `group.task`, and with all defaults applied. */
 export interface FlatTask {
   readonly id: string;
   readonly path: Path;
@@ -12,7 +13,7 @@
 
 export interface Flat {
   readonly tasks: ReadonlyMap<string, FlatTask>;
-  /** Direct upstream tasks of each. */
+  /** Ids of the direct upstream tasks of each task. */
   readonly upstream: ReadonlyMap<string, ReadonlySet<string>>;
 }
 
@@ -42,7 +43,7 @@
 const MOST_DEPTH = 20;
 const MOST_NAME = 200;
 
-/** Takes groups and defaults apart; problems are added to the list. */
+/** Resolves groups and defaults. Appends problems to `problems`; stops collecting tasks above `mostTasks`. */
 export const flatten = (graph: GraphDocument, problems: Problem[], mostTasks: number): Flat => {
   const tasks = new Map<string, FlatTask>();
   const groups = new Map<string, Group>();
@@ -103,7 +104,7 @@
   return { tasks, upstream: link(tasks, groups, wishes, problems) };
 };
 
-/** A name is looked for in the group where it stands, then in those around it. */
+/** Looks a name up in the group where it is used, then in the enclosing groups. Null: unknown. */
 const resolve = (name: string, group: string, known: (id: string) => boolean): string | null => {
   for (
     let dependencies = group;
@@ -134,7 +135,7 @@
     const depth = Math.min(groups.get(from)?.depth ?? 1_000, groups.get(to)?.depth ?? 1_000);
     resolved.push({ from, to, depth, path });
   }
-  // What lies within a group decides which of its tasks are first and last: inner edges come first.
+  // Edges within a group decide which of its tasks are first and last, so the innermost edges are resolved first.
   resolved.sort((a, b) => b.depth - a.depth);
   const ends = (id: string, lists: ReadonlyMap<string, ReadonlySet<string>>): readonly string[] => {
     const group = groups.get(id);
--- a/src/graphs/description/index.ts
+++ b/src/graphs/description/index.ts
@@ -1,4 +1,4 @@
-/** All that reads definitions; loaded when the first one comes, since its libraries weigh more than the rest. */
+/** Parsing and compiling of definitions. Loaded on first use, because its libraries are larger than the other code. */
 export { compile, type RunWords } from "./compile.js";
 export { type GraphDocument, readDocument } from "./document.js";
 export { GraphError, type PlacedProblem, type Problem, placedText, problemText } from "./problem.js";
--- a/src/graphs/description/order.ts
+++ b/src/graphs/description/order.ts
@@ -1,8 +1,9 @@
+/** Topological order of tasks. */
 import TinyQueue from "tinyqueue";
 
 type Upstream = ReadonlyMap<string, ReadonlySet<string>>;
 
-/** Topological, and else as written; or a cycle as the path around it, the first name repeated at its end. */
+/** Topological order, ties in written order; or a cycle as its path, with the first name repeated at the end. */
 export const sortTasks = (
   upstream: Upstream,
 ):
@@ -36,7 +37,7 @@
   return { kind: "cycle", path: cycleAmong(upstream, new Set(ids)) };
 };
 
-/** Every task that could not be ordered has such an upstream task: following those must come back. */
+/** Every unordered task has an unordered upstream task, so following these leads into a cycle. */
 const cycleAmong = (upstream: Upstream, ordered: ReadonlySet<string>): string[] => {
   const start = [...upstream.keys()].find((id) => !ordered.has(id));
   const seen = new Map<string, number>();
--- a/src/graphs/description/params.ts
+++ b/src/graphs/description/params.ts
@@ -1,3 +1,4 @@
+/** Values of a run's params and their checks. */
 import { Ajv } from "ajv";
 import type { GraphDocument } from "./document.js";
 import type { Problem } from "./problem.js";
@@ -5,12 +6,12 @@
 const isDescribed = (value: unknown): value is Readonly<Record<string, unknown>> =>
   typeof value === "object" && value !== null && !Array.isArray(value) && ("default" in value || "type" in value);
 
-/** Patterns of others run on our processor: they are left out. */
+/** Supported JSON schema keywords. `pattern` is left out: a user's regular expression could block the controller. */
 const KEPT = ["type", "enum", "minimum", "maximum", "minLength", "maxLength", "minItems", "maxItems", "items"];
 
 /**
- * The run's params: those given, else the graph's defaults. A default may be a value, or, as Airflow's `Param`, an
- * object with `default` and what JSON Schema says of types and bounds.
+ * The run's params: the given values, else the graph's defaults. A graph declares a param as a plain default or, like
+ * Airflow's `Param`, as an object with `default` and JSON schema keywords. Problems are appended to `problems`.
  */
 export const paramsOf = (
   graph: GraphDocument,
@@ -19,7 +20,7 @@
 ): Readonly<Record<string, unknown>> => {
   const declared = graph.params ?? {};
   const values: Record<string, unknown> = {};
-  // Not kept any longer: it remembers every schema that it has seen.
+  // A new instance each time: Ajv caches every schema that it compiles, which would leak memory.
   const ajv = new Ajv({ strict: false });
   for (const name of Object.keys(given)) {
     if (!Object.hasOwn(declared, name)) problems.push({ path: ["params", name], message: "no such param" });
--- a/src/graphs/description/reach.ts
+++ b/src/graphs/description/reach.ts
@@ -1,7 +1,8 @@
+/** Finds steps whose trigger rule can never be met. */
 import type { Plan } from "../run/plan.js";
 import type { TriggerRule } from "../run/rules.js";
 
-/** How a step may come to end, seen from the plan alone. */
+/** The final states that a step can reach, judged by the plan alone. */
 interface Ends {
   readonly success: boolean;
   readonly failed: boolean;
@@ -88,7 +89,7 @@
   }
 };
 
-/** Numbers of the steps whose rule can never be met, whatever the steps before them do. */
+/** Numbers of the steps whose trigger rule can never be met, whatever the final states of other steps. */
 export const neverReached = (plan: Plan): readonly number[] => {
   const ends: Ends[] = [];
   const never: number[] = [];
--- a/src/graphs/description/requests.ts
+++ b/src/graphs/description/requests.ts
@@ -1,14 +1,18 @@
+/** Bodies of users' requests for graphs, and their checks. */
 import { Ajv } from "ajv";
 
 const MOST_PARTS = 256;
 
+/** A request to run a graph. */
 export interface Submission {
   readonly ref: string;
   readonly graph: unknown;
   readonly params?: Readonly<Record<string, unknown>>;
+  /** Logical date, `YYYY-MM-DD`. */
   readonly ds?: string;
 }
 
+/** One part of a submission that is uploaded in several requests. */
 export interface Part {
   readonly ref: string;
   readonly part: number;
@@ -44,7 +48,7 @@
   properties: { step: { type: "string" }, downstream: { type: "boolean" } },
 });
 
-/** What is wrong with a request that one of these has just refused. */
+/** Text for the user about the request body that the given validator has just refused. */
 export const whyNot = (validate: typeof isSubmission | typeof isPart | typeof isClear): string => {
   const [error] = validate.errors ?? [];
   const missing: unknown = error?.params.missingProperty;
--- a/src/graphs/description/schema.ts
+++ b/src/graphs/description/schema.ts
@@ -1,3 +1,4 @@
+/** JSON schema of graph files. */
 import { WEIGHT_RULES } from "../run/plan.js";
 import { TRIGGER_RULES } from "../run/rules.js";
 
@@ -10,7 +11,7 @@
 const amount = { anyOf: [{ type: "number", minimum: 0 }, template] } as const;
 const flag = { anyOf: [{ type: "boolean" }, template] } as const;
 
-/** As in the users' interface; what is a number or a truth value there may be a template here. */
+/** A job as in the user API, except that numbers and booleans may be templates. */
 const job = {
   type: "object",
   additionalProperties: false,
@@ -51,7 +52,7 @@
   job: { $ref: "#/definitions/job" },
 } as const;
 
-/** A DAG as planners write it. Times are seconds. */
+/** A DAG as written by its author. Times are seconds. */
 export const graphSchema = {
   $schema: "http://json-schema.org/draft-07/schema#",
   $id: "rainridge-graph",
@@ -84,7 +85,7 @@
         task_id: name,
         upstream: names,
         ...shared,
-        /** Runs nothing and succeeds at once: a joint. */
+        /** Succeeds at once without a job, to join dependencies. */
         empty: { type: "boolean" },
         short_circuit: text,
         ignore_downstream_trigger_rules: { type: "boolean" },
--- a/src/graphs/description/templates.ts
+++ b/src/graphs/description/templates.ts
@@ -1,15 +1,16 @@
+/** Renders the templates in definitions: a restricted subset of Jinja that is safe for untrusted input. */
 import nunjucks from "nunjucks";
 
-/** What a template may name. Every object in it is without a prototype. */
+/** The variables of a template. No object in it has a prototype. */
 export type Names = Readonly<Record<string, unknown>>;
 
-/** The template is not one that may be used; the message says what about it. */
+/** The template is malformed, not allowed, or names an undefined variable; the message is for the user. */
 export class TemplateError extends Error {}
 
 const MOST_OUTPUT = 4_096;
 const MOST_NODES = 100;
 
-/** None of them makes more of its input than it was given. */
+/** Filters whose output is not larger than their input. */
 const FILTERS: ReadonlySet<string> = new Set([
   "abs",
   "capitalize",
@@ -27,7 +28,7 @@
   "upper",
 ]);
 
-/** Expressions only: no loops, calls, assignments, macros, includes or tests. */
+/** Syntax nodes of expressions only: no loops, calls, assignments, macros, includes or tests. */
 const ALLOWED: ReadonlySet<string> = new Set([
   "Root",
   "NodeList",
@@ -103,7 +104,7 @@
 const parser = (nunjucks as unknown as { readonly parser: Parser }).parser;
 const environment = new nunjucks.Environment(null, { autoescape: false, throwOnUndefined: true });
 
-/** Without prototypes, so that a template finds what it was given and nothing else. */
+/** A deep copy without prototypes, so that a template can't access inherited properties such as constructors. */
 export const bare = (value: unknown): unknown => {
   if (Array.isArray(value)) return value.map(bare);
   if (typeof value !== "object" || value === null) return value;
@@ -115,11 +116,11 @@
 
 export const isTemplate = (text: string): boolean => /\{[{%#]/.test(text);
 
-/** Renders templates, each of them read once. */
+/** Renders templates; caches the compiled ones. */
 export class Templates {
   private readonly known = new Map<string, nunjucks.Template>();
 
-  /** Throws `TemplateError`; an undefined name is one. */
+  /** Throws `TemplateError`, also for an undefined name. */
   render(text: string, names: Names): string {
     if (!isTemplate(text)) return text;
     try {
--- a/src/graphs/description/text.ts
+++ b/src/graphs/description/text.ts
@@ -1,23 +1,25 @@
+/** Parses the text of graph files and locates problems in it. */
 import { isCollection, isNode, LineCounter, parseDocument } from "yaml";
 import { GraphError, type Path, type PlacedProblem, type Problem } from "./problem.js";
 
-/** Larger files are refused unread: what they say would not fit into the largest run. */
+/** In bytes. Larger files are refused before parsing: their graphs would exceed the largest run. */
 export const MOST_TEXT = 4 * 1_024 * 1_024;
-/** Each use of an alias counts as much as it brings in; a bomb of aliases of aliases passes this at once. */
+/** The parser counts each alias by its expansion, so nested aliases ("billion laughs") soon exceed this. */
 const MOST_ALIASES = 100;
 
 export interface ReadText {
   readonly value: unknown;
+  /** Adds line and column to a problem of this text. */
   readonly place: (problem: Problem) => PlacedProblem;
 }
 
 const first = (message: string): string =>
-  // The parser reports the end of its own recursion as if it stood in the text.
+  // The parser reports its own stack overflow as a syntax error in the text.
   message.includes("call stack")
     ? "nested too deeply"
     : (message.split("\n")[0]?.replace(/ at line .*$/, "") ?? "malformed");
 
-/** YAML or JSON, which is YAML, too. Throws a `GraphError` whose problem is placed where that is known. */
+/** Parses YAML, and thereby JSON. Throws a `GraphError`; a syntax error has line and column in its message. */
 export const readText = (text: string): ReadText => {
   if (Buffer.byteLength(text) > MOST_TEXT) {
     throw new GraphError([{ path: [], message: `larger than ${MOST_TEXT / 1_048_576} MiB` }]);
@@ -32,7 +34,7 @@
     }
     const value: unknown = document.toJS({ maxAliasCount: MOST_ALIASES });
     const offsetOf = (path: Path): number => {
-      // What is missing stands nowhere: its nearest container does.
+      // A missing field has no position: the nearest enclosing node that exists stands in for it.
       for (let length = path.length; length > 0; length -= 1) {
         const node: unknown = document.getIn(path.slice(0, length), true);
         if (isNode(node) && node.range) return node.range[0];
@@ -47,7 +49,7 @@
     return { value, place };
   } catch (error) {
     if (error instanceof GraphError) throw error;
-    // Deep nesting ends the parser's recursion; too many aliases end the conversion.
+    // Deep nesting overflows the parser's stack (RangeError); too many aliases fail the conversion.
     const message = error instanceof RangeError ? "nested too deeply" : first(String((error as Error).message));
     throw new GraphError([{ path: [], message }]);
   }
--- a/src/graphs/run/dag-run.ts
+++ b/src/graphs/run/dag-run.ts
@@ -7,8 +7,8 @@
 import { type FinalState, isFinal, isOpen, STATES, type StepState } from "./states.js";
 
 /**
- * How the job of an attempt ended. After `error` and `timeout` the step is retried while it has attempts left. `killed`:
- * a user withdrew the job itself, which no retry may undo; `aborted`: the run was ended from outside.
+ * How the job of an attempt ended. After `error` and `timeout` the step is retried while attempts are left. `killed`: a
+ * user withdrew the job itself, which no retry may undo; `aborted`: the run was ended from outside.
  */
 export type Outcome = "done" | "error" | "timeout" | "killed" | "aborted";
 
@@ -54,9 +54,9 @@
 const FIRED_FOR_ALL = 2;
 
 /**
- * One DAG run as a pure state machine. The states of its steps follow from the plan and from the outcomes of their jobs,
- * whatever the order in which the outcomes arrive. Storing the plan and the jobs therefore stores the run: after a
- * failover, the new shard leader replays the stored jobs. An event costs work in proportion to the step's direct
+ * One DAG run as a pure state machine. The states of its steps follow from the plan and from the outcomes of their
+ * jobs, whatever the order in which the outcomes arrive. Storing the plan and the jobs therefore stores the run: after
+ * a failover, the new shard leader replays the stored jobs. An event costs work in proportion to the step's direct
  * downstream steps and those of the steps that the event decides in turn.
  */
 export class DagRun {
--- a/src/graphs/run/plan.ts
+++ b/src/graphs/run/plan.ts
@@ -154,7 +154,7 @@
   return lists;
 };
 
-/** Per step, the longest path to a step without downstream steps, in seconds of estimated run time, its own included. */
+/** Longest path from each step to the end of the graph, in seconds of estimated run time, the step's own included. */
 export const criticalPaths = (plan: Plan): Float64Array => {
   const { steps, jobs } = plan;
   const after = new Float64Array(steps.length);
--- a/src/graphs/run/retry.ts
+++ b/src/graphs/run/retry.ts
@@ -19,7 +19,7 @@
 
 const MOST_DOUBLINGS = 20;
 
-/** A graph may tighten the limits of the job class (fewer attempts, longer delays, shorter timeout), never loosen them. */
+/** A graph may tighten its job class's limits (fewer attempts, longer delays, shorter timeout), never loosen them. */
 export const limitsOf = ({ retry, timeoutS }: Step, allowed: ClassRetries): Limits => {
   const { retries, delayS, exponential, maxDelayS } = retry;
   const own = timeoutS ?? Number.POSITIVE_INFINITY;
--- a/src/graphs/run/rules.ts
+++ b/src/graphs/run/rules.ts
@@ -35,9 +35,9 @@
 
 /**
  * Evaluates a trigger rule as soon as the upstream steps that are still open can't change the result. Airflow evaluates
- * it on the states at that moment: with one upstream step skipped and another about to fail, the result of `all_success`
- * depends on which ends first. Here it is a function of the final states only, so a new shard leader comes to the same
- * result.
+ * it on the states at that moment: with one upstream step skipped and another about to fail, the result of
+ * `all_success` depends on which ends first. Here it is a function of the final states only, so a new shard leader
+ * comes to the same result.
  */
 export const judge = (rule: TriggerRule, tally: Tally): Verdict => {
   const { total, success, skipped, removed } = tally;
--- a/src/graphs/run/weights.ts
+++ b/src/graphs/run/weights.ts
@@ -2,7 +2,7 @@
 import { TypedFastBitSet } from "typedfastbitset";
 import { criticalPaths, downstreamOf, type Plan } from "./plan.js";
 
-/** Sets of reachable steps take quadratic memory and time: beyond this many steps they block a controller for minutes. */
+/** Sets of reachable steps take quadratic memory and time: beyond this size they block a controller for minutes. */
 const MOST_COUNTED = 1_000;
 
 /** Total weight along the heaviest path from each step, for large graphs. */
--- a/src/graphs/show/drawing.ts
+++ b/src/graphs/show/drawing.ts
@@ -1,7 +1,8 @@
+/** Draws a plan with Graphviz. */
 import type { Plan } from "../run/plan.js";
 import { labelOf, outline } from "./outline.js";
 
-/** More tasks make a drawing that nobody can read, and take minutes to lay out. */
+/** Larger graphs are unreadable as a drawing and take minutes to lay out. */
 export const MOST_DRAWN = 1_500;
 
 const SHAPES: Readonly<Record<string, string>> = {
@@ -12,10 +13,10 @@
   branch: "diamond",
 };
 
-/** Quotes and backslashes would end the text in Graphviz's language. */
+/** A quoted DOT string. Quotes and backslashes are escaped: they would end it. */
 const quoted = (text: string): string => `"${text.replaceAll("\\", "\\\\").replaceAll('"', '\\"')}"`;
 
-/** In Graphviz's language: groups as clusters by the names before the dots. */
+/** The plan in Graphviz's DOT language. Each group is a cluster; a task's group is its id up to the last dot. */
 const dotOf = (plan: Plan): string => {
   const tasks = outline(plan);
   const lines = [`digraph ${quoted(plan.dagId)} {`, 'rankdir="LR"; node [fontname="Helvetica", fontsize="11"];'];
@@ -34,7 +35,7 @@
   return [...lines, "}"].join("\n");
 };
 
-/** As SVG. */
+/** The plan as SVG. */
 export const drawingOf = async (plan: Plan): Promise<string> => {
   const { Graphviz } = await import("@hpcc-js/wasm-graphviz");
   return (await Graphviz.load()).dot(dotOf(plan), "svg");
--- a/src/graphs/show/outline.ts
+++ b/src/graphs/show/outline.ts
@@ -1,15 +1,20 @@
+/** Text outline of a plan by tasks. */
 import type { Plan, Step } from "../run/plan.js";
 
-/** A task as its planner wrote it: all steps that it was mapped to are one. */
+/** A task as written in the definition, with all steps of a mapped task taken together. */
 export interface OutlineTask {
   readonly id: string;
+  /** Number of steps. */
   readonly steps: number;
+  /** The first of them. */
   readonly step: Step;
   readonly upstream: readonly string[];
 }
 
+/** The task id of a step id: without the index of a mapped instance. */
 export const taskOf = (step: string): string => step.replace(/\[\d+\]$/, "");
 
+/** The tasks of a plan in topological order. */
 export const outline = (plan: Plan): readonly OutlineTask[] => {
   const tasks = new Map<string, { steps: number; step: Step; upstream: Set<string> }>();
   for (const step of plan.steps) {
@@ -22,6 +27,7 @@
   return [...tasks].map(([id, { steps, step, upstream }]) => ({ id, steps, step, upstream: [...upstream] }));
 };
 
+/** Task id with the settings that differ from the defaults. */
 export const labelOf = ({ id, steps, step }: OutlineTask): string => {
   const words: string[] = [];
   if (steps > 1) words.push(`${steps} steps`);
@@ -31,7 +37,7 @@
   return words.length === 0 ? id : `${id} (${words.join(", ")})`;
 };
 
-/** Each task below the first of those it waits for; where it is named again, only its name is. */
+/** The graph as an indented tree, with each task below its upstream tasks. A repeated task is only its id and `^`. */
 export const treeOf = (plan: Plan): string => {
   const tasks = outline(plan);
   const below = new Map<string, OutlineTask[]>(tasks.map(({ id }) => [id, []]));
