--- a/src/graphs/description/compile.ts
+++ b/src/graphs/description/compile.ts
@@ -9,24 +9,24 @@
 import { sortTasks } from "./order.js";
 import { paramsOf } from "./params.js";
 import { GraphError, type Problem } from "./problem.js";
-import { neverReached } from "./reach.js";
-import { bare, type Names, TemplateError, Templates } from "./templates.js";
+import { unsatisfiableSteps } from "./reach.js";
+import { TemplateError, Templates, type TemplateVariables, withoutPrototypes } from "./templates.js";
 
 /** The parameters of one run of a definition. */
-export interface RunWords {
+export interface RunContext {
   readonly id: string;
   /** The run's logical date, `YYYY-MM-DD`. */
   readonly ds: string;
   readonly params: Readonly<Record<string, unknown>>;
 }
 
-export type Bounds = Pick<GraphOptions, "mostSteps" | "pools">;
+export type CompileLimits = Pick<GraphOptions, "mostSteps" | "pools">;
 
-const MOST_EDGES = 200_000;
+const MAX_EDGES = 200_000;
 /** Further problems are mostly consequences of the first ones. */
-const MOST_PROBLEMS = 50;
+const MAX_PROBLEMS = 50;
 
-const NUMBERS: ReadonlySet<string> = new Set([
+const NUMBER_FIELDS: ReadonlySet<string> = new Set([
   "shards",
   "cpus",
   "accelerators",
@@ -37,7 +37,7 @@
   "saveTakesS",
   "dueS",
 ]);
-const FLAGS: ReadonlySet<string> = new Set(["together", "spread", "loaner"]);
+const BOOLEAN_FIELDS: ReadonlySet<string> = new Set(["together", "spread", "loaner"]);
 const JOB_DEFAULTS: Readonly<Record<string, unknown>> = {
   shape: "sweep",
   rank: "normal",
@@ -52,18 +52,18 @@
   saveTakesS: 0,
   dueS: null,
 };
-const YES: ReadonlySet<string> = new Set(["true", "yes", "1", "on"]);
-const NO: ReadonlySet<string> = new Set(["false", "no", "0", "off", "none", ""]);
+const TRUE_WORDS: ReadonlySet<string> = new Set(["true", "yes", "1", "on"]);
+const FALSE_WORDS: ReadonlySet<string> = new Set(["false", "no", "0", "off", "none", ""]);
 
 /** One instance of a mapped task, or a task that is not mapped. */
 interface Instance {
   readonly id: string;
-  readonly names: Names;
+  readonly variables: TemplateVariables;
 }
 
 /** Turns a definition into the plan of one run. Throws a `GraphError` with the problems found, up to a bound. */
-export const compile = (graph: GraphDocument, words: RunWords, bounds: Bounds): Plan =>
-  new Compiler(graph, words, bounds).plan();
+export const compile = (graph: GraphDocument, context: RunContext, limits: CompileLimits): Plan =>
+  new Compiler(graph, context, limits).plan();
 
 class Compiler {
   private readonly problems: Problem[] = [];
@@ -72,91 +72,93 @@
   private readonly jobNumbers = new Map<string, number>();
   private readonly steps: Step[] = [];
   /** Numbers of the steps of each task, by task id. */
-  private readonly numbers = new Map<string, readonly number[]>();
+  private readonly stepNumbers = new Map<string, readonly number[]>();
   private readonly params: Readonly<Record<string, unknown>>;
   /** `params` for templates: without prototypes. */
-  private readonly bareParams: unknown;
+  private readonly templateParams: unknown;
 
   constructor(
     private readonly graph: GraphDocument,
-    private readonly words: RunWords,
-    private readonly bounds: Bounds,
+    private readonly context: RunContext,
+    private readonly limits: CompileLimits,
   ) {
-    this.params = paramsOf(graph, words.params, this.problems);
-    this.bareParams = bare(this.params);
+    this.params = paramsOf(graph, context.params, this.problems);
+    this.templateParams = withoutPrototypes(this.params);
   }
 
-  private fail(path: Problem["path"], message: string): void {
+  private addProblem(path: Problem["path"], message: string): void {
     this.problems.push({ path, message });
-    if (this.problems.length >= MOST_PROBLEMS) this.giveUp();
+    if (this.problems.length >= MAX_PROBLEMS) this.throwProblems();
   }
 
-  private giveUp(): void {
+  private throwProblems(): void {
     if (this.problems.length > 0) throw new GraphError(this.problems);
   }
 
   plan(): Plan {
-    const { graph, words } = this;
-    const { mostSteps } = this.bounds;
-    const flat = flatten(graph, this.problems, mostSteps);
-    if (flat.tasks.size > mostSteps) this.fail(["tasks"], `more than ${mostSteps} steps`);
-    if (flat.tasks.size === 0) this.fail(["tasks"], "no task");
-    this.giveUp();
-    const sorted = sortTasks(flat.upstream);
+    const { graph, context } = this;
+    const { mostSteps } = this.limits;
+    const flatGraph = flatten(graph, this.problems, mostSteps);
+    if (flatGraph.tasks.size > mostSteps) this.addProblem(["tasks"], `more than ${mostSteps} steps`);
+    if (flatGraph.tasks.size === 0) this.addProblem(["tasks"], "no task");
+    this.throwProblems();
+    const sorted = sortTasks(flatGraph.upstream);
     if (sorted.kind === "cycle") {
       const [first = ""] = sorted.path;
-      this.fail(flat.tasks.get(first)?.path ?? ["tasks"], `cycle: ${sorted.path.join(" >> ")}`);
-      this.giveUp();
+      this.addProblem(flatGraph.tasks.get(first)?.path ?? ["tasks"], `cycle: ${sorted.path.join(" >> ")}`);
+      this.throwProblems();
       throw new GraphError(this.problems);
     }
     let edges = 0;
     for (const id of sorted.ids) {
-      const task = flat.tasks.get(id);
+      const task = flatGraph.tasks.get(id);
       if (task === undefined) continue;
-      const upstream = [...(flat.upstream.get(id) ?? [])].flatMap((up) => this.numbers.get(up) ?? []);
+      const upstream = [...(flatGraph.upstream.get(id) ?? [])].flatMap((up) => this.stepNumbers.get(up) ?? []);
       upstream.sort((a, b) => a - b);
       const instances = this.instancesOf(task);
       edges += upstream.length * Math.max(1, instances.length);
-      if (edges > MOST_EDGES) this.fail(task.path, `more than ${MOST_EDGES} dependencies: put an empty task between`);
-      this.giveUp();
-      this.numbers.set(
+      if (edges > MAX_EDGES)
+        this.addProblem(task.path, `more than ${MAX_EDGES} dependencies: put an empty task between`);
+      this.throwProblems();
+      this.stepNumbers.set(
         id,
         instances.map((instance) => this.addStep(task, instance, upstream)),
       );
     }
-    this.cuts(flat.tasks, flat.upstream);
-    this.giveUp();
+    this.addCuts(flatGraph.tasks, flatGraph.upstream);
+    this.throwProblems();
     const plan: Plan = {
       dagId: graph.dag_id,
       description: graph.description ?? "",
       owner: graph.owner,
       tags: graph.tags ?? [],
-      ds: words.ds,
+      ds: context.ds,
       maxActiveTasks: graph.max_active_tasks ?? Number.MAX_SAFE_INTEGER,
       maxActiveRuns: graph.max_active_runs ?? Number.MAX_SAFE_INTEGER,
       timeoutS: graph.dagrun_timeout ?? null,
       jobs: this.jobs,
       steps: this.steps,
     };
-    const taskOf = new Map([...this.numbers].flatMap(([id, list]) => list.map((at) => [at, id] as const)));
-    for (const at of neverReached(plan)) {
+    const taskOf = new Map([...this.stepNumbers].flatMap(([id, list]) => list.map((at) => [at, id] as const)));
+    for (const at of unsatisfiableSteps(plan)) {
       const step = plan.steps[at];
-      const path = flat.tasks.get(taskOf.get(at) ?? "")?.path ?? ["tasks"];
-      if (step !== undefined) this.fail([...path, "trigger_rule"], `${step.rule} can never be met for ${step.id}`);
+      const path = flatGraph.tasks.get(taskOf.get(at) ?? "")?.path ?? ["tasks"];
+      if (step !== undefined)
+        this.addProblem([...path, "trigger_rule"], `${step.rule} can never be met for ${step.id}`);
     }
-    this.giveUp();
+    this.throwProblems();
     return plan;
   }
 
-  private namesFor(task: FlatTask, map: Readonly<Record<string, unknown>>, index: number): Names {
-    const { graph, words } = this;
+  private variablesFor(task: FlatTask, map: Readonly<Record<string, unknown>>, index: number): TemplateVariables {
+    const { graph, context } = this;
     return {
-      params: this.bareParams,
-      map: bare(map),
+      params: this.templateParams,
+      map: withoutPrototypes(map),
       map_index: index,
-      ds: words.ds,
-      ds_nodash: words.ds.replaceAll("-", ""),
-      run_id: words.id,
+      ds: context.ds,
+      ds_nodash: context.ds.replaceAll("-", ""),
+      run_id: context.id,
       dag_id: graph.dag_id,
       task_id: task.id,
       owner: task.args.owner ?? graph.owner,
@@ -165,27 +167,27 @@
 
   private instancesOf(task: FlatTask): readonly Instance[] {
     const { expand } = task.document;
-    if (expand === undefined) return [{ id: task.id, names: this.namesFor(task, {}, -1) }];
+    if (expand === undefined) return [{ id: task.id, variables: this.variablesFor(task, {}, -1) }];
     let maps: Readonly<Record<string, unknown>>[] = [{}];
     for (const [name, source] of Object.entries(expand)) {
       const values = typeof source === "string" ? this.params[source] : source;
       if (!Array.isArray(values)) {
-        this.fail([...task.path, "expand", name], `${String(source)} is not a param that holds a list`);
+        this.addProblem([...task.path, "expand", name], `${String(source)} is not a param that holds a list`);
         return [];
       }
-      if (maps.length * values.length > this.bounds.mostSteps) {
-        this.fail([...task.path, "expand"], `more than ${this.bounds.mostSteps} steps`);
+      if (maps.length * values.length > this.limits.mostSteps) {
+        this.addProblem([...task.path, "expand"], `more than ${this.limits.mostSteps} steps`);
         return [];
       }
       maps = maps.flatMap((map) => values.map((value: unknown) => ({ ...map, [name]: value })));
     }
-    if (this.steps.length + maps.length > this.bounds.mostSteps) {
-      this.fail([...task.path, "expand"], `more than ${this.bounds.mostSteps} steps`);
+    if (this.steps.length + maps.length > this.limits.mostSteps) {
+      this.addProblem([...task.path, "expand"], `more than ${this.limits.mostSteps} steps`);
       return [];
     }
     // A task mapped over an empty list is skipped; trigger rules decide its downstream steps.
-    if (maps.length === 0) return [{ id: task.id, names: this.namesFor(task, {}, -1) }];
-    return maps.map((map, at) => ({ id: `${task.id}[${at}]`, names: this.namesFor(task, map, at) }));
+    if (maps.length === 0) return [{ id: task.id, variables: this.variablesFor(task, {}, -1) }];
+    return maps.map((map, at) => ({ id: `${task.id}[${at}]`, variables: this.variablesFor(task, map, at) }));
   }
 
   private kindOf({ document, path }: FlatTask, mappedOverNothing: boolean): StepKind {
@@ -193,20 +195,20 @@
     if (document.empty === true) kinds.push("empty");
     if (document.short_circuit !== undefined) kinds.push("short_circuit");
     if (document.branch !== undefined) kinds.push("branch");
-    if (kinds.length > 1) this.fail(path, `either ${kinds.join(" or ")}`);
+    if (kinds.length > 1) this.addProblem(path, `either ${kinds.join(" or ")}`);
     if (kinds.length > 0 && document.job !== undefined)
-      this.fail([...path, "job"], `a step that is ${kinds[0]} runs none`);
+      this.addProblem([...path, "job"], `a step that is ${kinds[0]} runs none`);
     if ((document.branch ?? document.short_circuit) !== undefined && document.expand !== undefined) {
-      this.fail([...path, "expand"], "a step that decides can't be mapped");
+      this.addProblem([...path, "expand"], "a step that decides can't be mapped");
     }
     return mappedOverNothing ? "skip" : (kinds[0] ?? "job");
   }
 
-  private addStep(task: FlatTask, { id, names }: Instance, upstream: readonly number[]): number {
+  private addStep(task: FlatTask, { id, variables }: Instance, upstream: readonly number[]): number {
     const { args, document, path } = task;
     const kind = this.kindOf(task, document.expand !== undefined && id === task.id);
-    if (args.pool !== undefined && !Object.hasOwn(this.bounds.pools, args.pool)) {
-      this.fail([...path, "pool"], `no pool ${args.pool}`);
+    if (args.pool !== undefined && !Object.hasOwn(this.limits.pools, args.pool)) {
+      this.addProblem([...path, "pool"], `no pool ${args.pool}`);
     }
     this.steps.push({
       id,
@@ -227,54 +229,55 @@
       setup: document.setup ?? false,
       cuts: [],
       cutsAll: false,
-      job: kind === "job" ? this.jobOf(task, names) : null,
+      job: kind === "job" ? this.jobOf(task, variables) : null,
     });
     return this.steps.length - 1;
   }
 
-  private text(path: Problem["path"], text: string, names: Names): string {
+  private renderText(path: Problem["path"], text: string, variables: TemplateVariables): string {
     try {
-      return this.templates.render(text, names);
+      return this.templates.render(text, variables);
     } catch (error) {
       if (!(error instanceof TemplateError)) throw error;
-      this.fail(path, error.message);
+      this.addProblem(path, error.message);
       return "";
     }
   }
 
-  private field(path: Problem["path"], name: string, value: unknown, names: Names): unknown {
-    if (Array.isArray(value)) return value.map((inner, at) => this.field([...path, at], name, inner, names));
+  private renderField(path: Problem["path"], name: string, value: unknown, variables: TemplateVariables): unknown {
+    if (Array.isArray(value)) return value.map((inner, at) => this.renderField([...path, at], name, inner, variables));
     if (typeof value !== "string") return value;
-    const text = this.text(path, value, names);
-    if (FLAGS.has(name)) {
-      if (!YES.has(text.toLowerCase()) && !NO.has(text.toLowerCase())) this.fail(path, `${text} is not true or false`);
-      return YES.has(text.toLowerCase());
+    const text = this.renderText(path, value, variables);
+    if (BOOLEAN_FIELDS.has(name)) {
+      if (!TRUE_WORDS.has(text.toLowerCase()) && !FALSE_WORDS.has(text.toLowerCase()))
+        this.addProblem(path, `${text} is not true or false`);
+      return TRUE_WORDS.has(text.toLowerCase());
     }
-    if (!NUMBERS.has(name)) return text;
+    if (!NUMBER_FIELDS.has(name)) return text;
     const number = text.trim() === "" ? Number.NaN : Number(text);
-    if (!Number.isFinite(number)) this.fail(path, `${text} is not a number`);
+    if (!Number.isFinite(number)) this.addProblem(path, `${text} is not a number`);
     return number;
   }
 
   /** Number of the task's job in `jobs`. The job is checked as if a user submitted it. */
-  private jobOf(task: FlatTask, names: Names): number {
+  private jobOf(task: FlatTask, variables: TemplateVariables): number {
     const path = [...task.path, "job"];
     const given = Object.entries(task.args.job ?? {}).map(
-      ([name, value]) => [name, this.field([...path, name], name, value, names)] as const,
+      ([name, value]) => [name, this.renderField([...path, name], name, value, variables)] as const,
     );
     const owner = task.args.owner ?? this.graph.owner;
     const job = { ...JOB_DEFAULTS, ...Object.fromEntries(given), owner };
     const key = JSON.stringify(job);
-    const known = this.jobNumbers.get(key);
-    if (known !== undefined) return known;
-    const before = this.problems.length;
+    const existing = this.jobNumbers.get(key);
+    if (existing !== undefined) return existing;
+    const problemsBefore = this.problems.length;
     try {
       decodeSubmission({ ...job, ref: "wk-step" });
     } catch (error) {
       if (!(error instanceof MalformedMessageError)) throw error;
       const [field = "", ...rest] = error.message.split(": ");
       // Where a template failed, that problem is listed already.
-      if (this.problems.length === before) this.fail([...path, field], rest.join(": ") || error.message);
+      if (this.problems.length === problemsBefore) this.addProblem([...path, field], rest.join(": ") || error.message);
     }
     this.jobs.push(job);
     this.jobNumbers.set(key, this.jobs.length - 1);
@@ -282,55 +285,60 @@
   }
 
   /** Adds the steps that branches and short circuits skip. These depend on params only, so they are known by now. */
-  private cuts(tasks: ReadonlyMap<string, FlatTask>, upstream: ReadonlyMap<string, ReadonlySet<string>>): void {
+  private addCuts(tasks: ReadonlyMap<string, FlatTask>, upstream: ReadonlyMap<string, ReadonlySet<string>>): void {
     const downstream = new Map<string, string[]>();
     for (const id of upstream.keys()) downstream.set(id, []);
     for (const [id, ups] of upstream) for (const up of ups) downstream.get(up)?.push(id);
     for (const task of tasks.values()) {
       const { document, path, id } = task;
-      const [at] = this.numbers.get(id) ?? [];
+      const [at] = this.stepNumbers.get(id) ?? [];
       const step = at === undefined ? undefined : this.steps[at];
       if (at === undefined || step === undefined) continue;
       const direct = downstream.get(id) ?? [];
       let cut: readonly string[] = [];
       if (document.short_circuit !== undefined) {
-        const said = this.text([...path, "short_circuit"], document.short_circuit, this.namesFor(task, {}, -1));
-        const word = said.trim().toLowerCase();
-        if (!YES.has(word) && !NO.has(word)) this.fail([...path, "short_circuit"], `${said} is not true or false`);
-        if (NO.has(word)) cut = direct;
+        const rendered = this.renderText(
+          [...path, "short_circuit"],
+          document.short_circuit,
+          this.variablesFor(task, {}, -1),
+        );
+        const word = rendered.trim().toLowerCase();
+        if (!TRUE_WORDS.has(word) && !FALSE_WORDS.has(word))
+          this.addProblem([...path, "short_circuit"], `${rendered} is not true or false`);
+        if (FALSE_WORDS.has(word)) cut = direct;
       }
-      if (document.branch !== undefined) cut = this.notFollowed(task, direct, downstream);
+      if (document.branch !== undefined) cut = this.skippedByBranch(task, direct, downstream);
       if (cut.length === 0) continue;
       this.steps[at] = {
         ...step,
-        cuts: cut.flatMap((name) => this.numbers.get(name) ?? []),
+        cuts: cut.flatMap((name) => this.stepNumbers.get(name) ?? []),
         cutsAll: document.short_circuit !== undefined && (document.ignore_downstream_trigger_rules ?? true),
       };
     }
   }
 
   /** As in Airflow: the direct downstream tasks that are neither followed nor downstream of a followed task. */
-  private notFollowed(
+  private skippedByBranch(
     task: FlatTask,
     direct: readonly string[],
     downstream: ReadonlyMap<string, readonly string[]>,
   ): readonly string[] {
     const path = [...task.path, "branch"];
-    const said = this.text(path, task.document.branch ?? "", this.namesFor(task, {}, -1));
+    const rendered = this.renderText(path, task.document.branch ?? "", this.variablesFor(task, {}, -1));
     const group = task.id.slice(0, Math.max(0, task.id.lastIndexOf(".")));
-    const follow = said
+    const follow = rendered
       .split(/[\s,]+/)
       .filter((name) => name !== "")
       .map((name) => (group !== "" && direct.includes(`${group}.${name}`) ? `${group}.${name}` : name));
     for (const name of follow)
-      if (!direct.includes(name)) this.fail(path, `${name} does not come right after ${task.id}`);
+      if (!direct.includes(name)) this.addProblem(path, `${name} does not come right after ${task.id}`);
     const reached = new Set<string>(follow);
-    const work = [...follow];
-    for (let id = work.pop(); id !== undefined; id = work.pop()) {
+    const stack = [...follow];
+    for (let id = stack.pop(); id !== undefined; id = stack.pop()) {
       for (const down of downstream.get(id) ?? []) {
         if (reached.has(down)) continue;
         reached.add(down);
-        work.push(down);
+        stack.push(down);
       }
     }
     return direct.filter((name) => !reached.has(name));
--- a/src/graphs/description/document.ts
+++ b/src/graphs/description/document.ts
@@ -76,6 +76,6 @@
   if (validate(value)) return value;
   const errors = validate.errors ?? [];
   // Where `anyOf` allows several forms, the error within one of them is more specific than that of `anyOf`.
-  const worst = errors.find(({ keyword }) => keyword !== "anyOf") ?? errors[0];
-  throw new GraphError([worst === undefined ? { path: [], message: "invalid" } : problemOf(worst)]);
+  const mostSpecific = errors.find(({ keyword }) => keyword !== "anyOf") ?? errors[0];
+  throw new GraphError([mostSpecific === undefined ? { path: [], message: "invalid" } : problemOf(mostSpecific)]);
 };
--- a/src/graphs/description/flatten.ts
+++ b/src/graphs/description/flatten.ts
@@ -11,18 +11,20 @@
   readonly args: TaskArgs;
 }
 
-export interface Flat {
+export interface FlatGraph {
   readonly tasks: ReadonlyMap<string, FlatTask>;
   /** Ids of the direct upstream tasks of each task. */
   readonly upstream: ReadonlyMap<string, ReadonlySet<string>>;
 }
 
-interface Wish {
+/** An edge as written: names are not resolved yet. `group` is where it is written; "" at the top level. */
+interface Dependency {
   readonly edge: Edge;
   readonly group: string;
   readonly path: Path;
 }
 
+/** `members` includes the tasks of inner groups. */
 interface Group {
   readonly members: readonly string[];
   readonly depth: number;
@@ -40,18 +42,18 @@
   return args;
 };
 
-const MOST_DEPTH = 20;
-const MOST_NAME = 200;
+const MAX_GROUP_DEPTH = 20;
+const MAX_ID_LENGTH = 200;
 
 /** Resolves groups and defaults. Appends problems to `problems`; stops collecting tasks above `mostTasks`. */
-export const flatten = (graph: GraphDocument, problems: Problem[], mostTasks: number): Flat => {
+export const flatten = (graph: GraphDocument, problems: Problem[], mostTasks: number): FlatGraph => {
   const tasks = new Map<string, FlatTask>();
   const groups = new Map<string, Group>();
-  const wishes: Wish[] = [];
-  const taken = new Map<string, Path>();
-  const claim = (id: string, path: Path): boolean => {
-    const before = taken.get(id);
-    if (before === undefined) taken.set(id, path);
+  const unresolved: Dependency[] = [];
+  const pathsById = new Map<string, Path>();
+  const claimId = (id: string, path: Path): boolean => {
+    const before = pathsById.get(id);
+    if (before === undefined) pathsById.set(id, path);
     else problems.push({ path, message: `${id} is there already` });
     return before === undefined;
   };
@@ -64,71 +66,67 @@
     const args = merge(outer, level.default_args ?? {});
     const members: string[] = [];
     const prefix = group === "" ? "" : `${group}.`;
-    if (path.length > 2 * MOST_DEPTH) {
-      problems.push({ path, message: `groups more than ${MOST_DEPTH} deep` });
+    if (path.length > 2 * MAX_GROUP_DEPTH) {
+      problems.push({ path, message: `groups more than ${MAX_GROUP_DEPTH} deep` });
       return members;
     }
     for (const [at, document] of level.tasks.entries()) {
       if (tasks.size > mostTasks) break;
       const id = `${prefix}${document.task_id}`;
       const here = [...path, "tasks", at];
-      if (id.length > MOST_NAME)
-        problems.push({ path: [...here, "task_id"], message: `longer than ${MOST_NAME}, groups included` });
-      if (!claim(id, [...here, "task_id"])) continue;
+      if (id.length > MAX_ID_LENGTH)
+        problems.push({ path: [...here, "task_id"], message: `longer than ${MAX_ID_LENGTH}, groups included` });
+      if (!claimId(id, [...here, "task_id"])) continue;
       tasks.set(id, { id, path: here, document, args: merge(args, argsOf(document)) });
       members.push(id);
       for (const [index, from] of (document.upstream ?? []).entries()) {
-        wishes.push({ edge: { from, to: id }, group, path: [...here, "upstream", index] });
+        unresolved.push({ edge: { from, to: id }, group, path: [...here, "upstream", index] });
       }
     }
     for (const [at, inner] of (level.task_groups ?? []).entries()) {
       const id = `${prefix}${inner.group_id}`;
       const here = [...path, "task_groups", at];
-      if (!claim(id, [...here, "group_id"])) continue;
+      if (!claimId(id, [...here, "group_id"])) continue;
       const inside = walk(inner, id, here, args);
       groups.set(id, { members: inside, depth: here.length });
       members.push(...inside);
       for (const [index, from] of (inner.upstream ?? []).entries()) {
-        wishes.push({ edge: { from, to: id }, group, path: [...here, "upstream", index] });
+        unresolved.push({ edge: { from, to: id }, group, path: [...here, "upstream", index] });
       }
     }
     for (const [at, text] of (level.dependencies ?? []).entries()) {
       const here = [...path, "dependencies", at];
       const edges = readDependencies(text);
       if (typeof edges === "string") problems.push({ path: here, message: edges });
-      else for (const edge of edges) wishes.push({ edge, group, path: here });
+      else for (const edge of edges) unresolved.push({ edge, group, path: here });
     }
     return members;
   };
   walk(graph, "", [], {});
-  return { tasks, upstream: link(tasks, groups, wishes, problems) };
+  return { tasks, upstream: resolveDependencies(tasks, groups, unresolved, problems) };
 };
 
 /** Looks a name up in the group where it is used, then in the enclosing groups. Null: unknown. */
-const resolve = (name: string, group: string, known: (id: string) => boolean): string | null => {
-  for (
-    let dependencies = group;
-    dependencies !== "";
-    dependencies = dependencies.slice(0, Math.max(0, dependencies.lastIndexOf(".")))
-  ) {
-    if (known(`${dependencies}.${name}`)) return `${dependencies}.${name}`;
+const resolveName = (name: string, group: string, known: (id: string) => boolean): string | null => {
+  for (let scope = group; scope !== ""; scope = scope.slice(0, Math.max(0, scope.lastIndexOf(".")))) {
+    if (known(`${scope}.${name}`)) return `${scope}.${name}`;
   }
   return known(name) ? name : null;
 };
 
-const link = (
+const resolveDependencies = (
   tasks: ReadonlyMap<string, FlatTask>,
   groups: ReadonlyMap<string, Group>,
-  wishes: readonly Wish[],
+  unresolved: readonly Dependency[],
   problems: Problem[],
 ): ReadonlyMap<string, ReadonlySet<string>> => {
   const upstream = new Map<string, Set<string>>([...tasks.keys()].map((id) => [id, new Set<string>()]));
   const downstream = new Map<string, Set<string>>([...tasks.keys()].map((id) => [id, new Set<string>()]));
   const known = (id: string): boolean => tasks.has(id) || groups.has(id);
   const resolved: { from: string; to: string; depth: number; path: Path }[] = [];
-  for (const { edge, group, path } of wishes) {
-    const from = resolve(edge.from, group, known);
-    const to = resolve(edge.to, group, known);
+  for (const { edge, group, path } of unresolved) {
+    const from = resolveName(edge.from, group, known);
+    const to = resolveName(edge.to, group, known);
     if (from === null) problems.push({ path, message: `no task or group ${edge.from}` });
     if (to === null) problems.push({ path, message: `no task or group ${edge.to}` });
     if (from === null || to === null) continue;
@@ -137,7 +135,7 @@
   }
   // Edges within a group decide which of its tasks are first and last, so the innermost edges are resolved first.
   resolved.sort((a, b) => b.depth - a.depth);
-  const ends = (id: string, lists: ReadonlyMap<string, ReadonlySet<string>>): readonly string[] => {
+  const boundaryTasks = (id: string, lists: ReadonlyMap<string, ReadonlySet<string>>): readonly string[] => {
     const group = groups.get(id);
     if (group === undefined) return [id];
     const inside = new Set(group.members);
@@ -149,8 +147,8 @@
   for (const { from, to, path } of resolved) {
     if (from === to) problems.push({ path, message: `${from} depends on itself` });
     else {
-      for (const a of ends(from, downstream)) {
-        for (const b of ends(to, upstream)) {
+      for (const a of boundaryTasks(from, downstream)) {
+        for (const b of boundaryTasks(to, upstream)) {
           upstream.get(b)?.add(a);
           downstream.get(a)?.add(b);
         }
--- a/src/graphs/description/index.ts
+++ b/src/graphs/description/index.ts
@@ -1,5 +1,5 @@
 /** Parsing and compiling of definitions. Loaded on first use, because its libraries are larger than the other code. */
-export { compile, type RunWords } from "./compile.js";
+export { compile, type RunContext } from "./compile.js";
 export { type GraphDocument, readDocument } from "./document.js";
 export { GraphError, type PlacedProblem, type Problem, placedText, problemText } from "./problem.js";
 export { isClear, isPart, isSubmission, type Part, type Submission, whyNot } from "./requests.js";
--- a/src/graphs/description/order.ts
+++ b/src/graphs/description/order.ts
@@ -9,11 +9,11 @@
 ):
   | { readonly kind: "order"; readonly ids: readonly string[] }
   | { readonly kind: "cycle"; readonly path: string[] } => {
-  const places = new Map([...upstream.keys()].map((id, at) => [id, at]));
-  const left = new Map<string, number>();
+  const positions = new Map([...upstream.keys()].map((id, at) => [id, at]));
+  const unorderedUpstream = new Map<string, number>();
   const downstream = new Map<string, string[]>();
   for (const [id, ups] of upstream) {
-    left.set(id, ups.size);
+    unorderedUpstream.set(id, ups.size);
     for (const up of ups) {
       const list = downstream.get(up);
       if (list === undefined) downstream.set(up, [id]);
@@ -21,15 +21,15 @@
     }
   }
   const ready = new TinyQueue<string>(
-    [...upstream.keys()].filter((id) => left.get(id) === 0),
-    (a, b) => (places.get(a) ?? 0) - (places.get(b) ?? 0),
+    [...upstream.keys()].filter((id) => unorderedUpstream.get(id) === 0),
+    (a, b) => (positions.get(a) ?? 0) - (positions.get(b) ?? 0),
   );
   const ids: string[] = [];
   for (let id = ready.pop(); id !== undefined; id = ready.pop()) {
     ids.push(id);
     for (const down of downstream.get(id) ?? []) {
-      const rest = (left.get(down) ?? 0) - 1;
-      left.set(down, rest);
+      const rest = (unorderedUpstream.get(down) ?? 0) - 1;
+      unorderedUpstream.set(down, rest);
       if (rest === 0) ready.push(down);
     }
   }
--- a/src/graphs/description/params.ts
+++ b/src/graphs/description/params.ts
@@ -3,11 +3,21 @@
 import type { GraphDocument } from "./document.js";
 import type { Problem } from "./problem.js";
 
-const isDescribed = (value: unknown): value is Readonly<Record<string, unknown>> =>
+const isParamDefinition = (value: unknown): value is Readonly<Record<string, unknown>> =>
   typeof value === "object" && value !== null && !Array.isArray(value) && ("default" in value || "type" in value);
 
 /** Supported JSON schema keywords. `pattern` is left out: a user's regular expression could block the controller. */
-const KEPT = ["type", "enum", "minimum", "maximum", "minLength", "maxLength", "minItems", "maxItems", "items"];
+const SUPPORTED_KEYWORDS = [
+  "type",
+  "enum",
+  "minimum",
+  "maximum",
+  "minLength",
+  "maxLength",
+  "minItems",
+  "maxItems",
+  "items",
+];
 
 /**
  * The run's params: the given values, else the graph's defaults. A graph declares a param as a plain default or, like
@@ -25,16 +35,18 @@
   for (const name of Object.keys(given)) {
     if (!Object.hasOwn(declared, name)) problems.push({ path: ["params", name], message: "no such param" });
   }
-  for (const [name, described] of Object.entries(declared)) {
+  for (const [name, definition] of Object.entries(declared)) {
     const path = ["params", name];
-    const own = Object.hasOwn(given, name);
-    if (!isDescribed(described)) {
-      values[name] = own ? given[name] : described;
+    const isGiven = Object.hasOwn(given, name);
+    if (!isParamDefinition(definition)) {
+      values[name] = isGiven ? given[name] : definition;
       continue;
     }
-    if (!own && !("default" in described)) problems.push({ path, message: "has no default and is not given" });
-    values[name] = own ? given[name] : described.default;
-    const schema = Object.fromEntries(Object.entries(described).filter(([word]) => KEPT.includes(word)));
+    if (!isGiven && !("default" in definition)) problems.push({ path, message: "has no default and is not given" });
+    values[name] = isGiven ? given[name] : definition.default;
+    const schema = Object.fromEntries(
+      Object.entries(definition).filter(([keyword]) => SUPPORTED_KEYWORDS.includes(keyword)),
+    );
     try {
       if (!ajv.validate(schema, values[name])) {
         problems.push({ path, message: ajv.errors?.[0]?.message ?? "does not fit" });
--- a/src/graphs/description/reach.ts
+++ b/src/graphs/description/reach.ts
@@ -3,71 +3,75 @@
 import type { TriggerRule } from "../run/rules.js";
 
 /** The final states that a step can reach, judged by the plan alone. */
-interface Ends {
+interface PossibleStates {
   readonly success: boolean;
   readonly failed: boolean;
   readonly skipped: boolean;
   readonly upstreamFailed: boolean;
 }
 
-const NEVER: Ends = { success: false, failed: false, skipped: false, upstreamFailed: false };
+const NO_STATE: PossibleStates = { success: false, failed: false, skipped: false, upstreamFailed: false };
 
-interface Look {
-  readonly every: (test: (ends: Ends) => boolean) => boolean;
-  readonly some: (test: (ends: Ends) => boolean) => boolean;
+/** Tests on the possible states of a set of upstream steps. */
+interface UpstreamStates {
+  readonly every: (test: (states: PossibleStates) => boolean) => boolean;
+  readonly some: (test: (states: PossibleStates) => boolean) => boolean;
 }
 
-const good = (ends: Ends): boolean => ends.success;
-const bad = (ends: Ends): boolean => ends.failed || ends.upstreamFailed;
-const left = (ends: Ends): boolean => ends.skipped;
+const maySucceed = (states: PossibleStates): boolean => states.success;
+/** In state `failed` or `upstream_failed`. */
+const mayFail = (states: PossibleStates): boolean => states.failed || states.upstreamFailed;
+const mayBeSkipped = (states: PossibleStates): boolean => states.skipped;
 
-const mayRun = (rule: TriggerRule, { every, some }: Look, setups: Look): boolean => {
+/** Whether the trigger rule can be met. `setups`: the upstream steps that are setup tasks. */
+const ruleMayRun = (rule: TriggerRule, { every, some }: UpstreamStates, setups: UpstreamStates): boolean => {
   switch (rule) {
     case "always":
     case "all_done":
       return true;
     case "all_success":
-      return every(good);
+      return every(maySucceed);
     case "all_failed":
-      return every(bad);
+      return every(mayFail);
     case "all_skipped":
-      return every(left);
+      return every(mayBeSkipped);
     case "one_success":
     case "all_done_min_one_success":
-      return some(good);
+      return some(maySucceed);
     case "one_failed":
-      return some(bad);
+      return some(mayFail);
     case "one_done":
-      return some((ends) => ends.success || ends.failed);
+      return some((states) => states.success || states.failed);
     case "none_failed":
-      return every((ends) => good(ends) || left(ends));
+      return every((states) => maySucceed(states) || mayBeSkipped(states));
     case "none_failed_min_one_success":
-      return every((ends) => good(ends) || left(ends)) && some(good);
+      return every((states) => maySucceed(states) || mayBeSkipped(states)) && some(maySucceed);
     case "none_skipped":
-      return every((ends) => good(ends) || bad(ends));
+      return every((states) => maySucceed(states) || mayFail(states));
     case "all_done_setup_success":
-      return setups.every(() => false) || setups.some(good);
+      return setups.every(() => false) || setups.some(maySucceed);
   }
 };
 
-const maySkip = (rule: TriggerRule, { every, some }: Look): boolean => {
+/** Whether the trigger rule can skip the step. */
+const ruleMaySkip = (rule: TriggerRule, { every, some }: UpstreamStates): boolean => {
   switch (rule) {
     case "all_success":
     case "none_skipped":
     case "all_done_setup_success":
-      return some(left);
+      return some(mayBeSkipped);
     case "all_failed":
-      return some((ends) => good(ends) || left(ends));
+      return some((states) => maySucceed(states) || mayBeSkipped(states));
     case "all_skipped":
-      return some((ends) => good(ends) || bad(ends));
+      return some((states) => maySucceed(states) || mayFail(states));
     case "one_success":
     case "none_failed_min_one_success":
     case "all_done_min_one_success":
-      return every(left);
+      return every(mayBeSkipped);
     case "one_failed":
-      return every((ends) => good(ends) || left(ends));
+      return every((states) => maySucceed(states) || mayBeSkipped(states));
     case "one_done":
-      return every((ends) => left(ends) || ends.upstreamFailed);
+      return every((states) => mayBeSkipped(states) || states.upstreamFailed);
     case "always":
     case "all_done":
     case "none_failed":
@@ -75,7 +79,8 @@
   }
 };
 
-const mayFailAbove = (rule: TriggerRule, { some }: Look): boolean => {
+/** Whether the trigger rule can end the step as `upstream_failed`. */
+const ruleMayFail = (rule: TriggerRule, { some }: UpstreamStates): boolean => {
   switch (rule) {
     case "all_success":
     case "one_success":
@@ -83,35 +88,35 @@
     case "none_failed_min_one_success":
     case "all_done_min_one_success":
     case "all_done_setup_success":
-      return some(bad);
+      return some(mayFail);
     default:
       return false;
   }
 };
 
 /** Numbers of the steps whose trigger rule can never be met, whatever the final states of other steps. */
-export const neverReached = (plan: Plan): readonly number[] => {
-  const ends: Ends[] = [];
-  const never: number[] = [];
+export const unsatisfiableSteps = (plan: Plan): readonly number[] => {
+  const possible: PossibleStates[] = [];
+  const unsatisfiable: number[] = [];
   const cut = new Set<number>();
   for (const [at, step] of plan.steps.entries()) {
-    const look = (numbers: readonly number[]): Look => ({
-      every: (test) => numbers.every((up) => test(ends[up] ?? NEVER)),
-      some: (test) => numbers.some((up) => test(ends[up] ?? NEVER)),
+    const statesOf = (numbers: readonly number[]): UpstreamStates => ({
+      every: (test) => numbers.every((up) => test(possible[up] ?? NO_STATE)),
+      some: (test) => numbers.some((up) => test(possible[up] ?? NO_STATE)),
     });
-    const above = look(step.upstream);
-    const setups = look(step.upstream.filter((up) => plan.steps[up]?.setup === true));
-    const runs = step.upstream.length === 0 || mayRun(step.rule, above, setups);
-    if (!runs) never.push(at);
+    const upstreamStates = statesOf(step.upstream);
+    const setups = statesOf(step.upstream.filter((up) => plan.steps[up]?.setup === true));
+    const runs = step.upstream.length === 0 || ruleMayRun(step.rule, upstreamStates, setups);
+    if (!runs) unsatisfiable.push(at);
     const isCut = cut.has(at) || step.upstream.some((up) => cut.has(up));
     if (isCut) cut.add(at);
     for (const down of step.cuts) cut.add(down);
-    ends.push({
+    possible.push({
       success: runs && step.kind !== "skip",
       failed: runs && step.kind === "job",
-      skipped: isCut || step.kind === "skip" || (step.upstream.length > 0 && maySkip(step.rule, above)),
-      upstreamFailed: step.upstream.length > 0 && mayFailAbove(step.rule, above),
+      skipped: isCut || step.kind === "skip" || (step.upstream.length > 0 && ruleMaySkip(step.rule, upstreamStates)),
+      upstreamFailed: step.upstream.length > 0 && ruleMayFail(step.rule, upstreamStates),
     });
   }
-  return never;
+  return unsatisfiable;
 };
--- a/src/graphs/description/requests.ts
+++ b/src/graphs/description/requests.ts
@@ -1,7 +1,7 @@
 /** Bodies of users' requests for graphs, and their checks. */
 import { Ajv } from "ajv";
 
-const MOST_PARTS = 256;
+const MAX_PARTS = 256;
 
 /** A request to run a graph. */
 export interface Submission {
@@ -38,7 +38,7 @@
   properties: {
     ref,
     part: { type: "integer", minimum: 0 },
-    parts: { type: "integer", minimum: 1, maximum: MOST_PARTS },
+    parts: { type: "integer", minimum: 1, maximum: MAX_PARTS },
     text: { type: "string" },
   },
 });
--- a/src/graphs/description/schema.ts
+++ b/src/graphs/description/schema.ts
@@ -5,7 +5,7 @@
 const name = { type: "string", pattern: "^[A-Za-z0-9_.-]{1,100}$" } as const;
 const text = { type: "string", maxLength: 2_000 } as const;
 const label = { type: "string", minLength: 1, maxLength: 200 } as const;
-const span = { type: "number", minimum: 0, maximum: 31_536_000 } as const;
+const durationS = { type: "number", minimum: 0, maximum: 31_536_000 } as const;
 const names = { type: "array", items: { type: "string", maxLength: 200 }, maxItems: 10_000 } as const;
 const template = { type: "string", pattern: "\\{\\{", maxLength: 2_000 } as const;
 const amount = { anyOf: [{ type: "number", minimum: 0 }, template] } as const;
@@ -37,13 +37,13 @@
   },
 } as const;
 
-const shared = {
+const taskArgs = {
   owner: label,
   trigger_rule: { enum: TRIGGER_RULES },
   retries: { type: "integer", minimum: 0, maximum: 1_000 },
-  retry_delay: span,
+  retry_delay: durationS,
   retry_exponential_backoff: { type: "boolean" },
-  max_retry_delay: span,
+  max_retry_delay: durationS,
   execution_timeout: { type: "number", exclusiveMinimum: 0, maximum: 31_536_000 },
   pool: name,
   priority_weight: { type: "integer", minimum: -1_000_000, maximum: 1_000_000 },
@@ -66,7 +66,7 @@
     owner: label,
     tags: { type: "array", items: label, maxItems: 100 },
     params: { type: "object", maxProperties: 200, propertyNames: { pattern: "^[A-Za-z_][A-Za-z0-9_]{0,99}$" } },
-    default_args: { type: "object", additionalProperties: false, properties: shared },
+    default_args: { type: "object", additionalProperties: false, properties: taskArgs },
     max_active_tasks: { type: "integer", minimum: 1, maximum: 100_000 },
     max_active_runs: { type: "integer", minimum: 1, maximum: 10_000 },
     dagrun_timeout: { type: "number", exclusiveMinimum: 0, maximum: 31_536_000 },
@@ -84,7 +84,7 @@
       properties: {
         task_id: name,
         upstream: names,
-        ...shared,
+        ...taskArgs,
         /** Succeeds at once without a job, to join dependencies. */
         empty: { type: "boolean" },
         short_circuit: text,
@@ -107,7 +107,7 @@
         group_id: name,
         tooltip: text,
         upstream: names,
-        default_args: { type: "object", additionalProperties: false, properties: shared },
+        default_args: { type: "object", additionalProperties: false, properties: taskArgs },
         dependencies: { $ref: "#/definitions/dependencies" },
         tasks: { type: "array", items: { $ref: "#/definitions/task" } },
         task_groups: { type: "array", items: { $ref: "#/definitions/group" } },
--- a/src/graphs/description/templates.ts
+++ b/src/graphs/description/templates.ts
@@ -2,16 +2,16 @@
 import nunjucks from "nunjucks";
 
 /** The variables of a template. No object in it has a prototype. */
-export type Names = Readonly<Record<string, unknown>>;
+export type TemplateVariables = Readonly<Record<string, unknown>>;
 
 /** The template is malformed, not allowed, or names an undefined variable; the message is for the user. */
 export class TemplateError extends Error {}
 
-const MOST_OUTPUT = 4_096;
-const MOST_NODES = 100;
+const MAX_OUTPUT_LENGTH = 4_096;
+const MAX_NODES = 100;
 
 /** Filters whose output is not larger than their input. */
-const FILTERS: ReadonlySet<string> = new Set([
+const ALLOWED_FILTERS: ReadonlySet<string> = new Set([
   "abs",
   "capitalize",
   "default",
@@ -29,7 +29,7 @@
 ]);
 
 /** Syntax nodes of expressions only: no loops, calls, assignments, macros, includes or tests. */
-const ALLOWED: ReadonlySet<string> = new Set([
+const ALLOWED_NODES: ReadonlySet<string> = new Set([
   "Root",
   "NodeList",
   "Output",
@@ -54,7 +54,7 @@
   "Mod",
   "Concat",
 ]);
-const HIDDEN: ReadonlySet<unknown> = new Set(["constructor", "__proto__", "prototype"]);
+const FORBIDDEN_KEYS: ReadonlySet<unknown> = new Set(["constructor", "__proto__", "prototype"]);
 
 interface TemplateNode {
   readonly typename: string;
@@ -77,27 +77,27 @@
   );
 };
 
-const check = (root: TemplateNode, names: Names): void => {
+const checkTemplate = (root: TemplateNode, variables: TemplateVariables): void => {
   const seen = new Set<TemplateNode>();
-  const work: { node: TemplateNode; filter: boolean }[] = [{ node: root, filter: false }];
-  for (let next = work.pop(); next !== undefined; next = work.pop()) {
+  const stack: { node: TemplateNode; filter: boolean }[] = [{ node: root, filter: false }];
+  for (let next = stack.pop(); next !== undefined; next = stack.pop()) {
     const { node, filter } = next;
     if (seen.has(node)) continue;
     seen.add(node);
-    if (seen.size > MOST_NODES) throw new TemplateError("template too long");
+    if (seen.size > MAX_NODES) throw new TemplateError("template too long");
     const { typename } = node;
-    if (!ALLOWED.has(typename)) throw new TemplateError(`${typename.toLowerCase()} is not allowed in a template`);
+    if (!ALLOWED_NODES.has(typename)) throw new TemplateError(`${typename.toLowerCase()} is not allowed in a template`);
     if (typename === "Symbol") {
       const name = String(node.value);
-      if (filter && !FILTERS.has(name)) throw new TemplateError(`no filter ${name}`);
-      if (!filter && !Object.hasOwn(names, name)) throw new TemplateError(`${name} is undefined`);
+      if (filter && !ALLOWED_FILTERS.has(name)) throw new TemplateError(`no filter ${name}`);
+      if (!filter && !Object.hasOwn(variables, name)) throw new TemplateError(`${name} is undefined`);
     }
     if (typename === "LookupVal") {
       const key = isNode(node.val) ? node.val.value : undefined;
-      if (HIDDEN.has(key)) throw new TemplateError(`${String(key)} is not allowed in a template`);
+      if (FORBIDDEN_KEYS.has(key)) throw new TemplateError(`${String(key)} is not allowed in a template`);
     }
     for (const child of childrenOf(node))
-      work.push({ node: child, filter: typename === "Filter" && child === node.name });
+      stack.push({ node: child, filter: typename === "Filter" && child === node.name });
   }
 };
 
@@ -105,12 +105,12 @@
 const environment = new nunjucks.Environment(null, { autoescape: false, throwOnUndefined: true });
 
 /** A deep copy without prototypes, so that a template can't access inherited properties such as constructors. */
-export const bare = (value: unknown): unknown => {
-  if (Array.isArray(value)) return value.map(bare);
+export const withoutPrototypes = (value: unknown): unknown => {
+  if (Array.isArray(value)) return value.map(withoutPrototypes);
   if (typeof value !== "object" || value === null) return value;
   return Object.assign(
     Object.create(null) as object,
-    Object.fromEntries(Object.entries(value).map(([name, inner]) => [name, bare(inner)])),
+    Object.fromEntries(Object.entries(value).map(([name, inner]) => [name, withoutPrototypes(inner)])),
   );
 };
 
@@ -118,20 +118,21 @@
 
 /** Renders templates; caches the compiled ones. */
 export class Templates {
-  private readonly known = new Map<string, nunjucks.Template>();
+  private readonly compiled = new Map<string, nunjucks.Template>();
 
   /** Throws `TemplateError`, also for an undefined name. */
-  render(text: string, names: Names): string {
+  render(text: string, variables: TemplateVariables): string {
     if (!isTemplate(text)) return text;
     try {
-      let template = this.known.get(text);
+      let template = this.compiled.get(text);
       if (template === undefined) {
-        check(parser.parse(text), names);
+        checkTemplate(parser.parse(text), variables);
         template = new nunjucks.Template(text, environment, undefined, true);
-        this.known.set(text, template);
+        this.compiled.set(text, template);
       }
-      const output = template.render(names);
-      if (output.length > MOST_OUTPUT) throw new TemplateError(`result longer than ${MOST_OUTPUT} characters`);
+      const output = template.render(variables);
+      if (output.length > MAX_OUTPUT_LENGTH)
+        throw new TemplateError(`result longer than ${MAX_OUTPUT_LENGTH} characters`);
       return output;
     } catch (error) {
       if (error instanceof TemplateError) throw error;
--- a/src/graphs/description/text.ts
+++ b/src/graphs/description/text.ts
@@ -3,9 +3,9 @@
 import { GraphError, type Path, type PlacedProblem, type Problem } from "./problem.js";
 
 /** In bytes. Larger files are refused before parsing: their graphs would exceed the largest run. */
-export const MOST_TEXT = 4 * 1_024 * 1_024;
+export const MAX_TEXT_BYTES = 4 * 1_024 * 1_024;
 /** The parser counts each alias by its expansion, so nested aliases ("billion laughs") soon exceed this. */
-const MOST_ALIASES = 100;
+const MAX_ALIASES = 100;
 
 export interface ReadText {
   readonly value: unknown;
@@ -13,7 +13,7 @@
   readonly place: (problem: Problem) => PlacedProblem;
 }
 
-const first = (message: string): string =>
+const shortMessage = (message: string): string =>
   // The parser reports its own stack overflow as a syntax error in the text.
   message.includes("call stack")
     ? "nested too deeply"
@@ -21,8 +21,8 @@
 
 /** Parses YAML, and thereby JSON. Throws a `GraphError`; a syntax error has line and column in its message. */
 export const readText = (text: string): ReadText => {
-  if (Buffer.byteLength(text) > MOST_TEXT) {
-    throw new GraphError([{ path: [], message: `larger than ${MOST_TEXT / 1_048_576} MiB` }]);
+  if (Buffer.byteLength(text) > MAX_TEXT_BYTES) {
+    throw new GraphError([{ path: [], message: `larger than ${MAX_TEXT_BYTES / 1_048_576} MiB` }]);
   }
   const counter = new LineCounter();
   try {
@@ -30,9 +30,9 @@
     const [error] = document.errors;
     if (error !== undefined) {
       const { line, col } = counter.linePos(error.pos[0]);
-      throw new GraphError([{ path: [], message: `line ${line}, column ${col}: ${first(error.message)}` }]);
+      throw new GraphError([{ path: [], message: `line ${line}, column ${col}: ${shortMessage(error.message)}` }]);
     }
-    const value: unknown = document.toJS({ maxAliasCount: MOST_ALIASES });
+    const value: unknown = document.toJS({ maxAliasCount: MAX_ALIASES });
     const offsetOf = (path: Path): number => {
       // A missing field has no position: the nearest enclosing node that exists stands in for it.
       for (let length = path.length; length > 0; length -= 1) {
@@ -50,7 +50,7 @@
   } catch (error) {
     if (error instanceof GraphError) throw error;
     // Deep nesting overflows the parser's stack (RangeError); too many aliases fail the conversion.
-    const message = error instanceof RangeError ? "nested too deeply" : first(String((error as Error).message));
+    const message = error instanceof RangeError ? "nested too deeply" : shortMessage(String((error as Error).message));
     throw new GraphError([{ path: [], message }]);
   }
 };
--- a/src/graphs/index.ts
+++ b/src/graphs/index.ts
@@ -3,7 +3,7 @@
   GraphDocument,
   PlacedProblem,
   Problem,
-  RunWords,
+  RunContext,
 } from "./description/index.js";
 export { DagRun, firstAttempt, NO_PAST, type Outcome, type Past } from "./run/dag-run.js";
 export { DEFAULT_STEP, decodePlan, downstreamOf, encodePlan, type Plan, type Step } from "./run/plan.js";
--- a/src/graphs/run/closure.ts
+++ b/src/graphs/run/closure.ts
@@ -4,13 +4,13 @@
 export const closure = (plan: Plan, steps: readonly number[], downstream: boolean): ReadonlySet<number> => {
   const found = new Set(steps);
   if (!downstream) return found;
-  const below = downstreamOf(plan);
-  const work = [...steps];
-  for (let at = work.pop(); at !== undefined; at = work.pop()) {
-    for (const down of below[at] ?? []) {
+  const downstreamLists = downstreamOf(plan);
+  const stack = [...steps];
+  for (let at = stack.pop(); at !== undefined; at = stack.pop()) {
+    for (const down of downstreamLists[at] ?? []) {
       if (found.has(down)) continue;
       found.add(down);
-      work.push(down);
+      stack.push(down);
     }
   }
   return found;
--- a/src/graphs/run/plan.ts
+++ b/src/graphs/run/plan.ts
@@ -64,7 +64,7 @@
 }
 
 /** In bytes of JSON. A larger stored plan is damaged: decoding it fails. */
-const MOST_TEXT = 32 * 1_024 * 1_024;
+const MAX_PLAN_BYTES = 32 * 1_024 * 1_024;
 
 /** Values of the fields that a stored step omits. */
 export const DEFAULT_STEP: Step = {
@@ -84,25 +84,25 @@
   job: null,
 };
 
-const same = (a: unknown, b: unknown): boolean => a === b || JSON.stringify(a) === JSON.stringify(b);
+const isEqual = (a: unknown, b: unknown): boolean => a === b || JSON.stringify(a) === JSON.stringify(b);
 
 /** Only the fields that differ from the defaults: a step of a wide graph takes some 40 bytes before compression. */
-const slim = (step: Step): Partial<Step> =>
-  Object.fromEntries(Object.entries(step).filter(([name, value]) => !same(value, DEFAULT_STEP[name as keyof Step])));
+const withoutDefaults = (step: Step): Partial<Step> =>
+  Object.fromEntries(Object.entries(step).filter(([name, value]) => !isEqual(value, DEFAULT_STEP[name as keyof Step])));
 
-const retryForm = new RecordCodec<Retry>({
+const retryCodec = new RecordCodec<Retry>({
   retries: "retries",
   delayS: "delayS",
   exponential: "exponential",
   maxDelayS: "maxDelayS",
 });
 
-const stepForm = new RecordCodec<Step>({
+const stepCodec = new RecordCodec<Step>({
   id: "id",
   kind: "kind",
   upstream: "upstream",
   rule: "rule",
-  retry: { name: "retry", codec: retryForm },
+  retry: { name: "retry", codec: retryCodec },
   timeoutS: "timeoutS",
   pool: "pool",
   weight: "weight",
@@ -115,7 +115,7 @@
 });
 
 /** Stores only those fields of a step that differ from `DEFAULT_STEP`. */
-const planForm = new RecordCodec<Plan>({
+const planCodec = new RecordCodec<Plan>({
   dagId: "dagId",
   description: "description",
   owner: "owner",
@@ -128,23 +128,23 @@
   steps: {
     name: "steps",
     codec: {
-      encode: (step) => stepForm.encode(slim(step)),
-      decode: (stored) => ({ ...DEFAULT_STEP, ...stepForm.decode(stored) }),
+      encode: (step) => stepCodec.encode(withoutDefaults(step)),
+      decode: (stored) => ({ ...DEFAULT_STEP, ...stepCodec.decode(stored) }),
     },
   },
 });
 
 /** The plan as base64 text for the key-value store, and a digest that differs between different plans. */
 export const encodePlan = (plan: Plan): { readonly text: string; readonly digest: string } => {
-  const json = JSON.stringify(planForm.encode(plan));
+  const json = JSON.stringify(planCodec.encode(plan));
   const digest = bytesToHex(sha256(Buffer.from(json, "utf8"))).slice(0, 16);
   return { text: gzipSync(json, { level: 6 }).toString("base64"), digest };
 };
 
 /** Throws unless the text was made by `encodePlan`. */
 export const decodePlan = (text: string): Plan => {
-  const json = gunzipSync(Buffer.from(text, "base64"), { maxOutputLength: MOST_TEXT }).toString("utf8");
-  return planForm.decode(JSON.parse(json));
+  const json = gunzipSync(Buffer.from(text, "base64"), { maxOutputLength: MAX_PLAN_BYTES }).toString("utf8");
+  return planCodec.decode(JSON.parse(json));
 };
 
 /** Numbers of the direct downstream steps of each step. */
@@ -157,14 +157,14 @@
 /** Longest path from each step to the end of the graph, in seconds of estimated run time, the step's own included. */
 export const criticalPaths = (plan: Plan): Float64Array => {
   const { steps, jobs } = plan;
-  const after = new Float64Array(steps.length);
+  const paths = new Float64Array(steps.length);
   for (let at = steps.length - 1; at >= 0; at -= 1) {
     const step = steps[at];
     if (step === undefined) continue;
     const estimate = step.job === null ? 0 : Number(jobs[step.job]?.guessS ?? 0);
-    const path = (after[at] ?? 0) + estimate;
-    after[at] = path;
-    for (const up of step.upstream) if ((after[up] ?? 0) < path) after[up] = path;
+    const path = (paths[at] ?? 0) + estimate;
+    paths[at] = path;
+    for (const up of step.upstream) if ((paths[up] ?? 0) < path) paths[up] = path;
   }
-  return after;
+  return paths;
 };
--- a/src/graphs/run/retry.ts
+++ b/src/graphs/run/retry.ts
@@ -17,20 +17,20 @@
   readonly delay: (tries: number) => Micros;
 }
 
-const MOST_DOUBLINGS = 20;
+const MAX_DOUBLINGS = 20;
 
 /** A graph may tighten its job class's limits (fewer attempts, longer delays, shorter timeout), never loosen them. */
 export const limitsOf = ({ retry, timeoutS }: Step, allowed: ClassRetries): Limits => {
   const { retries, delayS, exponential, maxDelayS } = retry;
-  const own = timeoutS ?? Number.POSITIVE_INFINITY;
-  const timeout = Math.min(own, allowed.timeoutS ?? Number.POSITIVE_INFINITY);
+  const graphTimeoutS = timeoutS ?? Number.POSITIVE_INFINITY;
+  const timeout = Math.min(graphTimeoutS, allowed.timeoutS ?? Number.POSITIVE_INFINITY);
   return {
     attempts: retries === null ? allowed.attempts : Math.min(allowed.attempts, retries + 1),
     timeout: Number.isFinite(timeout) ? seconds(timeout) : null,
     errors: allowed.errors,
     counts: new Set(allowed.counts),
     delay: (tries) => {
-      const doubled = 2 ** Math.min(MOST_DOUBLINGS, tries - 1);
+      const doubled = 2 ** Math.min(MAX_DOUBLINGS, tries - 1);
       const asked = Math.min(exponential ? delayS * doubled : delayS, maxDelayS ?? Number.POSITIVE_INFINITY);
       return seconds(Math.max(asked, Math.min(allowed.backOffS * doubled, allowed.mostBackOffS)));
     },
@@ -39,14 +39,14 @@
 
 /** Limits of each step. Steps with equal settings share one object. */
 export const planLimits = (plan: Plan, options: GraphOptions): readonly Limits[] => {
-  const known = new Map<string, Limits>();
+  const limitsByKey = new Map<string, Limits>();
   return plan.steps.map((step) => {
     const { retry, timeoutS } = step;
     const jobClass = step.job === null ? "" : String(plan.jobs[step.job]?.jobclass ?? "");
     const { retries, delayS, exponential, maxDelayS } = retry;
     const key = [jobClass, timeoutS, retries, delayS, exponential, maxDelayS].join("|");
-    const limits = known.get(key) ?? limitsOf(step, options.classes[jobClass] ?? options.otherClasses);
-    known.set(key, limits);
+    const limits = limitsByKey.get(key) ?? limitsOf(step, options.classes[jobClass] ?? options.otherClasses);
+    limitsByKey.set(key, limits);
     return limits;
   });
 };
--- a/src/graphs/run/rules.ts
+++ b/src/graphs/run/rules.ts
@@ -17,7 +17,7 @@
 export type TriggerRule = (typeof TRIGGER_RULES)[number];
 
 /** Number of direct upstream steps in all, and by final state. */
-export interface Tally {
+export interface UpstreamCounts {
   readonly total: number;
   readonly success: number;
   readonly failed: number;
@@ -39,39 +39,39 @@
  * `all_success` depends on which ends first. Here it is a function of the final states only, so a new shard leader
  * comes to the same result.
  */
-export const judge = (rule: TriggerRule, tally: Tally): Verdict => {
-  const { total, success, skipped, removed } = tally;
-  const failed = tally.failed + tally.upstreamFailed;
+export const evaluateRule = (rule: TriggerRule, counts: UpstreamCounts): Verdict => {
+  const { total, success, skipped, removed } = counts;
+  const failed = counts.failed + counts.upstreamFailed;
   if (total === 0) return "run";
   const done = success + failed + skipped + removed >= total;
-  const after = (verdict: Verdict): Verdict => (done ? verdict : "wait");
+  const onceDone = (verdict: Verdict): Verdict => (done ? verdict : "wait");
   switch (rule) {
     case "always":
       return "run";
     case "all_success":
-      return failed > 0 ? "upstream_failed" : after(skipped > 0 ? "skipped" : "run");
+      return failed > 0 ? "upstream_failed" : onceDone(skipped > 0 ? "skipped" : "run");
     case "all_failed":
-      return success + skipped > 0 ? "skipped" : after("run");
+      return success + skipped > 0 ? "skipped" : onceDone("run");
     case "all_done":
-      return after("run");
+      return onceDone("run");
     case "all_done_min_one_success":
-      return after(success > 0 ? "run" : skipped >= total ? "skipped" : "upstream_failed");
+      return onceDone(success > 0 ? "run" : skipped >= total ? "skipped" : "upstream_failed");
     case "all_done_setup_success":
-      if (tally.setups === 0 || tally.setupSuccess > 0) return after("run");
-      return after(tally.setupSkipped >= tally.setups ? "skipped" : "upstream_failed");
+      if (counts.setups === 0 || counts.setupSuccess > 0) return onceDone("run");
+      return onceDone(counts.setupSkipped >= counts.setups ? "skipped" : "upstream_failed");
     case "all_skipped":
-      return success + failed > 0 ? "skipped" : after("run");
+      return success + failed > 0 ? "skipped" : onceDone("run");
     case "one_success":
-      return success > 0 ? "run" : after(skipped >= total ? "skipped" : "upstream_failed");
+      return success > 0 ? "run" : onceDone(skipped >= total ? "skipped" : "upstream_failed");
     case "one_failed":
-      return failed > 0 ? "run" : after("skipped");
+      return failed > 0 ? "run" : onceDone("skipped");
     case "one_done":
-      return success + tally.failed > 0 ? "run" : after("skipped");
+      return success + counts.failed > 0 ? "run" : onceDone("skipped");
     case "none_failed":
-      return failed > 0 ? "upstream_failed" : after("run");
+      return failed > 0 ? "upstream_failed" : onceDone("run");
     case "none_failed_min_one_success":
-      return failed > 0 ? "upstream_failed" : after(skipped >= total ? "skipped" : "run");
+      return failed > 0 ? "upstream_failed" : onceDone(skipped >= total ? "skipped" : "run");
     case "none_skipped":
-      return skipped > 0 ? "skipped" : after("run");
+      return skipped > 0 ? "skipped" : onceDone("run");
   }
 };
--- a/src/graphs/run/states.ts
+++ b/src/graphs/run/states.ts
@@ -16,8 +16,8 @@
 export const FINALS = ["success", "failed", "upstream_failed", "skipped", "removed"] as const;
 export type FinalState = (typeof FINALS)[number];
 
-const finals: ReadonlySet<StepState> = new Set(FINALS);
-export const isFinal = (state: StepState): state is FinalState => finals.has(state);
+const finalStates: ReadonlySet<StepState> = new Set(FINALS);
+export const isFinal = (state: StepState): state is FinalState => finalStates.has(state);
 
 /** Number of steps in each state, without states that no step is in. */
 export const countsOf = (count: (state: StepState, at: number) => number): Readonly<Record<string, number>> =>
--- a/src/graphs/show/outline.ts
+++ b/src/graphs/show/outline.ts
@@ -29,32 +29,32 @@
 
 /** Task id with the settings that differ from the defaults. */
 export const labelOf = ({ id, steps, step }: OutlineTask): string => {
-  const words: string[] = [];
-  if (steps > 1) words.push(`${steps} steps`);
-  if (step.kind !== "job") words.push(step.kind.replace("_", " "));
-  if (step.rule !== "all_success") words.push(step.rule);
-  if (step.pool !== null) words.push(`pool ${step.pool}`);
-  return words.length === 0 ? id : `${id} (${words.join(", ")})`;
+  const details: string[] = [];
+  if (steps > 1) details.push(`${steps} steps`);
+  if (step.kind !== "job") details.push(step.kind.replace("_", " "));
+  if (step.rule !== "all_success") details.push(step.rule);
+  if (step.pool !== null) details.push(`pool ${step.pool}`);
+  return details.length === 0 ? id : `${id} (${details.join(", ")})`;
 };
 
 /** The graph as an indented tree, with each task below its upstream tasks. A repeated task is only its id and `^`. */
 export const treeOf = (plan: Plan): string => {
   const tasks = outline(plan);
-  const below = new Map<string, OutlineTask[]>(tasks.map(({ id }) => [id, []]));
-  for (const task of tasks) for (const up of task.upstream) below.get(up)?.push(task);
+  const downstream = new Map<string, OutlineTask[]>(tasks.map(({ id }) => [id, []]));
+  for (const task of tasks) for (const up of task.upstream) downstream.get(up)?.push(task);
   const lines = [`${plan.dagId}: ${plan.steps.length} steps in ${tasks.length} tasks, owner ${plan.owner}`];
   const shown = new Set<string>();
-  const work = tasks
+  const stack = tasks
     .filter(({ upstream }) => upstream.length === 0)
     .reverse()
     .map((task) => ({ task, depth: 1 }));
-  for (let next = work.pop(); next !== undefined; next = work.pop()) {
+  for (let next = stack.pop(); next !== undefined; next = stack.pop()) {
     const { task, depth } = next;
-    const again = shown.has(task.id);
-    lines.push(`${"  ".repeat(depth)}${again ? `${task.id} ^` : labelOf(task)}`);
-    if (again) continue;
+    const repeated = shown.has(task.id);
+    lines.push(`${"  ".repeat(depth)}${repeated ? `${task.id} ^` : labelOf(task)}`);
+    if (repeated) continue;
     shown.add(task.id);
-    for (const down of [...(below.get(task.id) ?? [])].reverse()) work.push({ task: down, depth: depth + 1 });
+    for (const down of [...(downstream.get(task.id) ?? [])].reverse()) stack.push({ task: down, depth: depth + 1 });
   }
   return lines.join("\n");
 };
