--- a/test/graph-run.test.ts
+++ b/test/graph-run.test.ts
@@ -42,7 +42,7 @@
 const statesOf = (run: DagRun): readonly string[] => run.plan.steps.map((_, at) => run.stateOf(at));
 
 /** The stored jobs of a run, as the key-value store has them. */
-class StoredAttempts implements Past {
+class AttemptRecords implements Past {
   readonly ended = new Map<string, Outcome>();
   readonly opened = new Set<string>();
   /** Number of submissions of each attempt. */
@@ -73,7 +73,7 @@
  * change on the way, and each attempt must be submitted once.
  */
 const runToEnd = (plan: Plan, random: Random, outcomeOf: (step: number, attempt: number) => Outcome): DagRun => {
-  const records = new StoredAttempts();
+  const records = new AttemptRecords();
   const retries = new Set<number>();
   const newEngine = (): DagRun => {
     retries.clear();
@@ -277,7 +277,7 @@
 });
 
 test("a cleared step waits for the end of an earlier open attempt and starts a new count of tries", () => {
-  const records = new StoredAttempts();
+  const records = new AttemptRecords();
   records.opened.add("0.1");
   const run = runOf(planOf([stepOf({ id: "a" }), stepOf({ id: "b", upstream: [0] })]), {
     past: records,
