--- a/src/graphs/description/order.ts
+++ b/src/graphs/description/order.ts
@@ -1,18 +1,19 @@
+/** Topological order of tasks. */
 import TinyQueue from "tinyqueue";
 
 type Upstream = ReadonlyMap<string, ReadonlySet<string>>;
 
-/** Topological, and else as written; or a cycle as the path around it, the first name repeated at its end. */
+/** Topological order, ties in written order; or a cycle as its path, with the first name repeated at the end. */
 export const sortTasks = (
   upstream: Upstream,
 ):
   | { readonly kind: "order"; readonly ids: readonly string[] }
   | { readonly kind: "cycle"; readonly path: string[] } => {
-  const places = new Map([...upstream.keys()].map((id, at) => [id, at]));
-  const left = new Map<string, number>();
+  const positions = new Map([...upstream.keys()].map((id, at) => [id, at]));
+  const unorderedUpstream = new Map<string, number>();
   const downstream = new Map<string, string[]>();
   for (const [id, ups] of upstream) {
-    left.set(id, ups.size);
+    unorderedUpstream.set(id, ups.size);
     for (const up of ups) {
       const list = downstream.get(up);
       if (list === undefined) downstream.set(up, [id]);
@@ -20,15 +21,15 @@
     }
   }
   const ready = new TinyQueue<string>(
-    [...upstream.keys()].filter((id) => left.get(id) === 0),
-    (a, b) => (places.get(a) ?? 0) - (places.get(b) ?? 0),
+    [...upstream.keys()].filter((id) => unorderedUpstream.get(id) === 0),
+    (a, b) => (positions.get(a) ?? 0) - (positions.get(b) ?? 0),
   );
   const ids: string[] = [];
   for (let id = ready.pop(); id !== undefined; id = ready.pop()) {
     ids.push(id);
     for (const down of downstream.get(id) ?? []) {
-      const rest = (left.get(down) ?? 0) - 1;
-      left.set(down, rest);
+      const rest = (unorderedUpstream.get(down) ?? 0) - 1;
+      unorderedUpstream.set(down, rest);
       if (rest === 0) ready.push(down);
     }
   }
@@ -36,7 +37,7 @@
   return { kind: "cycle", path: cycleAmong(upstream, new Set(ids)) };
 };
 
-/** Every task that could not be ordered has such an upstream task: following those must come back. */
+/** Every unordered task has an unordered upstream task, so following these leads into a cycle. */
 const cycleAmong = (upstream: Upstream, ordered: ReadonlySet<string>): string[] => {
   const start = [...upstream.keys()].find((id) => !ordered.has(id));
   const seen = new Map<string, number>();
--- a/src/graphs/index.ts
+++ b/src/graphs/index.ts
@@ -1,9 +1,9 @@
-/** Airflow-style graphs of dependent steps: the package's only door. */
+/** Airflow-style graphs of dependent steps: the only module of this package that others import. */
 export type {
   GraphDocument,
   PlacedProblem,
   Problem,
-  RunWords,
+  RunContext,
 } from "./description/index.js";
 export { DagRun, firstAttempt, NO_PAST, type Outcome, type Past } from "./run/dag-run.js";
 export { DEFAULT_STEP, decodePlan, downstreamOf, encodePlan, type Plan, type Step } from "./run/plan.js";
--- a/src/graphs/run/retry.ts
+++ b/src/graphs/run/retry.ts
@@ -1,50 +1,52 @@
+/** Attempts, timeouts and retry delays of steps. */
 import type { ClassRetries, GraphOptions } from "../../settings/graph-options.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import type { Plan, Step } from "./plan.js";
 
-/** What one step may use, by its class and by what its graph asks for. */
+/** Retry and time limits of one step, from its job class and its graph. */
 export interface Limits {
-  /** In all, the first one included. */
+  /** Attempts in all, the first one included. */
   readonly attempts: number;
-  /** Of running time; null: none. */
+  /** Running time of an attempt; null: no limit. */
   readonly timeout: Micros | null;
-  /** So many failures of one task end an attempt. */
+  /** Number of failures of one task that fails the attempt. */
   readonly errors: number;
+  /** Kinds of task failures that count towards `errors`. */
   readonly counts: ReadonlySet<string>;
-  /** Between the end of the given try and the next one. */
+  /** Delay between the end of the given try, counted from 1, and the next one. */
   readonly delay: (tries: number) => Micros;
 }
 
-const MOST_DOUBLINGS = 20;
+const MAX_DOUBLINGS = 20;
 
-/** A graph may ask for fewer attempts, longer pauses and a shorter time than its class has, never for more. */
+/** A graph may tighten its job class's limits (fewer attempts, longer delays, shorter timeout), never loosen them. */
 export const limitsOf = ({ retry, timeoutS }: Step, allowed: ClassRetries): Limits => {
   const { retries, delayS, exponential, maxDelayS } = retry;
-  const own = timeoutS ?? Number.POSITIVE_INFINITY;
-  const timeout = Math.min(own, allowed.timeoutS ?? Number.POSITIVE_INFINITY);
+  const graphTimeoutS = timeoutS ?? Number.POSITIVE_INFINITY;
+  const timeout = Math.min(graphTimeoutS, allowed.timeoutS ?? Number.POSITIVE_INFINITY);
   return {
     attempts: retries === null ? allowed.attempts : Math.min(allowed.attempts, retries + 1),
     timeout: Number.isFinite(timeout) ? seconds(timeout) : null,
     errors: allowed.errors,
     counts: new Set(allowed.counts),
     delay: (tries) => {
-      const doubled = 2 ** Math.min(MOST_DOUBLINGS, tries - 1);
+      const doubled = 2 ** Math.min(MAX_DOUBLINGS, tries - 1);
       const asked = Math.min(exponential ? delayS * doubled : delayS, maxDelayS ?? Number.POSITIVE_INFINITY);
       return seconds(Math.max(asked, Math.min(allowed.backOffS * doubled, allowed.mostBackOffS)));
     },
   };
 };
 
-/** Steps with the same demands and wishes share theirs. */
+/** Limits of each step. Steps with equal settings share one object. */
 export const planLimits = (plan: Plan, options: GraphOptions): readonly Limits[] => {
-  const known = new Map<string, Limits>();
+  const limitsByKey = new Map<string, Limits>();
   return plan.steps.map((step) => {
     const { retry, timeoutS } = step;
     const jobClass = step.job === null ? "" : String(plan.jobs[step.job]?.jobclass ?? "");
     const { retries, delayS, exponential, maxDelayS } = retry;
     const key = [jobClass, timeoutS, retries, delayS, exponential, maxDelayS].join("|");
-    const limits = known.get(key) ?? limitsOf(step, options.classes[jobClass] ?? options.otherClasses);
-    known.set(key, limits);
+    const limits = limitsByKey.get(key) ?? limitsOf(step, options.classes[jobClass] ?? options.otherClasses);
+    limitsByKey.set(key, limits);
     return limits;
   });
 };
--- a/src/graphs/run/rules.ts
+++ b/src/graphs/run/rules.ts
@@ -16,59 +16,62 @@
 ] as const;
 export type TriggerRule = (typeof TRIGGER_RULES)[number];
 
-/** How many direct upstream steps there are, and how many of them ended how. */
-export interface Tally {
+/** Number of direct upstream steps in all, and by final state. */
+export interface UpstreamCounts {
   readonly total: number;
   readonly success: number;
   readonly failed: number;
   readonly upstreamFailed: number;
   readonly skipped: number;
   readonly removed: number;
+  /** Upstream steps that are setup tasks. */
   readonly setups: number;
   readonly setupSuccess: number;
   readonly setupSkipped: number;
 }
 
+/** Result of a trigger rule: wait for more upstream steps, run the step, or end it in that state. */
 export type Verdict = "wait" | "run" | "skipped" | "upstream_failed";
 
 /**
- * What a rule says, as soon as nothing that is still to come can change it. Airflow decides by what it happens to see:
- * with one upstream step skipped and another one about to fail, `all_success` skips or fails by the order of the two.
- * Here the outcome is a function of how the upstream steps ended, so that whoever takes a run over comes to the same.
+ * Evaluates a trigger rule as soon as the upstream steps that are still open can't change the result. Airflow evaluates
+ * it on the states at that moment: with one upstream step skipped and another about to fail, the result of
+ * `all_success` depends on which ends first. Here it is a function of the final states only, so a new shard leader
+ * comes to the same result.
  */
-export const judge = (rule: TriggerRule, tally: Tally): Verdict => {
-  const { total, success, skipped, removed } = tally;
-  const failed = tally.failed + tally.upstreamFailed;
+export const evaluateRule = (rule: TriggerRule, counts: UpstreamCounts): Verdict => {
+  const { total, success, skipped, removed } = counts;
+  const failed = counts.failed + counts.upstreamFailed;
   if (total === 0) return "run";
   const done = success + failed + skipped + removed >= total;
-  const after = (verdict: Verdict): Verdict => (done ? verdict : "wait");
+  const onceDone = (verdict: Verdict): Verdict => (done ? verdict : "wait");
   switch (rule) {
     case "always":
       return "run";
     case "all_success":
-      return failed > 0 ? "upstream_failed" : after(skipped > 0 ? "skipped" : "run");
+      return failed > 0 ? "upstream_failed" : onceDone(skipped > 0 ? "skipped" : "run");
     case "all_failed":
-      return success + skipped > 0 ? "skipped" : after("run");
+      return success + skipped > 0 ? "skipped" : onceDone("run");
     case "all_done":
-      return after("run");
+      return onceDone("run");
     case "all_done_min_one_success":
-      return after(success > 0 ? "run" : skipped >= total ? "skipped" : "upstream_failed");
+      return onceDone(success > 0 ? "run" : skipped >= total ? "skipped" : "upstream_failed");
     case "all_done_setup_success":
-      if (tally.setups === 0 || tally.setupSuccess > 0) return after("run");
-      return after(tally.setupSkipped >= tally.setups ? "skipped" : "upstream_failed");
+      if (counts.setups === 0 || counts.setupSuccess > 0) return onceDone("run");
+      return onceDone(counts.setupSkipped >= counts.setups ? "skipped" : "upstream_failed");
     case "all_skipped":
-      return success + failed > 0 ? "skipped" : after("run");
+      return success + failed > 0 ? "skipped" : onceDone("run");
     case "one_success":
-      return success > 0 ? "run" : after(skipped >= total ? "skipped" : "upstream_failed");
+      return success > 0 ? "run" : onceDone(skipped >= total ? "skipped" : "upstream_failed");
     case "one_failed":
-      return failed > 0 ? "run" : after("skipped");
+      return failed > 0 ? "run" : onceDone("skipped");
     case "one_done":
-      return success + tally.failed > 0 ? "run" : after("skipped");
+      return success + counts.failed > 0 ? "run" : onceDone("skipped");
     case "none_failed":
-      return failed > 0 ? "upstream_failed" : after("run");
+      return failed > 0 ? "upstream_failed" : onceDone("run");
     case "none_failed_min_one_success":
-      return failed > 0 ? "upstream_failed" : after(skipped >= total ? "skipped" : "run");
+      return failed > 0 ? "upstream_failed" : onceDone(skipped >= total ? "skipped" : "run");
     case "none_skipped":
-      return skipped > 0 ? "skipped" : after("run");
+      return skipped > 0 ? "skipped" : onceDone("run");
   }
 };
--- a/test/graph-run.test.ts
+++ b/test/graph-run.test.ts
@@ -20,32 +20,32 @@
 
 const OPTIONS = { ...DEFAULT_GRAPHS, otherClasses: CLASS };
 
-interface Extra {
+interface RunOptions {
   readonly past?: Past;
   readonly onRetry?: (step: number) => void;
   readonly frozen?: ReadonlyMap<number, FinalState>;
   readonly clearings?: ReadonlyMap<number, number>;
 }
 
-const runOf = (plan: Plan, extra: Extra = {}): DagRun =>
+const runOf = (plan: Plan, options: RunOptions = {}): DagRun =>
   new DagRun({
     plan,
     order: ownOrder(plan),
     limits: planLimits(plan, OPTIONS),
-    frozen: extra.frozen ?? new Map(),
-    clearings: extra.clearings ?? new Map(),
-    past: extra.past ?? NO_PAST,
+    frozen: options.frozen ?? new Map(),
+    clearings: options.clearings ?? new Map(),
+    past: options.past ?? NO_PAST,
     pastRun: () => "go",
-    onRetry: extra.onRetry ?? (() => undefined),
+    onRetry: options.onRetry ?? (() => undefined),
   });
 
 const statesOf = (run: DagRun): readonly string[] => run.plan.steps.map((_, at) => run.stateOf(at));
 
-/** What is on record of jobs, as the state service would have it. */
-class Records implements Past {
+/** The stored jobs of a run, as the key-value store has them. */
+class AttemptRecords implements Past {
   readonly ended = new Map<string, Outcome>();
   readonly opened = new Set<string>();
-  /** Submissions of each attempt. */
+  /** Number of submissions of each attempt. */
   readonly submissions = new Map<string, number>();
 
   outcome(step: number, attempt: number): Outcome | null {
@@ -68,90 +68,93 @@
   }
 }
 
-/** Plays a run to its end in random order, taken over anew now and then; finals must not change on the way. */
-const play = (plan: Plan, random: Random, fate: (step: number, attempt: number) => Outcome): DagRun => {
-  const records = new Records();
+/**
+ * Runs a plan to its end with events in random order and a takeover by a new engine now and then. Final states must not
+ * change on the way, and each attempt must be submitted once.
+ */
+const runToEnd = (plan: Plan, random: Random, outcomeOf: (step: number, attempt: number) => Outcome): DagRun => {
+  const records = new AttemptRecords();
   const retries = new Set<number>();
-  const make = (): DagRun => {
+  const newEngine = (): DagRun => {
     retries.clear();
     return runOf(plan, { past: records, onRetry: (step) => retries.add(step) });
   };
-  let run = make();
-  const told = new Map<number, string>();
-  const watch = (): void => {
+  let run = newEngine();
+  const finalStates = new Map<number, string>();
+  const checkFinalStates = (): void => {
     for (const [at, state] of statesOf(run).entries()) {
-      const before = told.get(at);
-      if (before !== undefined) assert.equal(state, before, `step ${at} went back`);
-      if (isFinal(state as FinalState)) told.set(at, state);
+      const before = finalStates.get(at);
+      if (before !== undefined) assert.equal(state, before, `step ${at} left its final state`);
+      if (isFinal(state as FinalState)) finalStates.set(at, state);
     }
   };
   for (let turn = 0; run.result === null; turn += 1) {
     assert.ok(turn < 2_000, `stuck: ${statesOf(run).join(" ")}`);
-    const luck = random.int(0, 5);
-    if (luck === 0) run = make();
-    else if (luck <= 2) {
+    const action = random.int(0, 5);
+    if (action === 0) run = newEngine();
+    else if (action <= 2) {
       const at = run.take(() => true);
       if (at !== null) {
         const attempt = run.nextAttempt(at);
         records.submit(at, attempt);
-        // Taken over between the submission and its answer.
-        if (random.chance(0.1)) run = make();
+        // A takeover between the submission and its response.
+        if (random.chance(0.1)) run = newEngine();
         else run.submitted(at, attempt);
       }
-    } else if (luck === 3 && retries.size > 0) {
+    } else if (action === 3 && retries.size > 0) {
       const at = random.pick([...retries]);
       retries.delete(at);
       run.retryDue(at);
     } else if (records.opened.size > 0) {
       const key = random.pick([...records.opened]);
       const [step = 0, attempt = 0] = key.split(".").map(Number);
-      records.end(key, fate(step, attempt));
-      if (random.chance(0.1)) run = make();
+      records.end(key, outcomeOf(step, attempt));
+      if (random.chance(0.1)) run = newEngine();
       else {
-        run.ended(step, attempt, fate(step, attempt));
-        // Told twice, as a doubled transaction is.
-        if (random.chance(0.2)) run.ended(step, attempt, fate(step, attempt));
+        run.ended(step, attempt, outcomeOf(step, attempt));
+        // The end is reported twice, as by a repeated transaction.
+        if (random.chance(0.2)) run.ended(step, attempt, outcomeOf(step, attempt));
       }
     }
-    watch();
+    checkFinalStates();
   }
   for (const [key, count] of records.submissions) assert.equal(count, 1, `${key} submitted ${count} times`);
   return run;
 };
 
-const fateOf =
+const seededOutcomes =
   (seed: number) =>
   (step: number, attempt: number): Outcome => {
     const luck = new Random(seed * 1_000_003 + step * 101 + attempt).int(0, 9);
     return luck < 6 ? "done" : luck < 8 ? "error" : luck === 8 ? "timeout" : "killed";
   };
 
-test("random runs end as Airflow's rules say, whatever the order of events and however often they are taken over", () => {
+test("random runs end as Airflow's trigger rules require, for any order of events and any number of takeovers", () => {
   for (let seed = 1; seed <= 400; seed += 1) {
     const random = new Random(seed);
     const plan = randomPlan(random);
-    const fate = fateOf(seed);
+    const outcomeOf = seededOutcomes(seed);
     const limits = planLimits(plan, OPTIONS);
-    const run = play(plan, random, fate);
-    const wanted = bruteForce(plan, fate, (at) => limits[at]?.attempts ?? 1);
-    assert.deepEqual(statesOf(run), wanted, `seed ${seed}`);
+    const run = runToEnd(plan, random, outcomeOf);
+    const expected = bruteForce(plan, outcomeOf, (at) => limits[at]?.attempts ?? 1);
+    assert.deepEqual(statesOf(run), expected, `seed ${seed}`);
   }
 });
 
-test("a broken rule is noticed by the checker", () => {
-  let noticed = 0;
+test("the reference evaluation of trigger rules detects a wrong rule", () => {
+  let detected = 0;
   for (let seed = 1; seed <= 60; seed += 1) {
     const plan = randomPlan(new Random(seed));
     const broken = { ...plan, steps: plan.steps.map((step) => ({ ...step, rule: "all_done" as const })) };
-    const fate = fateOf(seed);
-    const ends = statesOf(play(broken, new Random(seed), fate));
-    if (JSON.stringify(ends) !== JSON.stringify(bruteForce(plan, fate, () => 3))) noticed += 1;
+    const outcomeOf = seededOutcomes(seed);
+    const ends = statesOf(runToEnd(broken, new Random(seed), outcomeOf));
+    if (JSON.stringify(ends) !== JSON.stringify(bruteForce(plan, outcomeOf, () => 3))) detected += 1;
   }
-  assert.ok(noticed > 20, `${noticed}`);
+  assert.ok(detected > 20, `${detected}`);
 });
 
-test("work for an event does not grow with the graph", () => {
-  const looks = (width: number): number => {
+test("the work for an event does not grow with the size of the graph", () => {
+  const visitsOf = (width: number): number => {
     const steps = Array.from({ length: width }, (_, at) => [
       stepOf({ id: `a${at}` }),
       stepOf({ id: `b${at}`, upstream: [2 * at] }),
@@ -162,11 +165,11 @@
     run.ended(0, 1, "done");
     return run.looks - before;
   };
-  assert.equal(looks(10), 1);
-  assert.equal(looks(5_000), 1);
+  assert.equal(visitsOf(10), 1);
+  assert.equal(visitsOf(5_000), 1);
 });
 
-test("a chain of ten thousand failures is no deep recursion", () => {
+test("a failure propagates along a chain of ten thousand steps without deep recursion", () => {
   const steps = Array.from({ length: 10_000 }, (_, at) => stepOf({ id: `s${at}`, upstream: at === 0 ? [] : [at - 1] }));
   const run = runOf(planOf(steps));
   run.submitted(0, 1);
@@ -175,7 +178,7 @@
   assert.equal(run.result, "failed");
 });
 
-test("a graph may ask for fewer attempts than its class has, and for longer pauses, not for more", () => {
+test("a graph may set fewer attempts and longer delays than its job class, but not loosen its limits", () => {
   const ask = (retries: number | null, delayS: number, timeoutS: number | null) =>
     limitsOf(stepOf({ id: "s", timeoutS, retry: { retries, delayS, exponential: true, maxDelayS: 10 } }), {
       ...CLASS,
@@ -196,7 +199,7 @@
   );
 });
 
-test("a middle step that fails is tried again only as its class permits, and what comes after goes by its rules", () => {
+test("a failing step is retried up to its job class's limit, then trigger rules decide its downstream steps", () => {
   const steps = [
     stepOf({ id: "first" }),
     stepOf({ id: "middle", upstream: [0] }),
@@ -225,7 +228,7 @@
   assert.deepEqual(statesOf(run), ["success", "failed", "upstream_failed", "scheduled"]);
 });
 
-test("the end of an earlier attempt, told again, changes nothing", () => {
+test("a repeated end of an earlier attempt changes nothing", () => {
   const run = runOf(planOf([stepOf({ id: "a" })]));
   run.submitted(0, 1);
   run.ended(0, 1, "error");
@@ -235,7 +238,7 @@
   assert.deepEqual([run.stateOf(0), run.attemptOf(0)], ["queued", 2]);
 });
 
-test("steps start by the graph's own order, and a full pool holds up nothing but its own", () => {
+test("steps start in the graph's own order, and a full pool delays only its own steps", () => {
   const steps = [stepOf({ id: "short" }), stepOf({ id: "long", pool: "gate" }), stepOf({ id: "tail", upstream: [1] })];
   const run = runOf(planOf(steps));
   assert.equal(
@@ -250,8 +253,8 @@
   assert.equal(own[3], 0);
 });
 
-test("weights of a large graph go along the heaviest way, so that a chain of twenty thousand steps gets its order", () => {
-  // Counting all that each step reaches held a controller up for minutes.
+test("a large graph is ordered by its heaviest paths, so that a chain of 20,000 steps is ordered in time", () => {
+  // Computing the set of steps reachable from each step blocked a controller for minutes.
   const steps = Array.from({ length: 20_000 }, (_, at) =>
     stepOf({ id: `s${at}`, upstream: at === 0 ? [] : [at - 1], weight: 2 }),
   );
@@ -259,7 +262,7 @@
   assert.deepEqual([order[0], order[1], order[19_999]], [0, 1, 19_999]);
 });
 
-test("a halted run ends once its open steps have; what never started is skipped", () => {
+test("a halted run ends when its open steps have ended, and steps that never started are skipped", () => {
   const run = runOf(planOf([stepOf({ id: "a" }), stepOf({ id: "b", upstream: [0] }), stepOf({ id: "c" })]));
   run.submitted(0, 1);
   run.halt();
@@ -273,8 +276,8 @@
   assert.deepEqual(statesOf(run), ["success", "skipped", "skipped"]);
 });
 
-test("a cleared step waits for the end of an attempt from before, and counts its tries anew", () => {
-  const records = new Records();
+test("a cleared step waits for the end of an earlier open attempt and starts a new count of tries", () => {
+  const records = new AttemptRecords();
   records.opened.add("0.1");
   const run = runOf(planOf([stepOf({ id: "a" }), stepOf({ id: "b", upstream: [0] })]), {
     past: records,
