--- a/src/model/cloud-service.ts
+++ b/src/model/cloud-service.ts
@@ -5,17 +5,22 @@
 import type { HostInfo, Witness } from "./witness.js";
 import { S, type Timeline } from "./world.js";
 
-/** What runs on a machine once it is up. */
+/** Worker emulation on a machine that is up; implemented by `Worker` and by `FastMachine`. */
 export interface Occupant {
   readonly host: { readonly address: string };
+  /** Announces that the machine will be reclaimed in `inUs` microseconds. */
   notice(inUs: number): void;
+  /** Suspends the machine for `forUs` microseconds. */
   hang(forUs: number): void;
+  /** Makes the machine faulty: every task that it starts from now on fails. */
   sicken(): void;
-  /** Back within a fraction of a second, with nothing on it; `kept`: its counters go on, else they begin anew. */
+  /** Restarts the worker process within a fraction of a second, without its tasks; `kept`: its counters survive. */
   restart(kept: boolean): void;
+  /** Ends the machine with all its tasks. */
   end(): void;
 }
 
+/** A rented machine. Times in microseconds of simulated time; null: not yet. */
 export interface CloudMachine {
   readonly ref: string;
   readonly info: HostInfo;
@@ -27,25 +32,30 @@
   phase: "starting" | "running" | "gone";
 }
 
-/** How boots go wrong, as shares of all boots. */
+/** Shares of boots that never complete, complete late, or complete early. */
 export interface BootLuck {
   readonly never: number;
   readonly late: number;
   readonly early: number;
 }
 
+/** Default shares of failed, late and early boots. */
 export const USUAL_BOOTS: BootLuck = { never: 0.03, late: 0.1, early: 0.1 };
-/** Every boot comes up, within the usual spread. */
+/** Every boot completes, within the usual spread of boot times. */
 export const EVEN_BOOTS: BootLuck = { never: 0, late: 0, early: 0 };
 
+/** Factors on the boot time of the type for late and early boots. */
 const LATE = 4;
 const EARLY = 0.05;
 const ANSWER_US = 100_000;
+/** A machine that is deleted is charged for at least this time. */
 const LEAST_CHARGE = 60 * S;
 const HOUR = 3_600 * S;
 
+/** Number of further machines of a type, zone and purchase model (spot or on-demand) that can be rented now. */
 export type Room = (type: string, zone: string, spot: boolean, cloud: CloudService) => number;
 
+/** Free capacity under fixed limits; combinations that are not listed have none. */
 export const roomOf = (capacity: readonly CapacitySpec[]): Room => {
   const counts = new Map(capacity.map(({ type, zone, spot, count }) => [group(type, zone, spot), count]));
   return (type, zone, spot, cloud) => (counts.get(group(type, zone, spot)) ?? 0) - cloud.count(type, zone, spot);
@@ -53,24 +63,27 @@
 
 const group = (type: string, zone: string, spot: boolean): string => `${type}/${zone}/${spot}`;
 
-/** Stand-in for the cloud: lists lag and go backwards, boots are late or never end, requests run late. */
+/** Emulates the cloud: machine lists are stale and may go back in time, and boots may be late or never complete. */
 export class CloudService {
   readonly machines = new Map<string, CloudMachine>();
+  /** Machines granted by request id, so that a retried request is idempotent. */
   private readonly answers = new Map<string, string[]>();
-  /** Gone machines that a late list may still name, oldest first. */
+  /** Ended machines that a stale list may still contain, oldest first. */
   private readonly ended: CloudMachine[] = [];
+  /** Machines currently charged, by type, zone and purchase model. */
   private readonly present = new Map<string, number>();
   private next = 1;
   private cost = 0;
   private readonly costs = new Map<string, number>();
+  /** Until this time all requests are refused. */
   outageUntil = 0;
-  /** Calls so far. */
+  /** Number of requests received. */
   calls = 0;
-  /** Until when requests for a type, zone and kind are refused. */
+  /** End of the injected capacity shortage, by type, zone and purchase model. */
   private readonly refusedUntil = new Map<string, number>();
   boots: BootLuck = USUAL_BOOTS;
 
-  /** `room`: how many more of a type, zone and kind can be had, asked at every rental. */
+  /** `room` is evaluated at every provisioning request. */
   constructor(
     private readonly timeline: Timeline,
     private readonly random: Random,
@@ -95,7 +108,7 @@
     return this.rent(request.body);
   };
 
-  /** Worked out for the moment that the list describes, rather than from a history of lists. */
+  /** Lists the machines as of a random earlier time, derived from their timestamps instead of from stored lists. */
   private list(target: string): HttpResponse {
     const { listLagUs } = this.site.cloud;
     const url = new URL(target, "http://cloud");
@@ -109,7 +122,7 @@
     }
     const hosts: unknown[] = [];
     let more = false;
-    // Names are given in order, so the map is sorted already.
+    // Names are assigned in ascending order, so the map is already sorted.
     for (const machine of this.machines.values()) {
       if (machine.ref <= from || machine.since > at || (machine.goneAt !== null && machine.goneAt <= at)) continue;
       if (hosts.length === page) {
@@ -148,7 +161,7 @@
     return json(200, { hosts });
   }
 
-  /** Up to so many machines, as far as there are any. */
+  /** Rents up to `number` machines, limited by free capacity; returns their names. */
   grant(type: TypeSpec, zone: string, spot: boolean, number: number): string[] {
     const refused = (this.refusedUntil.get(group(type.name, zone, spot)) ?? 0) > this.timeline.now;
     const room = refused ? 0 : Math.max(0, this.room(type.name, zone, spot, this));
@@ -157,16 +170,17 @@
     return Array.from({ length: count }, () => this.add(type, zone, spot));
   }
 
-  /** Machines of a type, zone and kind that are charged now. */
+  /** Number of machines of a type, zone and purchase model that are currently charged. */
   count(type: string, zone: string, spot: boolean): number {
     return this.present.get(group(type, zone, spot)) ?? 0;
   }
 
+  /** Injects a capacity shortage for a type, zone and purchase model. */
   refuse(type: string, zone: string, spot: boolean, forUs: number): void {
     this.refusedUntil.set(group(type, zone, spot), this.timeline.now + forUs);
   }
 
-  /** `bootUs`: null where luck decides; 0 for a machine that is there from the beginning. */
+  /** Adds a machine. `bootUs`: boot time; null for a random one, 0 for a machine that exists from the start. */
   add(type: TypeSpec, zone: string, spot: boolean, bootUs: number | null = null): string {
     const ref = `n-${String(this.next++).padStart(6, "0")}`;
     const info: HostInfo = { name: ref, type: type.name, zone, spot };
@@ -205,6 +219,7 @@
     this.witness.machineUp(machine.info);
   }
 
+  /** Ends a machine: reclaimed by the cloud ("taken"), failed, or deleted on request. */
   take(name: string, why: "deleted" | "taken" | "failed" = "taken"): void {
     const machine = this.machines.get(name);
     if (machine === undefined || machine.phase === "gone") return;
@@ -227,7 +242,7 @@
     this.costs.set(machine.info.type, (this.costs.get(machine.info.type) ?? 0) + cost);
   }
 
-  /** Money spent up to now, machines still held included. */
+  /** Cost so far, including machines that are still rented. */
   spent(): number {
     let sum = this.cost;
     for (const machine of this.machines.values()) {
--- a/src/model/executor.ts
+++ b/src/model/executor.ts
@@ -4,12 +4,15 @@
 import type { EndCause, HostInfo, Witness } from "./witness.js";
 import { S, type Timeline } from "./world.js";
 
+/** Gang timeouts, in microseconds. */
 export interface GangTimes {
+  /** Longest wait of a gang member for the other members to start. */
   readonly gangWaitUs: number;
+  /** Time after the loss of a member until the remaining members exit. */
   readonly gangPeerUs: number;
 }
 
-/** What running tasks takes, whoever gives the commands. */
+/** Dependencies of an executor; the same for the full simulation and the fast model. */
 export interface ExecutorAround {
   readonly timeline: Timeline;
   readonly luck: Luck;
@@ -18,40 +21,45 @@
   readonly times: GangTimes;
 }
 
+/** An attempt of a task on a machine, kept until its exit has been acknowledged. */
 export interface RunningTask {
   readonly shard: string;
   readonly try: number;
   phase: "pulling" | "waiting" | "running" | "flushing" | "exited";
   cause: EndCause | null;
   saved: boolean;
+  /** Whether the task counts as running on the machine for the observer of the simulation. */
   on: boolean;
+  /** Time of the start command. */
   readonly askedAt: number;
+  /** Start of the current run, from which progress is counted; null while not running. */
   begunAt: number | null;
+  /** Incremented when the task leaves a phase; timers set for an earlier generation have no effect. */
   generation: number;
 }
 
-/** An image on its way: one fetch for all tasks that wait for it. */
+/** An image fetch in progress, shared by all tasks that wait for the image. */
 interface Fetch {
   readonly waiting: Set<RunningTask>;
 }
 
-/** Machines of one type differ by up to a tenth. */
+/** Machines of one type run up to 5% slower or faster than nominal, so two may differ by a tenth. */
 const SPEED_SPREAD = 0.05;
 const FAILS_AFTER = S / 2;
 
-/** Runs tasks on one machine: fetches images, keeps them, runs, saves, waits for gangs, hangs and fails. */
+/** Emulates task execution on one machine: image cache, checkpoints, gang rendezvous, hangs and faults. */
 export class Executor {
   private tasks = new Map<string, RunningTask>();
   private hungUntil = 0;
-  /** Least recently used first, with their size. */
+  /** Image cache: sizes in GB by image, least recently used first. */
   private readonly images = new Map<string, number>();
   private readonly fetches = new Map<string, Fetch>();
   private readonly speed: number;
   private gone = false;
-  /** Fails every task that it starts. */
+  /** Whether the machine is faulty, so that every task started on it fails. */
   sick = false;
 
-  /** `changed`: something that the next report tells is different. */
+  /** `changed` is called when the state to be reported in the next heartbeat has changed. */
   constructor(
     private readonly around: ExecutorAround,
     private readonly info: HostInfo,
@@ -61,29 +69,30 @@
     this.speed = around.luck.between("speed", info.name, 1 - SPEED_SPREAD, 1 + SPEED_SPREAD);
   }
 
+  /** Suspends the machine; events due meanwhile are processed when it resumes. */
   hang(forUs: number): void {
     this.hungUntil = Math.max(this.hungUntil, this.around.timeline.now + forUs);
   }
 
-  /** Now, or once the machine goes on; never when it is gone. */
+  /** Runs the callback now, or when a hanging machine resumes; never once the machine is gone. */
   awake(run: () => void): void {
     if (this.gone) return;
     if (this.hungUntil > this.around.timeline.now) this.around.timeline.at(this.hungUntil + 1, () => this.awake(run));
     else run();
   }
 
-  /** All tasks, exited ones included until they are forgotten. */
+  /** All attempts, including exited ones until `forget`. */
   list(): Iterable<RunningTask> {
     return this.tasks.values();
   }
 
-  /** The machine is gone, and all that was on it. */
+  /** Ends the machine with all its tasks. */
   end(): void {
     this.gone = true;
     this.killAll();
   }
 
-  /** Nothing is left of what the machine held: neither tasks nor images. */
+  /** Restarts the machine: all tasks and cached images are lost. */
   restart(): void {
     this.killAll();
     this.images.clear();
@@ -96,18 +105,19 @@
     this.fetches.clear();
   }
 
-  /** Has no effect on an attempt that is known already, in any state. */
+  /** Starts an attempt; no effect if the attempt is already known, in any phase. */
   start(shard: string, attempt: number): void {
     const key = `${shard}#${attempt}`;
     if (!this.tasks.has(key)) this.launch(shard, attempt, key);
   }
 
-  /** `windDownS`: how long a task that can save may take for it. */
+  /** Stops an attempt. `windDownS`: grace period in seconds for the final checkpoint of a task that supports it. */
   stop(shard: string, attempt: number, windDownS: number): void {
     const known = this.tasks.get(`${shard}#${attempt}`);
     if (known !== undefined && known.phase !== "exited") this.halt(known, windDownS);
   }
 
+  /** Drops an exited attempt whose outcome has been acknowledged. */
   forget(shard: string, attempt: number): void {
     const key = `${shard}#${attempt}`;
     if (this.tasks.get(key)?.phase === "exited") this.tasks.delete(key);
@@ -130,7 +140,7 @@
     });
   }
 
-  /** What the task has saved by itself so far is kept outside the machine. */
+  /** Stores the progress up to the last periodic checkpoint, or with `all` up to now, outside the machine. */
   private checkpoint(task: RunningTask, all = false): void {
     const { truth } = this.around;
     const every = truth.behaviour(jobOf(task.shard))?.saveEveryUs ?? 0;
@@ -208,7 +218,7 @@
     const { timeline, luck } = this.around;
     const { bundle, sizeGb } = behaviour;
     const { generation } = task;
-    // Tasks of several jobs may wait for one image.
+    // Tasks of several jobs may wait for the same image.
     const ready = (other: RunningTask): void =>
       this.awake(() => {
         const own = this.around.truth.behaviour(jobOf(other.shard));
@@ -232,14 +242,14 @@
       this.awake(() => {
         if (this.fetches.get(bundle) === fetch) this.fetches.delete(bundle);
         const wanted = [...fetch.waiting].filter((other) => other.phase === "pulling");
-        // Given up when no task waits for it any more.
+        // An image for which no task waits any more is discarded.
         if (wanted.length > 0) this.keep(bundle, sizeGb);
         for (const other of wanted) ready(other);
       }),
     );
   }
 
-  /** The most recently used images stay, as far as there is room for them. */
+  /** Puts an image into the cache; evicts the least recently used images that no active task uses if it is full. */
   private keep(bundle: string, sizeGb: number): void {
     this.images.delete(bundle);
     this.images.set(bundle, sizeGb);
--- a/src/model/network.ts
+++ b/src/model/network.ts
@@ -4,36 +4,40 @@
 import type { Random } from "./random.js";
 import { type HostClock, S, type World } from "./world.js";
 
+/** A response with a JSON body. */
 export const json = (status: number, body: unknown): HttpResponse => ({ status, body: JSON.stringify(body) });
 
+/** Request handler of a host; `from` is the address of the sender. */
 export type Serve = (request: HttpRequest, from: string) => Promise<HttpResponse>;
 
+/** An endpoint on the network. */
 export interface Host {
   readonly address: string;
   readonly serve: Serve;
-  /** Where the host's bounds are modelled. */
+  /** Resource model of the host's process; absent or null for unlimited resources. */
   readonly door?: Door | null;
-  /** Refuses connections (no process) or hangs (no power). */
+  /** "refusing": no process listens, connections are refused. "silent": no power, requests time out. */
   state: "up" | "refusing" | "silent";
 }
 
-/** How hosts of the model reach each other: simulated (`Network`) or over real sockets (`Loopback`). */
+/** Network between the hosts of the model: simulated (`Network`) or real sockets (`Loopback`). */
 export interface Net {
-  /** An address that no host has yet, for a machine that boots. */
+  /** Allocates an unused address for a machine that boots. */
   address(): string;
   add(host: Host): void;
-  /** The host is gone for good; its address may be given to another. */
+  /** Removes a host permanently; its address may be reused. */
   remove(host: Host): void;
   client(from: string, clock: Clock): HttpClient;
 }
 
+/** A network partition: "hold" delays messages until it ends, "reset" breaks connections. */
 interface Cut {
   readonly between: (a: string, b: string) => boolean;
   readonly until: number;
   readonly mode: "hold" | "reset";
 }
 
-/** What a one-way loss swallows: what is sent on its own account, or what is answered to that. */
+/** Direction of an exchange that a fault affects: the requests, or the responses to them. */
 export type Swallowed = "requests" | "answers";
 
 interface Loss {
@@ -43,7 +47,7 @@
   readonly swallows: readonly Swallowed[];
 }
 
-/** Messages that are on their way for seconds, and arrive all the same. */
+/** Delivers some messages after a delay of 0.5 s up to `mostUs`. */
 export interface Delays {
   readonly of: (from: string, to: string, request: HttpRequest) => boolean;
   readonly delays: Swallowed;
@@ -51,36 +55,38 @@
   readonly mostUs: number;
 }
 
-/** Copies of requests that come late, beside the requests themselves. */
+/** Delivers duplicates of some requests late, in addition to the requests themselves. */
 export interface Copies {
-  /** Which requests, and by how much late at most. */
+  /** Selects the requests that may be duplicated. */
   readonly of: (to: string, request: HttpRequest) => boolean;
   readonly chance: number;
   readonly mostLateUs: number;
   readonly until: number;
-  /** Where a copy arrives; the same host by default. */
+  /** Destination of a duplicate; the host of the original request by default. */
   readonly at?: (to: string) => string;
 }
 
 const MOST_KEPT = 300;
 
-/** Delays, loses nothing by itself; cuts hold messages back or reset connections. */
+/** Simulated network with random latency. Messages are lost, held back or duplicated only by injected faults. */
 export class Network implements Net {
   private readonly hosts = new Map<string, Host>();
   private cuts: Cut[] = [];
   private losses: Loss[] = [];
   private delays: (Delays & { readonly until: number })[] = [];
   copies: Copies | null = null;
-  /** Copies that are kept until somebody releases them, with who sent them. */
+  /** Selects the requests of which duplicates are retained until `release`. */
   private keeping: { readonly of: Copies["of"]; readonly chance: number; readonly until: number } | null = null;
+  /** Retained duplicates with their senders. */
   private kept: { readonly from: string; readonly request: HttpRequest }[] = [];
   private given = 0;
-  /** Lets a test change what is said, to see that the checker notices. */
+  /** Lets a test modify responses, to verify that the invariant checker detects it. */
   tamper: ((from: string, to: string, request: HttpRequest, response: HttpResponse) => HttpResponse) | null = null;
 
-  /** Lets a test change what is sent, as an older program would have written it. */
+  /** Lets a test modify requests into those of an older program version. */
   rewrite: ((from: string, to: string, request: HttpRequest) => HttpRequest) | null = null;
 
+  /** Called for each request that arrives at a host. */
   onRequest: ((from: string, to: string, request: HttpRequest) => void) | null = null;
 
   constructor(
@@ -98,22 +104,23 @@
     this.hosts.set(host.address, host);
   }
 
-  /** A machine that is gone stays silent: what is sent there hangs, as it does on a real network. */
+  /** Requests to a removed host get no response and time out, as on a real network. */
   remove(host: Host): void {
     this.hosts.delete(host.address);
     for (const { door } of this.hosts.values()) door?.forget(host.address);
   }
 
+  /** Partitions pairs of hosts in both directions. */
   cut(between: Cut["between"], forUs: number, mode: Cut["mode"]): void {
     this.cuts.push({ between, until: this.world.now + forUs, mode });
   }
 
-  /** Messages one way only are swallowed, silently; the other way all goes on. */
+  /** Drops messages silently in one direction; the other direction keeps working. */
   lose(loss: Omit<Loss, "until">, forUs: number): void {
     this.losses.push({ ...loss, until: this.world.now + forUs });
   }
 
-  /** Some messages take seconds. */
+  /** Delays a share of the messages by up to `mostUs`. */
   delayMessages(delays: Delays, forUs: number): void {
     this.delays.push({ ...delays, until: this.world.now + forUs });
   }
@@ -132,7 +139,7 @@
     return this.losses.some((loss) => loss.swallows.includes(what) && loss.from(from) && loss.to(to));
   }
 
-  /** What is delivered once more, seconds or minutes later; nobody waits for its answer. */
+  /** Retains or schedules a duplicate of a request if a fault selects it; the response to a duplicate is discarded. */
   private copy(from: string, to: string, request: HttpRequest): void {
     const { copies, keeping } = this;
     if (keeping !== null && this.world.now <= keeping.until && keeping.of(to, request)) {
@@ -149,12 +156,12 @@
     });
   }
 
-  /** Copies of a share of these requests are kept from now on. */
+  /** Retains duplicates of a share of the selected requests, until `release`. */
   keep(of: Copies["of"], chance: number, forUs: number): void {
     this.keeping = { of, chance, until: this.world.now + forUs };
   }
 
-  /** What was kept arrives at all of these hosts at once, in any order; returns how many copies that are. */
+  /** Delivers all retained duplicates to each of these hosts within half a second, in random order; returns the count. */
   release(at: readonly string[]): number {
     const { kept } = this;
     this.kept = [];
@@ -175,12 +182,12 @@
     return this.cuts.find((cut) => cut.between(a, b) || cut.between(b, a));
   }
 
-  /** The cut between two hosts now, if there is one. */
+  /** The current partition between two hosts; undefined if there is none. */
   cutFor(a: string, b: string): Cut | undefined {
     return this.cutBetween(a, b);
   }
 
-  /** How long a message between two hosts takes. */
+  /** Draws the latency of a message, in microseconds. */
   travel(): number {
     return this.delay();
   }
@@ -206,11 +213,11 @@
     const door = this.hosts.get(from)?.door ?? null;
     if (door === null) return this.send(from, clock, to, request, timeout);
     const left = door.leave();
-    // Not a connection to be had.
+    // The sender has reached its connection limit.
     if (left === null) return Promise.resolve({ kind: "unsent" });
     return this.send(from, clock, to, request, timeout).then(async (outcome) => {
       left();
-      // Read once the process gets its turn.
+      // The sender reads the response when its processor is available.
       if (door.turn > this.world.now) await new Promise<void>((resolve) => this.world.at(door.turn, resolve));
       return outcome;
     });
@@ -232,10 +239,10 @@
         resolve(outcome);
       };
       const host = this.hosts.get(to);
-      // Most requests travel on a connection that is open already; those can be held back and land late.
+      // Most requests use a connection that is already open; only those can be held back and delivered late.
       const late = this.heldUp(from, to, request, "requests");
       const open = late > 0 || this.random.chance(0.7);
-      // What has arrived may have been executed, however new its connection was.
+      // A request that has arrived may have been executed, even if its connection was new.
       let arrived = false;
       const timer = clock.after(timeout, () => settle({ kind: open || arrived ? "lost" : "unsent" }));
       const arrive = (): void => {
@@ -257,7 +264,7 @@
         this.copy(from, to, request);
         const serve = (done: (close: boolean) => void): void => {
           void target.serve(request, from).then((response) => {
-            // Redirected workers close by themselves.
+            // Workers close the connection themselves after a redirect (421).
             done(response.close === true || response.status === 421);
             this.reply(from, to, request, response, settle);
           });
--- a/src/model/state-service.ts
+++ b/src/model/state-service.ts
@@ -3,16 +3,17 @@
 import type { Random } from "./random.js";
 import { S, type Timeline } from "./world.js";
 
+/** A stored key: `stamp` is the revision of its last change, `hold` the id of its lease. */
 interface Item {
   value: unknown;
   stamp: number;
   hold: number | null;
 }
 
-/** A key as it is after a change. */
+/** State of a key after a change. */
 export interface KeyChange {
   readonly key: string;
-  /** Undefined where the key was removed. */
+  /** Undefined if the key was removed. */
   readonly value: unknown;
   readonly revision: number;
 }
@@ -27,36 +28,37 @@
   )[];
 }
 
-/** Stand-in for the state service, with its limits and its unkind corners. */
+/** Emulates the key-value store: transactions, leases, watches and limits, with injected faults. */
 export class StateService {
   private readonly items = new Map<string, Item>();
   private epoch = 0;
   private log: Logged[] = [];
   private readonly holds = new Map<number, { ttl: number; until: number }>();
   private nextHold = 1;
+  /** Pending watches; `wake` returns true once the watch has been answered. */
   private waiters: { wake: () => boolean }[] = [];
   private outageUntil = 0;
   private readonly refusedFor = new Map<string, number>();
   private requests = 0;
-  /** Requests received since the beginning, refused ones included. */
+  /** Number of requests received, including those refused by the rate limit. */
   received = 0;
   private writes = 0;
-  /** Writes asked for so far, refused ones included. */
+  /** Number of writes requested, including those of refused transactions. */
   asked = 0;
-  /** Transactions that were carried out and whose answer nobody got. */
+  /** Number of transactions that were applied without a response to the writer. */
   unheard = 0;
-  /** Told of each transaction that was carried out; a test may end a controller there. */
+  /** Called with the written keys after each applied transaction; a test may crash a controller there. */
   onApplied: (keys: readonly string[]) => void = () => undefined;
-  /** Told of each transaction that was carried out, or whose conditions failed, at once. */
+  /** Called for each transaction that was answered: applied, or rejected because a condition failed. */
   onTransaction: (body: string) => void = () => undefined;
-  /** Told of each change of a key, removals by lease expiry included, in order. */
+  /** Called for each key change in revision order, including removals by lease expiry. */
   onChange: ((change: KeyChange) => void) | null = null;
-  /** Share of transactions that are carried out, now or seconds later, without an answer. */
+  /** Share of transactions that are applied, at once or seconds later, without a response. */
   unanswered = 0;
-  /** How late those are carried out, at least and at most; null: half of them at once, the others up to 20 s late. */
+  /** Minimum and maximum delay of unanswered transactions; null: half at once, the others up to 20 s late. */
   lateBy: readonly [number, number] | null = null;
 
-  /** `keep`: changes that a watch can look back on. */
+  /** `keep`: number of past changes that a watch can start from. */
   constructor(
     private readonly world: Timeline,
     private readonly random: Random,
@@ -66,13 +68,14 @@
     this.tenth();
   }
 
+  /** Makes the service unavailable to all clients. */
   outage(forUs: number): void {
     this.outageUntil = Math.max(this.outageUntil, this.world.now + forUs);
-    // Every lease has its full time again afterwards.
+    // Every lease starts its full time to live again after the outage.
     for (const hold of this.holds.values()) hold.until = this.outageUntil + hold.ttl;
   }
 
-  /** That share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones of the same writer. */
+  /** A share of transactions gets no response and is applied 2 to 12 s late, after newer ones of the same writer. */
   lateWrites(share: number, forUs: number): void {
     this.leaveUnanswered(share, [2 * S, 12 * S], forUs);
   }
@@ -86,25 +89,25 @@
     });
   }
 
-  /** That share of transactions is carried out at once, and only its answer is lost. */
+  /** A share of transactions is applied at once, but its response is lost. */
   loseAnswers(share: number, forUs: number): void {
     this.leaveUnanswered(share, [0, 0], forUs);
   }
 
-  /** A single node is refused for a while; its leases run on. */
+  /** Refuses all requests of one client; its leases keep running. */
   refuse(from: string, forUs: number): void {
     this.refusedFor.set(from, this.world.now + forUs);
   }
 
-  /** From now on, without notice; what is stored stays readable. */
+  /** Lowers the limits at once; values already stored that exceed them stay readable. */
   lower(limits: Partial<{ rps: number; writeRps: number; txnOps: number; valueBytes: number }>): void {
     this.limits = { ...this.limits, ...limits };
   }
 
-  /** Transactions refused for their size. */
+  /** Number of transactions refused because of their size. */
   tooLarge = 0;
 
-  /** A record from before, put there as it is. */
+  /** Stores a value directly, bypassing limits; for records that exist before the run. */
   put(key: string, value: unknown): void {
     this.epoch += 1;
     this.items.set(key, { value, stamp: this.epoch, hold: null });
@@ -148,7 +151,7 @@
   }
 
   private wake(): void {
-    // Cut now and then only: a copy of ten thousand entries for each change took most of a run.
+    // Truncated only when twice the size: copying ten thousand entries at each change took most of a run's time.
     if (this.log.length > 2 * this.keep) this.log = this.log.slice(-this.keep);
     this.waiters = this.waiters.filter((waiter) => !waiter.wake());
   }
@@ -190,7 +193,7 @@
 
   private async transaction(body: string, from: string): Promise<HttpResponse> {
     if (this.random.chance(this.unanswered)) {
-      // Carried out now or much later, with nobody told.
+      // Applied at once or late, without a response.
       const [least, most] = this.lateBy ?? [0, this.random.chance(0.5) ? 0 : 20 * S];
       const late = this.random.int(least, most);
       this.world.after(late, () => {
@@ -234,7 +237,7 @@
     return json(200, { epoch: this.epoch });
   }
 
-  /** Keys that the transaction would change if it were carried out now, late or once more; none if it would fail. */
+  /** Keys that the transaction would change if it were applied (again) now; empty if it would fail. */
   lateEffect(body: string): readonly string[] {
     const { if: conditions, writes } = JSON.parse(body) as Transaction;
     if (conditions.some(({ k, stamp }) => this.stampOf(k) !== stamp)) return [];
@@ -288,7 +291,7 @@
       if (answer()) return;
       this.waiters.push({ wake: answer });
       const poll = (): void => {
-        // In an outage it stays open, past its time.
+        // During an outage the watch stays open beyond its time-out.
         if (this.down(from)) this.world.after(S / 2, poll);
         else answer();
       };
--- a/src/model/worker.ts
+++ b/src/model/worker.ts
@@ -7,21 +7,23 @@
 import type { HostInfo } from "./witness.js";
 import { HostClock, S } from "./world.js";
 
+/** Timing parameters of workers, in microseconds. */
 export interface WorkerTimes extends GangTimes {
   readonly reportUs: number;
   readonly leaseUs: number;
 }
 
-/** What a worker has around it. */
+/** Simulated environment shared by all workers of a site. */
 export interface Surroundings extends ExecutorAround {
   readonly net: Net;
   readonly random: Random;
-  /** Addresses and labels of the controllers. */
+  /** Addresses of the controllers; `labels` holds their names in the same order. */
   readonly nodes: readonly string[];
   readonly labels: readonly string[];
   readonly times: WorkerTimes;
 }
 
+/** A command as a controller sends it; `windDownS` is the grace period in seconds. */
 interface Order {
   readonly verb: string;
   readonly shard: string;
@@ -30,7 +32,8 @@
 }
 
 const REPORT_PATIENCE = (4 * S) as Micros;
-/** Stand-in for a worker on its machine, as the protocol describes it. */
+
+/** Emulates a worker: sends heartbeats, holds the worker lease, and serves commands and status queries. */
 export class Worker {
   private session = 1;
   private tick = 0;
@@ -40,13 +43,13 @@
   private inFlight = false;
   private lastReport = -S;
   private changeArmed = false;
-  /** Something has changed since the report under way was written. */
+  /** State has changed since the body of the heartbeat in flight was written. */
   private changedInFlight = false;
-  /** When a higher token last counted as a change. */
+  /** Time of the last out-of-schedule heartbeat that a higher fencing token triggered. */
   private tokenReportedAt = Number.NEGATIVE_INFINITY;
   private noticeAt: number | null = null;
   private gone = false;
-  /** Answers to calls from before a restart find nobody. */
+  /** Incremented at a restart; responses to requests sent before it are discarded. */
   private calls = 0;
   readonly host: Host;
   private readonly clock: HostClock;
@@ -72,17 +75,18 @@
     this.executor.hang(forUs);
   }
 
-  /** From now on it fails every task that it starts. */
+  /** Makes the machine faulty: every task that it starts from now on fails. */
   sicken(): void {
     this.executor.sick = true;
   }
 
+  /** Announces that the machine will be reclaimed in `inUs` microseconds. */
   notice(inUs: number): void {
     this.noticeAt = this.around.timeline.now + inUs;
     this.changed();
   }
 
-  /** Taken, deleted or lost: silent from now on, and nothing is on it any more. */
+  /** Ends the machine (reclaimed, deleted or failed): its tasks are killed and its address no longer responds. */
   end(): void {
     this.gone = true;
     this.host.state = "silent";
@@ -91,8 +95,8 @@
   }
 
   /**
-   * Back within a fraction of a second, without its tasks and images. `kept`: sessions, ticks and tokens go on where they
-   * were, in the next session; else they begin anew.
+   * Restarts the worker process within a fraction of a second; tasks and cached images are lost. With `kept` the
+   * incarnation is incremented and heartbeat sequence and fencing token are retained; otherwise all three are reset.
    */
   restart(kept: boolean): void {
     if (this.gone) return;
@@ -116,7 +120,7 @@
   private watchLease(): void {
     const { timeline, times } = this.around;
     if (this.gone) return;
-    // Holds for a hanging machine as well: what it had is over when it goes on.
+    // The lease also expires while the machine hangs: its tasks are gone when it resumes.
     if (timeline.now - this.leaseBase > times.leaseUs) {
       this.around.witness.leaseOver(
         this.info,
