--- a/src/model/fast-machine.ts
+++ b/src/model/fast-machine.ts
@@ -6,14 +6,15 @@
 import type { HostInfo } from "./witness.js";
 import { S } from "./world.js";
 
+/** Minimum time between two heartbeats. */
 const REPORT_GAP = S / 2;
-/** Refused or sent elsewhere once, and then up to half a second on the way to the holder. */
+/** Time until a worker reaches the shard leader: one refusal or redirect, then up to half a second. */
 const FOUND_LEAST = S;
 const FOUND_MOST = 1.5 * S;
-/** One tenure of one holder; a token says nothing here. */
+/** The fast model has a single leadership term, so the fencing token is constant. */
 export const TOKEN = 65_536;
 
-/** A machine of the fast model: runs tasks, and tells what has changed as often as a worker may report. */
+/** A machine of the fast model: runs tasks and reports changes at most as often as a worker may send heartbeats. */
 export class FastMachine implements Occupant {
   readonly host = { address: "" };
   readonly executor: Executor;
@@ -31,11 +32,12 @@
   ) {
     this.executor = new Executor(around, info, type, () => this.changed());
     const { timeline, luck } = around;
-    // Machines that stand from the beginning have to find the holder first, while it already rents for what comes.
+    // Workers of machines that exist from the start must find the shard leader first, which already scales out.
     if (timeline.now > 0) this.changed();
     else timeline.after(luck.between("found", info.name, FOUND_LEAST, FOUND_MOST), () => this.changed());
   }
 
+  /** Schedules a heartbeat unless one is already scheduled. */
   changed(): void {
     const { timeline } = this.around;
     if (this.armed || this.gone) return;
@@ -49,6 +51,7 @@
     );
   }
 
+  /** The heartbeat for the current state. */
   report(): Heartbeat {
     this.sequence += 1;
     const { name, type, zone, spot } = this.info;
@@ -83,7 +86,7 @@
     this.executor.sick = true;
   }
 
-  /** Its counters say nothing here. */
+  /** Restarts the worker; its counters are not modelled. */
   restart(): void {
     this.executor.restart();
     this.changed();
--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -41,7 +41,7 @@
 import type { HostInfo, Witness } from "./witness.js";
 import { HostClock, S, World } from "./world.js";
 
-/** How long a cloud call and a restart take, as in the faithful model. */
+/** Durations of a cloud call and of a takeover in microseconds, as in the full simulation. */
 const CLOUD_CALL = 100_000;
 const TAKEOVER = 1_200_000;
 const PROBE = 2 * S;
@@ -49,7 +49,7 @@
 const QUIET_PLAN = 2 * S;
 const DRAIN_TICK = 250_000;
 const ROUND_GAP = 10_000;
-/** With more machines rounds and plans are further apart, so that a day of ten thousand takes minutes. */
+/** Rounds and plans are spaced out in proportion to the machines, so that a day with 10,000 machines takes minutes. */
 const ROUND_GAP_PER_MACHINE = 100;
 const PLAN_GAP_PER_MACHINE = 300;
 const MOVE_LOOK = 2 * S;
@@ -67,6 +67,7 @@
 const NOTE_LEAST = S / 2;
 const NOTE_MOST = 15 * S;
 
+/** Configuration of a run of the fast model. */
 export interface FastSetup {
   readonly spec: SiteSpec;
   readonly options: OperatorOptions;
@@ -75,9 +76,9 @@
 }
 
 /**
- * Placement, limits, preemption, rental, moves and back-off of the real code on one clock, with everything between
- * processes replaced by the time that it takes: no requests, leases, records or reports at rest. docs/whatif.md says
- * what that leaves out.
+ * Fast model of a site: the real code for placement, limits, preemption, scaling, consolidation and back-off on one
+ * simulated clock. Communication is replaced by its latency: there are no requests, leases, stored records or periodic
+ * heartbeats. See docs/whatif.md for its limitations.
  */
 export class FastSite {
   readonly world = new World();
@@ -114,7 +115,7 @@
   private holder = 0;
   private moveAfter = 0;
   private plannedAt = 0;
-  /** Something that the next plan depends on has happened since the last one. */
+  /** Whether jobs or machines have changed since the last scale plan. */
   private stirred = true;
 
   constructor(private readonly setup: FastSetup) {
@@ -257,7 +258,7 @@
 
   // Records -------------------------------------------------------------------------------------------------
 
-  /** A placement is to be on record; its start follows from that. */
+  /** Records the placements of a range; start commands are sent once they are recorded. */
   private mark(range: TaskRange): void {
     if (this.queued.has(range)) return;
     this.queued.add(range);
@@ -279,7 +280,7 @@
     });
   }
 
-  /** What has ended is recorded later, together with what ends meanwhile. */
+  /** Records completed tasks after a delay, together with those that complete in the meantime. */
   private note(range: TaskRange): void {
     if (this.noted.has(range)) return;
     this.noted.add(range);
@@ -322,7 +323,7 @@
     const { name, type, zone, spot } = body.info;
     let machine = this.block.machines.get(name);
     if (machine === undefined) {
-      // There from the beginning.
+      // The machine exists from the start and was not rented by a scale plan.
       machine = createMachine(
         { name, typeName: type, type: this.types.get(type) ?? null, zone, spot },
         this.clock.now(),
@@ -337,7 +338,7 @@
     if (machine.lifecycle.reclaimAt !== null && before === null) this.attend(machine);
   }
 
-  /** Coalesced: what one round places on a machine travels together. */
+  /** Sends commands to a machine; all placements of a round on it are sent together. */
   private command(machine: Machine): void {
     if (this.commanded.has(machine)) return;
     this.commanded.add(machine);
@@ -367,7 +368,7 @@
       } else sent -= 1;
     }
     for (const [task, attempt] of machine.reported.unexpectedTasks) body.executor.stop(task, Number(attempt), 0);
-    // The answer is a report.
+    // The response to commands carries the worker's state, as a heartbeat does.
     if (sent > 0) this.heard(body);
   }
 
@@ -396,12 +397,12 @@
     this.world.after(DRAIN_TICK, () => this.tick());
   }
 
-  /** Time until a machine that says nothing is given up. */
+  /** Time without heartbeats until a machine is considered lost, in microseconds. */
   private get silence(): number {
     return this.settings.workers.heartbeatInterval * this.setup.options.silentReports + PROBE;
   }
 
-  /** Taken from outside: known once it misses its reports. */
+  /** The cloud reclaims a machine or it fails; the shard leader detects it by the missing heartbeats. */
   take(name: string, why: "taken" | "failed"): void {
     this.cloud.take(name, why);
     this.bodies.delete(name);
@@ -417,11 +418,15 @@
     this.stirred = true;
   }
 
+  /** Announces that a machine will be reclaimed in `inUs` microseconds. */
   notice(name: string, inUs: number): void {
     this.bodies.get(name)?.notice(inUs);
   }
 
-  /** Beyond the time that silence is borne it is deleted, as the real service does to have proof. */
+  /**
+   * Makes a machine hang. If it hangs beyond the heartbeat timeout it is deleted, as the real service does in order to
+   * be certain that its tasks have ended.
+   */
   silent(name: string, forUs: number): void {
     this.bodies.get(name)?.hang(forUs);
     if (forUs <= this.silence) return;
@@ -431,15 +436,17 @@
     });
   }
 
+  /** Makes a machine faulty: every task that it starts from now on fails. */
   faulty(name: string): void {
     this.bodies.get(name)?.sicken();
   }
 
+  /** Suspends cloud calls. */
   cloudOutage(forUs: number): void {
     this.cloudAwayUntil = Math.max(this.cloudAwayUntil, this.world.now + forUs);
   }
 
-  /** Nothing can be written, so nothing is decided. */
+  /** Suspends writes to the key-value store and, since no decision can be recorded, all decisions. */
   stateOutage(forUs: number): void {
     const until = this.world.now + forUs;
     this.writer.pausedUntil = Math.max(this.writer.pausedUntil, until);
@@ -447,7 +454,7 @@
     this.wakeRound(forUs + HOP);
   }
 
-  /** Matters where it holds the machines: another takes over, or it comes back itself. */
+  /** Crash of a controller; if it is the shard leader, decisions pause until another takes over or it restarts. */
   controllerEnd(controller: number, backAfterUs: number): void {
     if (controller !== this.holder) return;
     const controllers = this.settings.controllers;
@@ -511,7 +518,7 @@
     if (due >= this.roundAt) return;
     this.roundAt = due;
     this.world.at(due, () => {
-      // An earlier one has been set since.
+      // An earlier round has been scheduled since.
       if (this.roundAt !== due) return;
       this.roundAt = Number.POSITIVE_INFINITY;
       this.round();
@@ -521,7 +528,7 @@
   private round(): void {
     this.lastRound = this.world.now;
     if (this.acting) for (const action of decideRound(this.picture(), this.memory)) this.carryOut(action);
-    // With nothing waiting, only what wakes it can give it something to do.
+    // Without waiting tasks there is nothing to place until an event schedules the next round.
     if (this.waits()) this.wakeRound(this.setup.options.roundMs * 1_000);
   }
 
@@ -557,7 +564,7 @@
     return false;
   }
 
-  /** While no job and no machine comes or goes, a plan only brings what time itself does, and can be less frequent. */
+  /** Runs a scale plan; less often while jobs and machines are unchanged, since then only elapsed time affects it. */
   private plan(): void {
     if (this.acting && (this.stirred || this.world.now - this.plannedAt >= QUIET_PLAN)) {
       this.stirred = false;
@@ -585,7 +592,7 @@
     this.attend(machine);
   }
 
-  /** One rental after the other; the next plan follows the last. */
+  /** Sends the pending provisioning requests one at a time; schedules the next scale plan after the last one. */
   private settle(): void {
     const ask = this.asks[0];
     if (ask === undefined || !this.acting || this.cloudAwayUntil > this.world.now) {
--- a/src/model/fast-writer.ts
+++ b/src/model/fast-writer.ts
@@ -1,24 +1,25 @@
 import { RateLimiter } from "../transport/rate-limiter.js";
 import type { HostClock, World } from "./world.js";
 
-/** One way over the network, as in the faithful model. */
+/** One-way network latency in microseconds, as in the full simulation. */
 export const HOP = 1_000;
 const WRITE_GATHER = 3_000;
 const WRITE_TIME = 5_000;
 
-/** What is written, and what follows from it. */
+/** A write to the key-value store. `leave` is called when it is sent, `done` when it has been applied. */
 export interface Write {
-  /** Puts and deletes that it takes of the budget. */
+  /** Number of puts and deletes, which are charged to the write budget. */
   readonly count: number;
   readonly leave: () => void;
   readonly done: () => void;
 }
 
-/** The state service's budget, and the time until what was proposed counts; users' writes go first. */
+/** Models write budget, batching and latency of the key-value store; writes for users have priority. */
 export class Writer {
   private readonly queues: readonly [Write[], Write[], Write[]] = [[], [], []];
   private readonly limit: RateLimiter;
   private armed = false;
+  /** No writes are sent before this time. */
   pausedUntil = 0;
 
   constructor(
@@ -30,12 +31,12 @@
     this.limit = new RateLimiter(clock, perSecond);
   }
 
-  /** Seconds until a user's write proposed now is likely to leave. */
+  /** Estimated seconds until a user's write proposed now is sent. */
   get backlogS(): number {
     return this.queues[0].length / this.limit.currentRate;
   }
 
-  /** `urgency`: 0 users', 1 work, 2 upkeep. */
+  /** `urgency`: 0 for user requests, 1 for placements and outcomes, 2 for maintenance. */
   propose(urgency: 0 | 1 | 2, write: Write): void {
     this.queues[urgency].push(write);
     this.arm(WRITE_GATHER);
--- a/src/model/index.ts
+++ b/src/model/index.ts
@@ -1,4 +1,4 @@
-/** The emulator: a whole site around the controllers' real code, for tests, `local`, what-if and experiments. */
+/** The emulator: the environment of the controllers' real code, for tests, `local`, what-if and experiments. */
 export { jobBehaviour } from "./behaviour.js";
 export { type CloudMachine, CloudService, EVEN_BOOTS, type Room, roomOf, USUAL_BOOTS } from "./cloud-service.js";
 export { Curious } from "./curious.js";
--- a/src/model/local-site.ts
+++ b/src/model/local-site.ts
@@ -19,25 +19,26 @@
 import { type Surroundings, Worker } from "./worker.js";
 import { S } from "./world.js";
 
+/** Configuration of a site on real sockets. */
 export interface LocalSetup {
   readonly spec: SiteSpec;
   readonly options: OperatorOptions;
   readonly seed: number;
-  /** First of the ports; the controllers' are the first ones. */
+  /** First of the consecutive ports; controllers use the lowest ones. */
   readonly port: number;
-  /** Emulated tasks run so many times faster than they say. */
+  /** Factor by which emulated tasks run faster than specified. */
   readonly speed: number;
-  /** Luck of boots as the cloud has it, or every boot within the usual spread. */
+  /** Whether every boot completes within the usual spread; otherwise some fail, or complete late or early. */
   readonly evenBoots: boolean;
-  /** The program that serves as a controller. */
+  /** Path of the program, which is started as a controller with `serve`. */
   readonly program: string;
   readonly watch: (timeline: RealTime) => { readonly witness: Witness; readonly hearing: Hearing };
   readonly onError: (what: string) => void;
 }
 
-/** Known to `serve`. */
+/** Makes `serve` exit when its standard input ends. */
 const END_WITH_STDIN = "RAINRIDGE_END_WITH_STDIN";
-/** Those of machines that are gone rest for a while. */
+/** More than one, since the port of an ended machine is not reused for a while. */
 const PORTS_A_MACHINE = 3;
 const LEAST_PORTS = 48;
 const START_PATIENCE = 15_000;
@@ -46,7 +47,7 @@
 
 const loopback = (port: number): string => `127.0.0.1:${port}`;
 
-/** Controllers listen themselves, so a port in use would only show in their logs. */
+/** Checks that a port is free, since a controller's own process would report a port in use only in its log. */
 const probe = (port: number): Promise<void> =>
   new Promise((resolve, reject) => {
     const server = createServer();
@@ -61,8 +62,8 @@
 const pause = (time: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, time));
 
 /**
- * A site on real sockets of this machine: the controllers as processes of their own, started from the program itself,
- * and stand-ins of state service, cloud, workers and users in this one.
+ * A site on real sockets of this machine: the controllers run as separate processes of the program, while key-value
+ * store, cloud, workers and users are emulated in this process.
  */
 export class LocalSite {
   readonly truth = new Truth();
@@ -116,7 +117,7 @@
     this.users = new Users(this.timeline, net, random, addresses.controllers, this.watch.hearing, PLAIN_USERS);
   }
 
-  /** Takes the ports and starts everything; resolves when all controllers can take requests. */
+  /** Binds the ports and starts the site; resolves when all controllers are ready for requests. */
   static async start(setup: LocalSetup): Promise<LocalSite> {
     const { spec, port } = setup;
     const count = spec.controllers.length;
@@ -152,7 +153,7 @@
     writeFileSync(operators, JSON.stringify(options));
     const log = openSync(join(this.folder, `${labelOf(at)}.log`), "a");
     const child = spawn(process.execPath, [program, "serve", "--config", config, "--options", operators], {
-      // A pipe that ends with this process, however that ends: no controller stays behind.
+      // The pipe closes when this process ends for any reason, so that no controller is left running.
       stdio: ["pipe", "ignore", log],
       env: { ...process.env, [END_WITH_STDIN]: "1" },
     });
@@ -179,7 +180,7 @@
     }
   }
 
-  /** Ends a controller without a word, as a crash does, and starts it again. */
+  /** Kills a controller process with SIGKILL, as a crash does, and restarts it after `backAfterUs`. */
   crash(at: number, backAfterUs = RESTART * 1_000): void {
     const child = this.children[at];
     if (child === undefined || child === null) return;
@@ -190,6 +191,7 @@
     });
   }
 
+  /** Submits a job whose tasks run as estimated, except for what `behaviour` overrides. */
   submit(job: Submission, behaviour: Partial<Behaviour> = {}): void {
     this.truth.behaviours.set(job.ref, this.faster({ ...jobBehaviour(job), ...behaviour }));
     this.users.submit(job);
@@ -207,7 +209,7 @@
     };
   }
 
-  /** A job that came in by the command line: the stand-in reads its description where the service keeps it. */
+  /** Behaviour of a job submitted through the command line, read from its record in the key-value store. */
   private described(job: string): Behaviour | null {
     const value = this.state.value(jobKey(job));
     if (value === undefined) return null;
@@ -226,7 +228,7 @@
     });
   }
 
-  /** Ends the controllers, each by its process, and gives the ports back. */
+  /** Kills the controller processes, waits for their exit and releases the ports. */
   async stop(): Promise<void> {
     this.stopped = true;
     this.timeline.stop();
@@ -245,7 +247,7 @@
     await this.net.close();
   }
 
-  /** For when the process itself ends at once: nothing that it started may stay. */
+  /** Kills the controller processes without waiting, when this process itself is about to exit. */
   kill(): void {
     this.stopped = true;
     for (const child of this.children) child?.kill("SIGKILL");
--- a/src/model/loopback.ts
+++ b/src/model/loopback.ts
@@ -5,7 +5,7 @@
 import type { Host, Net } from "./network.js";
 import type { Timeline } from "./world.js";
 
-/** The machine's own time, counted from when it was made. */
+/** Real time since construction, as a timeline. */
 export class RealTime implements Timeline {
   private readonly began = systemClock.now();
   private stopped = false;
@@ -24,7 +24,7 @@
     });
   }
 
-  /** Nothing that was still to come happens any more. */
+  /** Suppresses all scheduled callbacks. */
   stop(): void {
     this.stopped = true;
   }
@@ -38,13 +38,13 @@
   maxBusy: 4_096,
 };
 
-/** Message is one line naming the address. */
+/** A port is not available or a controller is not ready. The message is one line, with the address if known. */
 export class PortError extends Error {}
 
 const REST = seconds(60);
 const HOST = "127.0.0.1";
 
-/** Hosts of the model on real sockets of 127.0.0.1, each on a port of its own; all ports are taken at the start. */
+/** Network of the model over real sockets of 127.0.0.1, one port per host; all ports are bound at the start. */
 export class Loopback implements Net {
   private readonly hosts = new Map<string, Host>();
   private readonly servers: HttpServer[] = [];
@@ -52,7 +52,7 @@
   private readonly resting: string[] = [];
   private readonly http = new NetHttpClient(systemClock, 1_024);
 
-  /** `fixed`: addresses that must be as given; `machines`: how many more there may be at once. */
+  /** Binds the `fixed` addresses and `machines` further ports; throws `PortError` if a port is not available. */
   static async open(fixed: readonly string[], machines: number, onError: (error: unknown) => void): Promise<Loopback> {
     const net = new Loopback();
     try {
@@ -72,7 +72,7 @@
       LIMITS,
       (request) => {
         const host = this.hosts.get(address);
-        // A machine that is gone is silent.
+        // Requests to a machine that no longer exists get no response.
         if (host === undefined || host.state !== "up") return new Promise(() => undefined);
         return host.serve(request, "loopback");
       },
@@ -102,8 +102,8 @@
   remove(host: Host): void {
     const { address } = host;
     this.hosts.delete(address);
-    // Workers know commands by token and session only: one that is still under way to the machine that is gone would be
-    // carried out by its successor on the same port. So the port rests for longer than any command may take.
+    // Workers check only fencing token and incarnation of a command: one in flight to the removed machine would be
+    // executed by its successor on the same port. So the port is not reused until any such command has timed out.
     this.resting.push(address);
     systemClock.after(REST, () => {
       const at = this.resting.indexOf(address);
--- a/src/model/sample.ts
+++ b/src/model/sample.ts
@@ -3,7 +3,7 @@
 import type { Submission } from "./users.js";
 import { S } from "./world.js";
 
-/** A small site with short times, for trying things out: two zones, two types, spot and ordinary machines. */
+/** A small site with short times for local trials: two zones, two types, spot and on-demand machines. */
 export const sampleSite = (machines: number): SiteSpec => {
   const half = Math.max(1, Math.floor(machines / 4));
   const types = [
@@ -35,7 +35,7 @@
   };
 };
 
-/** Jobs as the sample site's users would send them. */
+/** Sample jobs for `sampleSite`, with random sizes derived from the seed. */
 export const sampleJobs = (seed: number): readonly Submission[] => {
   const random = new Random(seed);
   const plain: Submission = {
