--- a/src/model/cloud-service.ts
+++ b/src/model/cloud-service.ts
@@ -6,7 +6,7 @@
 import { S, type Timeline } from "./world.js";
 
 /** Worker emulation on a machine that is up; implemented by `Worker` and by `FastMachine`. */
-export interface Occupant {
+export interface MachineWorker {
   readonly host: { readonly address: string };
   /** Announces that the machine will be reclaimed in `inUs` microseconds. */
   notice(inUs: number): void;
@@ -14,8 +14,8 @@
   hang(forUs: number): void;
   /** Makes the machine faulty: every task that it starts from now on fails. */
   sicken(): void;
-  /** Restarts the worker process within a fraction of a second, without its tasks; `kept`: its counters survive. */
-  restart(kept: boolean): void;
+  /** Restarts the worker process within a fraction of a second, without its tasks; `keepCounters`: its counters survive. */
+  restart(keepCounters: boolean): void;
   /** Ends the machine with all its tasks. */
   end(): void;
 }
@@ -28,60 +28,60 @@
   readonly since: number;
   upAt: number | null;
   goneAt: number | null;
-  worker: Occupant | null;
+  worker: MachineWorker | null;
   phase: "starting" | "running" | "gone";
 }
 
 /** Shares of boots that never complete, complete late, or complete early. */
-export interface BootLuck {
+export interface BootFaults {
   readonly never: number;
   readonly late: number;
   readonly early: number;
 }
 
 /** Default shares of failed, late and early boots. */
-export const USUAL_BOOTS: BootLuck = { never: 0.03, late: 0.1, early: 0.1 };
+export const USUAL_BOOTS: BootFaults = { never: 0.03, late: 0.1, early: 0.1 };
 /** Every boot completes, within the usual spread of boot times. */
-export const EVEN_BOOTS: BootLuck = { never: 0, late: 0, early: 0 };
+export const EVEN_BOOTS: BootFaults = { never: 0, late: 0, early: 0 };
 
 /** Factors on the boot time of the type for late and early boots. */
-const LATE = 4;
-const EARLY = 0.05;
-const ANSWER_US = 100_000;
+const LATE_BOOT_FACTOR = 4;
+const EARLY_BOOT_FACTOR = 0.05;
+const RESPONSE_DELAY_US = 100_000;
 /** A machine that is deleted is charged for at least this time. */
-const LEAST_CHARGE = 60 * S;
-const HOUR = 3_600 * S;
+const MIN_CHARGE_US = 60 * S;
+const HOUR_US = 3_600 * S;
 
 /** Number of further machines of a type, zone and purchase model (spot or on-demand) that can be rented now. */
 export type Room = (type: string, zone: string, spot: boolean, cloud: CloudService) => number;
 
 /** Free capacity under fixed limits; combinations that are not listed have none. */
 export const roomOf = (capacity: readonly CapacitySpec[]): Room => {
-  const counts = new Map(capacity.map(({ type, zone, spot, count }) => [group(type, zone, spot), count]));
-  return (type, zone, spot, cloud) => (counts.get(group(type, zone, spot)) ?? 0) - cloud.count(type, zone, spot);
+  const counts = new Map(capacity.map(({ type, zone, spot, count }) => [capacityKey(type, zone, spot), count]));
+  return (type, zone, spot, cloud) => (counts.get(capacityKey(type, zone, spot)) ?? 0) - cloud.count(type, zone, spot);
 };
 
-const group = (type: string, zone: string, spot: boolean): string => `${type}/${zone}/${spot}`;
+const capacityKey = (type: string, zone: string, spot: boolean): string => `${type}/${zone}/${spot}`;
 
 /** Emulates the cloud: machine lists are stale and may go back in time, and boots may be late or never complete. */
 export class CloudService {
   readonly machines = new Map<string, CloudMachine>();
   /** Machines granted by request id, so that a retried request is idempotent. */
-  private readonly answers = new Map<string, string[]>();
+  private readonly grantsByRequest = new Map<string, string[]>();
   /** Ended machines that a stale list may still contain, oldest first. */
-  private readonly ended: CloudMachine[] = [];
+  private readonly endedMachines: CloudMachine[] = [];
   /** Machines currently charged, by type, zone and purchase model. */
-  private readonly present = new Map<string, number>();
-  private next = 1;
-  private cost = 0;
-  private readonly costs = new Map<string, number>();
+  private readonly chargedCounts = new Map<string, number>();
+  private nextNumber = 1;
+  private endedCost = 0;
+  private readonly endedCostByType = new Map<string, number>();
   /** Until this time all requests are refused. */
   outageUntil = 0;
   /** Number of requests received. */
   calls = 0;
   /** End of the injected capacity shortage, by type, zone and purchase model. */
-  private readonly refusedUntil = new Map<string, number>();
-  boots: BootLuck = USUAL_BOOTS;
+  private readonly shortageUntil = new Map<string, number>();
+  boots: BootFaults = USUAL_BOOTS;
 
   /** `room` is evaluated at every provisioning request. */
   constructor(
@@ -89,14 +89,14 @@
     private readonly random: Random,
     private readonly luck: Luck,
     private readonly site: SiteSpec,
-    private readonly boot: (info: HostInfo, type: TypeSpec) => Occupant,
+    private readonly startWorker: (info: HostInfo, type: TypeSpec) => MachineWorker,
     private readonly witness: Witness,
     private readonly room: Room,
   ) {}
 
   serve = async (request: HttpRequest): Promise<HttpResponse> => {
     this.calls += 1;
-    await new Promise<void>((resolve) => this.timeline.after(ANSWER_US, resolve));
+    await new Promise<void>((resolve) => this.timeline.after(RESPONSE_DELAY_US, resolve));
     if (this.outageUntil > this.timeline.now) return json(503, { error: "trouble" });
     if (request.target === "/catalog") return json(200, catalogOf(this.site.types));
     if (request.target.startsWith("/hosts?")) return this.list(request.target);
@@ -116,8 +116,8 @@
     const page = Math.min(500, Number(url.searchParams.get("page") ?? 500));
     const at = this.timeline.now - listLagUs * (0.3 + this.random.next() * 1.7);
     const oldest = this.timeline.now - 3 * listLagUs;
-    while ((this.ended[0]?.goneAt ?? oldest) < oldest) {
-      const machine = this.ended.shift();
+    while ((this.endedMachines[0]?.goneAt ?? oldest) < oldest) {
+      const machine = this.endedMachines.shift();
       if (machine !== undefined) this.machines.delete(machine.ref);
     }
     const hosts: unknown[] = [];
@@ -129,14 +129,14 @@
         more = true;
         break;
       }
-      const up = machine.upAt !== null && machine.upAt <= at;
+      const isUp = machine.upAt !== null && machine.upAt <= at;
       hosts.push({
         ref: machine.ref,
-        addr: up ? (machine.worker?.host.address ?? null) : null,
+        addr: isUp ? (machine.worker?.host.address ?? null) : null,
         flavor: machine.info.type,
         area: machine.info.zone,
         loaner: machine.info.spot,
-        phase: up ? "running" : "starting",
+        phase: isUp ? "running" : "starting",
         heldS: (at - machine.since) / S,
       });
     }
@@ -151,19 +151,19 @@
       loaner: boolean;
       number: number;
     };
-    const known = this.answers.get(ask);
-    if (known !== undefined) return json(200, { hosts: known });
+    const granted = this.grantsByRequest.get(ask);
+    if (granted !== undefined) return json(200, { hosts: granted });
     const type = this.site.types.find((entry) => entry.name === flavor);
     if (type === undefined || !type.zones.includes(area)) return json(400, {});
     const hosts = this.grant(type, area, loaner, number);
     if (hosts.length === 0) return json(503, { error: "no capacity" });
-    this.answers.set(ask, hosts);
+    this.grantsByRequest.set(ask, hosts);
     return json(200, { hosts });
   }
 
   /** Rents up to `number` machines, limited by free capacity; returns their names. */
   grant(type: TypeSpec, zone: string, spot: boolean, number: number): string[] {
-    const refused = (this.refusedUntil.get(group(type.name, zone, spot)) ?? 0) > this.timeline.now;
+    const refused = (this.shortageUntil.get(capacityKey(type.name, zone, spot)) ?? 0) > this.timeline.now;
     const room = refused ? 0 : Math.max(0, this.room(type.name, zone, spot, this));
     const count = Math.min(number, room);
     if (count < number) this.witness.refused(type.name, zone, spot);
@@ -172,17 +172,17 @@
 
   /** Number of machines of a type, zone and purchase model that are currently charged. */
   count(type: string, zone: string, spot: boolean): number {
-    return this.present.get(group(type, zone, spot)) ?? 0;
+    return this.chargedCounts.get(capacityKey(type, zone, spot)) ?? 0;
   }
 
   /** Injects a capacity shortage for a type, zone and purchase model. */
   refuse(type: string, zone: string, spot: boolean, forUs: number): void {
-    this.refusedUntil.set(group(type, zone, spot), this.timeline.now + forUs);
+    this.shortageUntil.set(capacityKey(type, zone, spot), this.timeline.now + forUs);
   }
 
   /** Adds a machine. `bootUs`: boot time; null for a random one, 0 for a machine that exists from the start. */
   add(type: TypeSpec, zone: string, spot: boolean, bootUs: number | null = null): string {
-    const ref = `n-${String(this.next++).padStart(6, "0")}`;
+    const ref = `n-${String(this.nextNumber++).padStart(6, "0")}`;
     const info: HostInfo = { name: ref, type: type.name, zone, spot };
     const machine: CloudMachine = {
       ref,
@@ -195,10 +195,10 @@
       phase: "starting",
     };
     this.machines.set(ref, machine);
-    this.present.set(group(type.name, zone, spot), this.count(type.name, zone, spot) + 1);
+    this.chargedCounts.set(capacityKey(type.name, zone, spot), this.count(type.name, zone, spot) + 1);
     this.witness.machineAsked(info);
-    const takes = bootUs ?? this.bootTime(ref, type);
-    if (takes !== null) this.timeline.after(takes, () => this.up(machine));
+    const delay = bootUs ?? this.bootTime(ref, type);
+    if (delay !== null) this.timeline.after(delay, () => this.completeBoot(machine));
     return ref;
   }
 
@@ -206,16 +206,16 @@
     const { never, late, early } = this.boots;
     const draw = this.luck.of("boot", ref);
     if (draw < never) return null;
-    if (draw < never + late) return type.bootUs * LATE;
-    if (draw < never + late + early) return type.bootUs * EARLY;
+    if (draw < never + late) return type.bootUs * LATE_BOOT_FACTOR;
+    if (draw < never + late + early) return type.bootUs * EARLY_BOOT_FACTOR;
     return type.bootUs * this.luck.between("boot time", ref, 0.6, 1.5);
   }
 
-  private up(machine: CloudMachine): void {
+  private completeBoot(machine: CloudMachine): void {
     if (machine.phase !== "starting") return;
     machine.phase = "running";
     machine.upAt = this.timeline.now;
-    machine.worker = this.boot(machine.info, machine.type);
+    machine.worker = this.startWorker(machine.info, machine.type);
     this.witness.machineUp(machine.info);
   }
 
@@ -226,10 +226,10 @@
     const { type, zone, spot } = machine.info;
     machine.phase = "gone";
     machine.goneAt = this.timeline.now;
-    this.present.set(group(type, zone, spot), this.count(type, zone, spot) - 1);
-    this.ended.push(machine);
+    this.chargedCounts.set(capacityKey(type, zone, spot), this.count(type, zone, spot) - 1);
+    this.endedMachines.push(machine);
     const held = this.timeline.now - machine.since;
-    const charged = why === "deleted" ? Math.max(held, LEAST_CHARGE) : held;
+    const charged = why === "deleted" ? Math.max(held, MIN_CHARGE_US) : held;
     this.charge(machine, charged);
     machine.worker?.end();
     this.witness.machineGone(machine.info, why);
@@ -237,18 +237,18 @@
 
   private charge(machine: CloudMachine, us: number): void {
     const price = machine.info.spot ? machine.type.spotPrice : machine.type.price;
-    const cost = (price * us) / HOUR;
-    this.cost += cost;
-    this.costs.set(machine.info.type, (this.costs.get(machine.info.type) ?? 0) + cost);
+    const cost = (price * us) / HOUR_US;
+    this.endedCost += cost;
+    this.endedCostByType.set(machine.info.type, (this.endedCostByType.get(machine.info.type) ?? 0) + cost);
   }
 
   /** Cost so far, including machines that are still rented. */
   spent(): number {
-    let sum = this.cost;
+    let sum = this.endedCost;
     for (const machine of this.machines.values()) {
       if (machine.phase === "gone") continue;
       const price = machine.info.spot ? machine.type.spotPrice : machine.type.price;
-      sum += (price * (this.timeline.now - machine.since)) / HOUR;
+      sum += (price * (this.timeline.now - machine.since)) / HOUR_US;
     }
     return sum;
   }
--- a/src/model/curious.ts
+++ b/src/model/curious.ts
@@ -3,9 +3,9 @@
 import { S, type Timeline } from "./world.js";
 
 /** Status queries to each controller after each event, spread over `WITHIN` microseconds. */
-const LOOKS = 3;
-const WITHIN = 8_000;
-const ODD_EVERY = S / 2;
+const QUERIES_PER_CONTROLLER = 3;
+const QUERY_SPREAD_US = 8_000;
+const ODD_REQUEST_PERIOD_US = S / 2;
 
 /** Users that probe consistency: they query all controllers right after each change, and send unusual requests. */
 export class Curious {
@@ -18,7 +18,7 @@
     private readonly users: Users,
     private readonly timeline: Timeline,
     private readonly random: Random,
-    private readonly nodes: readonly string[],
+    private readonly controllers: readonly string[],
   ) {}
 
   /**
@@ -31,20 +31,20 @@
     this.users.onNews = (id) => {
       before(id);
       if (this.timeline.now > until) return;
-      for (const node of this.nodes) {
-        for (let look = 0; look < LOOKS; look += 1) this.soon(() => this.users.askOnce(id, node));
-        this.soon(() => {
+      for (const node of this.controllers) {
+        for (let look = 0; look < QUERIES_PER_CONTROLLER; look += 1) this.sendSoon(() => this.users.askOnce(id, node));
+        this.sendSoon(() => {
           const job = this.users.known().all.find(({ ref }) => ref === id);
           if (job !== undefined) void this.users.resubmit(job, node);
         });
       }
-      if (this.random.chance(cancels)) this.soon(() => this.users.cancel(id));
+      if (this.random.chance(cancels)) this.sendSoon(() => this.users.cancel(id));
     };
   }
 
-  private soon(look: () => void): void {
+  private sendSoon(look: () => void): void {
     this.looks += 1;
-    this.timeline.after(this.random.int(1, WITHIN), look);
+    this.timeline.after(this.random.int(1, QUERY_SPREAD_US), look);
   }
 
   /** Sends unusual requests: resubmissions of open jobs, cancellations of ended ones, and invalid submissions. */
@@ -52,7 +52,7 @@
     const until = this.timeline.now + forUs;
     const next = (): void => {
       if (this.timeline.now > until) return;
-      this.timeline.after(ODD_EVERY, next);
+      this.timeline.after(ODD_REQUEST_PERIOD_US, next);
       const { all, open } = this.users.known();
       const over = all.filter((job) => !open.includes(job));
       const any = open.length > 0 ? this.random.pick(open) : null;
--- a/src/model/door.ts
+++ b/src/model/door.ts
@@ -55,21 +55,21 @@
 }
 
 /** Processor backlog that counts as reaching the limit: workers time out after 4 s without a response. */
-const BEHIND_US = 1_000_000;
+const MAX_BACKLOG_US = 1_000_000;
 
 /**
  * Resource model of a controller's process: with a share of a processor, requests and timers queue; connections above
  * the limit are refused; and the process ends when it exceeds its memory limit.
  */
-export class Door {
+export class ProcessModel {
   /** Simulated time at which the processor has worked off its backlog. */
-  private freeAt = 0;
+  private idleAt = 0;
   private cpuUs = 0;
   /** Idle incoming connections, by sender. */
-  private readonly kept = new Set<string>();
-  /** Incoming requests in progress; `out` counts the outgoing ones. */
-  private passing = 0;
-  private out = 0;
+  private readonly idleConnections = new Set<string>();
+  /** Incoming requests in progress; `outgoing` counts the outgoing ones. */
+  private incoming = 0;
+  private outgoing = 0;
   private mostConnections = 0;
   private refused = 0;
   private readonly reachedAt: Record<"processor" | "sockets" | "memory", number | null> = {
@@ -84,8 +84,8 @@
   ) {}
 
   /** Simulated time at which work queued now is processed. */
-  get turn(): number {
-    return Math.max(this.timeline.now, this.freeAt);
+  get nextSlot(): number {
+    return Math.max(this.timeline.now, this.idleAt);
   }
 
   get usage(): Usage {
@@ -96,15 +96,15 @@
   /** Adds work, in microseconds of a whole core, to the processor's backlog. */
   spend(us: number): void {
     this.cpuUs += us;
-    this.freeAt = this.turn + us / this.bounds.cpuShare;
-    if (this.freeAt - this.timeline.now > BEHIND_US) this.reachedAt.processor ??= this.timeline.now;
+    this.idleAt = this.nextSlot + us / this.bounds.cpuShare;
+    if (this.idleAt - this.timeline.now > MAX_BACKLOG_US) this.reachedAt.processor ??= this.timeline.now;
   }
 
   private get connections(): number {
-    return this.kept.size + this.passing + this.out;
+    return this.idleConnections.size + this.incoming + this.outgoing;
   }
 
-  private count(): boolean {
+  private acquireConnection(): boolean {
     const { maxConnections } = this.bounds;
     if (this.connections >= maxConnections) {
       this.reachedAt.sockets ??= this.timeline.now;
@@ -116,47 +116,47 @@
   }
 
   /** Accepts a request: returns a callback that closes or keeps its connection, or null at the connection limit. */
-  enter(from: string, bytes: number, lasting: boolean): ((close: boolean) => void) | null {
+  acceptRequest(from: string, bytes: number, keepAlive: boolean): ((close: boolean) => void) | null {
     const { costs, keepConnections } = this.bounds;
-    const open = this.kept.delete(from);
+    const open = this.idleConnections.delete(from);
     if (!open) {
       this.spend(costs.connectUs);
-      if (!this.count()) return null;
+      if (!this.acquireConnection()) return null;
     }
-    this.passing += 1;
+    this.incoming += 1;
     this.spend(costs.requestUs + (costs.kilobyteUs * bytes) / 1_024);
     return (close) => {
-      this.passing -= 1;
-      if (lasting && !close && this.connections < keepConnections) this.kept.add(from);
+      this.incoming -= 1;
+      if (keepAlive && !close && this.connections < keepConnections) this.idleConnections.add(from);
     };
   }
 
   /** Opens a connection for an outgoing request: returns a callback that closes it, or null at the connection limit. */
-  leave(): (() => void) | null {
-    if (!this.count()) return null;
+  openOutgoing(): (() => void) | null {
+    if (!this.acquireConnection()) return null;
     this.spend(this.bounds.costs.callUs);
-    this.out += 1;
+    this.outgoing += 1;
     return () => {
-      this.out -= 1;
+      this.outgoing -= 1;
     };
   }
 
   /** Pauses the process while its clock keeps running. */
   freeze(forUs: number): void {
-    this.freeAt = Math.max(this.freeAt, this.timeline.now + forUs);
+    this.idleAt = Math.max(this.idleAt, this.timeline.now + forUs);
   }
 
   /** Closes the idle connection from a removed host. */
   forget(from: string): void {
-    this.kept.delete(from);
+    this.idleConnections.delete(from);
   }
 
   /** Resets connections and backlog when the process is restarted. */
   restart(): void {
-    this.kept.clear();
-    this.passing = 0;
-    this.out = 0;
-    this.freeAt = this.timeline.now;
+    this.idleConnections.clear();
+    this.incoming = 0;
+    this.outgoing = 0;
+    this.idleAt = this.timeline.now;
   }
 
   /** Memory in bytes of a process with this number of machines and tasks; records when it exceeds the limit. */
@@ -180,9 +180,9 @@
   /** A timer whose callback runs once the processor's backlog at its expiry has been worked off. */
   after(delay: Micros, run: () => void): { cancel(): void } {
     let timer = this.timeline.after(delay, () => {
-      const { turn } = this;
-      if (turn <= this.timeline.now) run();
-      else timer = this.timeline.at(turn, run);
+      const { nextSlot } = this;
+      if (nextSlot <= this.timeline.now) run();
+      else timer = this.timeline.at(nextSlot, run);
     });
     return { cancel: () => timer.cancel() };
   }
--- a/src/model/fast-machine.ts
+++ b/src/model/fast-machine.ts
@@ -1,62 +1,65 @@
 import { type Heartbeat, taskStatusOf } from "../protocol/worker.js";
-import type { Occupant } from "./cloud-service.js";
-import { Executor, type ExecutorAround } from "./executor.js";
-import { HOP } from "./fast-writer.js";
+import type { MachineWorker } from "./cloud-service.js";
+import { Executor, type ExecutorEnvironment } from "./executor.js";
+import { NETWORK_LATENCY_US } from "./fast-writer.js";
 import type { TypeSpec } from "./site-spec.js";
 import type { HostInfo } from "./witness.js";
 import { S } from "./world.js";
 
 /** Minimum time between two heartbeats. */
-const REPORT_GAP = S / 2;
+const MIN_HEARTBEAT_GAP_US = S / 2;
 /** Time until a worker reaches the shard leader: one refusal or redirect, then up to half a second. */
-const FOUND_LEAST = S;
-const FOUND_MOST = 1.5 * S;
+const MIN_DISCOVERY_US = S;
+const MAX_DISCOVERY_US = 1.5 * S;
 /** The fast model has a single leadership term, so the fencing token is constant. */
-export const TOKEN = 65_536;
+export const FENCING_TOKEN = 65_536;
 
 /** A machine of the fast model: runs tasks and reports changes at most as often as a worker may send heartbeats. */
-export class FastMachine implements Occupant {
+export class FastMachine implements MachineWorker {
   readonly host = { address: "" };
   readonly executor: Executor;
-  private armed = false;
-  private lastReport = -S;
+  private heartbeatScheduled = false;
+  private lastHeartbeat = -S;
   private sequence = 0;
-  private noticeAt: number | null = null;
-  private gone = false;
+  private reclaimAt: number | null = null;
+  private ended = false;
 
   constructor(
-    private readonly around: ExecutorAround,
+    private readonly environment: ExecutorEnvironment,
     readonly info: HostInfo,
     type: TypeSpec,
-    private readonly heard: (machine: FastMachine) => void,
+    private readonly onHeartbeat: (machine: FastMachine) => void,
   ) {
-    this.executor = new Executor(around, info, type, () => this.changed());
-    const { timeline, luck } = around;
+    this.executor = new Executor(environment, info, type, () => this.scheduleHeartbeat());
+    const { timeline, luck } = environment;
     // Workers of machines that exist from the start must find the shard leader first, which already scales out.
-    if (timeline.now > 0) this.changed();
-    else timeline.after(luck.between("found", info.name, FOUND_LEAST, FOUND_MOST), () => this.changed());
+    if (timeline.now > 0) this.scheduleHeartbeat();
+    else
+      timeline.after(luck.between("found", info.name, MIN_DISCOVERY_US, MAX_DISCOVERY_US), () =>
+        this.scheduleHeartbeat(),
+      );
   }
 
   /** Schedules a heartbeat unless one is already scheduled. */
-  changed(): void {
-    const { timeline } = this.around;
-    if (this.armed || this.gone) return;
-    this.armed = true;
-    timeline.at(Math.max(timeline.now + HOP, this.lastReport + REPORT_GAP), () =>
-      this.executor.awake(() => {
-        this.armed = false;
-        this.lastReport = timeline.now;
-        this.heard(this);
+  scheduleHeartbeat(): void {
+    const { timeline } = this.environment;
+    if (this.heartbeatScheduled || this.ended) return;
+    this.heartbeatScheduled = true;
+    timeline.at(Math.max(timeline.now + NETWORK_LATENCY_US, this.lastHeartbeat + MIN_HEARTBEAT_GAP_US), () =>
+      this.executor.whenRunning(() => {
+        this.heartbeatScheduled = false;
+        this.lastHeartbeat = timeline.now;
+        this.onHeartbeat(this);
       }),
     );
   }
 
   /** The heartbeat for the current state. */
-  report(): Heartbeat {
+  heartbeat(): Heartbeat {
     this.sequence += 1;
     const { name, type, zone, spot } = this.info;
     const tasks = [...this.executor.list()].map((task) => taskStatusOf(task.shard, task.try, task.phase, task.cause));
-    const noticeS = this.noticeAt === null ? null : Math.max(0, this.noticeAt - this.around.timeline.now) / S;
+    const noticeS = this.reclaimAt === null ? null : Math.max(0, this.reclaimAt - this.environment.timeline.now) / S;
     return {
       machine: name,
       address: "",
@@ -65,7 +68,7 @@
       spot,
       incarnation: 1,
       sequence: this.sequence,
-      token: TOKEN,
+      token: FENCING_TOKEN,
       reclaimNoticeS: noticeS,
       tasks,
       taskListText: null,
@@ -74,8 +77,8 @@
   }
 
   notice(inUs: number): void {
-    this.noticeAt = this.around.timeline.now + inUs;
-    this.changed();
+    this.reclaimAt = this.environment.timeline.now + inUs;
+    this.scheduleHeartbeat();
   }
 
   hang(forUs: number): void {
@@ -83,17 +86,17 @@
   }
 
   sicken(): void {
-    this.executor.sick = true;
+    this.executor.faulty = true;
   }
 
   /** Restarts the worker; its counters are not modelled. */
   restart(): void {
     this.executor.restart();
-    this.changed();
+    this.scheduleHeartbeat();
   }
 
   end(): void {
-    this.gone = true;
+    this.ended = true;
     this.executor.end();
   }
 }
--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -30,9 +30,9 @@
 import { RateLimiter } from "../transport/rate-limiter.js";
 import { jobBehaviour } from "./behaviour.js";
 import { CloudService, roomOf } from "./cloud-service.js";
-import type { ExecutorAround } from "./executor.js";
-import { FastMachine, TOKEN } from "./fast-machine.js";
-import { HOP, Writer } from "./fast-writer.js";
+import type { ExecutorEnvironment } from "./executor.js";
+import { FastMachine, FENCING_TOKEN } from "./fast-machine.js";
+import { NETWORK_LATENCY_US, WriteQueue } from "./fast-writer.js";
 import { Luck, Random } from "./random.js";
 import { simulatedAddresses } from "./site.js";
 import { catalogOf, type SiteSpec, settingsOf } from "./site-spec.js";
@@ -42,30 +42,30 @@
 import { HostClock, S, World } from "./world.js";
 
 /** Durations of a cloud call and of a takeover in microseconds, as in the full simulation. */
-const CLOUD_CALL = 100_000;
-const TAKEOVER = 1_200_000;
-const PROBE = 2 * S;
-const PLAN_PERIOD = 400_000;
-const QUIET_PLAN = 2 * S;
-const DRAIN_TICK = 250_000;
-const ROUND_GAP = 10_000;
+const CLOUD_CALL_US = 100_000;
+const TAKEOVER_US = 1_200_000;
+const STATUS_QUERY_US = 2 * S;
+const PLAN_PERIOD_US = 400_000;
+const IDLE_PLAN_PERIOD_US = 2 * S;
+const DRAIN_PERIOD_US = 250_000;
+const MIN_ROUND_GAP_US = 10_000;
 /** Rounds and plans are spaced out in proportion to the machines, so that a day with 10,000 machines takes minutes. */
-const ROUND_GAP_PER_MACHINE = 100;
-const PLAN_GAP_PER_MACHINE = 300;
-const MOVE_LOOK = 2 * S;
-const MOVE_PERIOD = 15 * S;
-const MAX_ASK = 50;
-const MAX_ASKS = 4;
-const MAX_DELETE = 100;
-const MAX_RANGE = 128;
-const BYTES_PER_TASK = 40;
-const SHARE = 0.7;
-const CLOUD_SHARE = 0.8;
-const BACKLOG = 1.5;
-const USER_TRIES = 60 * S;
-const NOTE_SHARE = 0.3;
-const NOTE_LEAST = S / 2;
-const NOTE_MOST = 15 * S;
+const ROUND_GAP_PER_MACHINE_US = 100;
+const PLAN_GAP_PER_MACHINE_US = 300;
+const CONSOLIDATION_CHECK_PERIOD_US = 2 * S;
+const CONSOLIDATION_PERIOD_US = 15 * S;
+const MAX_MACHINES_PER_REQUEST = 50;
+const MAX_REQUESTS_PER_OFFER = 4;
+const MAX_MACHINES_PER_DELETION = 100;
+const MAX_TASKS_PER_RANGE = 128;
+const LAYOUT_BYTES_PER_TASK = 40;
+const WRITE_BUDGET_SHARE = 0.7;
+const CLOUD_BUDGET_SHARE = 0.8;
+const MAX_WRITE_BACKLOG_S = 1.5;
+const USER_RETRY_PERIOD_US = 60 * S;
+const COMPLETION_WRITE_SHARE = 0.3;
+const MIN_COMPLETION_DELAY_US = S / 2;
+const MAX_COMPLETION_DELAY_US = 15 * S;
 
 /** Configuration of a run of the fast model. */
 export interface FastSetup {
@@ -84,96 +84,120 @@
   readonly world = new World();
   readonly truth = new Truth();
   readonly cloud: CloudService;
-  readonly block: ShardState;
+  readonly shard: ShardState;
   private readonly clock: HostClock;
   private readonly settings: Settings;
   private readonly types: ReadonlyMap<string, MachineType>;
-  private readonly writer: Writer;
-  private readonly observer: HeartbeatProcessor;
-  private readonly bodies = new Map<string, FastMachine>();
-  private readonly hearing: Hearing;
-  private readonly memory = newRoundState();
-  private readonly history = new DemandHistory();
-  private readonly refusals = new CapacityBackoff();
+  private readonly writeQueue: WriteQueue;
+  private readonly heartbeatProcessor: HeartbeatProcessor;
+  private readonly workers = new Map<string, FastMachine>();
+  private readonly userObserver: Hearing;
+  private readonly roundState = newRoundState();
+  private readonly demandHistory = new DemandHistory();
+  private readonly capacityBackoff = new CapacityBackoff();
   private readonly cloudLimit: RateLimiter;
-  private readonly work = { count: 0 };
-  private readonly chains = new DependencyGraph();
-  private readonly chained: DependencyTracker;
-  private readonly ended = new Map<string, "done" | "withdrawn">();
-  private readonly queued = new Set<TaskRange>();
-  private readonly noted = new Set<TaskRange>();
-  private readonly leaving = new Set<Machine>();
-  private readonly commanded = new Set<Machine>();
-  private readonly doomed: Machine[] = [];
-  private asks: { readonly offer: MachineOffer; readonly count: number; readonly since: Micros }[] = [];
-  private removing = false;
-  private ticking = false;
-  private roundAt = Number.POSITIVE_INFINITY;
+  private readonly inspectionCounter = { count: 0 };
+  private readonly dependencyGraph = new DependencyGraph();
+  private readonly dependencyTracker: DependencyTracker;
+  private readonly terminalPhases = new Map<string, "done" | "withdrawn">();
+  private readonly queuedRanges = new Set<TaskRange>();
+  private readonly delayedRanges = new Set<TaskRange>();
+  private readonly drainingMachines = new Set<Machine>();
+  private readonly machinesToCommand = new Set<Machine>();
+  private readonly machinesToDelete: Machine[] = [];
+  private pendingRequests: { readonly offer: MachineOffer; readonly count: number; readonly since: Micros }[] = [];
+  private deletionInProgress = false;
+  private drainScheduled = false;
+  private nextRoundAt = Number.POSITIVE_INFINITY;
   private lastRound = -S;
   private pausedUntil = 0;
-  private cloudAwayUntil = 0;
-  private holder = 0;
-  private moveAfter = 0;
-  private plannedAt = 0;
+  private cloudOutageUntil = 0;
+  private leader = 0;
+  private nextConsolidationCheck = 0;
+  private lastPlan = 0;
   /** Whether jobs or machines have changed since the last scale plan. */
-  private stirred = true;
+  private replanNeeded = true;
 
   constructor(private readonly setup: FastSetup) {
     const { spec, options, seed } = setup;
     const { witness, hearing } = setup.watch(this.world);
-    this.hearing = hearing;
+    this.userObserver = hearing;
     this.clock = new HostClock(this.world, 1, 1);
     this.settings = settingsOf(spec, simulatedAddresses(spec.controllers.length), 0);
     this.types = new Map(decodeMachineTypes(catalogOf(spec.types)).map((type) => [type.name, type]));
-    const rangeSize = Math.max(1, Math.min(MAX_RANGE, Math.floor(this.settings.store.layoutBytes / BYTES_PER_TASK)));
-    this.block = new ShardState(this.clock, rangeSize, this.settings.teams, () => this.types);
+    const rangeSize = Math.max(
+      1,
+      Math.min(MAX_TASKS_PER_RANGE, Math.floor(this.settings.store.layoutBytes / LAYOUT_BYTES_PER_TASK)),
+    );
+    this.shard = new ShardState(this.clock, rangeSize, this.settings.teams, () => this.types);
     const { store } = this.settings;
-    this.writer = new Writer(this.world, this.clock, store.writesPerS * SHARE, store.transactionWrites);
-    this.cloudLimit = new RateLimiter(this.clock, spec.cloud.rps * CLOUD_SHARE);
+    this.writeQueue = new WriteQueue(
+      this.world,
+      this.clock,
+      store.writesPerS * WRITE_BUDGET_SHARE,
+      store.transactionWrites,
+    );
+    this.cloudLimit = new RateLimiter(this.clock, spec.cloud.rps * CLOUD_BUDGET_SHARE);
     const luck = new Luck(seed);
-    const executes: ExecutorAround = { timeline: this.world, luck, witness, truth: this.truth, times: spec.workers };
+    const executes: ExecutorEnvironment = {
+      timeline: this.world,
+      luck,
+      witness,
+      truth: this.truth,
+      times: spec.workers,
+    };
     this.cloud = new CloudService(
       this.world,
       new Random(seed),
       luck,
       spec,
-      (info, type) => this.boot(executes, info, type),
+      (info, type) => this.bootMachine(executes, info, type),
       witness,
       roomOf(spec.capacity),
     );
-    const lease: ShardLease = { shard: 0, epoch: 1, key: "", version: 0, isValid: () => this.acting };
+    const lease: ShardLease = { shard: 0, epoch: 1, key: "", version: 0, isValid: () => this.canDecide };
     const nothing = (): void => undefined;
     const log: Log = { error: nothing, info: nothing, debug: nothing };
-    this.observer = new HeartbeatProcessor(
+    this.heartbeatProcessor = new HeartbeatProcessor(
       {
-        shard: this.block,
+        shard: this.shard,
         clock: this.clock,
         lease,
         log,
-        scheduleRound: () => this.wakeRound(ROUND_GAP),
-        scheduleCommands: (machine) => this.command(machine),
+        scheduleRound: () => this.scheduleRound(MIN_ROUND_GAP_US),
+        scheduleCommands: (machine) => this.scheduleCommands(machine),
         queryStatus: nothing,
         announceFencingToken: nothing,
         loadShedder: new LoadShedder(this.clock, log, null),
         eventListener: null,
         onTaskFailed: () => undefined,
       },
-      { recordSoon: (range) => this.note(range), finishIfComplete: (job) => this.finish(job) },
+      {
+        recordSoon: (range) => this.recordCompletionsLater(range),
+        finishIfComplete: (job) => this.finishIfComplete(job),
+      },
     );
-    const dependencies = { shard: this.block, dependencies: this.chains, clock: this.clock, log, wallClock: null };
-    this.chained = new DependencyTracker({ ...dependencies, scheduleRound: () => this.wakeRound(0) }, ({ spec: job }) =>
-      this.history.record(job),
+    const dependencies = {
+      shard: this.shard,
+      dependencies: this.dependencyGraph,
+      clock: this.clock,
+      log,
+      wallClock: null,
+    };
+    this.dependencyTracker = new DependencyTracker(
+      { ...dependencies, scheduleRound: () => this.scheduleRound(0) },
+      ({ spec: job }) => this.demandHistory.record(job),
     );
-    this.chains.onReady = (id) => this.chained.jobReady(id);
-    this.chains.onCancelledByDependency = (id) => {
-      const job = this.block.jobs.get(id);
-      if (job !== undefined) this.withdraw(job);
+    this.dependencyGraph.onReady = (id) => this.dependencyTracker.jobReady(id);
+    this.dependencyGraph.onCancelledByDependency = (id) => {
+      const job = this.shard.jobs.get(id);
+      if (job !== undefined) this.cancelJob(job);
     };
-    this.wakeRound(options.roundMs * 1_000);
-    this.world.after(PLAN_PERIOD, () => this.plan());
+    this.scheduleRound(options.roundMs * 1_000);
+    this.world.after(PLAN_PERIOD_US, () => this.runScalePlan());
   }
 
-  private get acting(): boolean {
+  private get canDecide(): boolean {
     return this.world.now >= this.pausedUntil;
   }
 
@@ -186,241 +210,251 @@
       spec = decodeSubmission(job);
     } catch (error) {
       if (!(error instanceof MalformedMessageError)) throw error;
-      this.hearing.dropped(job.ref, 400);
+      this.userObserver.dropped(job.ref, 400);
       return;
     }
     if (neverRuns(spec, this.settings, this.types) !== null) {
-      this.hearing.dropped(job.ref, 422);
+      this.userObserver.dropped(job.ref, 422);
       return;
     }
-    const until = this.world.now + USER_TRIES;
+    const until = this.world.now + USER_RETRY_PERIOD_US;
     const attempt = (): void => {
-      if (this.writer.backlogS <= BACKLOG && this.world.now >= this.writer.pausedUntil) {
-        this.writer.propose(0, { count: 1, leave: () => undefined, done: () => this.accept(spec) });
-      } else if (this.world.now + S >= until) this.hearing.dropped(job.ref, null);
+      if (this.writeQueue.backlogS <= MAX_WRITE_BACKLOG_S && this.world.now >= this.writeQueue.pausedUntil) {
+        this.writeQueue.propose(0, { count: 1, onSent: () => undefined, onApplied: () => this.accept(spec) });
+      } else if (this.world.now + S >= until) this.userObserver.dropped(job.ref, null);
       else this.world.after(S, attempt);
     };
-    this.world.after(HOP, attempt);
+    this.world.after(NETWORK_LATENCY_US, attempt);
   }
 
   private accept(spec: JobSpec): void {
-    this.hearing.submitted(spec.id, 201, "pending", this.world.now);
-    this.world.after(HOP, () => {
+    this.userObserver.submitted(spec.id, 201, "pending", this.world.now);
+    this.world.after(NETWORK_LATENCY_US, () => {
       const awaits = spec.dependencies ?? [];
-      this.chains.upsert(spec.id, awaits, false);
+      this.dependencyGraph.upsert(spec.id, awaits, false);
       for (const id of awaits) {
-        const end = this.ended.get(id);
-        if (end !== undefined) this.chains.recordTerminalPhase(id, end === "done" ? "done" : "cancelled");
+        const phase = this.terminalPhases.get(id);
+        if (phase !== undefined) this.dependencyGraph.recordTerminalPhase(id, phase === "done" ? "done" : "cancelled");
       }
-      const job = this.block.addJob(spec, 1, false);
-      this.chained.jobAdded(job, null);
-      if (this.chains.isCancelled(spec.id)) this.withdraw(job);
-      this.stirred = true;
-      this.wakeRound(0);
+      const job = this.shard.addJob(spec, 1, false);
+      this.dependencyTracker.jobAdded(job, null);
+      if (this.dependencyGraph.isCancelled(spec.id)) this.cancelJob(job);
+      this.replanNeeded = true;
+      this.scheduleRound(0);
     });
   }
 
-  cancel(id: string, until = this.world.now + USER_TRIES): void {
-    const ended = this.ended.get(id);
-    const job = this.block.jobs.get(id);
+  cancel(id: string, until = this.world.now + USER_RETRY_PERIOD_US): void {
+    const ended = this.terminalPhases.get(id);
+    const job = this.shard.jobs.get(id);
     if (ended !== undefined) {
-      this.hearing.cancelAsked(id);
-      this.hearing.cancelAnswered(id, 200, ended);
+      this.userObserver.cancelAsked(id);
+      this.userObserver.cancelAnswered(id, 200, ended);
     } else if (job === undefined) {
       if (this.world.now < until) this.world.after(S, () => this.cancel(id, until));
     } else {
-      this.hearing.cancelAsked(id);
-      this.writer.propose(0, { count: 1, leave: () => undefined, done: () => this.cancelled(job) });
+      this.userObserver.cancelAsked(id);
+      this.writeQueue.propose(0, {
+        count: 1,
+        onSent: () => undefined,
+        onApplied: () => this.completeCancellation(job),
+      });
     }
   }
 
-  private cancelled(job: Job): void {
+  private completeCancellation(job: Job): void {
     const { id } = job.spec;
-    const ended = this.ended.get(id);
+    const ended = this.terminalPhases.get(id);
     if (ended === undefined) {
-      this.withdraw(job);
-      this.chains.upsert(id, [], true);
+      this.cancelJob(job);
+      this.dependencyGraph.upsert(id, [], true);
     }
-    this.hearing.cancelAnswered(id, 200, ended ?? "withdrawn");
+    this.userObserver.cancelAnswered(id, 200, ended ?? "withdrawn");
   }
 
-  private withdraw(job: Job): void {
+  private cancelJob(job: Job): void {
     if (job.cancelled) return;
     job.cancelled = true;
-    this.ended.set(job.spec.id, "withdrawn");
+    this.terminalPhases.set(job.spec.id, "withdrawn");
     for (const task of [...job.placedTasks]) {
       const machine = task.machine;
-      if (task.startCommand.kind === "none") this.observer.taskGone(task);
-      if (machine !== null) this.command(machine);
+      if (task.startCommand.kind === "none") this.heartbeatProcessor.taskGone(task);
+      if (machine !== null) this.scheduleCommands(machine);
     }
-    this.finish(job);
+    this.finishIfComplete(job);
   }
 
   // Records -------------------------------------------------------------------------------------------------
 
   /** Records the placements of a range; start commands are sent once they are recorded. */
-  private mark(range: TaskRange): void {
-    if (this.queued.has(range)) return;
-    this.queued.add(range);
+  private recordPlacements(range: TaskRange): void {
+    if (this.queuedRanges.has(range)) return;
+    this.queuedRanges.add(range);
     let snapshot: readonly TaskRecord[] = [];
-    this.writer.propose(1, {
+    this.writeQueue.propose(1, {
       count: 1,
-      leave: () => {
-        this.queued.delete(range);
-        this.noted.delete(range);
+      onSent: () => {
+        this.queuedRanges.delete(range);
+        this.delayedRanges.delete(range);
         snapshot = range.tasks.map(({ desired }) => desired);
       },
-      done: () => {
+      onApplied: () => {
         range.tasks.forEach((task, at) => {
           task.recorded = snapshot[at] ?? task.recorded;
           if (task.machine !== null && task.startCommand.kind === "none" && isPlacementRecorded(task))
-            this.command(task.machine);
+            this.scheduleCommands(task.machine);
         });
       },
     });
   }
 
   /** Records completed tasks after a delay, together with those that complete in the meantime. */
-  private note(range: TaskRange): void {
-    if (this.noted.has(range)) return;
-    this.noted.add(range);
-    const perSecond = Math.max(1, this.settings.store.writesPerS * NOTE_SHARE);
-    const delay = Math.min(NOTE_MOST, Math.max(NOTE_LEAST, (this.block.jobs.size / perSecond) * S));
+  private recordCompletionsLater(range: TaskRange): void {
+    if (this.delayedRanges.has(range)) return;
+    this.delayedRanges.add(range);
+    const perSecond = Math.max(1, this.settings.store.writesPerS * COMPLETION_WRITE_SHARE);
+    const delay = Math.min(
+      MAX_COMPLETION_DELAY_US,
+      Math.max(MIN_COMPLETION_DELAY_US, (this.shard.jobs.size / perSecond) * S),
+    );
     this.world.after(delay, () => {
-      if (!this.noted.delete(range) || !this.block.jobs.has(range.job.spec.id)) return;
-      this.mark(range);
+      if (!this.delayedRanges.delete(range) || !this.shard.jobs.has(range.job.spec.id)) return;
+      this.recordPlacements(range);
     });
   }
 
-  private finish(job: Job): void {
+  private finishIfComplete(job: Job): void {
     const done = job.completedTasks >= job.spec.tasks;
     if (job.outcomePending || !(done || (job.cancelled && job.placedTasks.size === 0))) return;
     job.outcomePending = true;
     const count = 2 + job.ranges.length;
-    this.writer.propose(1, {
+    this.writeQueue.propose(1, {
       count: Math.min(count, this.settings.store.transactionWrites),
-      leave: () => undefined,
-      done: () => {
-        if (!job.cancelled) this.ended.set(job.spec.id, "done");
-        this.block.jobs.delete(job.spec.id);
-        this.chained.jobEnded(job, { phase: job.cancelled ? "cancelled" : "done", completedTasks: job.completedTasks });
-        this.chains.remove(job.spec.id);
+      onSent: () => undefined,
+      onApplied: () => {
+        if (!job.cancelled) this.terminalPhases.set(job.spec.id, "done");
+        this.shard.jobs.delete(job.spec.id);
+        this.dependencyTracker.jobEnded(job, {
+          phase: job.cancelled ? "cancelled" : "done",
+          completedTasks: job.completedTasks,
+        });
+        this.dependencyGraph.remove(job.spec.id);
         this.truth.drop(job.spec.id);
-        this.stirred = true;
+        this.replanNeeded = true;
       },
     });
   }
 
   // Machines ------------------------------------------------------------------------------------------------
 
-  private boot(dependencies: ExecutorAround, info: HostInfo, type: SiteSpec["types"][number]): FastMachine {
-    const body = new FastMachine(dependencies, info, type, (machine) => this.heard(machine));
-    this.bodies.set(info.name, body);
-    return body;
+  private bootMachine(dependencies: ExecutorEnvironment, info: HostInfo, type: SiteSpec["types"][number]): FastMachine {
+    const worker = new FastMachine(dependencies, info, type, (machine) => this.processHeartbeat(machine));
+    this.workers.set(info.name, worker);
+    return worker;
   }
 
-  private heard(body: FastMachine): void {
-    const { name, type, zone, spot } = body.info;
-    let machine = this.block.machines.get(name);
+  private processHeartbeat(worker: FastMachine): void {
+    const { name, type, zone, spot } = worker.info;
+    let machine = this.shard.machines.get(name);
     if (machine === undefined) {
       // The machine exists from the start and was not rented by a scale plan.
       machine = createMachine(
         { name, typeName: type, type: this.types.get(type) ?? null, zone, spot },
         this.clock.now(),
       );
-      this.block.machines.set(name, machine);
+      this.shard.machines.set(name, machine);
     }
     const before = machine.lifecycle.reclaimAt;
-    this.observer.process(machine, body.report(), { kind: "heartbeat" });
-    for (const task of [...body.executor.list()]) {
-      if (task.phase === "exited") body.executor.forget(task.shard, task.try);
+    this.heartbeatProcessor.process(machine, worker.heartbeat(), { kind: "heartbeat" });
+    for (const task of [...worker.executor.list()]) {
+      if (task.phase === "exited") worker.executor.forget(task.shard, task.try);
     }
-    if (machine.lifecycle.reclaimAt !== null && before === null) this.attend(machine);
+    if (machine.lifecycle.reclaimAt !== null && before === null) this.startDraining(machine);
   }
 
   /** Sends commands to a machine; all placements of a round on it are sent together. */
-  private command(machine: Machine): void {
-    if (this.commanded.has(machine)) return;
-    this.commanded.add(machine);
-    this.world.after(HOP, () => {
-      this.commanded.delete(machine);
-      const body = this.bodies.get(machine.name);
-      if (body === undefined || machine.state !== "up") return;
-      body.executor.awake(() => this.carryCommands(machine, body));
+  private scheduleCommands(machine: Machine): void {
+    if (this.machinesToCommand.has(machine)) return;
+    this.machinesToCommand.add(machine);
+    this.world.after(NETWORK_LATENCY_US, () => {
+      this.machinesToCommand.delete(machine);
+      const worker = this.workers.get(machine.name);
+      if (worker === undefined || machine.state !== "up") return;
+      worker.executor.whenRunning(() => this.executeCommands(machine, worker));
     });
   }
 
-  private carryCommands(machine: Machine, body: FastMachine): void {
-    let sent = machine.reported.unexpectedTasks.size;
+  private executeCommands(machine: Machine, worker: FastMachine): void {
+    let commands = machine.reported.unexpectedTasks.size;
     for (const task of [...machine.tasks]) {
       const attempt = attemptOf(task.desired);
       const stops = isActive(task) && (task.job.cancelled || (task.stopRequest !== null && task.state !== "saving"));
-      sent += 1;
-      if (stops) body.executor.stop(task.name, attempt, task.job.cancelled ? 0 : (task.stopRequest?.graceS ?? 0));
+      commands += 1;
+      if (stops) worker.executor.stop(task.name, attempt, task.job.cancelled ? 0 : (task.stopRequest?.graceS ?? 0));
       else if (
         task.startCommand.kind === "none" &&
         isPlacementRecorded(task) &&
         !task.job.cancelled &&
         task.stopRequest === null
       ) {
-        body.executor.start(task.name, attempt);
+        worker.executor.start(task.name, attempt);
         task.startCommand = { kind: "observed" };
-      } else sent -= 1;
+      } else commands -= 1;
     }
-    for (const [task, attempt] of machine.reported.unexpectedTasks) body.executor.stop(task, Number(attempt), 0);
+    for (const [task, attempt] of machine.reported.unexpectedTasks) worker.executor.stop(task, Number(attempt), 0);
     // The response to commands carries the worker's state, as a heartbeat does.
-    if (sent > 0) this.heard(body);
+    if (commands > 0) this.processHeartbeat(worker);
   }
 
-  private attend(machine: Machine): void {
-    this.leaving.add(machine);
-    if (this.ticking) return;
-    this.ticking = true;
-    this.world.after(DRAIN_TICK, () => this.tick());
+  private startDraining(machine: Machine): void {
+    this.drainingMachines.add(machine);
+    if (this.drainScheduled) return;
+    this.drainScheduled = true;
+    this.world.after(DRAIN_PERIOD_US, () => this.drainMachines());
   }
 
-  private tick(): void {
-    this.ticking = false;
-    for (const machine of this.leaving) {
+  private drainMachines(): void {
+    this.drainScheduled = false;
+    for (const machine of this.drainingMachines) {
       const stops = isBeingEmptied(machine) || [...machine.tasks].some(({ stopRequest }) => stopRequest !== null);
-      if (!stops || !this.block.machines.has(machine.name)) this.leaving.delete(machine);
-      else if (this.acting) {
+      if (!stops || !this.shard.machines.has(machine.name)) this.drainingMachines.delete(machine);
+      else if (this.canDecide) {
         for (const action of decideEvictions(machine, this.clock.now())) {
-          if (action.kind === "release") this.observer.taskGone(action.task);
+          if (action.kind === "release") this.heartbeatProcessor.taskGone(action.task);
           else if (action.kind === "stop") action.task.stopRequest = { graceS: action.graceS };
         }
-        if ([...machine.tasks].some(({ stopRequest }) => stopRequest !== null)) this.command(machine);
+        if ([...machine.tasks].some(({ stopRequest }) => stopRequest !== null)) this.scheduleCommands(machine);
       }
     }
-    if (this.leaving.size === 0) return;
-    this.ticking = true;
-    this.world.after(DRAIN_TICK, () => this.tick());
+    if (this.drainingMachines.size === 0) return;
+    this.drainScheduled = true;
+    this.world.after(DRAIN_PERIOD_US, () => this.drainMachines());
   }
 
   /** Time without heartbeats until a machine is considered lost, in microseconds. */
-  private get silence(): number {
-    return this.settings.workers.heartbeatInterval * this.setup.options.silentReports + PROBE;
+  private get heartbeatTimeout(): number {
+    return this.settings.workers.heartbeatInterval * this.setup.options.silentReports + STATUS_QUERY_US;
   }
 
   /** The cloud reclaims a machine or it fails; the shard leader detects it by the missing heartbeats. */
   take(name: string, why: "taken" | "failed"): void {
     this.cloud.take(name, why);
-    this.bodies.delete(name);
-    this.world.after(this.silence, () => this.forget(name));
+    this.workers.delete(name);
+    this.world.after(this.heartbeatTimeout, () => this.removeMachine(name));
   }
 
-  private forget(name: string): void {
-    const machine = this.block.machines.get(name);
+  private removeMachine(name: string): void {
+    const machine = this.shard.machines.get(name);
     if (machine === undefined) return;
     machine.state = "deleted";
-    this.observer.machineLost(machine, "deleted");
-    this.block.machines.delete(name);
-    this.stirred = true;
+    this.heartbeatProcessor.machineLost(machine, "deleted");
+    this.shard.machines.delete(name);
+    this.replanNeeded = true;
   }
 
   /** Announces that a machine will be reclaimed in `inUs` microseconds. */
   notice(name: string, inUs: number): void {
-    this.bodies.get(name)?.notice(inUs);
+    this.workers.get(name)?.notice(inUs);
   }
 
   /**
@@ -428,197 +462,207 @@
    * be certain that its tasks have ended.
    */
   silent(name: string, forUs: number): void {
-    this.bodies.get(name)?.hang(forUs);
-    if (forUs <= this.silence) return;
-    this.world.after(this.silence, () => {
-      const machine = this.block.machines.get(name);
-      if (machine !== undefined && !machine.lifecycle.deleting) this.remove([machine]);
+    this.workers.get(name)?.hang(forUs);
+    if (forUs <= this.heartbeatTimeout) return;
+    this.world.after(this.heartbeatTimeout, () => {
+      const machine = this.shard.machines.get(name);
+      if (machine !== undefined && !machine.lifecycle.deleting) this.deleteMachines([machine]);
     });
   }
 
   /** Makes a machine faulty: every task that it starts from now on fails. */
   faulty(name: string): void {
-    this.bodies.get(name)?.sicken();
+    this.workers.get(name)?.sicken();
   }
 
   /** Suspends cloud calls. */
   cloudOutage(forUs: number): void {
-    this.cloudAwayUntil = Math.max(this.cloudAwayUntil, this.world.now + forUs);
+    this.cloudOutageUntil = Math.max(this.cloudOutageUntil, this.world.now + forUs);
   }
 
   /** Suspends writes to the key-value store and, since no decision can be recorded, all decisions. */
   stateOutage(forUs: number): void {
     const until = this.world.now + forUs;
-    this.writer.pausedUntil = Math.max(this.writer.pausedUntil, until);
+    this.writeQueue.pausedUntil = Math.max(this.writeQueue.pausedUntil, until);
     this.pausedUntil = Math.max(this.pausedUntil, until);
-    this.wakeRound(forUs + HOP);
+    this.scheduleRound(forUs + NETWORK_LATENCY_US);
   }
 
   /** Crash of a controller; if it is the shard leader, decisions pause until another takes over or it restarts. */
   controllerEnd(controller: number, backAfterUs: number): void {
-    if (controller !== this.holder) return;
+    if (controller !== this.leader) return;
     const controllers = this.settings.controllers;
-    this.holder = (this.holder + 1) % controllers;
-    const gap = (controllers > 1 ? Math.min(backAfterUs, 10 * S) : backAfterUs) + TAKEOVER;
+    this.leader = (this.leader + 1) % controllers;
+    const gap = (controllers > 1 ? Math.min(backAfterUs, 10 * S) : backAfterUs) + TAKEOVER_US;
     this.pausedUntil = Math.max(this.pausedUntil, this.world.now + gap);
-    this.wakeRound(gap + HOP);
+    this.scheduleRound(gap + NETWORK_LATENCY_US);
   }
 
-  private remove(machines: readonly Machine[]): void {
+  private deleteMachines(machines: readonly Machine[]): void {
     for (const machine of machines) machine.lifecycle.deleting = true;
-    this.doomed.push(...machines);
-    if (!this.removing) this.removePart();
+    this.machinesToDelete.push(...machines);
+    if (!this.deletionInProgress) this.deleteNextBatch();
   }
 
-  private removePart(): void {
-    this.removing = this.doomed.length > 0;
-    if (!this.removing) return;
-    const away = this.cloudAwayUntil - this.world.now;
+  private deleteNextBatch(): void {
+    this.deletionInProgress = this.machinesToDelete.length > 0;
+    if (!this.deletionInProgress) return;
+    const outage = this.cloudOutageUntil - this.world.now;
     const wait = Math.max(
-      away,
+      outage,
       this.cloudLimit.timeUntilAvailable(1),
-      this.acting ? 0 : this.pausedUntil - this.world.now,
+      this.canDecide ? 0 : this.pausedUntil - this.world.now,
     );
     if (wait > 0) {
-      this.world.after(wait + HOP, () => this.removePart());
+      this.world.after(wait + NETWORK_LATENCY_US, () => this.deleteNextBatch());
       return;
     }
     this.cloudLimit.take(1);
-    const part = this.doomed.splice(0, MAX_DELETE);
-    this.world.after(CLOUD_CALL, () => {
-      for (const { name } of part) {
+    const batch = this.machinesToDelete.splice(0, MAX_MACHINES_PER_DELETION);
+    this.world.after(CLOUD_CALL_US, () => {
+      for (const { name } of batch) {
         this.cloud.take(name, "deleted");
-        this.bodies.delete(name);
-        this.forget(name);
+        this.workers.delete(name);
+        this.removeMachine(name);
       }
-      this.removePart();
+      this.deleteNextBatch();
     });
   }
 
   // Decisions -----------------------------------------------------------------------------------------------
 
-  private picture(): SchedulerSnapshot {
+  private takeSnapshot(): SchedulerSnapshot {
     return {
       now: this.clock.now(),
-      shard: this.block,
+      shard: this.shard,
       settings: this.settings,
       options: this.setup.options,
       heartbeatTimeout: Number.POSITIVE_INFINITY,
       maxPreemptionSearches: MAX_PREEMPTION_SEARCHES,
       recordBudget: { urgent: Number.POSITIVE_INFINITY, normal: Number.POSITIVE_INFINITY },
-      guaranteesOvercommitted: this.memory.guaranteesOvercommitted,
-      firstFencingToken: TOKEN,
-      inspection: this.work,
+      guaranteesOvercommitted: this.roundState.guaranteesOvercommitted,
+      firstFencingToken: FENCING_TOKEN,
+      inspection: this.inspectionCounter,
     };
   }
 
-  private wakeRound(delay: number): void {
-    const gap = Math.max(ROUND_GAP, this.block.machines.size * ROUND_GAP_PER_MACHINE);
+  private scheduleRound(delay: number): void {
+    const gap = Math.max(MIN_ROUND_GAP_US, this.shard.machines.size * ROUND_GAP_PER_MACHINE_US);
     const due = Math.max(this.world.now + delay, this.lastRound + gap);
-    if (due >= this.roundAt) return;
-    this.roundAt = due;
+    if (due >= this.nextRoundAt) return;
+    this.nextRoundAt = due;
     this.world.at(due, () => {
       // An earlier round has been scheduled since.
-      if (this.roundAt !== due) return;
-      this.roundAt = Number.POSITIVE_INFINITY;
-      this.round();
+      if (this.nextRoundAt !== due) return;
+      this.nextRoundAt = Number.POSITIVE_INFINITY;
+      this.runRound();
     });
   }
 
-  private round(): void {
+  private runRound(): void {
     this.lastRound = this.world.now;
-    if (this.acting) for (const action of decideRound(this.picture(), this.memory)) this.carryOut(action);
+    if (this.canDecide)
+      for (const action of decideRound(this.takeSnapshot(), this.roundState)) this.executeAction(action);
     // Without waiting tasks there is nothing to place until an event schedules the next round.
-    if (this.waits()) this.wakeRound(this.setup.options.roundMs * 1_000);
+    if (this.hasWaitingTasks()) this.scheduleRound(this.setup.options.roundMs * 1_000);
   }
 
-  private carryOut(action: RoundAction): void {
-    applyAction(this.block, action);
+  private executeAction(action: RoundAction): void {
+    applyAction(this.shard, action);
     switch (action.kind) {
       case "place":
-        this.mark(action.task.range);
+        this.recordPlacements(action.task.range);
         return;
       case "preempt":
-        this.attend(action.machine);
-        this.command(action.machine);
+        this.startDraining(action.machine);
+        this.scheduleCommands(action.machine);
         return;
       case "dissolve":
-        for (const { machine } of action.job.placedTasks) if (machine !== null) this.command(machine);
+        for (const { machine } of action.job.placedTasks) if (machine !== null) this.scheduleCommands(machine);
         return;
       case "postpone search":
       case "wait":
     }
   }
 
-  private market(): CloudOffers {
+  private cloudOffers(): CloudOffers {
     return {
-      pendingRequests: this.asks,
-      unavailableUntil: (key) => this.refusals.until(key),
+      pendingRequests: this.pendingRequests,
+      unavailableUntil: (key) => this.capacityBackoff.until(key),
       unreachableZones: new Set(),
-      demandHistory: this.history,
+      demandHistory: this.demandHistory,
     };
   }
 
-  private waits(): boolean {
-    for (const job of this.block.jobs.values()) if (job.waitingTasks.size > 0 && !job.cancelled) return true;
+  private hasWaitingTasks(): boolean {
+    for (const job of this.shard.jobs.values()) if (job.waitingTasks.size > 0 && !job.cancelled) return true;
     return false;
   }
 
   /** Runs a scale plan; less often while jobs and machines are unchanged, since then only elapsed time affects it. */
-  private plan(): void {
-    if (this.acting && (this.stirred || this.world.now - this.plannedAt >= QUIET_PLAN)) {
-      this.stirred = false;
-      this.plannedAt = this.world.now;
-      const snapshot = this.picture();
-      const { scaleOut, scaleIn } = planScaling(snapshot, this.market());
+  private runScalePlan(): void {
+    if (this.canDecide && (this.replanNeeded || this.world.now - this.lastPlan >= IDLE_PLAN_PERIOD_US)) {
+      this.replanNeeded = false;
+      this.lastPlan = this.world.now;
+      const snapshot = this.takeSnapshot();
+      const { scaleOut, scaleIn } = planScaling(snapshot, this.cloudOffers());
       for (const { offer, count } of scaleOut) {
-        for (let left = Math.min(count, MAX_ASK * MAX_ASKS); left > 0; left -= MAX_ASK) {
-          this.asks.push({ offer, count: Math.min(left, MAX_ASK), since: this.clock.now() });
+        for (
+          let left = Math.min(count, MAX_MACHINES_PER_REQUEST * MAX_REQUESTS_PER_OFFER);
+          left > 0;
+          left -= MAX_MACHINES_PER_REQUEST
+        ) {
+          this.pendingRequests.push({
+            offer,
+            count: Math.min(left, MAX_MACHINES_PER_REQUEST),
+            since: this.clock.now(),
+          });
         }
       }
-      if (scaleIn.length > 0) this.remove(scaleIn.slice(0, MAX_DELETE).map(({ machine }) => machine));
-      this.move(snapshot);
+      if (scaleIn.length > 0)
+        this.deleteMachines(scaleIn.slice(0, MAX_MACHINES_PER_DELETION).map(({ machine }) => machine));
+      this.consolidate(snapshot);
     }
-    this.settle();
+    this.sendNextRequest();
   }
 
-  private move(snapshot: SchedulerSnapshot): void {
-    if (this.world.now < this.moveAfter) return;
-    this.moveAfter = this.world.now + MOVE_LOOK;
-    const machine = chooseMachineToConsolidate(snapshot, this.history);
+  private consolidate(snapshot: SchedulerSnapshot): void {
+    if (this.world.now < this.nextConsolidationCheck) return;
+    this.nextConsolidationCheck = this.world.now + CONSOLIDATION_CHECK_PERIOD_US;
+    const machine = chooseMachineToConsolidate(snapshot, this.demandHistory);
     if (machine === null) return;
     machine.lifecycle.drainReason = "scale-in";
-    this.moveAfter = this.world.now + MOVE_PERIOD;
-    this.attend(machine);
+    this.nextConsolidationCheck = this.world.now + CONSOLIDATION_PERIOD_US;
+    this.startDraining(machine);
   }
 
   /** Sends the pending provisioning requests one at a time; schedules the next scale plan after the last one. */
-  private settle(): void {
-    const ask = this.asks[0];
-    if (ask === undefined || !this.acting || this.cloudAwayUntil > this.world.now) {
-      const gap = Math.max(PLAN_PERIOD, this.block.machines.size * PLAN_GAP_PER_MACHINE);
-      this.world.after(gap, () => this.plan());
+  private sendNextRequest(): void {
+    const request = this.pendingRequests[0];
+    if (request === undefined || !this.canDecide || this.cloudOutageUntil > this.world.now) {
+      const gap = Math.max(PLAN_PERIOD_US, this.shard.machines.size * PLAN_GAP_PER_MACHINE_US);
+      this.world.after(gap, () => this.runScalePlan());
       return;
     }
     const wait = this.cloudLimit.timeUntilAvailable(1);
     if (wait > 0) {
-      this.world.after(wait, () => this.settle());
+      this.world.after(wait, () => this.sendNextRequest());
       return;
     }
     this.cloudLimit.take(1);
-    this.world.after(CLOUD_CALL, () => {
-      this.asks = this.asks.slice(1);
-      const { type, zone, spot } = ask.offer;
+    this.world.after(CLOUD_CALL_US, () => {
+      this.pendingRequests = this.pendingRequests.slice(1);
+      const { type, zone, spot } = request.offer;
       const known = this.setup.spec.types.find(({ name }) => name === type.name);
-      const names = known === undefined ? [] : this.cloud.grant(known, zone, spot, ask.count);
+      const names = known === undefined ? [] : this.cloud.grant(known, zone, spot, request.count);
       for (const name of names) {
         const machine = createMachine({ name, typeName: type.name, type, zone, spot }, this.clock.now());
-        machine.lifecycle.provisionedAt = ask.since;
-        this.block.machines.set(name, machine);
+        machine.lifecycle.provisionedAt = request.since;
+        this.shard.machines.set(name, machine);
       }
-      this.refusals.recordGrant(ask.offer, ask.count, names.length, this.clock.now());
-      this.stirred = true;
-      this.settle();
+      this.capacityBackoff.recordGrant(request.offer, request.count, names.length, this.clock.now());
+      this.replanNeeded = true;
+      this.sendNextRequest();
     });
   }
 }
--- a/src/model/fast-writer.ts
+++ b/src/model/fast-writer.ts
@@ -2,23 +2,23 @@
 import type { HostClock, World } from "./world.js";
 
 /** One-way network latency in microseconds, as in the full simulation. */
-export const HOP = 1_000;
-const WRITE_GATHER = 3_000;
-const WRITE_TIME = 5_000;
+export const NETWORK_LATENCY_US = 1_000;
+const BATCH_DELAY_US = 3_000;
+const WRITE_LATENCY_US = 5_000;
 
-/** A write to the key-value store. `leave` is called when it is sent, `done` when it has been applied. */
-export interface Write {
+/** A write to the key-value store. `onSent` is called when it is sent, `onApplied` when it has been applied. */
+export interface PendingWrite {
   /** Number of puts and deletes, which are charged to the write budget. */
   readonly count: number;
-  readonly leave: () => void;
-  readonly done: () => void;
+  readonly onSent: () => void;
+  readonly onApplied: () => void;
 }
 
 /** Models write budget, batching and latency of the key-value store; writes for users have priority. */
-export class Writer {
-  private readonly queues: readonly [Write[], Write[], Write[]] = [[], [], []];
+export class WriteQueue {
+  private readonly queues: readonly [PendingWrite[], PendingWrite[], PendingWrite[]] = [[], [], []];
   private readonly limit: RateLimiter;
-  private armed = false;
+  private flushScheduled = false;
   /** No writes are sent before this time. */
   pausedUntil = 0;
 
@@ -26,7 +26,7 @@
     private readonly world: World,
     clock: HostClock,
     perSecond: number,
-    private readonly most: number,
+    private readonly maxBatchWrites: number,
   ) {
     this.limit = new RateLimiter(clock, perSecond);
   }
@@ -37,16 +37,16 @@
   }
 
   /** `urgency`: 0 for user requests, 1 for placements and outcomes, 2 for maintenance. */
-  propose(urgency: 0 | 1 | 2, write: Write): void {
+  propose(urgency: 0 | 1 | 2, write: PendingWrite): void {
     this.queues[urgency].push(write);
-    this.arm(WRITE_GATHER);
+    this.scheduleFlush(BATCH_DELAY_US);
   }
 
-  private arm(delay: number): void {
-    if (this.armed) return;
-    this.armed = true;
+  private scheduleFlush(delay: number): void {
+    if (this.flushScheduled) return;
+    this.flushScheduled = true;
     this.world.after(delay, () => {
-      this.armed = false;
+      this.flushScheduled = false;
       this.flush();
     });
   }
@@ -54,7 +54,7 @@
   private flush(): void {
     const pause = this.pausedUntil - this.world.now;
     if (pause > 0) {
-      this.arm(pause + HOP);
+      this.scheduleFlush(pause + NETWORK_LATENCY_US);
       return;
     }
     for (;;) {
@@ -62,24 +62,24 @@
       if (first === undefined) return;
       const wait = this.limit.timeUntilAvailable(first.count);
       if (wait > 0) {
-        this.arm(wait);
+        this.scheduleFlush(wait);
         return;
       }
-      const most = Math.min(this.most, this.limit.available());
-      const batch: Write[] = [];
+      const maxCount = Math.min(this.maxBatchWrites, this.limit.available());
+      const batch: PendingWrite[] = [];
       let count = 0;
       for (const queue of this.queues) {
         for (let write = queue[0]; write !== undefined; write = queue[0]) {
-          if (batch.length > 0 && count + write.count > most) break;
+          if (batch.length > 0 && count + write.count > maxCount) break;
           queue.shift();
           batch.push(write);
           count += write.count;
         }
       }
       this.limit.take(count);
-      for (const write of batch) write.leave();
-      this.world.after(WRITE_TIME, () => {
-        for (const write of batch) write.done();
+      for (const write of batch) write.onSent();
+      this.world.after(WRITE_LATENCY_US, () => {
+        for (const write of batch) write.onApplied();
       });
     }
   }
--- a/src/model/index.ts
+++ b/src/model/index.ts
@@ -2,8 +2,8 @@
 export { jobBehaviour } from "./behaviour.js";
 export { type CloudMachine, CloudService, EVEN_BOOTS, type Room, roomOf, USUAL_BOOTS } from "./cloud-service.js";
 export { Curious } from "./curious.js";
-export { type Bounds, type Costs, Door, MEASURED, type Usage } from "./door.js";
-export { Executor, type ExecutorAround, type RunningTask } from "./executor.js";
+export { type Bounds, type Costs, MEASURED, ProcessModel, type Usage } from "./door.js";
+export { Executor, type ExecutorEnvironment, type RunningTask } from "./executor.js";
 export { type FastSetup, FastSite } from "./fast-site.js";
 export { type LocalSetup, LocalSite } from "./local-site.js";
 export { Loopback, PortError, RealTime } from "./loopback.js";
@@ -26,5 +26,5 @@
 export { type Behaviour, jobOf, Truth } from "./truth.js";
 export { type Hearing, type Odd, PLAIN_USERS, type Quirks, type Submission, Users } from "./users.js";
 export { both, type EndCause, type HostInfo, nobody, type Witness } from "./witness.js";
-export { type Surroundings, Worker } from "./worker.js";
+export { Worker, type WorkerEnvironment } from "./worker.js";
 export { HostClock, S, type Timeline, World } from "./world.js";
--- a/src/model/local-site.ts
+++ b/src/model/local-site.ts
@@ -16,7 +16,7 @@
 import { type Behaviour, Truth } from "./truth.js";
 import { type Hearing, PLAIN_USERS, type Submission, Users } from "./users.js";
 import type { Witness } from "./witness.js";
-import { type Surroundings, Worker } from "./worker.js";
+import { Worker, type WorkerEnvironment } from "./worker.js";
 import { S } from "./world.js";
 
 /** Configuration of a site on real sockets. */
@@ -39,16 +39,16 @@
 /** Makes `serve` exit when its standard input ends. */
 const END_WITH_STDIN = "RAINRIDGE_END_WITH_STDIN";
 /** More than one, since the port of an ended machine is not reused for a while. */
-const PORTS_A_MACHINE = 3;
-const LEAST_PORTS = 48;
-const START_PATIENCE = 15_000;
-const READY_POLL = 50;
-const RESTART = 1_000;
+const PORTS_PER_MACHINE = 3;
+const MIN_PORTS = 48;
+const START_TIMEOUT_MS = 15_000;
+const READY_POLL_MS = 50;
+const RESTART_DELAY_MS = 1_000;
 
 const loopback = (port: number): string => `127.0.0.1:${port}`;
 
 /** Checks that a port is free, since a controller's own process would report a port in use only in its log. */
-const probe = (port: number): Promise<void> =>
+const checkPortFree = (port: number): Promise<void> =>
   new Promise((resolve, reject) => {
     const server = createServer();
     server.once("error", (error: NodeJS.ErrnoException) => {
@@ -59,7 +59,7 @@
     server.listen(port, "127.0.0.1", () => server.close(() => resolve()));
   });
 
-const pause = (time: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, time));
+const sleep = (time: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, time));
 
 /**
  * A site on real sockets of this machine: the controllers run as separate processes of the program, while key-value
@@ -91,16 +91,16 @@
     const { rps, writeRps, txnOps, valueKb } = spec.state;
     this.state = new StateService(this.timeline, random, { rps, writeRps, txnOps, valueBytes: valueKb * 1_024 });
     net.add({ address: addresses.state, serve: (request, from) => this.state.serve(request, from), state: "up" });
-    this.truth.lookUp = (job) => this.described(job);
-    const dependencies: Surroundings = {
+    this.truth.lookUp = (job) => this.behaviourFromRecord(job);
+    const dependencies: WorkerEnvironment = {
       timeline: this.timeline,
       net,
       random,
       luck: new Luck(seed),
       witness: this.watch.witness,
       truth: this.truth,
-      nodes: addresses.controllers,
-      labels: spec.controllers.map((_, at) => labelOf(at)),
+      controllers: addresses.controllers,
+      controllerLabels: spec.controllers.map((_, at) => labelOf(at)),
       times: spec.workers,
     };
     this.cloud = new CloudService(
@@ -121,23 +121,24 @@
   static async start(setup: LocalSetup): Promise<LocalSite> {
     const { spec, port } = setup;
     const count = spec.controllers.length;
-    const numbered = (from: number): string[] => Array.from({ length: count }, (_, at) => loopback(port + from + at));
+    const addressesFrom = (from: number): string[] =>
+      Array.from({ length: count }, (_, at) => loopback(port + from + at));
     const addresses: Addresses = {
-      controllers: numbered(0),
-      mesh: numbered(count),
+      controllers: addressesFrom(0),
+      mesh: addressesFrom(count),
       state: loopback(port + 2 * count),
       cloud: loopback(port + 2 * count + 1),
     };
-    for (let at = 0; at < 2 * count; at += 1) await probe(port + at);
+    for (let at = 0; at < 2 * count; at += 1) await checkPortFree(port + at);
     const machines = spec.capacity.reduce((sum, entry) => sum + entry.count, 0);
-    const ports = Math.max(LEAST_PORTS, PORTS_A_MACHINE * machines);
+    const ports = Math.max(MIN_PORTS, PORTS_PER_MACHINE * machines);
     const net = await Loopback.open([addresses.state, addresses.cloud], ports, (error) => setup.onError(String(error)));
     const site = new LocalSite(setup, net, addresses);
     try {
       spec.controllers.forEach((_, at) => {
         site.startController(at);
       });
-      await site.ready();
+      await site.waitUntilReady();
     } catch (error) {
       await site.stop();
       throw error;
@@ -147,12 +148,12 @@
 
   private startController(at: number): void {
     const { spec, options, program } = this.setup;
-    const config = join(this.folder, `${labelOf(at)}.toml`);
-    const operators = join(this.folder, "options.json");
-    writeFileSync(config, settingsText(spec, this.addresses, at));
-    writeFileSync(operators, JSON.stringify(options));
+    const settingsPath = join(this.folder, `${labelOf(at)}.toml`);
+    const optionsPath = join(this.folder, "options.json");
+    writeFileSync(settingsPath, settingsText(spec, this.addresses, at));
+    writeFileSync(optionsPath, JSON.stringify(options));
     const log = openSync(join(this.folder, `${labelOf(at)}.log`), "a");
-    const child = spawn(process.execPath, [program, "serve", "--config", config, "--options", operators], {
+    const child = spawn(process.execPath, [program, "serve", "--config", settingsPath, "--options", optionsPath], {
       // The pipe closes when this process ends for any reason, so that no controller is left running.
       stdio: ["pipe", "ignore", log],
       env: { ...process.env, [END_WITH_STDIN]: "1" },
@@ -167,21 +168,21 @@
     });
   }
 
-  private async ready(): Promise<void> {
+  private async waitUntilReady(): Promise<void> {
     const http = this.net.client();
-    const until = performance.now() + START_PATIENCE;
+    const until = performance.now() + START_TIMEOUT_MS;
     for (const address of this.addresses.controllers) {
       for (;;) {
         const outcome = await http.call(address, { method: "GET", target: "/up", body: "" }, ms(1_000));
         if (outcome.kind === "answer" && outcome.status === 200) break;
         if (performance.now() > until) throw new PortError(`${address}: not ready after 15 s; logs in ${this.folder}`);
-        await pause(READY_POLL);
+        await sleep(READY_POLL_MS);
       }
     }
   }
 
   /** Kills a controller process with SIGKILL, as a crash does, and restarts it after `backAfterUs`. */
-  crash(at: number, backAfterUs = RESTART * 1_000): void {
+  crash(at: number, backAfterUs = RESTART_DELAY_MS * 1_000): void {
     const child = this.children[at];
     if (child === undefined || child === null) return;
     this.children[at] = null;
@@ -193,11 +194,11 @@
 
   /** Submits a job whose tasks run as estimated, except for what `behaviour` overrides. */
   submit(job: Submission, behaviour: Partial<Behaviour> = {}): void {
-    this.truth.behaviours.set(job.ref, this.faster({ ...jobBehaviour(job), ...behaviour }));
+    this.truth.behaviours.set(job.ref, this.scaleDurations({ ...jobBehaviour(job), ...behaviour }));
     this.users.submit(job);
   }
 
-  private faster(behaviour: Behaviour): Behaviour {
+  private scaleDurations(behaviour: Behaviour): Behaviour {
     const { speed } = this.setup;
     const { runUs, runsUs, saveEveryUs, saveTakesUs } = behaviour;
     return {
@@ -210,11 +211,11 @@
   }
 
   /** Behaviour of a job submitted through the command line, read from its record in the key-value store. */
-  private described(job: string): Behaviour | null {
+  private behaviourFromRecord(job: string): Behaviour | null {
     const value = this.state.value(jobKey(job));
     if (value === undefined) return null;
     const { spec } = decodeJobRecord(value);
-    return this.faster({
+    return this.scaleDurations({
       cpus: spec.demand.cpu / 1_000,
       gpus: spec.demand.gpu / 1_000,
       ramGb: spec.demand.ram / 1_000,
--- a/src/model/loopback.ts
+++ b/src/model/loopback.ts
@@ -7,11 +7,11 @@
 
 /** Real time since construction, as a timeline. */
 export class RealTime implements Timeline {
-  private readonly began = systemClock.now();
+  private readonly startedAt = systemClock.now();
   private stopped = false;
 
   get now(): number {
-    return systemClock.now() - this.began;
+    return systemClock.now() - this.startedAt;
   }
 
   at(time: number, run: () => void): Timer {
@@ -41,15 +41,15 @@
 /** A port is not available or a controller is not ready. The message is one line, with the address if known. */
 export class PortError extends Error {}
 
-const REST = seconds(60);
-const HOST = "127.0.0.1";
+const PORT_REUSE_DELAY = seconds(60);
+const LOOPBACK_HOST = "127.0.0.1";
 
 /** Network of the model over real sockets of 127.0.0.1, one port per host; all ports are bound at the start. */
 export class Loopback implements Net {
   private readonly hosts = new Map<string, Host>();
   private readonly servers: HttpServer[] = [];
-  private readonly free: string[] = [];
-  private readonly resting: string[] = [];
+  private readonly freeAddresses: string[] = [];
+  private readonly retiredAddresses: string[] = [];
   private readonly http = new NetHttpClient(systemClock, 1_024);
 
   /** Binds the `fixed` addresses and `machines` further ports; throws `PortError` if a port is not available. */
@@ -57,7 +57,7 @@
     const net = new Loopback();
     try {
       for (const address of fixed) await net.listen(splitAddress(address).port, onError);
-      for (let at = 0; at < machines; at += 1) net.free.push(await net.listen(0, onError));
+      for (let at = 0; at < machines; at += 1) net.freeAddresses.push(await net.listen(0, onError));
     } catch (error) {
       await net.close();
       throw error;
@@ -66,7 +66,7 @@
   }
 
   private async listen(port: number, onError: (error: unknown) => void): Promise<string> {
-    let address = `${HOST}:${port}`;
+    let address = `${LOOPBACK_HOST}:${port}`;
     const server = new HttpServer(
       systemClock,
       LIMITS,
@@ -79,18 +79,18 @@
       onError,
     );
     try {
-      await server.listen(HOST, port);
+      await server.listen(LOOPBACK_HOST, port);
     } catch (error) {
       const code = (error as NodeJS.ErrnoException).code ?? String(error);
       throw new PortError(`${address}: ${code === "EADDRINUSE" ? "port in use" : code}`);
     }
     this.servers.push(server);
-    address = `${HOST}:${server.port}`;
+    address = `${LOOPBACK_HOST}:${server.port}`;
     return address;
   }
 
   address(): string {
-    const address = this.free.shift() ?? this.resting.shift();
+    const address = this.freeAddresses.shift() ?? this.retiredAddresses.shift();
     if (address === undefined) throw new PortError("no port left for a machine");
     return address;
   }
@@ -104,12 +104,12 @@
     this.hosts.delete(address);
     // Workers check only fencing token and incarnation of a command: one in flight to the removed machine would be
     // executed by its successor on the same port. So the port is not reused until any such command has timed out.
-    this.resting.push(address);
-    systemClock.after(REST, () => {
-      const at = this.resting.indexOf(address);
+    this.retiredAddresses.push(address);
+    systemClock.after(PORT_REUSE_DELAY, () => {
+      const at = this.retiredAddresses.indexOf(address);
       if (at < 0) return;
-      this.resting.splice(at, 1);
-      this.free.push(address);
+      this.retiredAddresses.splice(at, 1);
+      this.freeAddresses.push(address);
     });
   }
 
--- a/src/model/network.ts
+++ b/src/model/network.ts
@@ -1,6 +1,6 @@
 import type { Clock, Micros } from "../transport/clock.js";
 import type { HttpClient, HttpOutcome, HttpRequest, HttpResponse } from "../transport/http.js";
-import type { Door } from "./door.js";
+import type { ProcessModel } from "./door.js";
 import type { Random } from "./random.js";
 import { type HostClock, S, type World } from "./world.js";
 
@@ -15,7 +15,7 @@
   readonly address: string;
   readonly serve: Serve;
   /** Resource model of the host's process; absent or null for unlimited resources. */
-  readonly door?: Door | null;
+  readonly processModel?: ProcessModel | null;
   /** "refusing": no process listens, connections are refused. "silent": no power, requests time out. */
   state: "up" | "refusing" | "silent";
 }
@@ -31,32 +31,32 @@
 }
 
 /** A network partition: "hold" delays messages until it ends, "reset" breaks connections. */
-interface Cut {
+interface Partition {
   readonly between: (a: string, b: string) => boolean;
   readonly until: number;
   readonly mode: "hold" | "reset";
 }
 
 /** Direction of an exchange that a fault affects: the requests, or the responses to them. */
-export type Swallowed = "requests" | "answers";
+export type Direction = "requests" | "answers";
 
-interface Loss {
+interface OneWayLoss {
   readonly from: (address: string) => boolean;
   readonly to: (address: string) => boolean;
   readonly until: number;
-  readonly swallows: readonly Swallowed[];
+  readonly drops: readonly Direction[];
 }
 
 /** Delivers some messages after a delay of 0.5 s up to `mostUs`. */
 export interface Delays {
   readonly of: (from: string, to: string, request: HttpRequest) => boolean;
-  readonly delays: Swallowed;
+  readonly delays: Direction;
   readonly chance: number;
   readonly mostUs: number;
 }
 
 /** Delivers duplicates of some requests late, in addition to the requests themselves. */
-export interface Copies {
+export interface Duplication {
   /** Selects the requests that may be duplicated. */
   readonly of: (to: string, request: HttpRequest) => boolean;
   readonly chance: number;
@@ -66,20 +66,20 @@
   readonly at?: (to: string) => string;
 }
 
-const MOST_KEPT = 300;
+const MAX_RETAINED = 300;
 
 /** Simulated network with random latency. Messages are lost, held back or duplicated only by injected faults. */
 export class Network implements Net {
   private readonly hosts = new Map<string, Host>();
-  private cuts: Cut[] = [];
-  private losses: Loss[] = [];
+  private partitions: Partition[] = [];
+  private oneWayLosses: OneWayLoss[] = [];
   private delays: (Delays & { readonly until: number })[] = [];
-  copies: Copies | null = null;
+  copies: Duplication | null = null;
   /** Selects the requests of which duplicates are retained until `release`. */
-  private keeping: { readonly of: Copies["of"]; readonly chance: number; readonly until: number } | null = null;
+  private retention: { readonly of: Duplication["of"]; readonly chance: number; readonly until: number } | null = null;
   /** Retained duplicates with their senders. */
-  private kept: { readonly from: string; readonly request: HttpRequest }[] = [];
-  private given = 0;
+  private retained: { readonly from: string; readonly request: HttpRequest }[] = [];
+  private allocated = 0;
   /** Lets a test modify responses, to verify that the invariant checker detects it. */
   tamper: ((from: string, to: string, request: HttpRequest, response: HttpResponse) => HttpResponse) | null = null;
 
@@ -95,8 +95,8 @@
   ) {}
 
   address(): string {
-    const at = this.given;
-    this.given += 1;
+    const at = this.allocated;
+    this.allocated += 1;
     return `10.${1 + Math.floor(at / 62_500)}.${Math.floor(at / 250) % 250}.${1 + (at % 250)}:9000`;
   }
 
@@ -107,17 +107,17 @@
   /** Requests to a removed host get no response and time out, as on a real network. */
   remove(host: Host): void {
     this.hosts.delete(host.address);
-    for (const { door } of this.hosts.values()) door?.forget(host.address);
+    for (const { processModel } of this.hosts.values()) processModel?.forget(host.address);
   }
 
   /** Partitions pairs of hosts in both directions. */
-  cut(between: Cut["between"], forUs: number, mode: Cut["mode"]): void {
-    this.cuts.push({ between, until: this.world.now + forUs, mode });
+  cut(between: Partition["between"], forUs: number, mode: Partition["mode"]): void {
+    this.partitions.push({ between, until: this.world.now + forUs, mode });
   }
 
   /** Drops messages silently in one direction; the other direction keeps working. */
-  lose(loss: Omit<Loss, "until">, forUs: number): void {
-    this.losses.push({ ...loss, until: this.world.now + forUs });
+  lose(loss: Omit<OneWayLoss, "until">, forUs: number): void {
+    this.oneWayLosses.push({ ...loss, until: this.world.now + forUs });
   }
 
   /** Delays a share of the messages by up to `mostUs`. */
@@ -125,74 +125,75 @@
     this.delays.push({ ...delays, until: this.world.now + forUs });
   }
 
-  private heldUp(from: string, to: string, request: HttpRequest, what: Swallowed): number {
+  private extraDelay(from: string, to: string, request: HttpRequest, what: Direction): number {
     if (this.delays.length === 0) return 0;
     this.delays = this.delays.filter(({ until }) => until > this.world.now);
-    const found = this.delays.find(({ delays, of }) => delays === what && of(from, to, request));
-    if (found === undefined || !this.random.chance(found.chance)) return 0;
-    return this.random.int(S / 2, found.mostUs);
+    const fault = this.delays.find(({ delays, of }) => delays === what && of(from, to, request));
+    if (fault === undefined || !this.random.chance(fault.chance)) return 0;
+    return this.random.int(S / 2, fault.mostUs);
   }
 
-  private swallowed(from: string, to: string, what: Swallowed): boolean {
-    if (this.losses.length === 0) return false;
-    this.losses = this.losses.filter(({ until }) => until > this.world.now);
-    return this.losses.some((loss) => loss.swallows.includes(what) && loss.from(from) && loss.to(to));
+  private isDropped(from: string, to: string, what: Direction): boolean {
+    if (this.oneWayLosses.length === 0) return false;
+    this.oneWayLosses = this.oneWayLosses.filter(({ until }) => until > this.world.now);
+    return this.oneWayLosses.some((loss) => loss.drops.includes(what) && loss.from(from) && loss.to(to));
   }
 
   /** Retains or schedules a duplicate of a request if a fault selects it; the response to a duplicate is discarded. */
-  private copy(from: string, to: string, request: HttpRequest): void {
-    const { copies, keeping } = this;
-    if (keeping !== null && this.world.now <= keeping.until && keeping.of(to, request)) {
-      if (this.random.chance(keeping.chance) && this.kept.length < MOST_KEPT) this.kept.push({ from, request });
+  private duplicate(from: string, to: string, request: HttpRequest): void {
+    const { copies, retention } = this;
+    if (retention !== null && this.world.now <= retention.until && retention.of(to, request)) {
+      if (this.random.chance(retention.chance) && this.retained.length < MAX_RETAINED)
+        this.retained.push({ from, request });
     }
     if (copies === null || this.world.now > copies.until || !copies.of(to, request)) return;
     if (!this.random.chance(copies.chance)) return;
     const at = copies.at?.(to) ?? to;
     this.world.after(this.random.int(S / 1_000, copies.mostLateUs), () => {
       const target = this.hosts.get(at);
-      if (target === undefined || target.state !== "up" || this.cutBetween(from, at) !== undefined) return;
+      if (target === undefined || target.state !== "up" || this.partitionBetween(from, at) !== undefined) return;
       this.onRequest?.(from, at, request);
       void target.serve(request, from);
     });
   }
 
   /** Retains duplicates of a share of the selected requests, until `release`. */
-  keep(of: Copies["of"], chance: number, forUs: number): void {
-    this.keeping = { of, chance, until: this.world.now + forUs };
+  keep(of: Duplication["of"], chance: number, forUs: number): void {
+    this.retention = { of, chance, until: this.world.now + forUs };
   }
 
   /** Delivers all retained duplicates to each host within 0.5 s, in random order; returns the number of deliveries. */
   release(at: readonly string[]): number {
-    const { kept } = this;
-    this.kept = [];
-    for (const { from, request } of kept) {
+    const { retained } = this;
+    this.retained = [];
+    for (const { from, request } of retained) {
       for (const to of at) {
         this.world.after(this.random.int(1, S / 2), () => {
           const target = this.hosts.get(to);
-          if (target?.state === "up" && this.cutBetween(from, to) === undefined) void target.serve(request, from);
+          if (target?.state === "up" && this.partitionBetween(from, to) === undefined) void target.serve(request, from);
         });
       }
     }
-    return kept.length * at.length;
+    return retained.length * at.length;
   }
 
-  private cutBetween(a: string, b: string): Cut | undefined {
-    if (this.cuts.length === 0) return undefined;
-    this.cuts = this.cuts.filter((cut) => cut.until > this.world.now);
-    return this.cuts.find((cut) => cut.between(a, b) || cut.between(b, a));
+  private partitionBetween(a: string, b: string): Partition | undefined {
+    if (this.partitions.length === 0) return undefined;
+    this.partitions = this.partitions.filter((cut) => cut.until > this.world.now);
+    return this.partitions.find((cut) => cut.between(a, b) || cut.between(b, a));
   }
 
   /** The current partition between two hosts; undefined if there is none. */
-  cutFor(a: string, b: string): Cut | undefined {
-    return this.cutBetween(a, b);
+  cutFor(a: string, b: string): Partition | undefined {
+    return this.partitionBetween(a, b);
   }
 
   /** Draws the latency of a message, in microseconds. */
   travel(): number {
-    return this.delay();
+    return this.drawLatency();
   }
 
-  private delay(): number {
+  private drawLatency(): number {
     return 300 + this.random.int(0, 1_500);
   }
 
@@ -210,15 +211,16 @@
     request: HttpRequest,
     timeout: Micros,
   ): Promise<HttpOutcome> {
-    const door = this.hosts.get(from)?.door ?? null;
-    if (door === null) return this.send(from, clock, to, request, timeout);
-    const left = door.leave();
+    const processModel = this.hosts.get(from)?.processModel ?? null;
+    if (processModel === null) return this.send(from, clock, to, request, timeout);
+    const closeConnection = processModel.openOutgoing();
     // The sender has reached its connection limit.
-    if (left === null) return Promise.resolve({ kind: "unsent" });
+    if (closeConnection === null) return Promise.resolve({ kind: "unsent" });
     return this.send(from, clock, to, request, timeout).then(async (outcome) => {
-      left();
+      closeConnection();
       // The sender reads the response when its processor is available.
-      if (door.turn > this.world.now) await new Promise<void>((resolve) => this.world.at(door.turn, resolve));
+      if (processModel.nextSlot > this.world.now)
+        await new Promise<void>((resolve) => this.world.at(processModel.nextSlot, resolve));
       return outcome;
     });
   }
@@ -240,28 +242,28 @@
       };
       const host = this.hosts.get(to);
       // Most requests use a connection that is already open; only those can be held back and delivered late.
-      const late = this.heldUp(from, to, request, "requests");
-      const open = late > 0 || this.random.chance(0.7);
+      const extraDelay = this.extraDelay(from, to, request, "requests");
+      const connectionOpen = extraDelay > 0 || this.random.chance(0.7);
       // A request that has arrived may have been executed, even if its connection was new.
       let arrived = false;
-      const timer = clock.after(timeout, () => settle({ kind: open || arrived ? "lost" : "unsent" }));
+      const timer = clock.after(timeout, () => settle({ kind: connectionOpen || arrived ? "lost" : "unsent" }));
       const arrive = (): void => {
-        const cut = this.cutBetween(from, to);
+        const cut = this.partitionBetween(from, to);
         if (cut !== undefined) {
-          if (!open) return;
+          if (!connectionOpen) return;
           if (cut.mode === "hold") this.world.at(cut.until + this.random.int(1, 1_000), arrive);
-          else this.world.after(this.delay(), () => settle({ kind: "lost" }));
+          else this.world.after(this.drawLatency(), () => settle({ kind: "lost" }));
           return;
         }
         const target = this.hosts.get(to);
-        if (target === undefined || target.state === "silent" || this.swallowed(from, to, "requests")) return;
+        if (target === undefined || target.state === "silent" || this.isDropped(from, to, "requests")) return;
         if (target.state === "refusing") {
-          settle({ kind: open ? "lost" : "unsent" });
+          settle({ kind: connectionOpen ? "lost" : "unsent" });
           return;
         }
         arrived = true;
         this.onRequest?.(from, to, request);
-        this.copy(from, to, request);
+        this.duplicate(from, to, request);
         const serve = (done: (close: boolean) => void): void => {
           void target.serve(request, from).then((response) => {
             // Workers close the connection themselves after a redirect (421).
@@ -269,20 +271,20 @@
             this.reply(from, to, request, response, settle);
           });
         };
-        const { door } = target;
-        if (door === undefined || door === null) {
+        const { processModel } = target;
+        if (processModel === undefined || processModel === null) {
           serve(() => undefined);
           return;
         }
-        const done = door.enter(from, request.body.length, request.target === "/hello");
+        const done = processModel.acceptRequest(from, request.body.length, request.target === "/hello");
         if (done === null) settle({ kind: "unsent" });
-        else this.world.at(door.turn, () => serve(done));
+        else this.world.at(processModel.nextSlot, () => serve(done));
       };
-      if (!open && host?.state === "refusing") {
-        this.world.after(this.delay(), () => settle({ kind: "unsent" }));
+      if (!connectionOpen && host?.state === "refusing") {
+        this.world.after(this.drawLatency(), () => settle({ kind: "unsent" }));
         return;
       }
-      this.world.after(this.delay() + late, arrive);
+      this.world.after(this.drawLatency() + extraDelay, arrive);
     });
   }
 
@@ -290,18 +292,18 @@
     from: string,
     to: string,
     request: HttpRequest,
-    given: HttpResponse,
+    original: HttpResponse,
     settle: (o: HttpOutcome) => void,
   ): void {
-    const response = this.tamper === null ? given : this.tamper(from, to, request, given);
+    const response = this.tamper === null ? original : this.tamper(from, to, request, original);
     const arrive = (): void => {
-      const cut = this.cutBetween(from, to);
+      const cut = this.partitionBetween(from, to);
       if (cut !== undefined) {
         if (cut.mode === "hold") this.world.at(cut.until + this.random.int(1, 1_000), arrive);
         else settle({ kind: "lost" });
         return;
       }
-      if (this.swallowed(to, from, "answers")) return;
+      if (this.isDropped(to, from, "answers")) return;
       settle({
         kind: "answer",
         status: response.status,
@@ -309,6 +311,6 @@
         retryAfterS: response.retryAfterS ?? null,
       });
     };
-    this.world.after(this.delay() + this.heldUp(from, to, request, "answers"), arrive);
+    this.world.after(this.drawLatency() + this.extraDelay(from, to, request, "answers"), arrive);
   }
 }
--- a/src/model/random.ts
+++ b/src/model/random.ts
@@ -38,12 +38,12 @@
   constructor(readonly seed: number) {}
 
   /** Uniform in [0, 1). */
-  of(what: string, name: string): number {
-    return murmurhash.v3(`${what}/${name}`, this.seed) / 2 ** 32;
+  of(purpose: string, name: string): number {
+    return murmurhash.v3(`${purpose}/${name}`, this.seed) / 2 ** 32;
   }
 
   /** Uniform in [least, most). */
-  between(what: string, name: string, least: number, most: number): number {
-    return least + (most - least) * this.of(what, name);
+  between(purpose: string, name: string, min: number, max: number): number {
+    return min + (max - min) * this.of(purpose, name);
   }
 }
--- a/src/model/site-spec.ts
+++ b/src/model/site-spec.ts
@@ -82,7 +82,7 @@
 /** Label of a controller in settings and logs. */
 export const labelOf = (controller: number): string => `ctl-${controller}`;
 
-const s = (us: number): number => us / 1_000_000;
+const toSeconds = (us: number): number => us / 1_000_000;
 
 /** The settings that the platform would hand to controller number `index`, as TOML. */
 export const settingsText = (site: SiteSpec, addresses: Addresses, index: number): string => {
@@ -110,15 +110,15 @@
       objectives: site.objectives.map((objective) => ({
         kind: objective.kind,
         ...(objective.class === null ? {} : { class: objective.class }),
-        ...(objective.withinUs === null ? {} : { within_s: s(objective.withinUs) }),
+        ...(objective.withinUs === null ? {} : { within_s: toSeconds(objective.withinUs) }),
         share: objective.share,
       })),
       workers: {
-        report_s: s(site.workers.reportUs),
-        lease_s: s(site.workers.leaseUs),
-        gang_wait_s: s(site.workers.gangWaitUs),
-        gang_peer_s: s(site.workers.gangPeerUs),
-        cancel_s: s(site.workers.cancelUs),
+        report_s: toSeconds(site.workers.reportUs),
+        lease_s: toSeconds(site.workers.leaseUs),
+        gang_wait_s: toSeconds(site.workers.gangWaitUs),
+        gang_peer_s: toSeconds(site.workers.gangPeerUs),
+        cancel_s: toSeconds(site.workers.cancelUs),
       },
       state: {
         rps: site.state.rps,
@@ -126,7 +126,7 @@
         value_kb: site.state.valueKb,
         txn_ops: site.state.txnOps,
       },
-      cloud: { rps: site.cloud.rps, list_lag_s: s(site.cloud.listLagUs) },
+      cloud: { rps: site.cloud.rps, list_lag_s: toSeconds(site.cloud.listLagUs) },
       quota: {
         cpu_share: site.quota.cpuShare,
         mem_mb: site.quota.memMb,
@@ -151,7 +151,7 @@
     pullGbPerS: type.fetchGbPerS,
     price: type.price,
     spotPrice: type.spotPrice,
-    bootS: s(type.bootUs),
+    bootS: toSeconds(type.bootUs),
     areas: type.zones,
   })),
 });
--- a/src/model/site.ts
+++ b/src/model/site.ts
@@ -8,22 +8,22 @@
 import type { Log, LogFields } from "../transport/log.js";
 import { jobBehaviour } from "./behaviour.js";
 import { CloudService, type Room, roomOf } from "./cloud-service.js";
-import { type Bounds, Door, type Usage } from "./door.js";
-import { type Host, Network, type Swallowed } from "./network.js";
+import { type Bounds, ProcessModel, type Usage } from "./door.js";
+import { type Direction, type Host, Network } from "./network.js";
 import { Luck, Random } from "./random.js";
 import { type Addresses, CLOCK_ERROR_MS, labelOf, type SiteSpec, settingsOf } from "./site-spec.js";
 import { StateService } from "./state-service.js";
 import { type Behaviour, Truth } from "./truth.js";
 import { type Hearing, PLAIN_USERS, type Quirks, type Submission, Users } from "./users.js";
-import { SimWires } from "./wires.js";
+import { SimulatedTransports } from "./wires.js";
 import type { Witness } from "./witness.js";
-import { type Surroundings, Worker } from "./worker.js";
+import { Worker, type WorkerEnvironment } from "./worker.js";
 import { HostClock, S, World } from "./world.js";
 
 /** A controller's host with the process that currently runs on it; `starts` counts its processes. */
-interface Node {
+interface ControllerHost {
   clock: HostClock;
-  readonly door: Door | null;
+  readonly processModel: ProcessModel | null;
   readonly host: Host & { state: Host["state"] };
   controller: Controller | null;
   starts: number;
@@ -58,18 +58,18 @@
   readonly stateLog?: number;
 }
 
-const host = (at: number, port: number): string => `10.0.0.${at + 1}:${port}`;
+const hostAddress = (at: number, port: number): string => `10.0.0.${at + 1}:${port}`;
 
 /** Addresses of a simulated site. */
 export const simulatedAddresses = (controllers: number): Addresses => ({
-  controllers: Array.from({ length: controllers }, (_, at) => host(at, 8080)),
-  mesh: Array.from({ length: controllers }, (_, at) => host(at, 8081)),
+  controllers: Array.from({ length: controllers }, (_, at) => hostAddress(at, 8080)),
+  mesh: Array.from({ length: controllers }, (_, at) => hostAddress(at, 8081)),
   state: "10.0.1.1:2379",
   cloud: "10.0.1.2:8443",
 });
 
-const RESTART_US = 3 * S;
-const WALL_MS = 1_700_000_000_000;
+const RESTART_DELAY_US = 3 * S;
+const WALL_CLOCK_START_MS = 1_700_000_000_000;
 
 /** Full simulation of a site: the controllers' real code and an emulated environment on one simulated clock. */
 export class Site {
@@ -82,8 +82,8 @@
   readonly truth = new Truth();
   readonly addresses: Addresses;
   private readonly watch: SiteWatch;
-  readonly wires: SimWires;
-  private readonly nodes: Node[];
+  readonly wires: SimulatedTransports;
+  private readonly controllerHosts: ControllerHost[];
   private readonly settings: Settings[];
 
   constructor(readonly setup: SiteSetup) {
@@ -103,7 +103,7 @@
       setup.stateLog,
     );
     const { mesh, controllers } = this.addresses;
-    this.wires = new SimWires(
+    this.wires = new SimulatedTransports(
       this.world,
       this.network,
       new Map(mesh.map((address, at) => [address, controllers[at] ?? ""])),
@@ -113,15 +113,15 @@
       serve: (request, from) => this.state.serve(request, from),
       state: "up",
     });
-    const dependencies: Surroundings = {
+    const dependencies: WorkerEnvironment = {
       timeline: this.world,
       net: this.network,
       random: this.random,
       luck: new Luck(seed),
       witness: this.watch.witness,
       truth: this.truth,
-      nodes: this.addresses.controllers,
-      labels: spec.controllers.map((_, at) => labelOf(at)),
+      controllers: this.addresses.controllers,
+      controllerLabels: spec.controllers.map((_, at) => labelOf(at)),
       times: spec.workers,
     };
     this.cloud = new CloudService(
@@ -142,19 +142,19 @@
       this.watch.hearing,
       setup.quirks ?? PLAIN_USERS,
     );
-    this.nodes = this.addresses.controllers.map((address) => this.makeNode(address));
+    this.controllerHosts = this.addresses.controllers.map((address) => this.createControllerHost(address));
     for (let at = 0; at < count; at += 1) this.start(at);
   }
 
-  private makeNode(address: string): Node {
+  private createControllerHost(address: string): ControllerHost {
     const { bounds } = this.setup;
-    const door = bounds === undefined ? null : new Door(this.world, bounds);
-    const node: Node = {
+    const processModel = bounds === undefined ? null : new ProcessModel(this.world, bounds);
+    const node: ControllerHost = {
       clock: new HostClock(this.world, 1, 0),
-      door,
+      processModel,
       host: {
         address,
-        door,
+        processModel,
         state: "refusing",
         serve: (request) => {
           const { controller, clock } = node;
@@ -174,63 +174,66 @@
   }
 
   private start(at: number): void {
-    const node = this.nodes[at];
+    const node = this.controllerHosts[at];
     const settings = this.settings[at];
     if (node === undefined || settings === undefined) return;
     node.starts += 1;
-    const { door } = node;
-    const later = door === null ? null : door.after.bind(door);
-    node.clock = new HostClock(this.world, 1 + this.random.next() * 0.0005, this.random.int(0, 1e9), later);
-    door?.restart();
+    const { processModel } = node;
+    const scheduleTimer = processModel === null ? null : processModel.after.bind(processModel);
+    node.clock = new HostClock(this.world, 1 + this.random.next() * 0.0005, this.random.int(0, 1e9), scheduleTimer);
+    processModel?.restart();
     const { clock } = node;
-    const line =
+    const logAt =
       (level: "error" | "info"): Log["info"] =>
       (event, fields) =>
         this.watch.log(level, at, event, fields ?? {});
-    const outside = {
+    const environment = {
       clock,
-      log: { error: line("error"), info: line("info"), debug: () => undefined },
+      log: { error: logAt("error"), info: logAt("info"), debug: () => undefined },
       http: this.network.client(node.host.address, clock),
       random: this.random.next,
       eventListener: this.watch.sink ?? null,
       extension: this.setup.extension ?? null,
       // Wall clocks deviate by the maximum error that the settings allow, alternately ahead and behind.
-      wallClock: () => WALL_MS + this.world.now / 1_000 + (at % 2 === 0 ? 1 : -1) * CLOCK_ERROR_MS,
-      ...(door === null ? {} : this.bounded(at, door)),
+      wallClock: () => WALL_CLOCK_START_MS + this.world.now / 1_000 + (at % 2 === 0 ? 1 : -1) * CLOCK_ERROR_MS,
+      ...(processModel === null ? {} : this.resourceHooks(at, processModel)),
     };
     const incarnation = `inc-${at}-${node.starts}`;
-    const transport = this.wires.of(this.addresses.mesh[at] ?? "", clock);
-    const mesh = this.setup.options.mesh ? createMeshFactory({ ...outside, settings, incarnation, transport }) : null;
-    node.controller = new Controller({ ...outside, mesh }, settings, this.setup.options, incarnation);
+    const transport = this.wires.transportFor(this.addresses.mesh[at] ?? "", clock);
+    const mesh = this.setup.options.mesh
+      ? createMeshFactory({ ...environment, settings, incarnation, transport })
+      : null;
+    node.controller = new Controller({ ...environment, mesh }, settings, this.setup.options, incarnation);
     node.host.state = "up";
     node.controller.start();
   }
 
-  private bounded(at: number, door: Door): Pick<ControllerEnvironment, "load" | "onInspected"> {
+  private resourceHooks(at: number, processModel: ProcessModel): Pick<ControllerEnvironment, "load" | "onInspected"> {
     return {
-      load: door.bounds.sheds ? () => door.load(this.bytes(at)) : null,
-      onInspected: (looks) => door.spend(looks * door.bounds.costs.lookUs),
+      load: processModel.bounds.sheds ? () => processModel.load(this.memoryBytes(at)) : null,
+      onInspected: (inspected) => processModel.spend(inspected * processModel.bounds.costs.lookUs),
     };
   }
 
   /** Memory used by a controller's process; the shard leader keeps machines and their tasks in memory. */
-  private bytes(at: number): number {
-    const node = this.nodes[at];
-    if (node === undefined || node.door === null) return 0;
-    const holds = node.controller?.leadershipSize ?? { machines: 0, tasks: 0 };
-    return node.door.bytes(holds.machines, holds.tasks);
+  private memoryBytes(at: number): number {
+    const node = this.controllerHosts[at];
+    if (node === undefined || node.processModel === null) return 0;
+    const size = node.controller?.leadershipSize ?? { machines: 0, tasks: 0 };
+    return node.processModel.bytes(size.machines, size.tasks);
   }
 
   /** Resource usage of each controller's process so far; empty without resource limits. */
   usage(): readonly Usage[] {
-    return this.nodes.flatMap(({ door }) => (door === null ? [] : [door.usage]));
+    return this.controllerHosts.flatMap(({ processModel }) => (processModel === null ? [] : [processModel.usage]));
   }
 
   /** Ends processes that exceed their memory limit; returns how many. */
   endOversized(): number {
     let ended = 0;
-    for (const [at, { door, controller }] of this.nodes.entries()) {
-      if (door === null || controller === null || this.bytes(at) <= door.bounds.memoryBytes) continue;
+    for (const [at, { processModel, controller }] of this.controllerHosts.entries()) {
+      if (processModel === null || controller === null || this.memoryBytes(at) <= processModel.bounds.memoryBytes)
+        continue;
       ended += 1;
       this.crash(at);
     }
@@ -244,30 +247,30 @@
   }
 
   /** Crashes a controller's process and restarts it after `backAfterUs`. */
-  crash(at: number, backAfterUs = RESTART_US): void {
-    const node = this.nodes[at];
+  crash(at: number, backAfterUs = RESTART_DELAY_US): void {
+    const node = this.controllerHosts[at];
     if (node === undefined || node.controller === null) return;
     node.clock.dead = true;
-    this.wires.died(node.clock);
+    this.wires.processEnded(node.clock);
     node.controller = null;
     node.host.state = "refusing";
     this.world.after(backAfterUs, () => this.start(at));
   }
 
   /** Crashes a controller's process and restarts it with other settings, as another program version would read them. */
-  restartWith(at: number, settings: Settings, backAfterUs = RESTART_US): void {
+  restartWith(at: number, settings: Settings, backAfterUs = RESTART_DELAY_US): void {
     this.settings[at] = settings;
     this.crash(at, backAfterUs);
   }
 
   /** Pauses the process while its clock keeps running; no effect without resource limits. */
   freeze(at: number, forUs: number): void {
-    this.nodes[at]?.door?.freeze(forUs);
+    this.controllerHosts[at]?.processModel?.freeze(forUs);
   }
 
   /** The running controller; null while its process is down. */
   controllerAt(at: number): Controller | null {
-    return this.nodes[at]?.controller ?? null;
+    return this.controllerHosts[at]?.controller ?? null;
   }
 
   nodeAddress(at: number): string {
@@ -279,7 +282,7 @@
     this.wires.refuse(forUs);
   }
 
-  private isNode(address: string): boolean {
+  private isController(address: string): boolean {
     return this.addresses.controllers.includes(address);
   }
 
@@ -304,23 +307,23 @@
   }
 
   /** One-way loss towards these machines: heartbeats arrive; commands, responses to heartbeats or both are dropped. */
-  deafen(addresses: ReadonlySet<string>, forUs: number, swallows: readonly Swallowed[]): void {
-    const from = (address: string): boolean => this.isNode(address);
-    this.network.lose({ from, to: (address) => addresses.has(address), swallows }, forUs);
+  deafen(addresses: ReadonlySet<string>, forUs: number, swallows: readonly Direction[]): void {
+    const from = (address: string): boolean => this.isController(address);
+    this.network.lose({ from, to: (address) => addresses.has(address), drops: swallows }, forUs);
   }
 
   /** As `deafen` for all machines, including those that boot later. */
-  deafenAll(forUs: number, swallows: readonly Swallowed[]): void {
+  deafenAll(forUs: number, swallows: readonly Direction[]): void {
     const { controllers, state, cloud } = this.addresses;
     const others = new Set([...controllers, state, cloud, "user"]);
-    const from = (address: string): boolean => this.isNode(address);
-    this.network.lose({ from, to: (address) => !others.has(address), swallows }, forUs);
+    const from = (address: string): boolean => this.isController(address);
+    this.network.lose({ from, to: (address) => !others.has(address), drops: swallows }, forUs);
   }
 
   /** One-way loss from these machines: their heartbeats are dropped; commands and status queries are answered. */
   mute(addresses: ReadonlySet<string>, forUs: number): void {
-    const to = (address: string): boolean => this.isNode(address);
-    this.network.lose({ from: (address) => addresses.has(address), to, swallows: ["requests"] }, forUs);
+    const to = (address: string): boolean => this.isController(address);
+    this.network.lose({ from: (address) => addresses.has(address), to, drops: ["requests"] }, forUs);
   }
 
   /** Retains duplicates of heartbeats; `releaseReports` delivers all of them to every controller. */
@@ -357,13 +360,13 @@
   }
 
   /** Delays a share of the commands to workers, or of the responses to them, by up to `mostUs`. */
-  holdUpCommands(delays: Swallowed, chance: number, mostUs: number, forUs: number): void {
+  holdUpCommands(delays: Direction, chance: number, mostUs: number, forUs: number): void {
     this.network.delayMessages({ of: (_, __, { target }) => target === "/orders", delays, chance, mostUs }, forUs);
   }
 
   /** Partitions a machine from all controllers. */
   cutMachine(address: string, forUs: number, mode: "hold" | "reset"): void {
-    this.network.cut((a, b) => a === address && this.isNode(b), forUs, mode);
+    this.network.cut((a, b) => a === address && this.isController(b), forUs, mode);
   }
 
   /** Partitions all machines of a zone, including those that boot later, from all controllers. */
@@ -374,6 +377,6 @@
         for (const { info, worker } of this.cloud.running()) if (worker) zones.set(worker.host.address, info.zone);
       return zones.get(address);
     };
-    this.network.cut((a, b) => this.isNode(b) && !this.isNode(a) && zoneOf(a) === zone, forUs, mode);
+    this.network.cut((a, b) => this.isController(b) && !this.isController(a) && zoneOf(a) === zone, forUs, mode);
   }
 }
--- a/src/model/state-service.ts
+++ b/src/model/state-service.ts
@@ -18,7 +18,7 @@
   readonly revision: number;
 }
 
-type Logged = { set: string; value: unknown; stamp: number } | { remove: string; stamp: number };
+type LogEntry = { set: string; value: unknown; stamp: number } | { remove: string; stamp: number };
 
 interface Transaction {
   readonly if: readonly { readonly k: string; readonly stamp: number }[];
@@ -32,17 +32,17 @@
 export class StateService {
   private readonly items = new Map<string, Item>();
   private epoch = 0;
-  private log: Logged[] = [];
-  private readonly holds = new Map<number, { ttl: number; until: number }>();
-  private nextHold = 1;
-  /** Pending watches; `wake` returns true once the watch has been answered. */
-  private waiters: { wake: () => boolean }[] = [];
+  private log: LogEntry[] = [];
+  private readonly leases = new Map<number, { ttl: number; until: number }>();
+  private nextLease = 1;
+  /** Pending watches; `respond` returns true once the watch has been answered. */
+  private pendingWatches: { respond: () => boolean }[] = [];
   private outageUntil = 0;
-  private readonly refusedFor = new Map<string, number>();
-  private requests = 0;
+  private readonly refusedUntil = new Map<string, number>();
+  private requestBacklog = 0;
   /** Number of requests received, including those refused by the rate limit. */
   received = 0;
-  private writes = 0;
+  private writeBacklog = 0;
   /** Number of writes requested, including those of refused transactions. */
   asked = 0;
   /** Number of transactions that were applied without a response to the writer. */
@@ -56,23 +56,23 @@
   /** Share of transactions that are applied, at once or seconds later, without a response. */
   unanswered = 0;
   /** Minimum and maximum delay of unanswered transactions; null: half at once, the others up to 20 s late. */
-  lateBy: readonly [number, number] | null = null;
+  unansweredDelayRange: readonly [number, number] | null = null;
 
-  /** `keep`: number of past changes that a watch can start from. */
+  /** `logLimit`: number of past changes that a watch can start from. */
   constructor(
-    private readonly world: Timeline,
+    private readonly timeline: Timeline,
     private readonly random: Random,
     private limits: { rps: number; writeRps: number; txnOps: number; valueBytes: number },
-    private readonly keep = 10_000,
+    private readonly logLimit = 10_000,
   ) {
-    this.tenth();
+    this.drainBacklogs();
   }
 
   /** Makes the service unavailable to all clients. */
   outage(forUs: number): void {
-    this.outageUntil = Math.max(this.outageUntil, this.world.now + forUs);
+    this.outageUntil = Math.max(this.outageUntil, this.timeline.now + forUs);
     // Every lease starts its full time to live again after the outage.
-    for (const hold of this.holds.values()) hold.until = this.outageUntil + hold.ttl;
+    for (const hold of this.leases.values()) hold.until = this.outageUntil + hold.ttl;
   }
 
   /** A share of transactions gets no response and is applied 2 to 12 s late, after newer ones of the same writer. */
@@ -80,12 +80,12 @@
     this.leaveUnanswered(share, [2 * S, 12 * S], forUs);
   }
 
-  private leaveUnanswered(share: number, lateBy: readonly [number, number], forUs: number): void {
+  private leaveUnanswered(share: number, delayRange: readonly [number, number], forUs: number): void {
     this.unanswered = share;
-    this.lateBy = lateBy;
-    this.world.after(forUs, () => {
+    this.unansweredDelayRange = delayRange;
+    this.timeline.after(forUs, () => {
       this.unanswered = 0;
-      this.lateBy = null;
+      this.unansweredDelayRange = null;
     });
   }
 
@@ -96,7 +96,7 @@
 
   /** Refuses all requests of one client; its leases keep running. */
   refuse(from: string, forUs: number): void {
-    this.refusedFor.set(from, this.world.now + forUs);
+    this.refusedUntil.set(from, this.timeline.now + forUs);
   }
 
   /** Lowers the limits at once; values already stored that exceed them stay readable. */
@@ -112,7 +112,7 @@
     this.epoch += 1;
     this.items.set(key, { value, stamp: this.epoch, hold: null });
     this.recordSet(key, value);
-    this.wake();
+    this.notifyWatches();
   }
 
   value(key: string): unknown {
@@ -123,20 +123,20 @@
     return [...this.items.keys()].filter((key) => key.startsWith(under));
   }
 
-  private tenth(): void {
-    this.requests = Math.max(0, this.requests - this.limits.rps / 10);
-    this.writes = Math.max(0, this.writes - this.limits.writeRps / 10);
-    for (const [id, hold] of this.holds) if (hold.until < this.world.now) this.end(id);
-    this.world.after(S / 10, () => this.tenth());
+  private drainBacklogs(): void {
+    this.requestBacklog = Math.max(0, this.requestBacklog - this.limits.rps / 10);
+    this.writeBacklog = Math.max(0, this.writeBacklog - this.limits.writeRps / 10);
+    for (const [id, hold] of this.leases) if (hold.until < this.timeline.now) this.expireLease(id);
+    this.timeline.after(S / 10, () => this.drainBacklogs());
   }
 
-  private end(id: number): void {
-    this.holds.delete(id);
+  private expireLease(id: number): void {
+    this.leases.delete(id);
     const keys = [...this.items].filter(([, item]) => item.hold === id).map(([key]) => key);
     if (keys.length === 0) return;
     this.epoch += 1;
     for (const key of keys) this.remove(key);
-    this.wake();
+    this.notifyWatches();
   }
 
   private remove(key: string): void {
@@ -150,29 +150,29 @@
     this.onChange?.({ key, value, revision: this.epoch });
   }
 
-  private wake(): void {
+  private notifyWatches(): void {
     // Truncated only when twice the size: copying ten thousand entries at each change took most of a run's time.
-    if (this.log.length > 2 * this.keep) this.log = this.log.slice(-this.keep);
-    this.waiters = this.waiters.filter((waiter) => !waiter.wake());
+    if (this.log.length > 2 * this.logLimit) this.log = this.log.slice(-this.logLimit);
+    this.pendingWatches = this.pendingWatches.filter((watch) => !watch.respond());
   }
 
-  private down(from: string): boolean {
-    return this.outageUntil > this.world.now || (this.refusedFor.get(from) ?? 0) > this.world.now;
+  private isUnavailable(from: string): boolean {
+    return this.outageUntil > this.timeline.now || (this.refusedUntil.get(from) ?? 0) > this.timeline.now;
   }
 
   serve = async (request: HttpRequest, from: string): Promise<HttpResponse> => {
-    if (this.down(from)) return json(503, {});
-    this.requests += 1;
+    if (this.isUnavailable(from)) return json(503, {});
+    this.requestBacklog += 1;
     this.received += 1;
-    if (this.requests > this.limits.rps) return json(429, {});
+    if (this.requestBacklog > this.limits.rps) return json(429, {});
     const url = new URL(request.target, "http://s");
     const path = url.pathname;
     if (path === "/watch") return this.watch(url, from);
-    await new Promise<void>((resolve) => this.world.after(this.random.chance(0.01) ? 200_000 : 2_000, resolve));
+    await new Promise<void>((resolve) => this.timeline.after(this.random.chance(0.01) ? 200_000 : 2_000, resolve));
     if (request.method === "POST" && path === "/txn") return this.transaction(request.body, from);
     if (path === "/kv") return this.list(url);
     if (path.startsWith("/kv/")) return this.get(decodeURIComponent(path.slice(4)));
-    return this.grants(request, path);
+    return this.serveLeases(request, path);
   };
 
   private get(key: string): HttpResponse {
@@ -194,10 +194,10 @@
   private async transaction(body: string, from: string): Promise<HttpResponse> {
     if (this.random.chance(this.unanswered)) {
       // Applied at once or late, without a response.
-      const [least, most] = this.lateBy ?? [0, this.random.chance(0.5) ? 0 : 20 * S];
-      const late = this.random.int(least, most);
-      this.world.after(late, () => {
-        if (!this.down(from) && this.apply(body).status === 200) this.unheard += 1;
+      const [minDelay, maxDelay] = this.unansweredDelayRange ?? [0, this.random.chance(0.5) ? 0 : 20 * S];
+      const delay = this.random.int(minDelay, maxDelay);
+      this.timeline.after(delay, () => {
+        if (!this.isUnavailable(from) && this.apply(body).status === 200) this.unheard += 1;
       });
       return new Promise(() => undefined);
     }
@@ -212,16 +212,16 @@
       this.tooLarge += 1;
       return json(400, {});
     }
-    this.writes += writes.length;
+    this.writeBacklog += writes.length;
     this.asked += writes.length;
-    if (this.writes > this.limits.writeRps) return json(429, {});
+    if (this.writeBacklog > this.limits.writeRps) return json(429, {});
     for (const write of writes) {
       if (!("set" in write)) continue;
       if (JSON.stringify(write.value).length > this.limits.valueBytes) {
         this.tooLarge += 1;
         return json(400, { error: "value too large" });
       }
-      if (write.hold !== undefined && !this.holds.has(write.hold)) return json(400, { error: "no such lease" });
+      if (write.hold !== undefined && !this.leases.has(write.hold)) return json(400, { error: "no such lease" });
     }
     const failed = conditions.filter(({ k, stamp }) => this.stampOf(k) !== stamp).map(({ k }) => k);
     if (failed.length > 0) return json(409, { failed, epoch: this.epoch });
@@ -232,7 +232,7 @@
         this.recordSet(write.set, write.value);
       } else this.remove(write.remove);
     }
-    this.wake();
+    this.notifyWatches();
     this.onApplied(writes.map((write) => ("set" in write ? write.set : write.remove)));
     return json(200, { epoch: this.epoch });
   }
@@ -241,7 +241,7 @@
   lateEffect(body: string): readonly string[] {
     const { if: conditions, writes } = JSON.parse(body) as Transaction;
     if (conditions.some(({ k, stamp }) => this.stampOf(k) !== stamp)) return [];
-    if (writes.some((write) => "set" in write && write.hold !== undefined && !this.holds.has(write.hold))) return [];
+    if (writes.some((write) => "set" in write && write.hold !== undefined && !this.leases.has(write.hold))) return [];
     return writes.flatMap((write) => {
       if ("remove" in write) return this.items.has(write.remove) ? [write.remove] : [];
       return JSON.stringify(this.items.get(write.set)?.value) === JSON.stringify(write.value) ? [] : [write.set];
@@ -252,30 +252,30 @@
     return this.items.get(key)?.stamp ?? 0;
   }
 
-  private grants(request: HttpRequest, path: string): HttpResponse {
+  private serveLeases(request: HttpRequest, path: string): HttpResponse {
     if (path === "/grants") {
       const ttl = (JSON.parse(request.body) as { ttlMs: number }).ttlMs * 1_000;
-      const id = this.nextHold++;
-      this.holds.set(id, { ttl, until: this.world.now + ttl });
+      const id = this.nextLease++;
+      this.leases.set(id, { ttl, until: this.timeline.now + ttl });
       return json(200, { hold: id });
     }
     const id = Number(/^\/grants\/(\d+)/.exec(path)?.[1]);
-    const hold = this.holds.get(id);
+    const hold = this.leases.get(id);
     if (hold === undefined) return json(404, {});
-    if (request.method === "DELETE") this.end(id);
-    else hold.until = this.world.now + hold.ttl;
+    if (request.method === "DELETE") this.expireLease(id);
+    else hold.until = this.timeline.now + hold.ttl;
     return json(200, { hold: id });
   }
 
   private watch(url: URL, from: string): Promise<HttpResponse> {
     const under = url.searchParams.get("under") ?? "";
     const since = Number(url.searchParams.get("from"));
-    const until = this.world.now + Number(url.searchParams.get("waitMs") ?? 0) * 1_000;
+    const until = this.timeline.now + Number(url.searchParams.get("waitMs") ?? 0) * 1_000;
     return new Promise((resolve) => {
-      const answer = (): boolean => {
-        if (this.down(from)) return false;
-        const first = Math.max(0, this.log.length - this.keep);
-        if (this.log.length > this.keep && since + 1 < (this.log[first]?.stamp ?? 0)) {
+      const respond = (): boolean => {
+        if (this.isUnavailable(from)) return false;
+        const first = Math.max(0, this.log.length - this.logLimit);
+        if (this.log.length > this.logLimit && since + 1 < (this.log[first]?.stamp ?? 0)) {
           resolve(json(410, {}));
           return true;
         }
@@ -284,18 +284,18 @@
         const log = this.log
           .slice(begin)
           .filter((entry) => ("set" in entry ? entry.set : entry.remove).startsWith(under));
-        if (log.length === 0 && this.world.now < until) return false;
+        if (log.length === 0 && this.timeline.now < until) return false;
         resolve(json(200, { epoch: this.epoch, log }));
         return true;
       };
-      if (answer()) return;
-      this.waiters.push({ wake: answer });
+      if (respond()) return;
+      this.pendingWatches.push({ respond });
       const poll = (): void => {
         // During an outage the watch stays open beyond its time-out.
-        if (this.down(from)) this.world.after(S / 2, poll);
-        else answer();
+        if (this.isUnavailable(from)) this.timeline.after(S / 2, poll);
+        else respond();
       };
-      this.world.at(until, poll);
+      this.timeline.at(until, poll);
     });
   }
 }
--- a/src/model/truth.ts
+++ b/src/model/truth.ts
@@ -19,9 +19,9 @@
 }
 
 /** Callbacks to a gang member: start when the gang is complete, or exit because another member was lost. */
-export interface Member {
+export interface GangMember {
   readonly start: () => void;
-  readonly abandon: () => void;
+  readonly abort: () => void;
 }
 
 /** Ground truth that is independent of machines: job behaviour, results, checkpoints and gang membership. */
@@ -29,9 +29,9 @@
   readonly behaviours = new Map<string, Behaviour>();
   /** Fallback for jobs that were not submitted through the emulator. */
   lookUp: (job: string) => Behaviour | null = () => null;
-  readonly gangs = new Map<string, Map<string, Member>>();
-  private readonly finished = new Map<string, Set<string>>();
-  private readonly saved = new Map<string, number>();
+  readonly gangs = new Map<string, Map<string, GangMember>>();
+  private readonly doneTasks = new Map<string, Set<string>>();
+  private readonly checkpoints = new Map<string, number>();
 
   behaviour(job: string): Behaviour | undefined {
     const known = this.behaviours.get(job);
@@ -42,33 +42,33 @@
   }
 
   isDone(task: string): boolean {
-    return this.finished.get(jobOf(task))?.has(task) === true;
+    return this.doneTasks.get(jobOf(task))?.has(task) === true;
   }
 
   done(task: string): void {
-    const known = this.finished.get(jobOf(task));
-    if (known === undefined) this.finished.set(jobOf(task), new Set([task]));
+    const known = this.doneTasks.get(jobOf(task));
+    if (known === undefined) this.doneTasks.set(jobOf(task), new Set([task]));
     else known.add(task);
-    this.saved.delete(task);
+    this.checkpoints.delete(task);
   }
 
   doneOf(job: string): ReadonlySet<string> {
-    return this.finished.get(job) ?? new Set();
+    return this.doneTasks.get(job) ?? new Set();
   }
 
   /** Discards the state of an ended job, none of whose tasks can start again. */
   drop(job: string): void {
-    this.finished.delete(job);
+    this.doneTasks.delete(job);
     this.gangs.delete(job);
   }
 
   /** Checkpointed progress in microseconds of run time at nominal speed. */
   progress(task: string): number {
-    return this.saved.get(task) ?? 0;
+    return this.checkpoints.get(task) ?? 0;
   }
 
   save(task: string, progressUs: number): void {
-    this.saved.set(task, progressUs);
+    this.checkpoints.set(task, progressUs);
   }
 }
 
--- a/src/model/users.ts
+++ b/src/model/users.ts
@@ -55,10 +55,10 @@
 /** Users that neither resubmit nor poll jobs that have ended. */
 export const PLAIN_USERS: Quirks = { repeats: 0, lingers: 0 };
 
-const TRIES_FOR = 60 * S;
-const PATIENCE = 5 * S;
-const POLL_PATIENCE = 2 * S;
-const MOST_RETRY_AFTER = 30;
+const RETRY_PERIOD_US = 60 * S;
+const REQUEST_TIMEOUT_US = 5 * S;
+const POLL_TIMEOUT_US = 2 * S;
+const MAX_RETRY_AFTER_S = 30;
 
 const phaseIn = (outcome: HttpOutcome): string | null => {
   if (outcome.kind !== "answer") return null;
@@ -69,7 +69,7 @@
 /** Emulates users, who submit, retry, poll and cancel jobs as the protocol specifies. */
 export class Users {
   private readonly accepted = new Map<string, Submission>();
-  private readonly final = new Set<string>();
+  private readonly endedJobs = new Set<string>();
   private readonly clock: HostClock;
   /** Called when a user first learns that a job has been accepted, and that it has ended. */
   onNews: (id: string) => void = () => undefined;
@@ -80,19 +80,19 @@
     private readonly timeline: Timeline,
     private readonly net: Net,
     private readonly random: Random,
-    private readonly nodes: readonly string[],
-    private readonly hearing: Hearing,
+    private readonly controllers: readonly string[],
+    private readonly observer: Hearing,
     private readonly quirks: Quirks,
   ) {
     this.clock = new HostClock(timeline, 1, 0);
   }
 
-  private async ask(
+  private async send(
     method: string,
     target: string,
     body: string,
-    timeoutUs = PATIENCE,
-    to = this.random.pick(this.nodes),
+    timeoutUs = REQUEST_TIMEOUT_US,
+    to = this.random.pick(this.controllers),
   ): Promise<HttpOutcome> {
     return this.net.client("user", this.clock).call(to, this.alter({ method, target, body }), timeoutUs as Micros);
   }
@@ -104,12 +104,12 @@
       this.timeline.after(S / 10, () => this.submit(job));
       return;
     }
-    const until = this.timeline.now + TRIES_FOR;
+    const until = this.timeline.now + RETRY_PERIOD_US;
     const attempt = async (): Promise<void> => {
       const askedAt = this.timeline.now;
-      const outcome = await this.ask("POST", "/v2/runs", JSON.stringify(job));
+      const outcome = await this.send("POST", "/v2/runs", JSON.stringify(job));
       const status = outcome.kind === "answer" ? outcome.status : null;
-      this.hearing.submitted(job.ref, status ?? 0, phaseIn(outcome), askedAt);
+      this.observer.submitted(job.ref, status ?? 0, phaseIn(outcome), askedAt);
       if (status === 200 || status === 201) {
         this.accepted.set(job.ref, job);
         this.onNews(job.ref);
@@ -120,10 +120,11 @@
         }
         return;
       }
-      const wait = outcome.kind === "answer" ? Math.min(MOST_RETRY_AFTER, Math.max(1, outcome.retryAfterS ?? 1)) : 1;
-      if (status === 400 || status === 422 || this.timeline.now + wait * S >= until)
-        this.hearing.dropped(job.ref, status);
-      else this.timeline.after(wait * S, () => void attempt());
+      const retryDelayS =
+        outcome.kind === "answer" ? Math.min(MAX_RETRY_AFTER_S, Math.max(1, outcome.retryAfterS ?? 1)) : 1;
+      if (status === 400 || status === 422 || this.timeline.now + retryDelayS * S >= until)
+        this.observer.dropped(job.ref, status);
+      else this.timeline.after(retryDelayS * S, () => void attempt());
     };
     void attempt();
   }
@@ -131,31 +132,31 @@
   /** Jobs whose acceptance users have seen, and those among them whose end they have not seen. */
   known(): { readonly all: readonly Submission[]; readonly open: readonly Submission[] } {
     const all = [...this.accepted.values()];
-    return { all, open: all.filter(({ ref }) => !this.final.has(ref)) };
+    return { all, open: all.filter(({ ref }) => !this.endedJobs.has(ref)) };
   }
 
   /** Submits a job again unchanged, to `node` or else to a random controller. */
   async resubmit(job: Submission, node?: string): Promise<void> {
     const askedAt = this.timeline.now;
-    const outcome = await this.ask("POST", "/v2/runs", JSON.stringify(job), PATIENCE, node);
-    this.hearing.submitted(job.ref, outcome.kind === "answer" ? outcome.status : 0, phaseIn(outcome), askedAt);
+    const outcome = await this.send("POST", "/v2/runs", JSON.stringify(job), REQUEST_TIMEOUT_US, node);
+    this.observer.submitted(job.ref, outcome.kind === "answer" ? outcome.status : 0, phaseIn(outcome), askedAt);
   }
 
   private poll(id: string): void {
     const askedAt = this.timeline.now;
-    void this.ask("GET", `/v2/runs/${id}`, "", POLL_PATIENCE).then((outcome) => {
+    void this.send("GET", `/v2/runs/${id}`, "", POLL_TIMEOUT_US).then((outcome) => {
       const phase = phaseIn(outcome);
-      this.hearing.polled(id, outcome.kind === "answer" ? outcome.status : null, phase, askedAt);
-      this.heard(id, phase);
+      this.observer.polled(id, outcome.kind === "answer" ? outcome.status : null, phase, askedAt);
+      this.recordPhase(id, phase);
       // Some users continue to poll after the end: the answer must not change.
-      if (this.final.has(id) && !this.random.chance(this.quirks.lingers)) return;
+      if (this.endedJobs.has(id) && !this.random.chance(this.quirks.lingers)) return;
       this.timeline.after(4 * S + this.random.int(0, 2 * S), () => this.poll(id));
     });
   }
 
-  private heard(id: string, phase: string | null): void {
-    if ((phase !== "done" && phase !== "withdrawn") || this.final.has(id)) return;
-    this.final.add(id);
+  private recordPhase(id: string, phase: string | null): void {
+    if ((phase !== "done" && phase !== "withdrawn") || this.endedJobs.has(id)) return;
+    this.endedJobs.add(id);
     this.onNews(id);
   }
 
@@ -168,8 +169,8 @@
   /** Sends one status query to `node` or else to a random controller; the job need not have been submitted. */
   askOnce(id: string, node?: string): void {
     const askedAt = this.timeline.now;
-    void this.ask("GET", `/v2/runs/${id}`, "", PATIENCE, node).then((outcome) =>
-      this.hearing.polled(id, outcome.kind === "answer" ? outcome.status : null, phaseIn(outcome), askedAt),
+    void this.send("GET", `/v2/runs/${id}`, "", REQUEST_TIMEOUT_US, node).then((outcome) =>
+      this.observer.polled(id, outcome.kind === "answer" ? outcome.status : null, phaseIn(outcome), askedAt),
     );
   }
 
@@ -190,13 +191,13 @@
       this.timeline.after(S, () => this.cancel(id));
       return;
     }
-    this.hearing.cancelAsked(id);
+    this.observer.cancelAsked(id);
     const attempt = async (): Promise<void> => {
-      const outcome = await this.ask("POST", `/v2/runs/${id}/abort`, "");
+      const outcome = await this.send("POST", `/v2/runs/${id}/abort`, "");
       const status = outcome.kind === "answer" ? outcome.status : 0;
       const phase = phaseIn(outcome);
-      this.hearing.cancelAnswered(id, status, phase);
-      this.heard(id, phase);
+      this.observer.cancelAnswered(id, status, phase);
+      this.recordPhase(id, phase);
       if (status !== 200) this.timeline.after(S, () => void attempt());
     };
     void attempt();
@@ -205,8 +206,8 @@
   /** Sends an invalid submission; the response must be a refusal or state that it cannot be decided now. */
   submitOdd(job: Submission, why: Odd): void {
     const body = why === "lacks a field" ? { ...job, cpus: undefined } : { ...job, cpus: 100_000 };
-    void this.ask("POST", "/v2/runs", JSON.stringify(body)).then((outcome) => {
-      if (outcome.kind === "answer") this.hearing.oddAnswered?.(why, outcome.status, outcome.body);
+    void this.send("POST", "/v2/runs", JSON.stringify(body)).then((outcome) => {
+      if (outcome.kind === "answer") this.observer.oddAnswered?.(why, outcome.status, outcome.body);
     });
   }
 }
--- a/src/model/worker.ts
+++ b/src/model/worker.ts
@@ -1,6 +1,6 @@
 import type { Micros } from "../transport/clock.js";
 import type { HttpRequest, HttpResponse } from "../transport/http.js";
-import { Executor, type ExecutorAround, type GangTimes } from "./executor.js";
+import { Executor, type ExecutorEnvironment, type GangTimings } from "./executor.js";
 import { type Host, json, type Net } from "./network.js";
 import type { Random } from "./random.js";
 import type { TypeSpec } from "./site-spec.js";
@@ -8,66 +8,66 @@
 import { HostClock, S } from "./world.js";
 
 /** Timing parameters of workers, in microseconds. */
-export interface WorkerTimes extends GangTimes {
+export interface WorkerTimings extends GangTimings {
   readonly reportUs: number;
   readonly leaseUs: number;
 }
 
 /** Simulated environment shared by all workers of a site. */
-export interface Surroundings extends ExecutorAround {
+export interface WorkerEnvironment extends ExecutorEnvironment {
   readonly net: Net;
   readonly random: Random;
-  /** Addresses of the controllers; `labels` holds their names in the same order. */
-  readonly nodes: readonly string[];
-  readonly labels: readonly string[];
-  readonly times: WorkerTimes;
+  /** Addresses of the controllers; `controllerLabels` holds their names in the same order. */
+  readonly controllers: readonly string[];
+  readonly controllerLabels: readonly string[];
+  readonly times: WorkerTimings;
 }
 
 /** A command as a controller sends it; `windDownS` is the grace period in seconds. */
-interface Order {
+interface Command {
   readonly verb: string;
   readonly shard: string;
   readonly try: number;
   readonly windDownS?: number;
 }
 
-const REPORT_PATIENCE = (4 * S) as Micros;
+const HEARTBEAT_TIMEOUT_US = (4 * S) as Micros;
 
 /** Emulates a worker: sends heartbeats, holds the worker lease, and serves commands and status queries. */
 export class Worker {
-  private session = 1;
-  private tick = 0;
+  private incarnation = 1;
+  private sequence = 0;
   private token = 0;
-  private leaseBase: number;
-  private node: number;
-  private inFlight = false;
-  private lastReport = -S;
-  private changeArmed = false;
+  private leaseStart: number;
+  private controllerIndex: number;
+  private heartbeatInFlight = false;
+  private lastHeartbeat = -S;
+  private heartbeatScheduled = false;
   /** State has changed since the body of the heartbeat in flight was written. */
-  private changedInFlight = false;
+  private changedSinceSent = false;
   /** Time of the last out-of-schedule heartbeat that a higher fencing token triggered. */
-  private tokenReportedAt = Number.NEGATIVE_INFINITY;
-  private noticeAt: number | null = null;
-  private gone = false;
+  private lastTokenHeartbeat = Number.NEGATIVE_INFINITY;
+  private reclaimAt: number | null = null;
+  private ended = false;
   /** Incremented at a restart; responses to requests sent before it are discarded. */
-  private calls = 0;
+  private restarts = 0;
   readonly host: Host;
   private readonly clock: HostClock;
   private readonly executor: Executor;
 
   constructor(
-    private readonly around: Surroundings,
+    private readonly environment: WorkerEnvironment,
     readonly info: HostInfo,
     type: TypeSpec,
   ) {
-    const { timeline, net, random, nodes } = around;
-    this.leaseBase = timeline.now;
-    this.node = random.int(0, nodes.length - 1);
-    this.executor = new Executor(around, info, type, () => this.changed());
+    const { timeline, net, random, controllers } = environment;
+    this.leaseStart = timeline.now;
+    this.controllerIndex = random.int(0, controllers.length - 1);
+    this.executor = new Executor(environment, info, type, () => this.scheduleHeartbeat());
     this.clock = new HostClock(timeline, 1, 0);
     this.host = { address: net.address(), serve: (request) => this.serve(request), state: "up" };
     net.add(this.host);
-    this.regular();
+    this.runHeartbeatLoop();
     this.watchLease();
   }
 
@@ -77,95 +77,98 @@
 
   /** Makes the machine faulty: every task that it starts from now on fails. */
   sicken(): void {
-    this.executor.sick = true;
+    this.executor.faulty = true;
   }
 
   /** Announces that the machine will be reclaimed in `inUs` microseconds. */
   notice(inUs: number): void {
-    this.noticeAt = this.around.timeline.now + inUs;
-    this.changed();
+    this.reclaimAt = this.environment.timeline.now + inUs;
+    this.scheduleHeartbeat();
   }
 
   /** Ends the machine (reclaimed, deleted or failed): its tasks are killed and its address no longer responds. */
   end(): void {
-    this.gone = true;
+    this.ended = true;
     this.host.state = "silent";
-    this.around.net.remove(this.host);
+    this.environment.net.remove(this.host);
     this.executor.end();
   }
 
   /**
-   * Restarts the worker process within a fraction of a second; tasks and cached images are lost. With `kept` the
+   * Restarts the worker process within a fraction of a second; tasks and cached images are lost. With `keepCounters` the
    * incarnation is incremented and heartbeat sequence and fencing token are retained; otherwise all three are reset.
    */
-  restart(kept: boolean): void {
-    if (this.gone) return;
+  restart(keepCounters: boolean): void {
+    if (this.ended) return;
     this.executor.restart();
-    this.session = kept ? this.session + 1 : 1;
-    if (!kept) {
-      this.tick = 0;
+    this.incarnation = keepCounters ? this.incarnation + 1 : 1;
+    if (!keepCounters) {
+      this.sequence = 0;
       this.token = 0;
-      this.tokenReportedAt = Number.NEGATIVE_INFINITY;
+      this.lastTokenHeartbeat = Number.NEGATIVE_INFINITY;
     }
-    this.leaseBase = this.around.timeline.now;
-    this.inFlight = false;
-    this.calls += 1;
-    this.changed();
+    this.leaseStart = this.environment.timeline.now;
+    this.heartbeatInFlight = false;
+    this.restarts += 1;
+    this.scheduleHeartbeat();
   }
 
-  private awake(run: () => void): void {
-    this.executor.awake(run);
+  private whenRunning(run: () => void): void {
+    this.executor.whenRunning(run);
   }
 
   private watchLease(): void {
-    const { timeline, times } = this.around;
-    if (this.gone) return;
+    const { timeline, times } = this.environment;
+    if (this.ended) return;
     // The lease also expires while the machine hangs: its tasks are gone when it resumes.
-    if (timeline.now - this.leaseBase > times.leaseUs) {
-      this.around.witness.leaseOver(
+    if (timeline.now - this.leaseStart > times.leaseUs) {
+      this.environment.witness.leaseOver(
         this.info,
         [...this.executor.list()].filter(({ phase }) => phase !== "exited").length,
       );
       this.executor.killAll();
-      this.session += 1;
-      this.leaseBase = timeline.now;
-      this.changed();
+      this.incarnation += 1;
+      this.leaseStart = timeline.now;
+      this.scheduleHeartbeat();
     }
-    timeline.at(this.leaseBase + times.leaseUs + 1, () => this.watchLease());
+    timeline.at(this.leaseStart + times.leaseUs + 1, () => this.watchLease());
   }
 
-  private regular(): void {
-    this.awake(() => this.report());
-    this.around.timeline.after(this.around.times.reportUs * (0.75 + this.around.random.next() / 2), () => {
-      if (!this.gone) this.regular();
-    });
+  private runHeartbeatLoop(): void {
+    this.whenRunning(() => this.sendHeartbeat());
+    this.environment.timeline.after(
+      this.environment.times.reportUs * (0.75 + this.environment.random.next() / 2),
+      () => {
+        if (!this.ended) this.runHeartbeatLoop();
+      },
+    );
   }
 
-  private changed(): void {
-    const { timeline } = this.around;
-    if (this.changeArmed || this.gone) return;
-    this.changeArmed = true;
-    timeline.at(Math.max(timeline.now + 1_000, this.lastReport + S / 2), () =>
-      this.awake(() => {
-        this.changeArmed = false;
-        if (this.inFlight) this.changedInFlight = true;
-        else this.report();
+  private scheduleHeartbeat(): void {
+    const { timeline } = this.environment;
+    if (this.heartbeatScheduled || this.ended) return;
+    this.heartbeatScheduled = true;
+    timeline.at(Math.max(timeline.now + 1_000, this.lastHeartbeat + S / 2), () =>
+      this.whenRunning(() => {
+        this.heartbeatScheduled = false;
+        if (this.heartbeatInFlight) this.changedSinceSent = true;
+        else this.sendHeartbeat();
       }),
     );
   }
 
-  private body(): Record<string, unknown> {
-    this.tick += 1;
+  private statusBody(): Record<string, unknown> {
+    this.sequence += 1;
     return {
       host: this.info.name,
       addr: this.host.address,
       flavor: this.info.type,
       area: this.info.zone,
       loaner: this.info.spot,
-      tenure: this.session,
-      tick: this.tick,
+      tenure: this.incarnation,
+      tick: this.sequence,
       baton: this.token,
-      warningS: this.noticeAt === null ? null : Math.max(0, this.noticeAt - this.around.timeline.now) / S,
+      warningS: this.reclaimAt === null ? null : Math.max(0, this.reclaimAt - this.environment.timeline.now) / S,
       shards: [...this.executor.list()].map((task) => ({
         shard: task.shard,
         try: task.try,
@@ -175,87 +178,87 @@
     };
   }
 
-  private report(): void {
-    const { timeline, net, random, nodes, labels } = this.around;
-    if (this.inFlight || this.gone) return;
-    this.inFlight = true;
-    this.changedInFlight = false;
-    this.lastReport = timeline.now;
+  private sendHeartbeat(): void {
+    const { timeline, net, random, controllers, controllerLabels } = this.environment;
+    if (this.heartbeatInFlight || this.ended) return;
+    this.heartbeatInFlight = true;
+    this.changedSinceSent = false;
+    this.lastHeartbeat = timeline.now;
     const sent = timeline.now;
-    const session = this.session;
-    const request: HttpRequest = { method: "POST", target: "/hello", body: JSON.stringify(this.body()) };
-    const node = nodes[this.node] ?? "";
-    const { calls } = this;
+    const incarnation = this.incarnation;
+    const request: HttpRequest = { method: "POST", target: "/hello", body: JSON.stringify(this.statusBody()) };
+    const controller = controllers[this.controllerIndex] ?? "";
+    const { restarts } = this;
     void net
       .client(this.host.address, this.clock)
-      .call(node, request, REPORT_PATIENCE)
+      .call(controller, request, HEARTBEAT_TIMEOUT_US)
       .then((outcome) =>
-        this.awake(() => {
-          if (calls !== this.calls) return;
-          this.inFlight = false;
-          const late = timeline.now - sent > REPORT_PATIENCE;
+        this.whenRunning(() => {
+          if (restarts !== this.restarts) return;
+          this.heartbeatInFlight = false;
+          const late = timeline.now - sent > HEARTBEAT_TIMEOUT_US;
           if (late || outcome.kind !== "answer" || (outcome.status !== 200 && outcome.status !== 421)) {
-            this.next();
+            this.tryNextController();
             return;
           }
           if (outcome.status === 421) {
             const { steward } = JSON.parse(outcome.body) as { steward?: string };
-            const at = labels.indexOf(steward ?? "");
-            if (at < 0 || at === this.node) this.next();
+            const at = controllerLabels.indexOf(steward ?? "");
+            if (at < 0 || at === this.controllerIndex) this.tryNextController();
             else {
-              this.node = at;
-              timeline.after(random.int(0, S / 2), () => this.awake(() => this.report()));
+              this.controllerIndex = at;
+              timeline.after(random.int(0, S / 2), () => this.whenRunning(() => this.sendHeartbeat()));
             }
             return;
           }
-          if (this.changedInFlight) this.changed();
-          const { baton, orders } = JSON.parse(outcome.body) as { baton?: number; orders: Order[] };
-          if (baton === undefined || baton < this.token || session !== this.session) return;
-          this.see(baton);
-          this.leaseBase = Math.max(this.leaseBase, sent);
+          if (this.changedSinceSent) this.scheduleHeartbeat();
+          const { baton, orders } = JSON.parse(outcome.body) as { baton?: number; orders: Command[] };
+          if (baton === undefined || baton < this.token || incarnation !== this.incarnation) return;
+          this.observeToken(baton);
+          this.leaseStart = Math.max(this.leaseStart, sent);
           for (const order of orders) this.execute(order);
         }),
       );
   }
 
-  private next(): void {
-    this.node = (this.node + 1) % this.around.nodes.length;
-    this.around.timeline.after(S, () => this.awake(() => this.report()));
+  private tryNextController(): void {
+    this.controllerIndex = (this.controllerIndex + 1) % this.environment.controllers.length;
+    this.environment.timeline.after(S, () => this.whenRunning(() => this.sendHeartbeat()));
   }
 
-  private see(token: number): void {
-    const { timeline, times } = this.around;
+  private observeToken(token: number): void {
+    const { timeline, times } = this.environment;
     if (token <= this.token) return;
     this.token = token;
-    if (timeline.now - this.tokenReportedAt < times.leaseUs / 2) return;
-    this.tokenReportedAt = timeline.now;
-    this.changed();
+    if (timeline.now - this.lastTokenHeartbeat < times.leaseUs / 2) return;
+    this.lastTokenHeartbeat = timeline.now;
+    this.scheduleHeartbeat();
   }
 
   private serve(request: HttpRequest): Promise<HttpResponse> {
     return new Promise((resolve) =>
-      this.awake(() => {
+      this.whenRunning(() => {
         if (request.target === "/status") {
-          resolve(json(200, this.body()));
+          resolve(json(200, this.statusBody()));
           return;
         }
         const { baton, tenure, orders } = JSON.parse(request.body) as {
           baton?: number;
           tenure?: number;
-          orders: Order[];
+          orders: Command[];
         };
         if (baton === undefined || tenure === undefined) resolve(json(400, {}));
-        else if (baton < this.token || tenure !== this.session) resolve(json(409, this.body()));
+        else if (baton < this.token || tenure !== this.incarnation) resolve(json(409, this.statusBody()));
         else {
-          this.see(baton);
+          this.observeToken(baton);
           for (const order of orders) this.execute(order);
-          resolve(json(200, this.body()));
+          resolve(json(200, this.statusBody()));
         }
       }),
     );
   }
 
-  private execute({ verb, shard, try: attempt, windDownS }: Order): void {
+  private execute({ verb, shard, try: attempt, windDownS }: Command): void {
     if (verb === "forget") this.executor.forget(shard, attempt);
     else if (verb === "halt") this.executor.stop(shard, attempt, windDownS ?? 0);
     else if (verb === "launch") this.executor.start(shard, attempt);
--- a/src/model/world.ts
+++ b/src/model/world.ts
@@ -23,26 +23,26 @@
 const compare = (a: Event, b: Event): number => a.at - b.at || a.order - b.order;
 
 /** Events between two yields to the Node.js event loop, which signals, progress output and worker threads need. */
-const BREATH = 8_192;
+const EVENTS_PER_YIELD = 8_192;
 
 /**
  * Resolves once all pending microtasks have run, including those that they queue themselves. `process.nextTick` waits
  * for the whole microtask queue and costs a fraction of a turn of the event loop.
  */
-const settled = (): Promise<void> => new Promise((resolve) => process.nextTick(resolve));
-const turn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+const microtasksDone = (): Promise<void> => new Promise((resolve) => process.nextTick(resolve));
+const eventLoopTurn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 /** Discrete-event simulation: the simulated clock and its event queue. */
 export class World implements Timeline {
   now = 0;
   /** Number of events processed. */
   count = 0;
-  private order = 0;
+  private nextOrder = 0;
   private stopped = false;
   private readonly queue = new TinyQueue<Event>([], compare);
 
   at(time: number, run: () => void): Timer {
-    const event: Event = { at: Math.max(time, this.now), order: this.order++, run, cancelled: false };
+    const event: Event = { at: Math.max(time, this.now), order: this.nextOrder++, run, cancelled: false };
     this.queue.push(event);
     return {
       cancel: () => {
@@ -61,7 +61,7 @@
   }
 
   /** Runs the next event that is due by `end`; false if there is none. */
-  private step(end: number): boolean {
+  private runNextEvent(end: number): boolean {
     for (let event = this.queue.peek(); event !== undefined && event.at <= end; event = this.queue.peek()) {
       this.queue.pop();
       if (event.cancelled) continue;
@@ -76,9 +76,9 @@
   /** Runs until `end`; calls `check` after each event, once all promise callbacks that the event triggered have run. */
   async run(end: number, check: () => void): Promise<void> {
     this.stopped = false;
-    while (this.step(end)) {
-      if (this.count % BREATH === 0) await turn();
-      else await settled();
+    while (this.runNextEvent(end)) {
+      if (this.count % EVENTS_PER_YIELD === 0) await eventLoopTurn();
+      else await microtasksDone();
       check();
       if (this.stopped) return;
     }
@@ -88,7 +88,7 @@
   /** As `run`, but synchronous, for simulations without promises: about ten times as fast. */
   runAtOnce(end: number, check: () => void = () => undefined): void {
     this.stopped = false;
-    while (this.step(end)) {
+    while (this.runNextEvent(end)) {
       check();
       if (this.stopped) return;
     }
@@ -101,22 +101,24 @@
   dead = false;
 
   constructor(
-    private readonly world: Timeline,
+    private readonly timeline: Timeline,
     private readonly rate: number,
     private readonly offset: number,
     /** Schedules timers on a host with limited processor time; null for the timeline's own timers. */
-    private readonly later: ((delay: Micros, run: () => void) => Timer) | null = null,
+    private readonly scheduleTimer: ((delay: Micros, run: () => void) => Timer) | null = null,
   ) {}
 
   now(): Micros {
-    return Math.floor(this.world.now * this.rate + this.offset) as Micros;
+    return Math.floor(this.timeline.now * this.rate + this.offset) as Micros;
   }
 
   after(delay: Micros, run: () => void): Timer {
-    const alive = (): void => {
+    const runIfAlive = (): void => {
       if (!this.dead) run();
     };
-    const span = Math.max(0, delay) / this.rate;
-    return this.later === null ? this.world.after(span, alive) : this.later(span as Micros, alive);
+    const trueDelay = Math.max(0, delay) / this.rate;
+    return this.scheduleTimer === null
+      ? this.timeline.after(trueDelay, runIfAlive)
+      : this.scheduleTimer(trueDelay as Micros, runIfAlive);
   }
 }
