--- a/src/model/cloud-service.ts
+++ b/src/model/cloud-service.ts
@@ -1,6 +1,6 @@
 import type { HttpRequest, HttpResponse } from "../transport/http.js";
 import { json } from "./network.js";
-import type { Luck, Random } from "./random.js";
+import type { NamedRandom, Random } from "./random.js";
 import { type CapacitySpec, catalogOf, type SiteSpec, type TypeSpec } from "./site-spec.js";
 import type { HostInfo, Witness } from "./witness.js";
 import { S, type Timeline } from "./world.js";
@@ -14,7 +14,7 @@
   hang(forUs: number): void;
   /** Makes the machine faulty: every task that it starts from now on fails. */
   sicken(): void;
-  /** Restarts the worker process within a fraction of a second, without its tasks; `keepCounters`: its counters survive. */
+  /** Restarts the worker process within a fraction of a second, without its tasks; `keepCounters` as in `Worker`. */
   restart(keepCounters: boolean): void;
   /** Ends the machine with all its tasks. */
   end(): void;
@@ -40,9 +40,9 @@
 }
 
 /** Default shares of failed, late and early boots. */
-export const USUAL_BOOTS: BootFaults = { never: 0.03, late: 0.1, early: 0.1 };
+export const DEFAULT_BOOTS: BootFaults = { never: 0.03, late: 0.1, early: 0.1 };
 /** Every boot completes, within the usual spread of boot times. */
-export const EVEN_BOOTS: BootFaults = { never: 0, late: 0, early: 0 };
+export const RELIABLE_BOOTS: BootFaults = { never: 0, late: 0, early: 0 };
 
 /** Factors on the boot time of the type for late and early boots. */
 const LATE_BOOT_FACTOR = 4;
@@ -56,7 +56,7 @@
 export type Room = (type: string, zone: string, spot: boolean, cloud: CloudService) => number;
 
 /** Free capacity under fixed limits; combinations that are not listed have none. */
-export const roomOf = (capacity: readonly CapacitySpec[]): Room => {
+export const fixedCapacity = (capacity: readonly CapacitySpec[]): Room => {
   const counts = new Map(capacity.map(({ type, zone, spot, count }) => [capacityKey(type, zone, spot), count]));
   return (type, zone, spot, cloud) => (counts.get(capacityKey(type, zone, spot)) ?? 0) - cloud.count(type, zone, spot);
 };
@@ -81,13 +81,13 @@
   calls = 0;
   /** End of the injected capacity shortage, by type, zone and purchase model. */
   private readonly shortageUntil = new Map<string, number>();
-  boots: BootFaults = USUAL_BOOTS;
+  boots: BootFaults = DEFAULT_BOOTS;
 
   /** `room` is evaluated at every provisioning request. */
   constructor(
     private readonly timeline: Timeline,
     private readonly random: Random,
-    private readonly luck: Luck,
+    private readonly luck: NamedRandom,
     private readonly site: SiteSpec,
     private readonly startWorker: (info: HostInfo, type: TypeSpec) => MachineWorker,
     private readonly witness: Witness,
--- a/src/model/executor.ts
+++ b/src/model/executor.ts
@@ -1,6 +1,6 @@
-import type { Luck } from "./random.js";
+import type { NamedRandom } from "./random.js";
 import type { TypeSpec } from "./site-spec.js";
-import { type Behaviour, type GangMember, jobOf, type Truth } from "./truth.js";
+import { type Behaviour, type GangMember, type GroundTruth, jobOf } from "./truth.js";
 import type { EndCause, HostInfo, Witness } from "./witness.js";
 import { S, type Timeline } from "./world.js";
 
@@ -15,9 +15,9 @@
 /** Dependencies of an executor; the same for the full simulation and the fast model. */
 export interface ExecutorEnvironment {
   readonly timeline: Timeline;
-  readonly luck: Luck;
+  readonly luck: NamedRandom;
   readonly witness: Witness;
-  readonly truth: Truth;
+  readonly truth: GroundTruth;
   readonly times: GangTimings;
 }
 
@@ -141,7 +141,7 @@
     });
   }
 
-  /** Stores the progress up to the last periodic checkpoint, or with `includeCurrent` up to now, outside the machine. */
+  /** Stores progress outside the machine, up to the last periodic checkpoint or, with `includeCurrent`, up to now. */
   private saveProgress(task: RunningTask, includeCurrent = false): void {
     const { truth } = this.environment;
     const intervalUs = truth.behaviour(jobOf(task.shard))?.saveEveryUs ?? 0;
--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -29,14 +29,14 @@
 import type { Log } from "../transport/log.js";
 import { RateLimiter } from "../transport/rate-limiter.js";
 import { jobBehaviour } from "./behaviour.js";
-import { CloudService, roomOf } from "./cloud-service.js";
+import { CloudService, fixedCapacity } from "./cloud-service.js";
 import type { ExecutorEnvironment } from "./executor.js";
 import { FastMachine, FENCING_TOKEN } from "./fast-machine.js";
 import { NETWORK_LATENCY_US, WriteQueue } from "./fast-writer.js";
-import { Luck, Random } from "./random.js";
+import { NamedRandom, Random } from "./random.js";
 import { simulatedAddresses } from "./site.js";
 import { catalogOf, type SiteSpec, settingsOf } from "./site-spec.js";
-import { type Behaviour, Truth } from "./truth.js";
+import { type Behaviour, GroundTruth } from "./truth.js";
 import type { Hearing, Submission } from "./users.js";
 import type { HostInfo, Witness } from "./witness.js";
 import { HostClock, S, World } from "./world.js";
@@ -82,7 +82,7 @@
  */
 export class FastSite {
   readonly world = new World();
-  readonly truth = new Truth();
+  readonly truth = new GroundTruth();
   readonly cloud: CloudService;
   readonly shard: ShardState;
   private readonly clock: HostClock;
@@ -138,7 +138,7 @@
       store.transactionWrites,
     );
     this.cloudLimit = new RateLimiter(this.clock, spec.cloud.rps * CLOUD_BUDGET_SHARE);
-    const luck = new Luck(seed);
+    const luck = new NamedRandom(seed);
     const executes: ExecutorEnvironment = {
       timeline: this.world,
       luck,
@@ -153,7 +153,7 @@
       spec,
       (info, type) => this.bootMachine(executes, info, type),
       witness,
-      roomOf(spec.capacity),
+      fixedCapacity(spec.capacity),
     );
     const lease: ShardLease = { shard: 0, epoch: 1, key: "", version: 0, isValid: () => this.canDecide };
     const nothing = (): void => undefined;
--- a/src/model/local-site.ts
+++ b/src/model/local-site.ts
@@ -8,12 +8,12 @@
 import { jobKey } from "../storage/keys.js";
 import { ms } from "../transport/clock.js";
 import { jobBehaviour } from "./behaviour.js";
-import { CloudService, EVEN_BOOTS, roomOf } from "./cloud-service.js";
+import { CloudService, fixedCapacity, RELIABLE_BOOTS } from "./cloud-service.js";
 import { Loopback, PortError, RealTime } from "./loopback.js";
-import { Luck, Random } from "./random.js";
+import { NamedRandom, Random } from "./random.js";
 import { type Addresses, labelOf, type SiteSpec, settingsText } from "./site-spec.js";
 import { StateService } from "./state-service.js";
-import { type Behaviour, Truth } from "./truth.js";
+import { type Behaviour, GroundTruth } from "./truth.js";
 import { type Hearing, PLAIN_USERS, type Submission, Users } from "./users.js";
 import type { Witness } from "./witness.js";
 import { Worker, type WorkerEnvironment } from "./worker.js";
@@ -66,7 +66,7 @@
  * store, cloud, workers and users are emulated in this process.
  */
 export class LocalSite {
-  readonly truth = new Truth();
+  readonly truth = new GroundTruth();
   readonly timeline: RealTime;
   readonly addresses: Addresses;
   readonly folder: string;
@@ -96,7 +96,7 @@
       timeline: this.timeline,
       net,
       random,
-      luck: new Luck(seed),
+      luck: new NamedRandom(seed),
       witness: this.watch.witness,
       truth: this.truth,
       controllers: addresses.controllers,
@@ -110,9 +110,9 @@
       spec,
       (info, type) => new Worker(dependencies, info, type),
       this.watch.witness,
-      roomOf(spec.capacity),
+      fixedCapacity(spec.capacity),
     );
-    if (setup.evenBoots) this.cloud.boots = EVEN_BOOTS;
+    if (setup.evenBoots) this.cloud.boots = RELIABLE_BOOTS;
     net.add({ address: addresses.cloud, serve: (request) => this.cloud.serve(request), state: "up" });
     this.users = new Users(this.timeline, net, random, addresses.controllers, this.watch.hearing, PLAIN_USERS);
   }
--- a/src/model/network.ts
+++ b/src/model/network.ts
@@ -38,19 +38,19 @@
 }
 
 /** Direction of an exchange that a fault affects: the requests, or the responses to them. */
-export type Direction = "requests" | "answers";
+export type MessageDirection = "requests" | "answers";
 
 interface OneWayLoss {
   readonly from: (address: string) => boolean;
   readonly to: (address: string) => boolean;
   readonly until: number;
-  readonly drops: readonly Direction[];
+  readonly drops: readonly MessageDirection[];
 }
 
 /** Delivers some messages after a delay of 0.5 s up to `mostUs`. */
 export interface Delays {
   readonly of: (from: string, to: string, request: HttpRequest) => boolean;
-  readonly delays: Direction;
+  readonly delays: MessageDirection;
   readonly chance: number;
   readonly mostUs: number;
 }
@@ -125,7 +125,7 @@
     this.delays.push({ ...delays, until: this.world.now + forUs });
   }
 
-  private extraDelay(from: string, to: string, request: HttpRequest, what: Direction): number {
+  private drawExtraDelay(from: string, to: string, request: HttpRequest, what: MessageDirection): number {
     if (this.delays.length === 0) return 0;
     this.delays = this.delays.filter(({ until }) => until > this.world.now);
     const fault = this.delays.find(({ delays, of }) => delays === what && of(from, to, request));
@@ -133,7 +133,7 @@
     return this.random.int(S / 2, fault.mostUs);
   }
 
-  private isDropped(from: string, to: string, what: Direction): boolean {
+  private isDropped(from: string, to: string, what: MessageDirection): boolean {
     if (this.oneWayLosses.length === 0) return false;
     this.oneWayLosses = this.oneWayLosses.filter(({ until }) => until > this.world.now);
     return this.oneWayLosses.some((loss) => loss.drops.includes(what) && loss.from(from) && loss.to(to));
@@ -242,7 +242,7 @@
       };
       const host = this.hosts.get(to);
       // Most requests use a connection that is already open; only those can be held back and delivered late.
-      const extraDelay = this.extraDelay(from, to, request, "requests");
+      const extraDelay = this.drawExtraDelay(from, to, request, "requests");
       const connectionOpen = extraDelay > 0 || this.random.chance(0.7);
       // A request that has arrived may have been executed, even if its connection was new.
       let arrived = false;
@@ -311,6 +311,6 @@
         retryAfterS: response.retryAfterS ?? null,
       });
     };
-    this.world.after(this.drawLatency() + this.extraDelay(from, to, request, "answers"), arrive);
+    this.world.after(this.drawLatency() + this.drawExtraDelay(from, to, request, "answers"), arrive);
   }
 }
--- a/src/model/random.ts
+++ b/src/model/random.ts
@@ -34,7 +34,7 @@
  * Stateless random draws, keyed by name: the boot time of machine n-000007 depends on the seed and its name only, so
  * that replays under different policies, and a replay and a run over real sockets, get the same values.
  */
-export class Luck {
+export class NamedRandom {
   constructor(readonly seed: number) {}
 
   /** Uniform in [0, 1). */
--- a/src/model/site.ts
+++ b/src/model/site.ts
@@ -7,13 +7,13 @@
 import type { Settings } from "../settings/settings.js";
 import type { Log, LogFields } from "../transport/log.js";
 import { jobBehaviour } from "./behaviour.js";
-import { CloudService, type Room, roomOf } from "./cloud-service.js";
+import { CloudService, fixedCapacity, type Room } from "./cloud-service.js";
 import { type Bounds, ProcessModel, type Usage } from "./door.js";
-import { type Direction, type Host, Network } from "./network.js";
-import { Luck, Random } from "./random.js";
+import { type Host, type MessageDirection, Network } from "./network.js";
+import { NamedRandom, Random } from "./random.js";
 import { type Addresses, CLOCK_ERROR_MS, labelOf, type SiteSpec, settingsOf } from "./site-spec.js";
 import { StateService } from "./state-service.js";
-import { type Behaviour, Truth } from "./truth.js";
+import { type Behaviour, GroundTruth } from "./truth.js";
 import { type Hearing, PLAIN_USERS, type Quirks, type Submission, Users } from "./users.js";
 import { SimulatedTransports } from "./wires.js";
 import type { Witness } from "./witness.js";
@@ -79,7 +79,7 @@
   readonly state: StateService;
   readonly cloud: CloudService;
   readonly users: Users;
-  readonly truth = new Truth();
+  readonly truth = new GroundTruth();
   readonly addresses: Addresses;
   private readonly watch: SiteWatch;
   readonly wires: SimulatedTransports;
@@ -117,7 +117,7 @@
       timeline: this.world,
       net: this.network,
       random: this.random,
-      luck: new Luck(seed),
+      luck: new NamedRandom(seed),
       witness: this.watch.witness,
       truth: this.truth,
       controllers: this.addresses.controllers,
@@ -131,7 +131,7 @@
       spec,
       (info, type) => new Worker(dependencies, info, type),
       this.watch.witness,
-      setup.room ?? roomOf(spec.capacity),
+      setup.room ?? fixedCapacity(spec.capacity),
     );
     this.network.add({ address: this.addresses.cloud, serve: (request) => this.cloud.serve(request), state: "up" });
     this.users = new Users(
@@ -307,13 +307,13 @@
   }
 
   /** One-way loss towards these machines: heartbeats arrive; commands, responses to heartbeats or both are dropped. */
-  deafen(addresses: ReadonlySet<string>, forUs: number, swallows: readonly Direction[]): void {
+  deafen(addresses: ReadonlySet<string>, forUs: number, swallows: readonly MessageDirection[]): void {
     const from = (address: string): boolean => this.isController(address);
     this.network.lose({ from, to: (address) => addresses.has(address), drops: swallows }, forUs);
   }
 
   /** As `deafen` for all machines, including those that boot later. */
-  deafenAll(forUs: number, swallows: readonly Direction[]): void {
+  deafenAll(forUs: number, swallows: readonly MessageDirection[]): void {
     const { controllers, state, cloud } = this.addresses;
     const others = new Set([...controllers, state, cloud, "user"]);
     const from = (address: string): boolean => this.isController(address);
@@ -360,7 +360,7 @@
   }
 
   /** Delays a share of the commands to workers, or of the responses to them, by up to `mostUs`. */
-  holdUpCommands(delays: Direction, chance: number, mostUs: number, forUs: number): void {
+  holdUpCommands(delays: MessageDirection, chance: number, mostUs: number, forUs: number): void {
     this.network.delayMessages({ of: (_, __, { target }) => target === "/orders", delays, chance, mostUs }, forUs);
   }
 
--- a/src/model/truth.ts
+++ b/src/model/truth.ts
@@ -25,7 +25,7 @@
 }
 
 /** Ground truth that is independent of machines: job behaviour, results, checkpoints and gang membership. */
-export class Truth {
+export class GroundTruth {
   readonly behaviours = new Map<string, Behaviour>();
   /** Fallback for jobs that were not submitted through the emulator. */
   lookUp: (job: string) => Behaviour | null = () => null;
