--- a/src/model/cloud-service.ts
+++ b/src/model/cloud-service.ts
@@ -87,7 +87,7 @@
   constructor(
     private readonly timeline: Timeline,
     private readonly random: Random,
-    private readonly luck: NamedRandom,
+    private readonly namedRandom: NamedRandom,
     private readonly site: SiteSpec,
     private readonly startWorker: (info: HostInfo, type: TypeSpec) => MachineWorker,
     private readonly witness: Witness,
@@ -204,11 +204,11 @@
 
   private bootTime(ref: string, type: TypeSpec): number | null {
     const { never, late, early } = this.boots;
-    const draw = this.luck.of("boot", ref);
+    const draw = this.namedRandom.of("boot", ref);
     if (draw < never) return null;
     if (draw < never + late) return type.bootUs * LATE_BOOT_FACTOR;
     if (draw < never + late + early) return type.bootUs * EARLY_BOOT_FACTOR;
-    return type.bootUs * this.luck.between("boot time", ref, 0.6, 1.5);
+    return type.bootUs * this.namedRandom.between("boot time", ref, 0.6, 1.5);
   }
 
   private completeBoot(machine: CloudMachine): void {
--- a/src/model/executor.ts
+++ b/src/model/executor.ts
@@ -15,7 +15,7 @@
 /** Dependencies of an executor; the same for the full simulation and the fast model. */
 export interface ExecutorEnvironment {
   readonly timeline: Timeline;
-  readonly luck: NamedRandom;
+  readonly namedRandom: NamedRandom;
   readonly witness: Witness;
   readonly truth: GroundTruth;
   readonly times: GangTimings;
@@ -66,7 +66,7 @@
     private readonly type: TypeSpec,
     private readonly onChange: () => void,
   ) {
-    this.speed = environment.luck.between("speed", info.name, 1 - SPEED_SPREAD, 1 + SPEED_SPREAD);
+    this.speed = environment.namedRandom.between("speed", info.name, 1 - SPEED_SPREAD, 1 + SPEED_SPREAD);
   }
 
   /** Suspends the machine; events due meanwhile are processed when it resumes. */
@@ -216,7 +216,7 @@
   }
 
   private fetchImage(task: RunningTask, behaviour: Behaviour): void {
-    const { timeline, luck } = this.environment;
+    const { timeline, namedRandom } = this.environment;
     const { bundle, sizeGb } = behaviour;
     const { generation } = task;
     // Tasks of several jobs may wait for the same image.
@@ -238,7 +238,7 @@
     }
     const fetch: ImageFetch = { waiting: new Set([task]) };
     this.fetches.set(bundle, fetch);
-    const fetchTimeFactor = luck.between("fetch", `${this.info.name}/${bundle}`, 0.7, 1.3);
+    const fetchTimeFactor = namedRandom.between("fetch", `${this.info.name}/${bundle}`, 0.7, 1.3);
     timeline.after((sizeGb / this.type.fetchGbPerS) * S * fetchTimeFactor, () =>
       this.whenRunning(() => {
         if (this.fetches.get(bundle) === fetch) this.fetches.delete(bundle);
--- a/src/model/fast-machine.ts
+++ b/src/model/fast-machine.ts
@@ -31,11 +31,11 @@
     private readonly onHeartbeat: (machine: FastMachine) => void,
   ) {
     this.executor = new Executor(environment, info, type, () => this.scheduleHeartbeat());
-    const { timeline, luck } = environment;
+    const { timeline, namedRandom } = environment;
     // Workers of machines that exist from the start must find the shard leader first, which already scales out.
     if (timeline.now > 0) this.scheduleHeartbeat();
     else
-      timeline.after(luck.between("found", info.name, MIN_DISCOVERY_US, MAX_DISCOVERY_US), () =>
+      timeline.after(namedRandom.between("found", info.name, MIN_DISCOVERY_US, MAX_DISCOVERY_US), () =>
         this.scheduleHeartbeat(),
       );
   }
--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -138,10 +138,10 @@
       store.transactionWrites,
     );
     this.cloudLimit = new RateLimiter(this.clock, spec.cloud.rps * CLOUD_BUDGET_SHARE);
-    const luck = new NamedRandom(seed);
+    const namedRandom = new NamedRandom(seed);
     const executes: ExecutorEnvironment = {
       timeline: this.world,
-      luck,
+      namedRandom,
       witness,
       truth: this.truth,
       times: spec.workers,
@@ -149,7 +149,7 @@
     this.cloud = new CloudService(
       this.world,
       new Random(seed),
-      luck,
+      namedRandom,
       spec,
       (info, type) => this.bootMachine(executes, info, type),
       witness,
--- a/src/model/local-site.ts
+++ b/src/model/local-site.ts
@@ -96,7 +96,7 @@
       timeline: this.timeline,
       net,
       random,
-      luck: new NamedRandom(seed),
+      namedRandom: new NamedRandom(seed),
       witness: this.watch.witness,
       truth: this.truth,
       controllers: addresses.controllers,
@@ -106,7 +106,7 @@
     this.cloud = new CloudService(
       this.timeline,
       random,
-      dependencies.luck,
+      dependencies.namedRandom,
       spec,
       (info, type) => new Worker(dependencies, info, type),
       this.watch.witness,
--- a/src/model/site.ts
+++ b/src/model/site.ts
@@ -117,7 +117,7 @@
       timeline: this.world,
       net: this.network,
       random: this.random,
-      luck: new NamedRandom(seed),
+      namedRandom: new NamedRandom(seed),
       witness: this.watch.witness,
       truth: this.truth,
       controllers: this.addresses.controllers,
@@ -127,7 +127,7 @@
     this.cloud = new CloudService(
       this.world,
       this.random,
-      dependencies.luck,
+      dependencies.namedRandom,
       spec,
       (info, type) => new Worker(dependencies, info, type),
       this.watch.witness,
--- a/src/model/worker.ts
+++ b/src/model/worker.ts
@@ -96,7 +96,7 @@
 
   /**
    * Restarts the worker process within a fraction of a second; tasks and cached images are lost. With `keepCounters`
-   * the incarnation is incremented and heartbeat sequence and fencing token are retained; otherwise all three are reset.
+   * the incarnation is incremented and heartbeat sequence and fencing token are retained, else all three are reset.
    */
   restart(keepCounters: boolean): void {
     if (this.ended) return;
