--- a/src/model/cloud-service.ts
+++ b/src/model/cloud-service.ts
@@ -1,21 +1,26 @@
 import type { HttpRequest, HttpResponse } from "../transport/http.js";
 import { json } from "./network.js";
-import type { Luck, Random } from "./random.js";
+import type { NamedRandom, Random } from "./random.js";
 import { type CapacitySpec, catalogOf, type SiteSpec, type TypeSpec } from "./site-spec.js";
 import type { HostInfo, Witness } from "./witness.js";
 import { S, type Timeline } from "./world.js";
 
-/** What runs on a machine once it is up. */
-export interface Occupant {
+/** Worker emulation on a machine that is up; implemented by `Worker` and by `FastMachine`. */
+export interface MachineWorker {
   readonly host: { readonly address: string };
+  /** Announces that the machine will be reclaimed in `inUs` microseconds. */
   notice(inUs: number): void;
+  /** Suspends the machine for `forUs` microseconds. */
   hang(forUs: number): void;
+  /** Makes the machine faulty: every task that it starts from now on fails. */
   sicken(): void;
-  /** Back within a fraction of a second, with nothing on it; `kept`: its counters go on, else they begin anew. */
-  restart(kept: boolean): void;
+  /** Restarts the worker process within a fraction of a second, without its tasks; `keepCounters` as in `Worker`. */
+  restart(keepCounters: boolean): void;
+  /** Ends the machine with all its tasks. */
   end(): void;
 }
 
+/** A rented machine. Times in microseconds of simulated time; null: not yet. */
 export interface CloudMachine {
   readonly ref: string;
   readonly info: HostInfo;
@@ -23,67 +28,75 @@
   readonly since: number;
   upAt: number | null;
   goneAt: number | null;
-  worker: Occupant | null;
+  worker: MachineWorker | null;
   phase: "starting" | "running" | "gone";
 }
 
-/** How boots go wrong, as shares of all boots. */
-export interface BootLuck {
+/** Shares of boots that never complete, complete late, or complete early. */
+export interface BootFaults {
   readonly never: number;
   readonly late: number;
   readonly early: number;
 }
 
-export const USUAL_BOOTS: BootLuck = { never: 0.03, late: 0.1, early: 0.1 };
-/** Every boot comes up, within the usual spread. */
-export const EVEN_BOOTS: BootLuck = { never: 0, late: 0, early: 0 };
+/** Default shares of failed, late and early boots. */
+export const DEFAULT_BOOTS: BootFaults = { never: 0.03, late: 0.1, early: 0.1 };
+/** Every boot completes, within the usual spread of boot times. */
+export const RELIABLE_BOOTS: BootFaults = { never: 0, late: 0, early: 0 };
 
-const LATE = 4;
-const EARLY = 0.05;
-const ANSWER_US = 100_000;
-const LEAST_CHARGE = 60 * S;
-const HOUR = 3_600 * S;
+/** Factors on the boot time of the type for late and early boots. */
+const LATE_BOOT_FACTOR = 4;
+const EARLY_BOOT_FACTOR = 0.05;
+const RESPONSE_DELAY_US = 100_000;
+/** A machine that is deleted is charged for at least this time. */
+const MIN_CHARGE_US = 60 * S;
+const HOUR_US = 3_600 * S;
 
+/** Number of further machines of a type, zone and purchase model (spot or on-demand) that can be rented now. */
 export type Room = (type: string, zone: string, spot: boolean, cloud: CloudService) => number;
 
-export const roomOf = (capacity: readonly CapacitySpec[]): Room => {
-  const counts = new Map(capacity.map(({ type, zone, spot, count }) => [group(type, zone, spot), count]));
-  return (type, zone, spot, cloud) => (counts.get(group(type, zone, spot)) ?? 0) - cloud.count(type, zone, spot);
+/** Free capacity under fixed limits; combinations that are not listed have none. */
+export const fixedCapacity = (capacity: readonly CapacitySpec[]): Room => {
+  const counts = new Map(capacity.map(({ type, zone, spot, count }) => [capacityKey(type, zone, spot), count]));
+  return (type, zone, spot, cloud) => (counts.get(capacityKey(type, zone, spot)) ?? 0) - cloud.count(type, zone, spot);
 };
 
-const group = (type: string, zone: string, spot: boolean): string => `${type}/${zone}/${spot}`;
+const capacityKey = (type: string, zone: string, spot: boolean): string => `${type}/${zone}/${spot}`;
 
-/** Stand-in for the cloud: lists lag and go backwards, boots are late or never end, requests run late. */
+/** Emulates the cloud: machine lists are stale and may go back in time, and boots may be late or never complete. */
 export class CloudService {
   readonly machines = new Map<string, CloudMachine>();
-  private readonly answers = new Map<string, string[]>();
-  /** Gone machines that a late list may still name, oldest first. */
-  private readonly ended: CloudMachine[] = [];
-  private readonly present = new Map<string, number>();
-  private next = 1;
-  private cost = 0;
-  private readonly costs = new Map<string, number>();
+  /** Machines granted by request id, so that a retried request is idempotent. */
+  private readonly grantsByRequest = new Map<string, string[]>();
+  /** Ended machines that a stale list may still contain, oldest first. */
+  private readonly endedMachines: CloudMachine[] = [];
+  /** Machines currently charged, by type, zone and purchase model. */
+  private readonly chargedCounts = new Map<string, number>();
+  private nextNumber = 1;
+  private endedCost = 0;
+  private readonly endedCostByType = new Map<string, number>();
+  /** Until this time all requests are refused. */
   outageUntil = 0;
-  /** Calls so far. */
+  /** Number of requests received. */
   calls = 0;
-  /** Until when requests for a type, zone and kind are refused. */
-  private readonly refusedUntil = new Map<string, number>();
-  boots: BootLuck = USUAL_BOOTS;
+  /** End of the injected capacity shortage, by type, zone and purchase model. */
+  private readonly shortageUntil = new Map<string, number>();
+  boots: BootFaults = DEFAULT_BOOTS;
 
-  /** `room`: how many more of a type, zone and kind can be had, asked at every rental. */
+  /** `room` is evaluated at every provisioning request. */
   constructor(
     private readonly timeline: Timeline,
     private readonly random: Random,
-    private readonly luck: Luck,
+    private readonly namedRandom: NamedRandom,
     private readonly site: SiteSpec,
-    private readonly boot: (info: HostInfo, type: TypeSpec) => Occupant,
+    private readonly startWorker: (info: HostInfo, type: TypeSpec) => MachineWorker,
     private readonly witness: Witness,
     private readonly room: Room,
   ) {}
 
   serve = async (request: HttpRequest): Promise<HttpResponse> => {
     this.calls += 1;
-    await new Promise<void>((resolve) => this.timeline.after(ANSWER_US, resolve));
+    await new Promise<void>((resolve) => this.timeline.after(RESPONSE_DELAY_US, resolve));
     if (this.outageUntil > this.timeline.now) return json(503, { error: "trouble" });
     if (request.target === "/catalog") return json(200, catalogOf(this.site.types));
     if (request.target.startsWith("/hosts?")) return this.list(request.target);
@@ -95,7 +108,7 @@
     return this.rent(request.body);
   };
 
-  /** Worked out for the moment that the list describes, rather than from a history of lists. */
+  /** Lists the machines as of a random earlier time, derived from their timestamps instead of from stored lists. */
   private list(target: string): HttpResponse {
     const { listLagUs } = this.site.cloud;
     const url = new URL(target, "http://cloud");
@@ -103,27 +116,27 @@
     const page = Math.min(500, Number(url.searchParams.get("page") ?? 500));
     const at = this.timeline.now - listLagUs * (0.3 + this.random.next() * 1.7);
     const oldest = this.timeline.now - 3 * listLagUs;
-    while ((this.ended[0]?.goneAt ?? oldest) < oldest) {
-      const machine = this.ended.shift();
+    while ((this.endedMachines[0]?.goneAt ?? oldest) < oldest) {
+      const machine = this.endedMachines.shift();
       if (machine !== undefined) this.machines.delete(machine.ref);
     }
     const hosts: unknown[] = [];
     let more = false;
-    // Names are given in order, so the map is sorted already.
+    // Names are assigned in ascending order, so the map is already sorted.
     for (const machine of this.machines.values()) {
       if (machine.ref <= from || machine.since > at || (machine.goneAt !== null && machine.goneAt <= at)) continue;
       if (hosts.length === page) {
         more = true;
         break;
       }
-      const up = machine.upAt !== null && machine.upAt <= at;
+      const isUp = machine.upAt !== null && machine.upAt <= at;
       hosts.push({
         ref: machine.ref,
-        addr: up ? (machine.worker?.host.address ?? null) : null,
+        addr: isUp ? (machine.worker?.host.address ?? null) : null,
         flavor: machine.info.type,
         area: machine.info.zone,
         loaner: machine.info.spot,
-        phase: up ? "running" : "starting",
+        phase: isUp ? "running" : "starting",
         heldS: (at - machine.since) / S,
       });
     }
@@ -138,37 +151,38 @@
       loaner: boolean;
       number: number;
     };
-    const known = this.answers.get(ask);
-    if (known !== undefined) return json(200, { hosts: known });
+    const granted = this.grantsByRequest.get(ask);
+    if (granted !== undefined) return json(200, { hosts: granted });
     const type = this.site.types.find((entry) => entry.name === flavor);
     if (type === undefined || !type.zones.includes(area)) return json(400, {});
     const hosts = this.grant(type, area, loaner, number);
     if (hosts.length === 0) return json(503, { error: "no capacity" });
-    this.answers.set(ask, hosts);
+    this.grantsByRequest.set(ask, hosts);
     return json(200, { hosts });
   }
 
-  /** Up to so many machines, as far as there are any. */
+  /** Rents up to `number` machines, limited by free capacity; returns their names. */
   grant(type: TypeSpec, zone: string, spot: boolean, number: number): string[] {
-    const refused = (this.refusedUntil.get(group(type.name, zone, spot)) ?? 0) > this.timeline.now;
+    const refused = (this.shortageUntil.get(capacityKey(type.name, zone, spot)) ?? 0) > this.timeline.now;
     const room = refused ? 0 : Math.max(0, this.room(type.name, zone, spot, this));
     const count = Math.min(number, room);
     if (count < number) this.witness.refused(type.name, zone, spot);
     return Array.from({ length: count }, () => this.add(type, zone, spot));
   }
 
-  /** Machines of a type, zone and kind that are charged now. */
+  /** Number of machines of a type, zone and purchase model that are currently charged. */
   count(type: string, zone: string, spot: boolean): number {
-    return this.present.get(group(type, zone, spot)) ?? 0;
+    return this.chargedCounts.get(capacityKey(type, zone, spot)) ?? 0;
   }
 
+  /** Injects a capacity shortage for a type, zone and purchase model. */
   refuse(type: string, zone: string, spot: boolean, forUs: number): void {
-    this.refusedUntil.set(group(type, zone, spot), this.timeline.now + forUs);
+    this.shortageUntil.set(capacityKey(type, zone, spot), this.timeline.now + forUs);
   }
 
-  /** `bootUs`: null where luck decides; 0 for a machine that is there from the beginning. */
+  /** Adds a machine. `bootUs`: boot time; null for a random one, 0 for a machine that exists from the start. */
   add(type: TypeSpec, zone: string, spot: boolean, bootUs: number | null = null): string {
-    const ref = `n-${String(this.next++).padStart(6, "0")}`;
+    const ref = `n-${String(this.nextNumber++).padStart(6, "0")}`;
     const info: HostInfo = { name: ref, type: type.name, zone, spot };
     const machine: CloudMachine = {
       ref,
@@ -181,40 +195,41 @@
       phase: "starting",
     };
     this.machines.set(ref, machine);
-    this.present.set(group(type.name, zone, spot), this.count(type.name, zone, spot) + 1);
+    this.chargedCounts.set(capacityKey(type.name, zone, spot), this.count(type.name, zone, spot) + 1);
     this.witness.machineAsked(info);
-    const takes = bootUs ?? this.bootTime(ref, type);
-    if (takes !== null) this.timeline.after(takes, () => this.up(machine));
+    const delay = bootUs ?? this.bootTime(ref, type);
+    if (delay !== null) this.timeline.after(delay, () => this.completeBoot(machine));
     return ref;
   }
 
   private bootTime(ref: string, type: TypeSpec): number | null {
     const { never, late, early } = this.boots;
-    const draw = this.luck.of("boot", ref);
+    const draw = this.namedRandom.of("boot", ref);
     if (draw < never) return null;
-    if (draw < never + late) return type.bootUs * LATE;
-    if (draw < never + late + early) return type.bootUs * EARLY;
-    return type.bootUs * this.luck.between("boot time", ref, 0.6, 1.5);
+    if (draw < never + late) return type.bootUs * LATE_BOOT_FACTOR;
+    if (draw < never + late + early) return type.bootUs * EARLY_BOOT_FACTOR;
+    return type.bootUs * this.namedRandom.between("boot time", ref, 0.6, 1.5);
   }
 
-  private up(machine: CloudMachine): void {
+  private completeBoot(machine: CloudMachine): void {
     if (machine.phase !== "starting") return;
     machine.phase = "running";
     machine.upAt = this.timeline.now;
-    machine.worker = this.boot(machine.info, machine.type);
+    machine.worker = this.startWorker(machine.info, machine.type);
     this.witness.machineUp(machine.info);
   }
 
+  /** Ends a machine: reclaimed by the cloud ("taken"), failed, or deleted on request. */
   take(name: string, why: "deleted" | "taken" | "failed" = "taken"): void {
     const machine = this.machines.get(name);
     if (machine === undefined || machine.phase === "gone") return;
     const { type, zone, spot } = machine.info;
     machine.phase = "gone";
     machine.goneAt = this.timeline.now;
-    this.present.set(group(type, zone, spot), this.count(type, zone, spot) - 1);
-    this.ended.push(machine);
+    this.chargedCounts.set(capacityKey(type, zone, spot), this.count(type, zone, spot) - 1);
+    this.endedMachines.push(machine);
     const held = this.timeline.now - machine.since;
-    const charged = why === "deleted" ? Math.max(held, LEAST_CHARGE) : held;
+    const charged = why === "deleted" ? Math.max(held, MIN_CHARGE_US) : held;
     this.charge(machine, charged);
     machine.worker?.end();
     this.witness.machineGone(machine.info, why);
@@ -222,18 +237,18 @@
 
   private charge(machine: CloudMachine, us: number): void {
     const price = machine.info.spot ? machine.type.spotPrice : machine.type.price;
-    const cost = (price * us) / HOUR;
-    this.cost += cost;
-    this.costs.set(machine.info.type, (this.costs.get(machine.info.type) ?? 0) + cost);
+    const cost = (price * us) / HOUR_US;
+    this.endedCost += cost;
+    this.endedCostByType.set(machine.info.type, (this.endedCostByType.get(machine.info.type) ?? 0) + cost);
   }
 
-  /** Money spent up to now, machines still held included. */
+  /** Cost so far, including machines that are still rented. */
   spent(): number {
-    let sum = this.cost;
+    let sum = this.endedCost;
     for (const machine of this.machines.values()) {
       if (machine.phase === "gone") continue;
       const price = machine.info.spot ? machine.type.spotPrice : machine.type.price;
-      sum += (price * (this.timeline.now - machine.since)) / HOUR;
+      sum += (price * (this.timeline.now - machine.since)) / HOUR_US;
     }
     return sum;
   }
--- a/src/model/curious.ts
+++ b/src/model/curious.ts
@@ -2,53 +2,57 @@
 import type { Users } from "./users.js";
 import { S, type Timeline } from "./world.js";
 
-/** Questions to each node after each piece of news, and how long they are spread over. */
-const LOOKS = 3;
-const WITHIN = 8_000;
-const ODD_EVERY = S / 2;
+/** Status queries to each controller after each event, spread over `WITHIN` microseconds. */
+const QUERIES_PER_CONTROLLER = 3;
+const QUERY_SPREAD_US = 8_000;
+const ODD_REQUEST_PERIOD_US = S / 2;
 
-/** Users who look closely: at all nodes within milliseconds after each piece of news, and such as send odd requests. */
+/** Users that probe consistency: they query all controllers right after each change, and send unusual requests. */
 export class Curious {
-  /** Questions and repeated submissions so far; odd requests so far. */
+  /** Number of probes sent: status queries, repeated submissions and cancellations. */
   looks = 0;
+  /** Number of rounds of `sendOdd`. */
   odd = 0;
 
   constructor(
     private readonly users: Users,
     private readonly timeline: Timeline,
     private readonly random: Random,
-    private readonly nodes: readonly string[],
+    private readonly controllers: readonly string[],
   ) {}
 
-  /** After a job was accepted, ended or cancelled all nodes are asked again and again; a share is cancelled at once. */
+  /**
+   * Queries all controllers repeatedly within 8 ms after a job was accepted or has ended, submits it again, and cancels
+   * a share of the jobs.
+   */
   lookClosely(forUs: number, cancels: number): void {
     const until = this.timeline.now + forUs;
     const before = this.users.onNews;
     this.users.onNews = (id) => {
       before(id);
       if (this.timeline.now > until) return;
-      for (const node of this.nodes) {
-        for (let look = 0; look < LOOKS; look += 1) this.soon(() => this.users.askOnce(id, node));
-        this.soon(() => {
+      for (const node of this.controllers) {
+        for (let look = 0; look < QUERIES_PER_CONTROLLER; look += 1) this.sendSoon(() => this.users.askOnce(id, node));
+        this.sendSoon(() => {
           const job = this.users.known().all.find(({ ref }) => ref === id);
           if (job !== undefined) void this.users.resubmit(job, node);
         });
       }
-      if (this.random.chance(cancels)) this.soon(() => this.users.cancel(id));
+      if (this.random.chance(cancels)) this.sendSoon(() => this.users.cancel(id));
     };
   }
 
-  private soon(look: () => void): void {
+  private sendSoon(look: () => void): void {
     this.looks += 1;
-    this.timeline.after(this.random.int(1, WITHIN), look);
+    this.timeline.after(this.random.int(1, QUERY_SPREAD_US), look);
   }
 
-  /** Submissions of unfinished jobs once more, cancellations of what is over, jobs that fit nowhere or lack a field. */
+  /** Sends unusual requests: resubmissions of open jobs, cancellations of ended ones, and invalid submissions. */
   sendOdd(forUs: number): void {
     const until = this.timeline.now + forUs;
     const next = (): void => {
       if (this.timeline.now > until) return;
-      this.timeline.after(ODD_EVERY, next);
+      this.timeline.after(ODD_REQUEST_PERIOD_US, next);
       const { all, open } = this.users.known();
       const over = all.filter((job) => !open.includes(job));
       const any = open.length > 0 ? this.random.pick(open) : null;
--- a/src/model/door.ts
+++ b/src/model/door.ts
@@ -2,28 +2,29 @@
 import type { Micros } from "../transport/clock.js";
 import type { Timeline } from "./world.js";
 
-/** What a controller's process may use, and what things cost it. Times in microseconds of a whole core. */
+/** Resource limits and cost model of a controller's process. Times in microseconds of one core. */
 export interface Bounds {
+  /** Share of one core. */
   readonly cpuShare: number;
   readonly maxConnections: number;
-  /** Connections beyond this are closed with the next answer; `maxConnections` for never. */
+  /** Above this number connections are closed with the next response; `maxConnections` for never. */
   readonly keepConnections: number;
   readonly memoryBytes: number;
-  /** Whether the controller is told of its load, and so can leave things out. */
+  /** Whether the controller gets its load figures and can shed load. */
   readonly sheds: boolean;
   readonly costs: Costs;
 }
 
-/** Measured on real sockets; docs/results.md says how. */
+/** Cost of operations, measured with real sockets as described in docs/results.md. */
 export interface Costs {
-  /** A request taken in and answered on an open connection; a longer one costs more a kilobyte. */
+  /** Serving a request on an open connection; `kilobyteUs` is added for each kilobyte of its body. */
   readonly requestUs: number;
   readonly kilobyteUs: number;
-  /** Opening and closing a connection, or refusing one. */
+  /** Opening and closing, or refusing, a connection. */
   readonly connectUs: number;
-  /** A request of the controller's own. */
+  /** Sending a request. */
   readonly callUs: number;
-  /** A machine or task looked at in a round or plan. */
+  /** Inspecting a machine or task in a placement round or scale plan. */
   readonly lookUs: number;
   readonly baseBytes: number;
   readonly connectionBytes: number;
@@ -43,29 +44,32 @@
   taskBytes: 900,
 };
 
-/** What has been used so far. */
+/** Resource usage so far. */
 export interface Usage {
   /** Processor time, in microseconds. */
   readonly cpuUs: number;
   readonly mostConnections: number;
   readonly refused: number;
-  /** When each limit was first reached; null: never. */
+  /** Time at which each limit was first reached; null: never. */
   readonly reachedAt: Readonly<Record<"processor" | "sockets" | "memory", number | null>>;
 }
 
-/** A backlog of so much work counts as the processor's limit: workers give up on an answer after four seconds. */
-const BEHIND_US = 1_000_000;
+/** Processor backlog that counts as reaching the limit: workers time out after 4 s without a response. */
+const MAX_BACKLOG_US = 1_000_000;
 
 /**
- * Stand-in for the bounds of a controller's process: a processor of which it has a share, so that requests and timers
- * wait for their turn; connections, of which there are only so many; and memory, which ends it.
+ * Resource model of a controller's process: with a share of a processor, requests and timers queue; connections above
+ * the limit are refused; and the process ends when it exceeds its memory limit.
  */
-export class Door {
-  private freeAt = 0;
+export class ProcessModel {
+  /** Simulated time at which the processor has worked off its backlog. */
+  private idleAt = 0;
   private cpuUs = 0;
-  private readonly kept = new Set<string>();
-  private passing = 0;
-  private out = 0;
+  /** Idle incoming connections, by sender. */
+  private readonly idleConnections = new Set<string>();
+  /** Incoming requests in progress; `outgoing` counts the outgoing ones. */
+  private incoming = 0;
+  private outgoing = 0;
   private mostConnections = 0;
   private refused = 0;
   private readonly reachedAt: Record<"processor" | "sockets" | "memory", number | null> = {
@@ -79,9 +83,9 @@
     readonly bounds: Bounds,
   ) {}
 
-  /** True time at which what is begun now gets its turn. */
-  get turn(): number {
-    return Math.max(this.timeline.now, this.freeAt);
+  /** Simulated time at which work queued now is processed. */
+  get nextSlot(): number {
+    return Math.max(this.timeline.now, this.idleAt);
   }
 
   get usage(): Usage {
@@ -89,17 +93,18 @@
     return { cpuUs, mostConnections, refused, reachedAt: { ...reachedAt } };
   }
 
+  /** Adds work, in microseconds of a whole core, to the processor's backlog. */
   spend(us: number): void {
     this.cpuUs += us;
-    this.freeAt = this.turn + us / this.bounds.cpuShare;
-    if (this.freeAt - this.timeline.now > BEHIND_US) this.reachedAt.processor ??= this.timeline.now;
+    this.idleAt = this.nextSlot + us / this.bounds.cpuShare;
+    if (this.idleAt - this.timeline.now > MAX_BACKLOG_US) this.reachedAt.processor ??= this.timeline.now;
   }
 
   private get connections(): number {
-    return this.kept.size + this.passing + this.out;
+    return this.idleConnections.size + this.incoming + this.outgoing;
   }
 
-  private count(): boolean {
+  private acquireConnection(): boolean {
     const { maxConnections } = this.bounds;
     if (this.connections >= maxConnections) {
       this.reachedAt.sockets ??= this.timeline.now;
@@ -110,51 +115,51 @@
     return true;
   }
 
-  /** A request arrives; null where there is no connection left for it, else how to close or keep its connection. */
-  enter(from: string, bytes: number, lasting: boolean): ((close: boolean) => void) | null {
+  /** Accepts a request: returns a callback that closes or keeps its connection, or null at the connection limit. */
+  acceptRequest(from: string, bytes: number, keepAlive: boolean): ((close: boolean) => void) | null {
     const { costs, keepConnections } = this.bounds;
-    const open = this.kept.delete(from);
+    const open = this.idleConnections.delete(from);
     if (!open) {
       this.spend(costs.connectUs);
-      if (!this.count()) return null;
+      if (!this.acquireConnection()) return null;
     }
-    this.passing += 1;
+    this.incoming += 1;
     this.spend(costs.requestUs + (costs.kilobyteUs * bytes) / 1_024);
     return (close) => {
-      this.passing -= 1;
-      if (lasting && !close && this.connections < keepConnections) this.kept.add(from);
+      this.incoming -= 1;
+      if (keepAlive && !close && this.connections < keepConnections) this.idleConnections.add(from);
     };
   }
 
-  /** A request of its own leaves; null where there is no connection left for it. */
-  leave(): (() => void) | null {
-    if (!this.count()) return null;
+  /** Opens a connection for an outgoing request: returns a callback that closes it, or null at the connection limit. */
+  openOutgoing(): (() => void) | null {
+    if (!this.acquireConnection()) return null;
     this.spend(this.bounds.costs.callUs);
-    this.out += 1;
+    this.outgoing += 1;
     return () => {
-      this.out -= 1;
+      this.outgoing -= 1;
     };
   }
 
-  /** The process stands still for so long; its clocks run on. */
+  /** Pauses the process while its clock keeps running. */
   freeze(forUs: number): void {
-    this.freeAt = Math.max(this.freeAt, this.timeline.now + forUs);
+    this.idleAt = Math.max(this.idleAt, this.timeline.now + forUs);
   }
 
-  /** The host at the other end is gone. */
+  /** Closes the idle connection from a removed host. */
   forget(from: string): void {
-    this.kept.delete(from);
+    this.idleConnections.delete(from);
   }
 
-  /** The process ended and was started anew. */
+  /** Resets connections and backlog when the process is restarted. */
   restart(): void {
-    this.kept.clear();
-    this.passing = 0;
-    this.out = 0;
-    this.freeAt = this.timeline.now;
+    this.idleConnections.clear();
+    this.incoming = 0;
+    this.outgoing = 0;
+    this.idleAt = this.timeline.now;
   }
 
-  /** Bytes held by a process that keeps so many machines and tasks. */
+  /** Memory in bytes of a process with this number of machines and tasks; records when it exceeds the limit. */
   bytes(machines: number, tasks: number): number {
     const { costs, memoryBytes } = this.bounds;
     const bytes =
@@ -166,17 +171,18 @@
     return bytes;
   }
 
+  /** Usage as fractions of the limits. */
   load(bytes: number): ProcessLoad {
     const { memoryBytes, maxConnections } = this.bounds;
     return { memory: bytes / memoryBytes, sockets: this.connections / maxConnections };
   }
 
-  /** A timer that fires once its process gets its turn. */
+  /** A timer whose callback runs once the processor's backlog at its expiry has been worked off. */
   after(delay: Micros, run: () => void): { cancel(): void } {
     let timer = this.timeline.after(delay, () => {
-      const { turn } = this;
-      if (turn <= this.timeline.now) run();
-      else timer = this.timeline.at(turn, run);
+      const { nextSlot } = this;
+      if (nextSlot <= this.timeline.now) run();
+      else timer = this.timeline.at(nextSlot, run);
     });
     return { cancel: () => timer.cancel() };
   }
--- a/src/model/fast-writer.ts
+++ b/src/model/fast-writer.ts
@@ -1,51 +1,52 @@
 import { RateLimiter } from "../transport/rate-limiter.js";
 import type { HostClock, World } from "./world.js";
 
-/** One way over the network, as in the faithful model. */
-export const HOP = 1_000;
-const WRITE_GATHER = 3_000;
-const WRITE_TIME = 5_000;
+/** One-way network latency in microseconds, as in the full simulation. */
+export const NETWORK_LATENCY_US = 1_000;
+const BATCH_DELAY_US = 3_000;
+const WRITE_LATENCY_US = 5_000;
 
-/** What is written, and what follows from it. */
-export interface Write {
-  /** Puts and deletes that it takes of the budget. */
+/** A write to the key-value store. `onSent` is called when it is sent, `onApplied` when it has been applied. */
+export interface PendingWrite {
+  /** Number of puts and deletes, which are charged to the write budget. */
   readonly count: number;
-  readonly leave: () => void;
-  readonly done: () => void;
+  readonly onSent: () => void;
+  readonly onApplied: () => void;
 }
 
-/** The state service's budget, and the time until what was proposed counts; users' writes go first. */
-export class Writer {
-  private readonly queues: readonly [Write[], Write[], Write[]] = [[], [], []];
+/** Models write budget, batching and latency of the key-value store; writes for users have priority. */
+export class WriteQueue {
+  private readonly queues: readonly [PendingWrite[], PendingWrite[], PendingWrite[]] = [[], [], []];
   private readonly limit: RateLimiter;
-  private armed = false;
+  private flushScheduled = false;
+  /** No writes are sent before this time. */
   pausedUntil = 0;
 
   constructor(
     private readonly world: World,
     clock: HostClock,
     perSecond: number,
-    private readonly most: number,
+    private readonly maxBatchWrites: number,
   ) {
     this.limit = new RateLimiter(clock, perSecond);
   }
 
-  /** Seconds until a user's write proposed now is likely to leave. */
+  /** Estimated seconds until a user's write proposed now is sent. */
   get backlogS(): number {
     return this.queues[0].length / this.limit.currentRate;
   }
 
-  /** `urgency`: 0 users', 1 work, 2 upkeep. */
-  propose(urgency: 0 | 1 | 2, write: Write): void {
+  /** `urgency`: 0 for user requests, 1 for placements and outcomes, 2 for maintenance. */
+  propose(urgency: 0 | 1 | 2, write: PendingWrite): void {
     this.queues[urgency].push(write);
-    this.arm(WRITE_GATHER);
+    this.scheduleFlush(BATCH_DELAY_US);
   }
 
-  private arm(delay: number): void {
-    if (this.armed) return;
-    this.armed = true;
+  private scheduleFlush(delay: number): void {
+    if (this.flushScheduled) return;
+    this.flushScheduled = true;
     this.world.after(delay, () => {
-      this.armed = false;
+      this.flushScheduled = false;
       this.flush();
     });
   }
@@ -53,7 +54,7 @@
   private flush(): void {
     const pause = this.pausedUntil - this.world.now;
     if (pause > 0) {
-      this.arm(pause + HOP);
+      this.scheduleFlush(pause + NETWORK_LATENCY_US);
       return;
     }
     for (;;) {
@@ -61,24 +62,24 @@
       if (first === undefined) return;
       const wait = this.limit.timeUntilAvailable(first.count);
       if (wait > 0) {
-        this.arm(wait);
+        this.scheduleFlush(wait);
         return;
       }
-      const most = Math.min(this.most, this.limit.available());
-      const batch: Write[] = [];
+      const maxCount = Math.min(this.maxBatchWrites, this.limit.available());
+      const batch: PendingWrite[] = [];
       let count = 0;
       for (const queue of this.queues) {
         for (let write = queue[0]; write !== undefined; write = queue[0]) {
-          if (batch.length > 0 && count + write.count > most) break;
+          if (batch.length > 0 && count + write.count > maxCount) break;
           queue.shift();
           batch.push(write);
           count += write.count;
         }
       }
       this.limit.take(count);
-      for (const write of batch) write.leave();
-      this.world.after(WRITE_TIME, () => {
-        for (const write of batch) write.done();
+      for (const write of batch) write.onSent();
+      this.world.after(WRITE_LATENCY_US, () => {
+        for (const write of batch) write.onApplied();
       });
     }
   }
--- a/src/model/loopback.ts
+++ b/src/model/loopback.ts
@@ -5,13 +5,13 @@
 import type { Host, Net } from "./network.js";
 import type { Timeline } from "./world.js";
 
-/** The machine's own time, counted from when it was made. */
+/** Real time since construction, as a timeline. */
 export class RealTime implements Timeline {
-  private readonly began = systemClock.now();
+  private readonly startedAt = systemClock.now();
   private stopped = false;
 
   get now(): number {
-    return systemClock.now() - this.began;
+    return systemClock.now() - this.startedAt;
   }
 
   at(time: number, run: () => void): Timer {
@@ -24,7 +24,7 @@
     });
   }
 
-  /** Nothing that was still to come happens any more. */
+  /** Suppresses all scheduled callbacks. */
   stop(): void {
     this.stopped = true;
   }
@@ -38,26 +38,26 @@
   maxBusy: 4_096,
 };
 
-/** Message is one line naming the address. */
+/** A port is not available or a controller is not ready. The message is one line, with the address if known. */
 export class PortError extends Error {}
 
-const REST = seconds(60);
-const HOST = "127.0.0.1";
+const PORT_REUSE_DELAY = seconds(60);
+const LOOPBACK_HOST = "127.0.0.1";
 
-/** Hosts of the model on real sockets of 127.0.0.1, each on a port of its own; all ports are taken at the start. */
+/** Network of the model over real sockets of 127.0.0.1, one port per host; all ports are bound at the start. */
 export class Loopback implements Net {
   private readonly hosts = new Map<string, Host>();
   private readonly servers: HttpServer[] = [];
-  private readonly free: string[] = [];
-  private readonly resting: string[] = [];
+  private readonly freeAddresses: string[] = [];
+  private readonly retiredAddresses: string[] = [];
   private readonly http = new NetHttpClient(systemClock, 1_024);
 
-  /** `fixed`: addresses that must be as given; `machines`: how many more there may be at once. */
+  /** Binds the `fixed` addresses and `machines` further ports; throws `PortError` if a port is not available. */
   static async open(fixed: readonly string[], machines: number, onError: (error: unknown) => void): Promise<Loopback> {
     const net = new Loopback();
     try {
       for (const address of fixed) await net.listen(splitAddress(address).port, onError);
-      for (let at = 0; at < machines; at += 1) net.free.push(await net.listen(0, onError));
+      for (let at = 0; at < machines; at += 1) net.freeAddresses.push(await net.listen(0, onError));
     } catch (error) {
       await net.close();
       throw error;
@@ -66,31 +66,31 @@
   }
 
   private async listen(port: number, onError: (error: unknown) => void): Promise<string> {
-    let address = `${HOST}:${port}`;
+    let address = `${LOOPBACK_HOST}:${port}`;
     const server = new HttpServer(
       systemClock,
       LIMITS,
       (request) => {
         const host = this.hosts.get(address);
-        // A machine that is gone is silent.
+        // Requests to a machine that no longer exists get no response.
         if (host === undefined || host.state !== "up") return new Promise(() => undefined);
         return host.serve(request, "loopback");
       },
       onError,
     );
     try {
-      await server.listen(HOST, port);
+      await server.listen(LOOPBACK_HOST, port);
     } catch (error) {
       const code = (error as NodeJS.ErrnoException).code ?? String(error);
       throw new PortError(`${address}: ${code === "EADDRINUSE" ? "port in use" : code}`);
     }
     this.servers.push(server);
-    address = `${HOST}:${server.port}`;
+    address = `${LOOPBACK_HOST}:${server.port}`;
     return address;
   }
 
   address(): string {
-    const address = this.free.shift() ?? this.resting.shift();
+    const address = this.freeAddresses.shift() ?? this.retiredAddresses.shift();
     if (address === undefined) throw new PortError("no port left for a machine");
     return address;
   }
@@ -102,14 +102,14 @@
   remove(host: Host): void {
     const { address } = host;
     this.hosts.delete(address);
-    // Workers know commands by token and session only: one that is still under way to the machine that is gone would be
-    // carried out by its successor on the same port. So the port rests for longer than any command may take.
-    this.resting.push(address);
-    systemClock.after(REST, () => {
-      const at = this.resting.indexOf(address);
+    // Workers check only fencing token and incarnation of a command: one in flight to the removed machine would be
+    // executed by its successor on the same port. So the port is not reused until any such command has timed out.
+    this.retiredAddresses.push(address);
+    systemClock.after(PORT_REUSE_DELAY, () => {
+      const at = this.retiredAddresses.indexOf(address);
       if (at < 0) return;
-      this.resting.splice(at, 1);
-      this.free.push(address);
+      this.retiredAddresses.splice(at, 1);
+      this.freeAddresses.push(address);
     });
   }
 
--- a/src/model/site.ts
+++ b/src/model/site.ts
@@ -7,32 +7,34 @@
 import type { Settings } from "../settings/settings.js";
 import type { Log, LogFields } from "../transport/log.js";
 import { jobBehaviour } from "./behaviour.js";
-import { CloudService, type Room, roomOf } from "./cloud-service.js";
-import { type Bounds, Door, type Usage } from "./door.js";
-import { type Host, Network, type Swallowed } from "./network.js";
-import { Luck, Random } from "./random.js";
+import { CloudService, fixedCapacity, type Room } from "./cloud-service.js";
+import { type Bounds, ProcessModel, type Usage } from "./door.js";
+import { type Host, type MessageDirection, Network } from "./network.js";
+import { NamedRandom, Random } from "./random.js";
 import { type Addresses, CLOCK_ERROR_MS, labelOf, type SiteSpec, settingsOf } from "./site-spec.js";
 import { StateService } from "./state-service.js";
-import { type Behaviour, Truth } from "./truth.js";
+import { type Behaviour, GroundTruth } from "./truth.js";
 import { type Hearing, PLAIN_USERS, type Quirks, type Submission, Users } from "./users.js";
-import { SimWires } from "./wires.js";
+import { SimulatedTransports } from "./wires.js";
 import type { Witness } from "./witness.js";
-import { type Surroundings, Worker } from "./worker.js";
+import { Worker, type WorkerEnvironment } from "./worker.js";
 import { HostClock, S, World } from "./world.js";
 
-interface Node {
+/** A controller's host with the process that currently runs on it; `starts` counts its processes. */
+interface ControllerHost {
   clock: HostClock;
-  readonly door: Door | null;
+  readonly processModel: ProcessModel | null;
   readonly host: Host & { state: Host["state"] };
   controller: Controller | null;
   starts: number;
 }
 
+/** Observers of a simulated site. */
 export interface SiteWatch {
   readonly witness: Witness;
   readonly hearing: Hearing;
   log(level: "error" | "info", controller: number, event: string, fields: LogFields): void;
-  /** What the controllers would record, where one is to be listened to. */
+  /** Receives the cluster events that the controllers would record in a trace. */
   readonly sink?: (event: ClusterEvent) => void;
 }
 
@@ -40,34 +42,36 @@
   readonly spec: SiteSpec;
   readonly options: OperatorOptions;
   readonly seed: number;
-  /** Of what goes by turn (delays, drift, who asks whom); the seed itself by default. Luck by name keeps to `seed`. */
+  /** Seed of sequential draws (delays, drift, choice of controller), `seed` by default; draws by name use `seed`. */
   readonly turnSeed?: number;
   readonly watch: (world: World) => SiteWatch;
-  /** Settings of the controllers where they are to differ from the site's truth. */
+  /** Settings of each controller; derived from `spec` by default. */
   readonly settings?: (index: number, addresses: Addresses) => Settings;
+  /** Free capacity of the cloud; the limits of `spec` by default. */
   readonly room?: Room;
   readonly quirks?: Quirks;
-  /** Bounds of each controller's process; none by default. */
+  /** Resource limits of each controller's process; unlimited by default. */
   readonly bounds?: Bounds;
-  /** What makes jobs of its own beside the controllers' kernel. */
+  /** Controller extension that submits jobs of its own. */
   readonly extension?: ExtensionFactory;
-  /** Changes that a watch on the state service can look back on. */
+  /** Number of past changes that a watch on the key-value store can start from. */
   readonly stateLog?: number;
 }
 
-const host = (at: number, port: number): string => `10.0.0.${at + 1}:${port}`;
+const hostAddress = (at: number, port: number): string => `10.0.0.${at + 1}:${port}`;
 
+/** Addresses of a simulated site. */
 export const simulatedAddresses = (controllers: number): Addresses => ({
-  controllers: Array.from({ length: controllers }, (_, at) => host(at, 8080)),
-  mesh: Array.from({ length: controllers }, (_, at) => host(at, 8081)),
+  controllers: Array.from({ length: controllers }, (_, at) => hostAddress(at, 8080)),
+  mesh: Array.from({ length: controllers }, (_, at) => hostAddress(at, 8081)),
   state: "10.0.1.1:2379",
   cloud: "10.0.1.2:8443",
 });
 
-const RESTART_US = 3 * S;
-const WALL_MS = 1_700_000_000_000;
+const RESTART_DELAY_US = 3 * S;
+const WALL_CLOCK_START_MS = 1_700_000_000_000;
 
-/** A whole site on one simulated clock: the controllers' real code, and stand-ins for all that is around them. */
+/** Full simulation of a site: the controllers' real code and an emulated environment on one simulated clock. */
 export class Site {
   readonly world = new World();
   readonly random: Random;
@@ -75,11 +79,11 @@
   readonly state: StateService;
   readonly cloud: CloudService;
   readonly users: Users;
-  readonly truth = new Truth();
+  readonly truth = new GroundTruth();
   readonly addresses: Addresses;
   private readonly watch: SiteWatch;
-  readonly wires: SimWires;
-  private readonly nodes: Node[];
+  readonly wires: SimulatedTransports;
+  private readonly controllerHosts: ControllerHost[];
   private readonly settings: Settings[];
 
   constructor(readonly setup: SiteSetup) {
@@ -99,7 +103,7 @@
       setup.stateLog,
     );
     const { mesh, controllers } = this.addresses;
-    this.wires = new SimWires(
+    this.wires = new SimulatedTransports(
       this.world,
       this.network,
       new Map(mesh.map((address, at) => [address, controllers[at] ?? ""])),
@@ -109,25 +113,25 @@
       serve: (request, from) => this.state.serve(request, from),
       state: "up",
     });
-    const dependencies: Surroundings = {
+    const dependencies: WorkerEnvironment = {
       timeline: this.world,
       net: this.network,
       random: this.random,
-      luck: new Luck(seed),
+      namedRandom: new NamedRandom(seed),
       witness: this.watch.witness,
       truth: this.truth,
-      nodes: this.addresses.controllers,
-      labels: spec.controllers.map((_, at) => labelOf(at)),
+      controllers: this.addresses.controllers,
+      controllerLabels: spec.controllers.map((_, at) => labelOf(at)),
       times: spec.workers,
     };
     this.cloud = new CloudService(
       this.world,
       this.random,
-      dependencies.luck,
+      dependencies.namedRandom,
       spec,
       (info, type) => new Worker(dependencies, info, type),
       this.watch.witness,
-      setup.room ?? roomOf(spec.capacity),
+      setup.room ?? fixedCapacity(spec.capacity),
     );
     this.network.add({ address: this.addresses.cloud, serve: (request) => this.cloud.serve(request), state: "up" });
     this.users = new Users(
@@ -138,19 +142,19 @@
       this.watch.hearing,
       setup.quirks ?? PLAIN_USERS,
     );
-    this.nodes = this.addresses.controllers.map((address) => this.makeNode(address));
+    this.controllerHosts = this.addresses.controllers.map((address) => this.createControllerHost(address));
     for (let at = 0; at < count; at += 1) this.start(at);
   }
 
-  private makeNode(address: string): Node {
+  private createControllerHost(address: string): ControllerHost {
     const { bounds } = this.setup;
-    const door = bounds === undefined ? null : new Door(this.world, bounds);
-    const node: Node = {
+    const processModel = bounds === undefined ? null : new ProcessModel(this.world, bounds);
+    const node: ControllerHost = {
       clock: new HostClock(this.world, 1, 0),
-      door,
+      processModel,
       host: {
         address,
-        door,
+        processModel,
         state: "refusing",
         serve: (request) => {
           const { controller, clock } = node;
@@ -170,164 +174,169 @@
   }
 
   private start(at: number): void {
-    const node = this.nodes[at];
+    const node = this.controllerHosts[at];
     const settings = this.settings[at];
     if (node === undefined || settings === undefined) return;
     node.starts += 1;
-    const { door } = node;
-    const later = door === null ? null : door.after.bind(door);
-    node.clock = new HostClock(this.world, 1 + this.random.next() * 0.0005, this.random.int(0, 1e9), later);
-    door?.restart();
+    const { processModel } = node;
+    const scheduleTimer = processModel === null ? null : processModel.after.bind(processModel);
+    node.clock = new HostClock(this.world, 1 + this.random.next() * 0.0005, this.random.int(0, 1e9), scheduleTimer);
+    processModel?.restart();
     const { clock } = node;
-    const line =
+    const logAt =
       (level: "error" | "info"): Log["info"] =>
       (event, fields) =>
         this.watch.log(level, at, event, fields ?? {});
-    const outside = {
+    const environment = {
       clock,
-      log: { error: line("error"), info: line("info"), debug: () => undefined },
+      log: { error: logAt("error"), info: logAt("info"), debug: () => undefined },
       http: this.network.client(node.host.address, clock),
       random: this.random.next,
       eventListener: this.watch.sink ?? null,
       extension: this.setup.extension ?? null,
-      // Off by as much as the settings allow, one way or the other.
-      wallClock: () => WALL_MS + this.world.now / 1_000 + (at % 2 === 0 ? 1 : -1) * CLOCK_ERROR_MS,
-      ...(door === null ? {} : this.bounded(at, door)),
+      // Wall clocks deviate by the maximum error that the settings allow, alternately ahead and behind.
+      wallClock: () => WALL_CLOCK_START_MS + this.world.now / 1_000 + (at % 2 === 0 ? 1 : -1) * CLOCK_ERROR_MS,
+      ...(processModel === null ? {} : this.resourceHooks(at, processModel)),
     };
     const incarnation = `inc-${at}-${node.starts}`;
-    const transport = this.wires.of(this.addresses.mesh[at] ?? "", clock);
-    const mesh = this.setup.options.mesh ? createMeshFactory({ ...outside, settings, incarnation, transport }) : null;
-    node.controller = new Controller({ ...outside, mesh }, settings, this.setup.options, incarnation);
+    const transport = this.wires.transportFor(this.addresses.mesh[at] ?? "", clock);
+    const mesh = this.setup.options.mesh
+      ? createMeshFactory({ ...environment, settings, incarnation, transport })
+      : null;
+    node.controller = new Controller({ ...environment, mesh }, settings, this.setup.options, incarnation);
     node.host.state = "up";
     node.controller.start();
   }
 
-  private bounded(at: number, door: Door): Pick<ControllerEnvironment, "load" | "onInspected"> {
+  private resourceHooks(at: number, processModel: ProcessModel): Pick<ControllerEnvironment, "load" | "onInspected"> {
     return {
-      load: door.bounds.sheds ? () => door.load(this.bytes(at)) : null,
-      onInspected: (looks) => door.spend(looks * door.bounds.costs.lookUs),
+      load: processModel.bounds.sheds ? () => processModel.load(this.memoryBytes(at)) : null,
+      onInspected: (inspected) => processModel.spend(inspected * processModel.bounds.costs.lookUs),
     };
   }
 
-  /** Whoever holds the machines keeps them and their tasks in memory. */
-  private bytes(at: number): number {
-    const node = this.nodes[at];
-    if (node === undefined || node.door === null) return 0;
-    const holds = node.controller?.leadershipSize ?? { machines: 0, tasks: 0 };
-    return node.door.bytes(holds.machines, holds.tasks);
+  /** Memory used by a controller's process; the shard leader keeps machines and their tasks in memory. */
+  private memoryBytes(at: number): number {
+    const node = this.controllerHosts[at];
+    if (node === undefined || node.processModel === null) return 0;
+    const size = node.controller?.leadershipSize ?? { machines: 0, tasks: 0 };
+    return node.processModel.bytes(size.machines, size.tasks);
   }
 
-  /** What each controller's process has used so far; empty without bounds. */
+  /** Resource usage of each controller's process so far; empty without resource limits. */
   usage(): readonly Usage[] {
-    return this.nodes.flatMap(({ door }) => (door === null ? [] : [door.usage]));
+    return this.controllerHosts.flatMap(({ processModel }) => (processModel === null ? [] : [processModel.usage]));
   }
 
-  /** Ends processes that hold more memory than they may; returns how many. */
+  /** Ends processes that exceed their memory limit; returns how many. */
   endOversized(): number {
     let ended = 0;
-    for (const [at, { door, controller }] of this.nodes.entries()) {
-      if (door === null || controller === null || this.bytes(at) <= door.bounds.memoryBytes) continue;
+    for (const [at, { processModel, controller }] of this.controllerHosts.entries()) {
+      if (processModel === null || controller === null || this.memoryBytes(at) <= processModel.bounds.memoryBytes)
+        continue;
       ended += 1;
       this.crash(at);
     }
     return ended;
   }
 
-  /** A job and how its tasks behave; then its user submits it. */
+  /** Submits a job whose tasks run as estimated, except for what `behaviour` overrides. */
   submit(job: Submission, behaviour: Partial<Behaviour> = {}): void {
     this.truth.behaviours.set(job.ref, { ...jobBehaviour(job), ...behaviour });
     this.users.submit(job);
   }
 
-  crash(at: number, backAfterUs = RESTART_US): void {
-    const node = this.nodes[at];
+  /** Crashes a controller's process and restarts it after `backAfterUs`. */
+  crash(at: number, backAfterUs = RESTART_DELAY_US): void {
+    const node = this.controllerHosts[at];
     if (node === undefined || node.controller === null) return;
     node.clock.dead = true;
-    this.wires.died(node.clock);
+    this.wires.processEnded(node.clock);
     node.controller = null;
     node.host.state = "refusing";
     this.world.after(backAfterUs, () => this.start(at));
   }
 
-  /** Its process ends and comes back with these settings, as another version of the program would read them. */
-  restartWith(at: number, settings: Settings, backAfterUs = RESTART_US): void {
+  /** Crashes a controller's process and restarts it with other settings, as another program version would read them. */
+  restartWith(at: number, settings: Settings, backAfterUs = RESTART_DELAY_US): void {
     this.settings[at] = settings;
     this.crash(at, backAfterUs);
   }
 
-  /** The process stands still while its clocks run on; only where its bounds are modelled. */
+  /** Pauses the process while its clock keeps running; no effect without resource limits. */
   freeze(at: number, forUs: number): void {
-    this.nodes[at]?.door?.freeze(forUs);
+    this.controllerHosts[at]?.processModel?.freeze(forUs);
   }
 
-  /** The controller that runs there now. */
+  /** The running controller; null while its process is down. */
   controllerAt(at: number): Controller | null {
-    return this.nodes[at]?.controller ?? null;
+    return this.controllerHosts[at]?.controller ?? null;
   }
 
   nodeAddress(at: number): string {
     return this.addresses.controllers[at] ?? "";
   }
 
-  /** Connections between controllers are refused, and those that are open break. */
+  /** Refuses connections between controllers, and breaks those that are open. */
   refusePeers(forUs: number): void {
     this.wires.refuse(forUs);
   }
 
-  private isNode(address: string): boolean {
+  private isController(address: string): boolean {
     return this.addresses.controllers.includes(address);
   }
 
-  /** Cuts this controller off from the state service (and only from it). */
+  /** Partitions a controller from the key-value store only. */
   cutFromState(at: number, forUs: number, mode: "hold" | "reset"): void {
     const address = this.nodeAddress(at);
     this.network.cut((a, b) => a === address && b === this.addresses.state, forUs, mode);
   }
 
-  /** Cuts a controller off from all machines, and from nothing else. */
+  /** Partitions a controller from all workers only. */
   cutFromWorkers(at: number, forUs: number, mode: "hold" | "reset"): void {
     const address = this.nodeAddress(at);
     const others = [this.addresses.state, this.addresses.cloud, "user", ...this.addresses.controllers];
     this.network.cut((a, b) => a === address && !others.includes(b), forUs, mode);
   }
 
-  /** A controller with its workers and nothing else: neither state service nor siblings (nor, where `cloud`, the cloud). */
+  /** Partitions a controller from the key-value store, the other controllers and, with `cloud`, the cloud. */
   cutAllButWorkers(at: number, forUs: number, mode: "hold" | "reset", cloud = false): void {
     const address = this.nodeAddress(at);
     const others = [this.addresses.state, ...(cloud ? [this.addresses.cloud] : []), ...this.addresses.controllers];
     this.network.cut((a, b) => a === address && b !== address && others.includes(b), forUs, mode);
   }
 
-  /** One way only: what machines report arrives, while commands, answers to reports or both never reach them. */
-  deafen(addresses: ReadonlySet<string>, forUs: number, swallows: readonly Swallowed[]): void {
-    const from = (address: string): boolean => this.isNode(address);
-    this.network.lose({ from, to: (address) => addresses.has(address), swallows }, forUs);
+  /** One-way loss towards these machines: heartbeats arrive; commands, responses to heartbeats or both are dropped. */
+  deafen(addresses: ReadonlySet<string>, forUs: number, swallows: readonly MessageDirection[]): void {
+    const from = (address: string): boolean => this.isController(address);
+    this.network.lose({ from, to: (address) => addresses.has(address), drops: swallows }, forUs);
   }
 
-  /** The same for all machines, those that come up meanwhile included. */
-  deafenAll(forUs: number, swallows: readonly Swallowed[]): void {
+  /** As `deafen` for all machines, including those that boot later. */
+  deafenAll(forUs: number, swallows: readonly MessageDirection[]): void {
     const { controllers, state, cloud } = this.addresses;
     const others = new Set([...controllers, state, cloud, "user"]);
-    const from = (address: string): boolean => this.isNode(address);
-    this.network.lose({ from, to: (address) => !others.has(address), swallows }, forUs);
+    const from = (address: string): boolean => this.isController(address);
+    this.network.lose({ from, to: (address) => !others.has(address), drops: swallows }, forUs);
   }
 
-  /** These machines reach no controller, while commands and questions reach them and are answered. */
+  /** One-way loss from these machines: their heartbeats are dropped; commands and status queries are answered. */
   mute(addresses: ReadonlySet<string>, forUs: number): void {
-    const to = (address: string): boolean => this.isNode(address);
-    this.network.lose({ from: (address) => addresses.has(address), to, swallows: ["requests"] }, forUs);
+    const to = (address: string): boolean => this.isController(address);
+    this.network.lose({ from: (address) => addresses.has(address), to, drops: ["requests"] }, forUs);
   }
 
-  /** Copies of reports are kept from now on; `releaseReports` gives all of them to every controller. */
+  /** Retains duplicates of heartbeats; `releaseReports` delivers all of them to every controller. */
   keepReports(chance: number, forUs: number): void {
     this.network.keep((_, { target }) => target === "/hello", chance, forUs);
   }
 
+  /** Delivers the retained heartbeats and returns the number of deliveries. */
   releaseReports(): number {
     return this.network.release(this.addresses.controllers);
   }
 
-  /** Reports come once more, at any controller, up to so long after they were sent. */
+  /** Delivers duplicates of heartbeats to random controllers, up to `mostLateUs` late. */
   copyReports(chance: number, mostLateUs: number, forUs: number): void {
     this.network.copies = {
       of: (_, { target }) => target === "/hello",
@@ -338,29 +347,29 @@
     };
   }
 
-  /** Requests that were carried out come once more, up to so long after they were sent. */
+  /** Delivers duplicates of all requests other than heartbeats, up to `mostLateUs` late. */
   repeatRequests(chance: number, mostLateUs: number, forUs: number): void {
     const until = this.world.now + forUs;
     this.network.copies = { of: (_, { target }) => target !== "/hello", chance, mostLateUs, until };
   }
 
-  /** That share of the state service's answers, those to renewals and watches included, takes up to so long. */
+  /** Delays a share of the key-value store's responses, including those to lease renewals and watches. */
   slowState(chance: number, mostUs: number, forUs: number): void {
     const { state } = this.addresses;
     this.network.delayMessages({ of: (_, to) => to === state, delays: "answers", chance, mostUs }, forUs);
   }
 
-  /** That share of commands, or of their answers, is on its way for up to so long. */
-  holdUpCommands(delays: Swallowed, chance: number, mostUs: number, forUs: number): void {
+  /** Delays a share of the commands to workers, or of the responses to them, by up to `mostUs`. */
+  holdUpCommands(delays: MessageDirection, chance: number, mostUs: number, forUs: number): void {
     this.network.delayMessages({ of: (_, __, { target }) => target === "/orders", delays, chance, mostUs }, forUs);
   }
 
-  /** Cuts one machine off from every controller. */
+  /** Partitions a machine from all controllers. */
   cutMachine(address: string, forUs: number, mode: "hold" | "reset"): void {
-    this.network.cut((a, b) => a === address && this.isNode(b), forUs, mode);
+    this.network.cut((a, b) => a === address && this.isController(b), forUs, mode);
   }
 
-  /** Cuts all machines of a zone off from every controller, those that come up meanwhile, too. */
+  /** Partitions all machines of a zone, including those that boot later, from all controllers. */
   cutZone(zone: string, forUs: number, mode: "hold" | "reset"): void {
     const zones = new Map<string, string>();
     const zoneOf = (address: string): string | undefined => {
@@ -368,6 +377,6 @@
         for (const { info, worker } of this.cloud.running()) if (worker) zones.set(worker.host.address, info.zone);
       return zones.get(address);
     };
-    this.network.cut((a, b) => this.isNode(b) && !this.isNode(a) && zoneOf(a) === zone, forUs, mode);
+    this.network.cut((a, b) => this.isController(b) && !this.isController(a) && zoneOf(a) === zone, forUs, mode);
   }
 }
--- a/src/model/truth.ts
+++ b/src/model/truth.ts
@@ -1,35 +1,37 @@
-/** What a worker fetches of a job, and how its tasks behave. Amounts as on the wire, times in microseconds. */
+/** Resources, image and behaviour of a job's tasks. Amounts in units of the protocol, times in microseconds. */
 export interface Behaviour {
   readonly cpus: number;
   readonly gpus: number;
   readonly ramGb: number;
   readonly bundle: string;
   readonly sizeGb: number;
-  /** Time that a task runs on an ordinary machine; null: until it is stopped. */
+  /** Run time on a machine of nominal speed; null: until stopped. */
   readonly runUs: number | null;
-  /** By task, where tasks differ; the others take `runUs`. */
+  /** Run time by task index, where it differs from `runUs`. */
   readonly runsUs?: ReadonlyMap<number, number>;
-  /** Progress is kept every so often; 0: never. */
+  /** Checkpoint interval; 0: no checkpoints. */
   readonly saveEveryUs: number;
+  /** Duration of a checkpoint. */
   readonly saveTakesUs: number;
   readonly failsAlways: boolean;
-  /** Tasks that must be together, for a gang; else 0. */
+  /** Number of tasks of a gang; 0 for other jobs. */
   readonly gang: number;
 }
 
-export interface Member {
+/** Callbacks to a gang member: start when the gang is complete, or exit because another member was lost. */
+export interface GangMember {
   readonly start: () => void;
-  readonly abandon: () => void;
+  readonly abort: () => void;
 }
 
-/** What outlives every machine: results, progress saved outside, and who of which gang is where. */
-export class Truth {
+/** Ground truth that is independent of machines: job behaviour, results, checkpoints and gang membership. */
+export class GroundTruth {
   readonly behaviours = new Map<string, Behaviour>();
-  /** Where jobs come from elsewhere, too: asked for what nobody here has submitted. */
+  /** Fallback for jobs that were not submitted through the emulator. */
   lookUp: (job: string) => Behaviour | null = () => null;
-  readonly gangs = new Map<string, Map<string, Member>>();
-  private readonly finished = new Map<string, Set<string>>();
-  private readonly saved = new Map<string, number>();
+  readonly gangs = new Map<string, Map<string, GangMember>>();
+  private readonly doneTasks = new Map<string, Set<string>>();
+  private readonly checkpoints = new Map<string, number>();
 
   behaviour(job: string): Behaviour | undefined {
     const known = this.behaviours.get(job);
@@ -40,33 +42,35 @@
   }
 
   isDone(task: string): boolean {
-    return this.finished.get(jobOf(task))?.has(task) === true;
+    return this.doneTasks.get(jobOf(task))?.has(task) === true;
   }
 
   done(task: string): void {
-    const known = this.finished.get(jobOf(task));
-    if (known === undefined) this.finished.set(jobOf(task), new Set([task]));
+    const known = this.doneTasks.get(jobOf(task));
+    if (known === undefined) this.doneTasks.set(jobOf(task), new Set([task]));
     else known.add(task);
-    this.saved.delete(task);
+    this.checkpoints.delete(task);
   }
 
   doneOf(job: string): ReadonlySet<string> {
-    return this.finished.get(job) ?? new Set();
+    return this.doneTasks.get(job) ?? new Set();
   }
 
-  /** The job has ended, and nothing of it can start again. */
+  /** Discards the state of an ended job, none of whose tasks can start again. */
   drop(job: string): void {
-    this.finished.delete(job);
+    this.doneTasks.delete(job);
     this.gangs.delete(job);
   }
 
+  /** Checkpointed progress in microseconds of run time at nominal speed. */
   progress(task: string): number {
-    return this.saved.get(task) ?? 0;
+    return this.checkpoints.get(task) ?? 0;
   }
 
   save(task: string, progressUs: number): void {
-    this.saved.set(task, progressUs);
+    this.checkpoints.set(task, progressUs);
   }
 }
 
+/** Job id of a task named "job/index". */
 export const jobOf = (task: string): string => task.slice(0, task.lastIndexOf("/"));
