--- a/src/client.ts
+++ b/src/client.ts
@@ -17,7 +17,7 @@
 }
 
 /** Sends one request. Throws a `ClientError` if the address is invalid or no response arrives within 5 s. */
-export const call = async (server: string, request: HttpRequest): Promise<Reply> => {
+export const sendRequest = async (server: string, request: HttpRequest): Promise<Reply> => {
   if (!/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/.test(server))
     throw new ClientError(`${server}: not an address like 10.0.0.1:8080`);
   const outcome = await new NetHttpClient(systemClock, 1).call(server, request, REQUEST_TIMEOUT);
@@ -27,7 +27,7 @@
 };
 
 const requestOrThrow = async (server: string, request: HttpRequest): Promise<string> => {
-  const { status, body, retryAfterS } = await call(server, request);
+  const { status, body, retryAfterS } = await sendRequest(server, request);
   if (status === 200 || status === 201) return body;
   const retryHint = retryAfterS === null ? "" : `, try again in ${retryAfterS} s`;
   throw new ClientError(`status ${status}: ${body}${retryHint}`);
@@ -38,7 +38,7 @@
 const PART_LENGTH = 24_000;
 
 /** Request bodies that submit a graph: a single one if the text fits into it, else numbered parts. */
-export const graphBodies = (ref: string, text: string): readonly string[] => {
+export const graphRequestBodies = (ref: string, text: string): readonly string[] => {
   if (Buffer.byteLength(text) <= MAX_BODY_BYTES) return [text];
   const parts = Math.ceil(text.length / PART_LENGTH);
   return Array.from({ length: parts }, (_, part) =>
--- a/src/cluster/job.ts
+++ b/src/cluster/job.ts
@@ -53,5 +53,5 @@
   /** While on probation: earliest time at which the next task is started. */
   retryAfter: Micros;
   /** Consecutive failed probe tasks while on probation. */
-  failedProbes: number;
+  failedTrials: number;
 }
--- a/src/cluster/machine.ts
+++ b/src/cluster/machine.ts
@@ -65,7 +65,7 @@
   unreachableSince: Micros | null;
   lastHeartbeatAt: Micros;
   /** When a status query was last sent because heartbeats or responses were missing. */
-  probedAt: Micros;
+  statusQueriedAt: Micros;
 }
 
 /** The worker's lease. When it expires, the worker stops all its tasks on its own. */
@@ -128,7 +128,7 @@
 export interface CommandState {
   inFlight: boolean;
   /** Earliest time of the next request. */
-  nextAt: Micros;
+  nextRequestAt: Micros;
 }
 
 /** A machine of the shard. */
@@ -188,7 +188,7 @@
     lastResponseAt: NEVER,
     unreachableSince: null,
     lastHeartbeatAt: now,
-    probedAt: NEVER,
+    statusQueriedAt: NEVER,
   },
   lease: { renewedAt: now, respondedAt: NEVER, expired: false },
   fencing: { sequence: 0, tokenRaisedAt: NEVER },
@@ -208,7 +208,7 @@
     quarantinedUntil: NEVER,
     recentFailures: new Map(),
   },
-  commands: { inFlight: false, nextAt: NEVER },
+  commands: { inFlight: false, nextRequestAt: NEVER },
 });
 
 /** Whether all tasks must leave the machine because it returns to the cloud; no task is started there any more. */
--- a/src/cluster/shard-state.ts
+++ b/src/cluster/shard-state.ts
@@ -72,7 +72,7 @@
       onProbation: false,
       longestFailedRun: NO_EARLIEST_START,
       retryAfter: NO_EARLIEST_START,
-      failedProbes: 0,
+      failedTrials: 0,
     };
     this.jobs.set(spec.id, job);
     return job;
@@ -107,7 +107,7 @@
   }
 
   /** Notes that, according to a stored record, every start command of the placed task received a response. */
-  confirmStart(task: Task): void {
+  markStartsAnswered(task: Task): void {
     this.unconfirmedStarts.delete(task);
     if (task.startCommand.kind === "uncertain") task.startCommand = { ...task.startCommand, answered: true };
   }
@@ -216,7 +216,7 @@
   }
 
   /** Marks the task's image as the most recently used one in the machine's image cache. */
-  rememberImageOf(machine: Machine, task: Task): void {
+  recordImageUseBy(machine: Machine, task: Task): void {
     recordImageUse(machine, task.job.spec.image, task.job.spec.imageGb);
   }
 
--- a/src/cluster/task.ts
+++ b/src/cluster/task.ts
@@ -84,18 +84,18 @@
  * most this long after it was sent: the worker has been reachable since, and messages held back by an interruption are
  * delivered when it ends (docs/heartbeat-evidence.md). Shorter than the time for which a task may wait after a fault.
  */
-export const MAX_START_DELAY = seconds(60);
+export const MAX_START_TRANSIT_TIME = seconds(60);
 
 /** Whether a direct start command may still be in transit to the task's machine, whatever its worker reported since. */
-export const mayStartLate = ({ startCommand, unansweredStartAt }: Task, now: Micros): boolean =>
-  unansweredStartAt !== null && (startCommand.kind !== "observed" || now - unansweredStartAt < MAX_START_DELAY);
+export const startMayBeInTransit = ({ startCommand, unansweredStartAt }: Task, now: Micros): boolean =>
+  unansweredStartAt !== null && (startCommand.kind !== "observed" || now - unansweredStartAt < MAX_START_TRANSIT_TIME);
 
 /**
  * Whether a task that does not run on its machine may be released, so that it can be placed elsewhere and its resources
  * count as free. If not, it is released when the machine is deleted, or when it exits there after another start. A
  * cancelled task may always be released, because it is never started elsewhere.
  */
-export const mayRelease = (task: Task, now: Micros): boolean => task.job.cancelled || !mayStartLate(task, now);
+export const mayRelease = (task: Task, now: Micros): boolean => task.job.cancelled || !startMayBeInTransit(task, now);
 
 /** Whether the worker of its machine last reported the task in a state other than `exited`. */
 export const isActive = (task: Task): boolean =>
--- a/src/commands/site.ts
+++ b/src/commands/controller-commands.ts
@@ -1,7 +1,7 @@
 /** The commands `serve` and `check` of a controller, and the clients `submit`, `show`, `abort` and `links`. */
 import type { Command } from "commander";
 import { CommandError, EXIT_FAILURE, EXIT_SUCCESS, printLine } from "./cli.js";
-import type { ServeFlags } from "./serving.js";
+import type { ServeFlags } from "./serve.js";
 
 const CONFIG_HELP = "settings of the platform (TOML)";
 const OPTIONS_HELP = "the operators' own settings (JSON); or the variable RAINRIDGE_OPTIONS";
@@ -9,8 +9,8 @@
 /** Adds `serve`, also as the root command, and `check`, which validates the settings. */
 export const addControllerCommands = (program: Command): void => {
   const serve = async (flags: ServeFlags): Promise<void> => {
-    const serving = await import("./serving.js");
-    await serving.serve(await serving.load(flags));
+    const serving = await import("./serve.js");
+    await serving.serve(await serving.loadConfiguration(flags));
   };
   program.option("--config <file>", CONFIG_HELP).option("--options <file>", OPTIONS_HELP).action(serve);
   program
@@ -28,7 +28,7 @@
     .option("--json", "answer as JSON")
     .addHelpText("after", "\nExample:\n  rainridge check --config settings.toml")
     .action(async (flags: ServeFlags & { readonly json?: boolean }) => {
-      const { settings } = await (await import("./serving.js")).load(flags);
+      const { settings } = await (await import("./serve.js")).loadConfiguration(flags);
       const { cancellationTerms, termsInSeconds } = await import("../settings/cancellation.js");
       const { shardLeaseDuration } = await import("../settings/shard-lease.js");
       const terms = termsInSeconds(cancellationTerms(settings.workers, shardLeaseDuration(settings)));
@@ -100,10 +100,10 @@
       `\nExit status: 0 no troubles, 1 troubles or no answer.\n\nExample:\n  rainridge links ${serverFlag}`,
     )
     .action(async (flags: ClientFlags & { readonly json?: boolean }) => {
-      const [client, links] = await Promise.all([import("../client.js"), import("./links.js")]);
+      const [client, links] = await Promise.all([import("../client.js"), import("./links-text.js")]);
       try {
         const answer: unknown = JSON.parse(await client.showLinks(flags.server));
-        const troubles = links.troublesIn(answer);
+        const troubles = links.linkTroubles(answer);
         printLine(flags.json === true ? JSON.stringify({ ...(answer as object), troubles }) : links.linksText(answer));
         process.exit(troubles.length === 0 ? EXIT_SUCCESS : EXIT_FAILURE);
       } catch (error) {
--- a/src/commands/graph-client.ts
+++ b/src/commands/graph-client.ts
@@ -1,5 +1,5 @@
 /** Client of the graph service of a controller, with retries. */
-import { ClientError, call, graphBodies, type Reply } from "../client.js";
+import { ClientError, graphRequestBodies, type Reply, sendRequest } from "../client.js";
 import { CommandError } from "./cli.js";
 
 const RETRY_PERIOD_MS = 60_000;
@@ -31,7 +31,7 @@
     let reason = "no answer";
     let delayS = 1;
     try {
-      const reply = await call(server, { method, target, body: text });
+      const reply = await sendRequest(server, { method, target, body: text });
       if (reply.status >= 200 && reply.status < 300) return reply.body;
       reason = errorOf(reply);
       if (reply.status < 500 && reply.status !== 429) throw new CommandError(reason);
@@ -53,7 +53,7 @@
   body: { readonly ref: string },
   progress: (done: number, of: number) => void,
 ): Promise<string> => {
-  const bodies = graphBodies(body.ref, JSON.stringify(body));
+  const bodies = graphRequestBodies(body.ref, JSON.stringify(body));
   let responseBody = "";
   for (const [at, text] of bodies.entries()) {
     responseBody = await requestWithRetries(server, "POST", "/v2/graphs", text);
--- a/src/commands/graph-files.ts
+++ b/src/commands/graph-files.ts
@@ -13,8 +13,8 @@
 export const loadGraphsPackage = (): Promise<GraphsPackage> => import("../graphs/index.js");
 
 /** The parser and compiler of graph definitions, loaded on first use. */
-export const loadDefinitionReader = async (): ReturnType<GraphsPackage["describing"]> =>
-  (await loadGraphsPackage()).describing();
+export const loadDefinitionReader = async (): ReturnType<GraphsPackage["loadDescription"]> =>
+  (await loadGraphsPackage()).loadDescription();
 
 /** Flags of a run: parameters as `name=value`, logical date (YYYY-MM-DD) and path of the operators' options. */
 export interface RunFlags {
--- a/src/commands/graph-limits.ts
+++ b/src/commands/graph-limits.ts
@@ -1,12 +1,12 @@
 /** Checks the steps of a graph against the teams and machine types of a deployment. */
 import { readFileSync } from "node:fs";
-import { neverRuns } from "../coordination/scheduling/eligibility.js";
+import { infeasibilityReason } from "../coordination/scheduling/eligibility.js";
 import type { Plan } from "../graphs/index.js";
 import { decodeMachineTypes, type MachineType } from "../protocol/cloud.js";
 import { MalformedMessageError, parseJson } from "../protocol/json.js";
 import { CommandError } from "./cli.js";
 import { loadGraphsPackage } from "./graph-files.js";
-import { load } from "./serving.js";
+import { loadConfiguration } from "./serve.js";
 
 const readMachineTypes = (file: string): ReadonlyMap<string, MachineType> => {
   try {
@@ -27,13 +27,17 @@
   config: string,
   typesFile: string | undefined,
 ): Promise<string | null> => {
-  const { settings } = await load({ config });
+  const { settings } = await loadConfiguration({ config });
   const { distinctJobs } = await loadGraphsPackage();
   const types = typesFile === undefined ? null : readMachineTypes(typesFile);
   for (const [step, spec] of distinctJobs(plan)) {
     const unlimited: MachineType | null =
       types === null ? unlimitedMachineType(spec.types?.[0] ?? "any", settings.zones) : null;
-    const reason = neverRuns(spec, settings, types ?? new Map(unlimited === null ? [] : [[unlimited.name, unlimited]]));
+    const reason = infeasibilityReason(
+      spec,
+      settings,
+      types ?? new Map(unlimited === null ? [] : [[unlimited.name, unlimited]]),
+    );
     if (reason !== null) return `step ${step.id}: ${reason}`;
   }
   return null;
--- a/src/commands/graph.ts
+++ b/src/commands/graph.ts
@@ -103,13 +103,14 @@
     .action(async (file: string, flags: RunFlags & { readonly svg?: string }) =>
       reportFileProblems(false, async () => {
         const { plan } = await compileFile(file, "dr-show", flags);
-        const { drawingOf, MOST_DRAWN, outline, treeOf } = await loadGraphsPackage();
+        const { drawingOf, MAX_DRAWN_TASKS, outline, treeOf } = await loadGraphsPackage();
         if (flags.svg === undefined) {
           printLine(treeOf(plan));
           return;
         }
         const tasks = outline(plan).length;
-        if (tasks > MOST_DRAWN) throw new CommandError(`${file}: ${tasks} tasks; a drawing holds ${MOST_DRAWN}`);
+        if (tasks > MAX_DRAWN_TASKS)
+          throw new CommandError(`${file}: ${tasks} tasks; a drawing holds ${MAX_DRAWN_TASKS}`);
         writeFileSync(flags.svg, await drawingOf(plan));
         printLine(`${flags.svg}: ${tasks} tasks drawn`);
       }),
--- a/src/commands/links.ts
+++ b/src/commands/links-text.ts
@@ -17,7 +17,7 @@
 };
 
 /** One line for each problem in a controller's answer to `/links`; empty if there is none. */
-export const troublesIn = (answer: unknown): readonly string[] => {
+export const linkTroubles = (answer: unknown): readonly string[] => {
   const links = asRecord(answer);
   const lines: string[] = [];
   for (const target of ["state", "cloud"]) {
@@ -54,7 +54,7 @@
   for (const [label, status] of Object.entries(asRecord(links.siblings))) rows.push([label, String(status)]);
   const { up } = asRecord(links.machines);
   rows.push(["machines", typeof up === "number" ? `${up} up, held here` : "not held here"]);
-  const troubles = troublesIn(answer);
+  const troubles = linkTroubles(answer);
   return [formatTable(["link", "standing"], rows), "", ...(troubles.length === 0 ? ["no troubles"] : troubles)].join(
     "\n",
   );
--- a/src/commands/local.ts
+++ b/src/commands/local.ts
@@ -12,7 +12,7 @@
   parseWholeNumber,
   printLine,
 } from "./cli.js";
-import { PROGRAM_PATH } from "./with-whatif.js";
+import { PROGRAM_PATH } from "./whatif-package.js";
 
 interface LocalFlags {
   readonly machines: number;
--- a/src/commands/outcome-text.ts
+++ b/src/commands/outcome-text.ts
@@ -1,7 +1,7 @@
 /** Text and CSV forms of the outcome of a replay. */
 import type { Outcome, ServedGroup } from "../whatif/index.js";
 import { formatDuration, formatTable } from "./cli.js";
-import { formatRemark } from "./with-whatif.js";
+import { formatRemark } from "./whatif-package.js";
 
 const percent = (share: number | null): string => (share === null ? "-" : `${(share * 100).toFixed(1)} %`);
 
--- a/src/commands/serving.ts
+++ b/src/commands/serve.ts
@@ -36,7 +36,7 @@
  * Reads and validates both files; without the options flag, `RAINRIDGE_OPTIONS` names their file. Throws a
  * `CommandError` of one line that names the invalid field.
  */
-export const load = async (flags: ServeFlags): Promise<LoadedConfiguration> => {
+export const loadConfiguration = async (flags: ServeFlags): Promise<LoadedConfiguration> => {
   try {
     if (flags.config === undefined) throw new SettingsError("--config FILE: missing");
     const settings = loadSettings(flags.config);
@@ -122,11 +122,12 @@
   const clock = systemClock;
   const connections = allocateConnections(settings.quota.maxConnections);
   // Idle connections are bounded: with a thousand workers that send heartbeats, one to each would exceed the limit.
-  const http = new NetHttpClient(clock, connections.idle);
+  const http = new NetHttpClient(clock, connections.idleOutgoing);
   const eventListener = await createEventListener({ settings, options }, clock, log, http);
   const loadProbe = createLoadProbe(settings, clock, () => server.connections + http.connections);
   // Loaded only if graphs are enabled.
-  const extension = options.graphs === null ? null : (await import("../graphs/index.js")).graphsWith(options.graphs);
+  const extension =
+    options.graphs === null ? null : (await import("../graphs/index.js")).graphExtension(options.graphs);
   const incarnation = randomBytes(8).toString("hex");
   const mesh = options.mesh ? await loadMeshFactory(settings, incarnation, clock, log, http) : null;
   const environment = {
@@ -145,10 +146,10 @@
     clock,
     {
       maxConnections: connections.incoming,
-      keepConnections: connections.kept,
+      keepConnections: connections.keepAlive,
       requestTimeout: seconds(10),
       idleTimeout: seconds(60),
-      maxBusy: 512,
+      maxConcurrentRequests: 512,
     },
     countRequests(clock, log, (request) => controller.handle(request)),
     (error) => log.error("request failed", { error: describeError(error) }),
--- a/src/commands/whatif-compare.ts
+++ b/src/commands/whatif-compare.ts
@@ -4,8 +4,8 @@
 import type { Outcome, ScenarioSpec } from "../whatif/index.js";
 import { CommandError, formatDuration, formatTable, Progress, printLine } from "./cli.js";
 import { MAX_JOBS_SHOWN } from "./outcome-text.js";
+import { withWhatifPackage } from "./whatif-package.js";
 import { scenarioSpecOf } from "./whatif-run.js";
-import { withWhatifPackage } from "./with-whatif.js";
 
 interface CompareFlags {
   readonly variant: readonly string[];
--- a/src/commands/whatif-graphs.ts
+++ b/src/commands/whatif-graphs.ts
@@ -1,7 +1,7 @@
 /** The command `whatif graphs`. */
 import type { GraphCost, GraphLoadResult, GraphLoadSpec, GraphShape } from "../whatif/index.js";
 import { formatDuration, formatTable, Progress, printLine } from "./cli.js";
-import { PROGRAM_PATH, withWhatifPackage } from "./with-whatif.js";
+import { PROGRAM_PATH, withWhatifPackage } from "./whatif-package.js";
 
 /** Flags of `whatif graphs`; times are in microseconds, writes per second. */
 export interface GraphLoadFlags {
--- a/src/commands/whatif-load.ts
+++ b/src/commands/whatif-load.ts
@@ -3,7 +3,7 @@
 import { dirname } from "node:path";
 import type { LoadResult, LoadSpec } from "../whatif/index.js";
 import { CommandError, formatDuration, formatTable, Progress, printLine } from "./cli.js";
-import { withWhatifPackage } from "./with-whatif.js";
+import { withWhatifPackage } from "./whatif-package.js";
 
 /** Flags of `whatif load`; times are in microseconds, memory in MB. */
 export interface LoadFlags {
--- a/src/commands/whatif-run.ts
+++ b/src/commands/whatif-run.ts
@@ -4,7 +4,7 @@
 import type { ScenarioSpec } from "../whatif/index.js";
 import { CommandError, formatDuration, Progress, printLine } from "./cli.js";
 import { jobsCsv, outcomeText } from "./outcome-text.js";
-import { PROGRAM_PATH, withWhatifPackage } from "./with-whatif.js";
+import { PROGRAM_PATH, withWhatifPackage } from "./whatif-package.js";
 
 interface RunFlags {
   readonly site?: string;
--- a/src/commands/whatif-traces.ts
+++ b/src/commands/whatif-traces.ts
@@ -1,7 +1,7 @@
 /** The commands `whatif check`, `synth`, `convert`, `record` and `schema`. */
 import type { Remark } from "../whatif/index.js";
 import { CommandError, formatDuration, formatTable, Progress, printLine } from "./cli.js";
-import { formatRemark, type WhatifPackage, withWhatifPackage } from "./with-whatif.js";
+import { formatRemark, type WhatifPackage, withWhatifPackage } from "./whatif-package.js";
 
 /** Checks a trace and prints its number of events by kind. */
 export const check = (file: string, flags: { readonly json?: boolean; readonly lenient?: boolean }): Promise<void> =>
@@ -63,7 +63,7 @@
 }
 
 const readSettings = async (file: string) => {
-  const { load } = await import("./serving.js");
+  const { loadConfiguration: load } = await import("./serve.js");
   return (await load({ config: file })).settings;
 };
 
--- a/src/coordination/api/job-cancellation.ts
+++ b/src/coordination/api/job-cancellation.ts
@@ -46,7 +46,7 @@
         return jsonResponse(200, encodePhase(id, found.end.phase));
       }
       const record = decodeJobRecord(entry.value);
-      if (record.cancelled || this.localShards.isWithdrawn(record.spec))
+      if (record.cancelled || this.localShards.isCancelledIndirectly(record.spec))
         return jsonResponse(200, encodePhase(id, "cancelled"));
       const value = shrinkToFit({ ...record, cancelled: true }, this.services.transactions.maxValueBytes);
       const result = await transactions.submit(
--- a/src/coordination/api/job-status.ts
+++ b/src/coordination/api/job-status.ts
@@ -54,7 +54,7 @@
         return jsonResponse(200, encodeStatus(id, found.end.phase, found.end.completedTasks, 0));
       case "current": {
         const { spec, ...record } = decodeJobRecord(found.entry.value);
-        const cancelled = record.cancelled || this.localShards.isWithdrawn(spec);
+        const cancelled = record.cancelled || this.localShards.isCancelledIndirectly(spec);
         const counts = this.localShards.taskCounts(id) ?? this.recordedCounts(spec);
         const phase: JobPhase = cancelled ? "cancelled" : counts.running > 0 ? "running" : "queued";
         const unmetDependencies =
--- a/src/coordination/api/job-submission.ts
+++ b/src/coordination/api/job-submission.ts
@@ -9,7 +9,7 @@
 import type { HttpResponse } from "../../transport/http.js";
 import type { Services } from "../context.js";
 import { type DependencyResolver, withoutDependencies } from "../jobs/dependency-resolver.js";
-import { neverRuns } from "../scheduling/eligibility.js";
+import { infeasibilityReason } from "../scheduling/eligibility.js";
 import { Admission } from "./admission.js";
 import type { JobFinder } from "./job-lookup.js";
 import type { JobStatusResponder } from "./job-status.js";
@@ -123,7 +123,7 @@
   /** The refusal of a job that can never be accepted; null: there is no such reason. */
   private permanentRefusal(spec: JobSpec, body: string): HttpResponse | null {
     const { services, machineTypes } = this.dependencies;
-    const reason = neverRuns(spec, services.settings, machineTypes);
+    const reason = infeasibilityReason(spec, services.settings, machineTypes);
     if (reason !== null) return jsonResponse(422, { error: reason });
     // The key-value store would reject the record on every retry.
     const { maxValueBytes } = services.transactions;
--- a/src/coordination/api/local-shards.ts
+++ b/src/coordination/api/local-shards.ts
@@ -8,5 +8,5 @@
   /** Whether this controller leads a shard and therefore receives heartbeats. */
   readonly isLeader: () => boolean;
   /** Whether the job is cancelled through a dependency or its graph run, although its own record is not marked so. */
-  readonly isWithdrawn: (spec: JobSpec) => boolean;
+  readonly isCancelledIndirectly: (spec: JobSpec) => boolean;
 }
--- a/src/coordination/autoscaling/bin-packing.ts
+++ b/src/coordination/autoscaling/bin-packing.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type { JobSpec } from "../../protocol/job-spec.js";
-import { allows, zoneAllowed } from "../scheduling/eligibility.js";
+import { jobAllowsMachine, zoneAllowed } from "../scheduling/eligibility.js";
 import { countThatFit, fits, subtractResources } from "../scheduling/placement/bfgp.js";
 import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
 import { type CapacityBin, newBin, type ScaleOutReason } from "./capacity-bins.js";
@@ -52,7 +52,7 @@
     for (const bin of openBins) {
       if (remaining <= 0) return;
       if (bin.free.cpu < spec.demand.cpu || !fits(spec.demand, bin.free)) continue;
-      if (allows(spec, bin.type.name, bin.zone, bin.spot)) remaining -= fillBin(demand, bin, remaining);
+      if (jobAllowsMachine(spec, bin.type.name, bin.zone, bin.spot)) remaining -= fillBin(demand, bin, remaining);
     }
     if (remaining > 0) this.packIntoNewBins(demand, remaining);
   }
--- a/src/coordination/autoscaling/cloud-offers.ts
+++ b/src/coordination/autoscaling/cloud-offers.ts
@@ -5,7 +5,7 @@
 import type { MachineType } from "../../protocol/cloud.js";
 import type { JobSpec } from "../../protocol/job-spec.js";
 import type { Micros } from "../../transport/clock.js";
-import { allows, zoneAllowed } from "../scheduling/eligibility.js";
+import { jobAllowsMachine, zoneAllowed } from "../scheduling/eligibility.js";
 import { countThatFit } from "../scheduling/placement/bfgp.js";
 import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
 import type { DemandHistory } from "./demand-history.js";
@@ -78,6 +78,6 @@
 
 const isAvailable = ({ snapshot, offers, spec, zoneCounts }: OfferSearch, offer: MachineOffer): boolean => {
   const { type, zone, spot } = offer;
-  if (!allows(spec, type.name, zone, spot) || !zoneAllowed(spec, zoneCounts, zone)) return false;
+  if (!jobAllowsMachine(spec, type.name, zone, spot) || !zoneAllowed(spec, zoneCounts, zone)) return false;
   return offers.unavailableUntil(offerKey(offer)) <= snapshot.now && !offers.unreachableZones.has(zone);
 };
--- a/src/coordination/autoscaling/consolidation.ts
+++ b/src/coordination/autoscaling/consolidation.ts
@@ -5,7 +5,7 @@
 import type { Job } from "../../cluster/job.js";
 import type { Machine } from "../../cluster/machine.js";
 import { type Candidate, listCandidates } from "../scheduling/candidate-index.js";
-import { allows, zoneAllowed, zoneCounts } from "../scheduling/eligibility.js";
+import { jobAllowsMachine, placedTasksByZone, zoneAllowed } from "../scheduling/eligibility.js";
 import { fits, subtractResources } from "../scheduling/placement/bfgp.js";
 import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
 import { type DemandHistory, headroomDemand } from "./demand-history.js";
@@ -28,7 +28,7 @@
   for (const task of candidate.machine.tasks) {
     const { spec } = task.job;
     // Shared by the job's tasks: two replicas must not both be assigned the last place that is allowed in a zone.
-    const counts = zones.get(task.job) ?? zoneCounts(task.job);
+    const counts = zones.get(task.job) ?? placedTasksByZone(task.job);
     zones.set(task.job, counts);
     counts.set(candidate.machine.zone, (counts.get(candidate.machine.zone) ?? 1) - 1);
     const target = targets.find(
@@ -36,7 +36,7 @@
         fits(spec.demand, free) &&
         images.has(spec.image) &&
         !machine.lifecycle.recentFailures.has(spec.id) &&
-        allows(spec, machine.typeName, machine.zone, machine.spot) &&
+        jobAllowsMachine(spec, machine.typeName, machine.zone, machine.spot) &&
         zoneAllowed(spec, counts, machine.zone),
     );
     if (target === undefined) return false;
--- a/src/coordination/autoscaling/ending-tasks.ts
+++ b/src/coordination/autoscaling/ending-tasks.ts
@@ -4,9 +4,9 @@
  */
 import type { JobSpec } from "../../protocol/job-spec.js";
 import { seconds } from "../../transport/clock.js";
-import { allows } from "../scheduling/eligibility.js";
+import { jobAllowsMachine } from "../scheduling/eligibility.js";
 import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
-import { MAX_QUEUE_SHARE, maxQueueTime } from "../scheduling/start-deadline.js";
+import { MAX_QUEUE_TIME_SHARE, maxQueueTime } from "../scheduling/start-deadline.js";
 
 /** The maximum share of a job's tasks that waits for ending tasks: run time estimates are often wrong by half. */
 const MAX_CLAIMED_SHARE = 0.8;
@@ -24,7 +24,7 @@
 const longestQueueTime = ({ settings }: SchedulerSnapshot): number => {
   let longest = 0;
   for (const { kind, within } of settings.objectives) {
-    if (kind === "wait" || kind === "guarantee") longest = Math.max(longest, (within ?? 0) * MAX_QUEUE_SHARE);
+    if (kind === "wait" || kind === "guarantee") longest = Math.max(longest, (within ?? 0) * MAX_QUEUE_TIME_SHARE);
   }
   return longest;
 };
@@ -79,7 +79,7 @@
     for (; index < endingTasks.length && cpu < wanted; index += 1) {
       const endingTask = endingTasks[index];
       if (endingTask === undefined || endingTask.remaining > queueTime) break;
-      if (allows(spec, endingTask.typeName, endingTask.zone, endingTask.spot)) cpu += endingTask.cpu;
+      if (jobAllowsMachine(spec, endingTask.typeName, endingTask.zone, endingTask.spot)) cpu += endingTask.cpu;
       else {
         endingTasks[keptCount] = endingTask;
         keptCount += 1;
--- a/src/coordination/autoscaling/machine-deletion-queue.ts
+++ b/src/coordination/autoscaling/machine-deletion-queue.ts
@@ -78,7 +78,7 @@
       machine.state = "deleted";
       shard.deletedMachines.add(machine.name);
       eventListener?.({ kind: "machine deleted", ...eventFieldsOf(machine) });
-      this.heartbeats.machineLost(machine, "deleted");
+      this.heartbeats.handleMachineLoss(machine, "deleted");
       shard.machines.delete(machine.name);
     }
     log.info(LogEvent.MachinesDeleted, { machines: machines.map((machine) => machine.name) });
--- a/src/coordination/autoscaling/machine-list-reconciler.ts
+++ b/src/coordination/autoscaling/machine-list-reconciler.ts
@@ -85,7 +85,7 @@
     const { eventListener, log } = this.context;
     log.info(LogEvent.MachineFailed, { machine: machine.name });
     eventListener?.({ kind: "machine failed", ...eventFieldsOf(machine) });
-    this.heartbeats.machineLost(machine, "failed");
+    this.heartbeats.handleMachineLoss(machine, "failed");
     void this.deletions.delete([machine]);
   }
 }
--- a/src/coordination/autoscaling/scale-plan.ts
+++ b/src/coordination/autoscaling/scale-plan.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import type { Job } from "../../cluster/job.js";
-import { zoneCounts } from "../scheduling/eligibility.js";
+import { placedTasksByZone } from "../scheduling/eligibility.js";
 import { waitingJobs } from "../scheduling/job-order.js";
 import type { SchedulerSnapshot } from "../scheduling/scheduler-snapshot.js";
 import { allowedStarts } from "../workers/failure-attribution.js";
@@ -60,7 +60,7 @@
     const { spec } = job;
     const startable = startableTasks(job, snapshot);
     const count = startable - endingCapacity.claim(spec, startable);
-    packer.pack({ reason: "waiting", spec, count, zoneCounts: zoneCounts(job), openBins });
+    packer.pack({ reason: "waiting", spec, count, zoneCounts: placedTasksByZone(job), openBins });
   }
 };
 
@@ -78,7 +78,7 @@
     }
   }
   for (const [job, count] of unreachableReplicas) {
-    const counts = zoneCounts(job);
+    const counts = placedTasksByZone(job);
     for (const zone of unreachableZones) counts.delete(zone);
     packer.pack({ reason: "unreachable zone", spec: job.spec, count, zoneCounts: counts });
   }
--- a/src/coordination/extension.ts
+++ b/src/coordination/extension.ts
@@ -23,14 +23,14 @@
 /** Operations on a shard that the scheduler core offers to an extension, in addition to transactions. */
 export interface ShardControls {
   /**
-   * Cancels those of the jobs for which `isWithdrawn` has become true. The extension has recorded this once for all, so
+   * Cancels those of the jobs for which `isCancelledWithRun` has become true. The extension has recorded this once for all, so
    * that no write per job is needed.
    */
-  cancelWithdrawnJobs(ids: Iterable<string>): void;
+  cancelJobsOfCancelledRuns(ids: Iterable<string>): void;
 }
 
 /**
- * A component that submits jobs of its own. The scheduler core treats them like all other jobs, but calls `isWithdrawn`
+ * A component that submits jobs of its own. The scheduler core treats them like all other jobs, but calls `isCancelledWithRun`
  * to find out whether a job was cancelled together with the graph run that it belongs to.
  */
 export interface Extension {
@@ -39,7 +39,7 @@
   /** Called when this controller has become the leader of a shard and restored its jobs. */
   acquireShard(context: ShardContext, controls: ShardControls): ShardExtension;
   /** Whether the job was cancelled together with its graph run, by the records in this controller's watch cache. */
-  isWithdrawn(spec: JobSpec): boolean;
+  isCancelledWithRun(spec: JobSpec): boolean;
 }
 
 /** Creates the extension of one controller; `types` are the cloud's machine types by name. */
--- a/src/coordination/jobs/job-watcher.ts
+++ b/src/coordination/jobs/job-watcher.ts
@@ -28,7 +28,7 @@
 export interface JobWatcherDependencies {
   readonly context: ShardContext;
   readonly taskStates: Pick<TaskStateWriter, "finishIfComplete" | "deleteKeys">;
-  readonly heartbeats: Pick<HeartbeatProcessor, "taskGone">;
+  readonly heartbeats: Pick<HeartbeatProcessor, "releaseAbsentTask">;
   readonly answeredStarts: Pick<AnsweredStarts, "wasAnswered">;
   readonly dependencyTracker: Pick<DependencyTracker, "jobAdded">;
   readonly extension: Extension | null;
@@ -115,7 +115,7 @@
   private confirmAnsweredStarts({ version, tasks }: TaskRange): void {
     for (const task of tasks)
       if (task.machine !== null && this.answeredStarts.wasAnswered(version, task.machine.name))
-        this.context.shard.confirmStart(task);
+        this.context.shard.markStartsAnswered(task);
   }
 
   /**
@@ -151,10 +151,10 @@
     if (jobOfKey(change.key) !== null) this.applyJobChange(change);
   }
 
-  /** Cancels the job if the extension has withdrawn it. */
-  cancelWithdrawn(id: string): void {
+  /** Cancels the job if its graph run, or its part of the run, is cancelled (`Extension.isCancelledWithRun`). */
+  cancelWithRun(id: string): void {
     const job = this.context.shard.jobs.get(id);
-    if (job === undefined || job.cancelled || this.extension?.isWithdrawn(job.spec) !== true) return;
+    if (job === undefined || job.cancelled || this.extension?.isCancelledWithRun(job.spec) !== true) return;
     job.cancellationReason = "graph";
     this.cancel(job);
   }
@@ -183,12 +183,12 @@
 
   private addJob(id: string, record: JobRecord, version: Uint64): void {
     const { shard, dependencies, eventListener } = this.context;
-    const isWithdrawn = !record.cancelled && this.extension?.isWithdrawn(record.spec) === true;
-    const isCancelled = record.cancelled || isWithdrawn || dependencies.isCancelled(id);
+    const isCancelledWithRun = !record.cancelled && this.extension?.isCancelledWithRun(record.spec) === true;
+    const isCancelled = record.cancelled || isCancelledWithRun || dependencies.isCancelled(id);
     const job = shard.addJob(record.spec, version, isCancelled);
     job.dependencyList = record.dependencyList ?? null;
     this.dependencyTracker.jobAdded(job, record.acceptedMs ?? null);
-    job.cancellationReason = isWithdrawn ? "graph" : (record.cancellationReason ?? null);
+    job.cancellationReason = isCancelledWithRun ? "graph" : (record.cancellationReason ?? null);
     // During `restore`, `finishIfComplete` is called for all jobs once their ranges are loaded.
     if (job.cancelled && this.restored) this.taskStates.finishIfComplete(job);
     eventListener?.({ kind: "job seen", spec: record.spec });
@@ -203,7 +203,7 @@
     eventListener?.({ kind: "job cancelled", job: id });
     for (const task of [...job.placedTasks]) {
       const { machine } = task;
-      if (task.startCommand.kind === "none") this.heartbeats.taskGone(task);
+      if (task.startCommand.kind === "none") this.heartbeats.releaseAbsentTask(task);
       if (machine !== null) this.context.scheduleCommands(machine);
     }
     this.taskStates.finishIfComplete(job);
--- a/src/coordination/jobs/outcome-writer.ts
+++ b/src/coordination/jobs/outcome-writer.ts
@@ -56,7 +56,7 @@
     if (rangesInWriting.length > 0) {
       // The outcome is written after the writes in flight. Deferred writes that are not sent yet are cancelled: the
       // outcome, for which the user waits, supersedes them.
-      for (const range of rangesInWriting) this.context.transactions.cancelPending(keyOfTaskRange(range));
+      for (const range of rangesInWriting) this.context.transactions.cancelDeferred(keyOfTaskRange(range));
       return;
     }
     job.outcomePending = true;
--- a/src/coordination/leadership/cluster-leadership.ts
+++ b/src/coordination/leadership/cluster-leadership.ts
@@ -49,7 +49,7 @@
    * Assigns the shards without a leader if this controller is the cluster leader; stands for election if there is no
    * cluster leader. Calls made during a pass lead to one further pass after it.
    */
-  async lead(): Promise<void> {
+  async reconcile(): Promise<void> {
     const { cache, settings, log } = this.services;
     if (this.passRunning) {
       // Without a further pass, a change seen during this one would wait for the next lease renewal.
@@ -71,7 +71,7 @@
     } finally {
       this.passRunning = false;
     }
-    if (this.passRequested) await this.lead();
+    if (this.passRequested) await this.reconcile();
   }
 
   private async electClusterLeader(ownMember: KeyValueEntry, leaseId: Uint64): Promise<void> {
--- a/src/coordination/leadership/controller.ts
+++ b/src/coordination/leadership/controller.ts
@@ -66,7 +66,8 @@
         return null;
       },
       isLeader: () => this.shardLeaders.size > 0,
-      isWithdrawn: (spec) => dependencies.isCancelled(spec.id) || this.extension?.isWithdrawn(spec) === true,
+      isCancelledIndirectly: (spec) =>
+        dependencies.isCancelled(spec.id) || this.extension?.isCancelledWithRun(spec) === true,
     });
     dependencies.onCancelledByDependency = (id) => {
       for (const leader of this.shardLeaders.values()) leader.cancelByDependency(id);
@@ -74,7 +75,7 @@
     dependencies.onReady = (id) => {
       for (const leader of this.shardLeaders.values()) leader.jobReady(id);
     };
-    cache.onChangeFirst((change) => this.jobApi.dependencyResolver.onChange(change));
+    cache.onChangeBeforeOthers((change) => this.jobApi.dependencyResolver.onChange(change));
     cache.onChange((change) => {
       if (change.key === MACHINE_TYPES_KEY && change.kind === "put") this.applyMachineTypes(change.value);
       for (const leader of this.shardLeaders.values()) leader.onChange(change);
@@ -136,7 +137,7 @@
     // There is a single shard; with several, the machine's name determines the shard (`shardOf`).
     const leader = this.membership.leaderOf(0);
     if (leader === null || leader === this.services.settings.label) return null;
-    return this.mesh.relayHeartbeat(leader, request);
+    return this.mesh.forwardHeartbeat(leader, request);
   }
 
   /** Up machines in the shards led here, and when the latest shard was acquired; null: no shard is led here. */
--- a/src/coordination/leadership/heartbeat-responder.ts
+++ b/src/coordination/leadership/heartbeat-responder.ts
@@ -60,7 +60,7 @@
     const waitTime = mayWait && freshness === "fenced" ? this.waitTimeOf(machine) : NO_WAIT;
     if (waitTime > 0) {
       await this.waitForStarts(machine, waitTime);
-      if (!this.mayRespondTo(heartbeat) || !this.dependencies.unreachableZones.mayAnswer(machine.zone)) return null;
+      if (!this.mayRespondTo(heartbeat) || !this.dependencies.unreachableZones.mayRespond(machine.zone)) return null;
     }
     machine.lease.renewedAt = context.clock.now();
     machine.lease.respondedAt = machine.lease.renewedAt;
@@ -102,9 +102,9 @@
   /** True: no response, as the zone is recorded as unreachable; the heartbeat then marks the zone as reachable. */
   private isInUnreachableZone(machine: Machine): boolean {
     const { context, unreachableZones } = this.dependencies;
-    if (unreachableZones.mayAnswer(machine.zone)) return false;
+    if (unreachableZones.mayRespond(machine.zone)) return false;
     machine.reachability.lastHeartbeatAt = context.clock.now();
-    unreachableZones.markReachable(machine.zone);
+    unreachableZones.recordHeartbeatFrom(machine.zone);
     return true;
   }
 
--- a/src/coordination/leadership/leader-checks.ts
+++ b/src/coordination/leadership/leader-checks.ts
@@ -100,7 +100,7 @@
     const { context, failureDetector, commands } = this.dependencies;
     failureDetector.expireLeases();
     failureDetector.checkSilence();
-    for (const machine of context.shard.machines.values()) commands.evict(machine);
+    for (const machine of context.shard.machines.values()) commands.applyEvictions(machine);
   }
 
   private summarizeIfDue(): void {
--- a/src/coordination/leadership/membership.ts
+++ b/src/coordination/leadership/membership.ts
@@ -150,7 +150,7 @@
       if (assignedHere && entry !== undefined && !this.heldShards.has(shard))
         this.acquire(shard, record, entry, this.memberLease);
     }
-    void this.clusterLeadership.lead();
+    void this.clusterLeadership.reconcile();
   }
 
   private acquire(shard: number, record: ShardRecord, entry: KeyValueEntry, memberLease: MemberLease | null): void {
--- a/src/coordination/leadership/mesh-port.ts
+++ b/src/coordination/leadership/mesh-port.ts
@@ -17,7 +17,7 @@
   /** Records that a heartbeat of a worker led here was received through the peer. */
   recordRelayedHeartbeat(address: string, peer: string): void;
   /** Relays a worker's heartbeat and returns the leader's response; null: redirect the worker to the leader. */
-  relayHeartbeat(leader: string, request: HttpRequest): Promise<HttpResponse | null>;
+  forwardHeartbeat(leader: string, request: HttpRequest): Promise<HttpResponse | null>;
   /** Status of all links, for operators. */
   linkTable(): LinkTable;
 }
--- a/src/coordination/leadership/shard-collaborators.ts
+++ b/src/coordination/leadership/shard-collaborators.ts
@@ -90,7 +90,7 @@
   const context = createContext(options, state, () => targets);
   const taskStates = new TaskStateWriter(context);
   const heartbeats = new HeartbeatProcessor(context, taskStates);
-  const { waiting } = allocateConnections(services.settings.quota.maxConnections);
+  const { longPolls: waiting } = allocateConnections(services.settings.quota.maxConnections);
   const longPolls = new LongPolls(services.clock, waiting);
   const commands = new CommandDispatcher(context, heartbeats, longPolls);
   const scheduler = new Scheduler(context, taskStates);
@@ -147,7 +147,7 @@
 
 const createShardState = ({ services, machineTypes }: ShardLeaderOptions): ShardState => {
   const { clock, settings } = services;
-  const fittingTasks = Math.floor(settings.store.layoutBytes / BYTES_PER_TASK);
+  const fittingTasks = Math.floor(settings.store.currentValueBytes / BYTES_PER_TASK);
   const tasksPerRange = Math.max(1, Math.min(MAX_TASKS_PER_RANGE, fittingTasks));
   return new ShardState(clock, tasksPerRange, settings.teams, () => machineTypes);
 };
@@ -170,7 +170,7 @@
   scheduleCommands: (machine) => targets().commandPools.add(machine),
   queryStatus: (machine) => targets().statusQueries.enqueue(machine),
   announceFencingToken: (machine) => targets().statusQueries.announceFencingToken(machine),
-  mayStartTasks: (machine) => targets().unreachableZones.mayAnswer(machine.zone),
+  mayStartTasks: (machine) => targets().unreachableZones.mayRespond(machine.zone),
   onJobEnded: (job, end) => {
     const { taskStates, dependencyTracker } = targets();
     taskStates.deleteKeys(dependencyTracker.dependencyListKeys(job));
--- a/src/coordination/leadership/shard-leader.ts
+++ b/src/coordination/leadership/shard-leader.ts
@@ -28,8 +28,8 @@
     jobWatcher.restore();
     this.state.extension =
       extension?.acquireShard(context, {
-        cancelWithdrawnJobs: (ids) => {
-          for (const id of ids) jobWatcher.cancelWithdrawn(id);
+        cancelJobsOfCancelledRuns: (ids) => {
+          for (const id of ids) jobWatcher.cancelWithRun(id);
         },
       }) ?? null;
     checks.start();
--- a/src/coordination/scheduling/candidate-index.ts
+++ b/src/coordination/scheduling/candidate-index.ts
@@ -8,7 +8,7 @@
 import type { Resources } from "../../protocol/resources.js";
 import type { Micros } from "../../transport/clock.js";
 import { mayBackfill, type Reservation } from "./capacity-reservation.js";
-import { allows, isReady, readyMachines, zoneAllowed, zoneCounts } from "./eligibility.js";
+import { isReady, jobAllowsMachine, placedTasksByZone, readyMachines, zoneAllowed } from "./eligibility.js";
 import type { GuaranteeUsage } from "./guarantee-usage.js";
 import { countThatFit, fits, type Images, subtractResources } from "./placement/bfgp.js";
 import type { RankedServer } from "./placement/ranking.js";
@@ -175,7 +175,7 @@
   const { spec } = job;
   const tasksByZone = new Map<string, number>();
   for (const pool of candidateIndex.pools) {
-    if (!allows(spec, pool.typeName, pool.zone, pool.spot)) continue;
+    if (!jobAllowsMachine(spec, pool.typeName, pool.zone, pool.spot)) continue;
     for (const candidate of pool.candidates) {
       const count = Math.min(spec.tasks, countThatFit(spec.demand, candidate.free));
       tasksByZone.set(pool.zone, (tasksByZone.get(pool.zone) ?? 0) + count);
@@ -188,10 +188,10 @@
 /** The zones that the job may use and that have capacity for one more of its tasks now. */
 export const zonesWithCapacity = (job: Job, candidateIndex: CandidateIndex): ReadonlySet<string> => {
   const { spec } = job;
-  const counts = zoneCounts(job);
+  const counts = placedTasksByZone(job);
   const zones = new Set<string>();
   for (const { typeName, zone, spot, candidates } of candidateIndex.pools) {
-    if (zones.has(zone) || !allows(spec, typeName, zone, spot) || !zoneAllowed(spec, counts, zone)) continue;
+    if (zones.has(zone) || !jobAllowsMachine(spec, typeName, zone, spot) || !zoneAllowed(spec, counts, zone)) continue;
     if (candidates.some(({ free }) => fits(spec.demand, free))) zones.add(zone);
   }
   return zones;
--- a/src/coordination/scheduling/eligibility.ts
+++ b/src/coordination/scheduling/eligibility.ts
@@ -9,13 +9,13 @@
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
 
 /** Whether the job's constraints on type, zone and spot instances allow such a machine. */
-export const allows = (spec: JobSpec, typeName: string, zone: string, spot: boolean): boolean =>
+export const jobAllowsMachine = (spec: JobSpec, typeName: string, zone: string, spot: boolean): boolean =>
   (spec.types === null || spec.types.includes(typeName)) &&
   (spec.zone === null || spec.zone === zone) &&
   (!spot || spec.spot);
 
 /** The number of the job's placed tasks by zone; "" counts the tasks whose machine, and so its zone, is unknown. */
-export const zoneCounts = (job: Job): Map<string, number> => {
+export const placedTasksByZone = (job: Job): Map<string, number> => {
   const counts = new Map<string, number>();
   for (const task of job.placedTasks) {
     const zone = task.machine?.zone ?? "";
@@ -48,7 +48,7 @@
   | "fencing token unverified";
 
 /** Why the machine is given no new tasks now; null if it is ready. */
-export const unready = (machine: Machine, snapshot: SchedulerSnapshot): UnreadyReason | null =>
+export const unreadyReason = (machine: Machine, snapshot: SchedulerSnapshot): UnreadyReason | null =>
   unreadyByLifecycle(machine, snapshot) ?? unreadyByContact(machine, snapshot);
 
 const unreadyByLifecycle = (machine: Machine, { now }: SchedulerSnapshot): UnreadyReason | null => {
@@ -62,7 +62,7 @@
 };
 
 const unreadyByContact = (machine: Machine, snapshot: SchedulerSnapshot): UnreadyReason | null => {
-  const { now, heartbeatTimeout, firstFencingToken } = snapshot;
+  const { now, heartbeatTimeout, minFencingToken: firstFencingToken } = snapshot;
   if (now - machine.reachability.lastHeartbeatAt > heartbeatTimeout) return "heartbeat overdue";
   if (!isReachable(machine.reachability)) return "unreachable";
   return machine.counters.highestToken < firstFencingToken || machine.counters.resetToken !== 0
@@ -75,7 +75,7 @@
 
 /** Whether the machine can take tasks now. */
 export const isReady = (machine: Machine, snapshot: SchedulerSnapshot): machine is TypedMachine =>
-  unready(machine, snapshot) === null;
+  unreadyReason(machine, snapshot) === null;
 
 /** All machines that can take tasks now. An array rather than a generator, for speed: callers walk the whole fleet. */
 export const readyMachines = (snapshot: SchedulerSnapshot): readonly TypedMachine[] => {
@@ -88,7 +88,7 @@
  * Why a job can never run with these teams and machine types, however much capacity becomes free; null if it can. An
  * array needs to fit its team's limit with one task, other shapes with all.
  */
-export const neverRuns = (
+export const infeasibilityReason = (
   spec: JobSpec,
   { teams }: Pick<Settings, "teams">,
   types: ReadonlyMap<string, MachineType>,
--- a/src/coordination/scheduling/job-placement.ts
+++ b/src/coordination/scheduling/job-placement.ts
@@ -4,7 +4,7 @@
 import { allowedStarts } from "../workers/failure-attribution.js";
 import { type CandidateIndex, isKnownExhausted, markExhausted, zoneWithMostCapacity } from "./candidate-index.js";
 import { isLimitReserved } from "./capacity-reservation.js";
-import { zoneCounts } from "./eligibility.js";
+import { placedTasksByZone } from "./eligibility.js";
 import { placeGang } from "./gang-placement.js";
 import { assign } from "./placement/bfgp.js";
 import type { RoundAction } from "./round-action.js";
@@ -133,7 +133,7 @@
   boosted: BoostedJobs | null,
 ): Generator<RoundAction, RangeOutcome> {
   const { spec } = job;
-  const zoneTaskCounts = zoneCounts(job);
+  const zoneTaskCounts = placedTasksByZone(job);
   if (spec.singleZone && job.placedTasks.size === 0) {
     const zone = zoneWithMostCapacity(job, candidateIndex);
     if (zone === null) return [...job.waitingTasks][0] ?? null;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -4,7 +4,7 @@
 import { type Micros, seconds } from "../../transport/clock.js";
 import { allowedStarts } from "../workers/failure-attribution.js";
 import type { CandidateIndex } from "./candidate-index.js";
-import { zoneCounts } from "./eligibility.js";
+import { placedTasksByZone } from "./eligibility.js";
 import { subtractResources } from "./placement/bfgp.js";
 import type { PreemptionBudget } from "./preemption-budget.js";
 import { checkpointGraceS } from "./preemption-cost.js";
@@ -125,14 +125,14 @@
   unplaced: Task,
   candidateIndex: CandidateIndex,
 ): Generator<PreemptAction> {
-  const { now, maxPreemptionSearches } = snapshot;
+  const { now, maxVictimSearches } = snapshot;
   const { job } = unplaced;
-  const zoneTaskCounts = zoneCounts(job);
+  const zoneTaskCounts = placedTasksByZone(job);
   state.promisedCapacity.expire(now);
   const maxStarts = allowedStarts(job, now);
   let satisfied = 0;
   for (const task of job.waitingTasks) {
-    if (candidateIndex.preemptionSearches >= maxPreemptionSearches || satisfied >= maxStarts) return;
+    if (candidateIndex.preemptionSearches >= maxVictimSearches || satisfied >= maxStarts) return;
     if (task.earliestStart > now || task.nextPreemptionSearch > now) continue;
     const found =
       (yield* usePromisedCapacity(snapshot, state, task, zoneTaskCounts)) ||
--- a/src/coordination/scheduling/promised-capacity.ts
+++ b/src/coordination/scheduling/promised-capacity.ts
@@ -3,7 +3,7 @@
 import type { Task } from "../../cluster/task.js";
 import type { Resources } from "../../protocol/resources.js";
 import { type Micros, seconds } from "../../transport/clock.js";
-import { allows, zoneAllowed } from "./eligibility.js";
+import { jobAllowsMachine, zoneAllowed } from "./eligibility.js";
 import { fits, subtractResources } from "./placement/bfgp.js";
 
 /** How long a promise lasts: preempted tasks that write no checkpoint are gone within moments. */
@@ -29,7 +29,8 @@
   take(task: Task, zoneTaskCounts: ReadonlyMap<string, number>): Machine | null {
     const { spec } = task.job;
     for (const [machine, promise] of this.promises) {
-      if (!fits(spec.demand, promise.free) || !allows(spec, machine.typeName, machine.zone, machine.spot)) continue;
+      if (!fits(spec.demand, promise.free) || !jobAllowsMachine(spec, machine.typeName, machine.zone, machine.spot))
+        continue;
       if (!zoneAllowed(spec, zoneTaskCounts, machine.zone)) continue;
       promise.free = subtractResources(promise.free, spec.demand);
       return machine;
--- a/src/coordination/scheduling/reservation-search.ts
+++ b/src/coordination/scheduling/reservation-search.ts
@@ -6,7 +6,7 @@
 import type { Task } from "../../cluster/task.js";
 import type { JobSpec } from "../../protocol/job-spec.js";
 import { type Micros, seconds } from "../../transport/clock.js";
-import { allows, zoneAllowed, zoneCounts } from "./eligibility.js";
+import { jobAllowsMachine, placedTasksByZone, zoneAllowed } from "./eligibility.js";
 import { tasksPlacedTogether } from "./job-start.js";
 import { addResources, countThatFit, subtractResources } from "./placement/bfgp.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
@@ -111,10 +111,10 @@
   machines: readonly Machine[],
 ): MachineCapacity[] => {
   const { spec } = job;
-  const zoneTaskCounts = zoneCounts(job);
+  const zoneTaskCounts = placedTasksByZone(job);
   const untilAllEnded = spec.shape === "gang";
   const available = machines.flatMap((machine) => {
-    if (!allows(spec, machine.typeName, machine.zone, machine.spot)) return [];
+    if (!jobAllowsMachine(spec, machine.typeName, machine.zone, machine.spot)) return [];
     if (!zoneAllowed(spec, zoneTaskCounts, machine.zone)) return [];
     const capacity = capacityAvailableAt(machine, spec, untilAllEnded, snapshot.now);
     return capacity === null ? [] : [{ machine, ...capacity }];
--- a/src/coordination/scheduling/scheduler-snapshot.ts
+++ b/src/coordination/scheduling/scheduler-snapshot.ts
@@ -18,11 +18,11 @@
   /** A machine gets no new tasks once its last heartbeat is older than this, in microseconds. */
   readonly heartbeatTimeout: number;
   /** A machine gets no new tasks until its worker has reported a fencing token at least this high. */
-  readonly firstFencingToken: number;
+  readonly minFencingToken: number;
   /** The unfinished demand of entitled jobs exceeds all capacity: each team gets the same share of its guarantee. */
   readonly guaranteesOvercommitted: boolean;
   /** The maximum number of victim searches in a round. */
-  readonly maxPreemptionSearches: number;
+  readonly maxVictimSearches: number;
   /** How many more task ranges of urgent and of other jobs may have placements that are not on record yet. */
   readonly recordBudget: Readonly<Record<"urgent" | "normal", number>>;
   /** Counts the machines and tasks inspected, as a measure of a decision's cost. */
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -14,7 +14,7 @@
 import { writePriorityOf } from "./start-deadline.js";
 
 /** The maximum number of victim searches in a round; lower under load shedding. */
-export const MAX_PREEMPTION_SEARCHES = 24;
+export const MAX_VICTIM_SEARCHES = 24;
 const MAX_PREEMPTION_SEARCHES_UNDER_LOAD = 4;
 /** Bounds of how far placements may run ahead of their records, in seconds of key-value store writes. */
 const MIN_RECORDS_AHEAD_S = 2;
@@ -29,7 +29,7 @@
 
 /** Runs placement rounds and carries out their actions by writing records and sending commands. */
 export class Scheduler {
-  readonly inspection: InspectionCounter = { count: 0 };
+  readonly inspectionCounter: InspectionCounter = { count: 0 };
   private readonly roundState = newRoundState();
   private reportedInspections = 0;
   private lastRoundAt: Micros;
@@ -53,13 +53,11 @@
       settings,
       options,
       heartbeatTimeout: settings.workers.heartbeatInterval * options.silentReports,
-      firstFencingToken: firstFencingToken(lease),
-      maxPreemptionSearches: loadShedder.atLeast("reduced")
-        ? MAX_PREEMPTION_SEARCHES_UNDER_LOAD
-        : MAX_PREEMPTION_SEARCHES,
+      minFencingToken: firstFencingToken(lease),
+      maxVictimSearches: loadShedder.atLeast("reduced") ? MAX_PREEMPTION_SEARCHES_UNDER_LOAD : MAX_VICTIM_SEARCHES,
       recordBudget,
       guaranteesOvercommitted: this.roundState.guaranteesOvercommitted,
-      inspection: this.inspection,
+      inspection: this.inspectionCounter,
     };
   }
 
@@ -131,8 +129,8 @@
 
   /** Reports how many machines and tasks have been inspected since the previous report. */
   reportInspections(): void {
-    this.context.onInspected?.(this.inspection.count - this.reportedInspections);
-    this.reportedInspections = this.inspection.count;
+    this.context.onInspected?.(this.inspectionCounter.count - this.reportedInspections);
+    this.reportedInspections = this.inspectionCounter.count;
   }
 
   /** Applies one action to the shard state, then writes, sends or logs what it requires. */
--- a/src/coordination/scheduling/start-deadline.ts
+++ b/src/coordination/scheduling/start-deadline.ts
@@ -10,7 +10,7 @@
  * The share of its start deadline that a job may wait for capacity to become free by itself: until then preemption
  * for it must not cost more than it gains, and scale-out may count on that capacity.
  */
-export const MAX_QUEUE_SHARE = 0.5;
+export const MAX_QUEUE_TIME_SHARE = 0.5;
 
 /**
  * The shortest time within which the job's tasks are expected to start, in microseconds, by the objectives for its
@@ -32,7 +32,7 @@
 
 /** How long the job's tasks may wait for capacity that becomes free by itself, in microseconds. */
 export const maxQueueTime = (spec: JobSpec, settings: Pick<Settings, "objectives" | "teams">): number =>
-  (startDeadline(spec, settings) ?? 0) * MAX_QUEUE_SHARE;
+  (startDeadline(spec, settings) ?? 0) * MAX_QUEUE_TIME_SHARE;
 
 /** Jobs of this rank and above it (lower numbers) are urgent. */
 const HIGH_RANK = 1;
--- a/src/coordination/scheduling/task-placer.ts
+++ b/src/coordination/scheduling/task-placer.ts
@@ -5,7 +5,7 @@
 import type { Job } from "../../cluster/job.js";
 import type { Candidate, CandidateIndex, MachinePool } from "./candidate-index.js";
 import { mayBackfill } from "./capacity-reservation.js";
-import { allows, zoneAllowed } from "./eligibility.js";
+import { jobAllowsMachine, zoneAllowed } from "./eligibility.js";
 import { fits } from "./placement/bfgp.js";
 import { Ranking } from "./placement/ranking.js";
 import type { SchedulerSnapshot } from "./scheduler-snapshot.js";
@@ -53,7 +53,7 @@
   ) {
     const { spec } = job;
     this.isZoneBound = spec.spread || spec.singleZone;
-    this.pools = candidateIndex.pools.filter((pool) => allows(spec, pool.typeName, pool.zone, pool.spot));
+    this.pools = candidateIndex.pools.filter((pool) => jobAllowsMachine(spec, pool.typeName, pool.zone, pool.spot));
     // Machines on which the job failed are avoided if possible: best fit prefers full machines, often the faulty one.
     this.skipsFailed = this.pools.some(({ candidates }) =>
       candidates.some((candidate) => !this.hasFailedOn(candidate) && fits(spec.demand, candidate.free)),
--- a/src/coordination/scheduling/victim-search.ts
+++ b/src/coordination/scheduling/victim-search.ts
@@ -6,7 +6,7 @@
 import type { Resources } from "../../protocol/resources.js";
 import { seconds } from "../../transport/clock.js";
 import { type CandidateIndex, zonesWithCapacity } from "./candidate-index.js";
-import { allows, zoneAllowed } from "./eligibility.js";
+import { jobAllowsMachine, zoneAllowed } from "./eligibility.js";
 import type { VictimTally } from "./guarantee-usage.js";
 import { addResources, fits, subtractResources } from "./placement/bfgp.js";
 import { endsSoon, maxPreemptionCost, preemptionCost } from "./preemption-cost.js";
@@ -204,7 +204,7 @@
   for (const machine of candidateIndex.machines) {
     const { type, typeName, zone, spot } = machine;
     if (type === null || !finder.machines.has(machine)) continue;
-    if (!allows(spec, typeName, zone, spot) || !zoneAllowed(spec, zoneTaskCounts, zone)) continue;
+    if (!jobAllowsMachine(spec, typeName, zone, spot) || !zoneAllowed(spec, zoneTaskCounts, zone)) continue;
     const victimSet = cheapestVictimsOn(snapshot, task, machine, type, finder);
     if (victimSet !== null && (cheapest === null || victimSet.cost < cheapest.cost)) cheapest = victimSet;
   }
--- a/src/coordination/workers/answered-starts.ts
+++ b/src/coordination/workers/answered-starts.ts
@@ -4,7 +4,7 @@
  */
 
 import type { ShardState } from "../../cluster/shard-state.js";
-import { mayStartLate, type Task } from "../../cluster/task.js";
+import { startMayBeInTransit, type Task } from "../../cluster/task.js";
 import type { Uint64 } from "../../protocol/json.js";
 import {
   type AnsweredStartsRecord,
@@ -30,7 +30,7 @@
 
 /** Whether the worker has listed the attempt and no start command without a response can still be delivered. */
 export const isStartAnswered = (task: Task, now: Micros): boolean =>
-  task.startCommand.kind === "observed" && !mayStartLate(task, now);
+  task.startCommand.kind === "observed" && !startMayBeInTransit(task, now);
 
 /**
  * Keeps on record which placed tasks have no start command without a response, so that the next leader holds only the
--- a/src/coordination/workers/command-dispatcher.ts
+++ b/src/coordination/workers/command-dispatcher.ts
@@ -197,7 +197,7 @@
     const { clock, lease } = this.context;
     if (machine.commands.inFlight || !lease.isValid()) return false;
     if (probe) return true;
-    return machine.state === "up" && !machine.lease.expired && clock.now() >= machine.commands.nextAt;
+    return machine.state === "up" && !machine.lease.expired && clock.now() >= machine.commands.nextRequestAt;
   }
 
   /**
@@ -222,13 +222,13 @@
     } catch (error) {
       log.error(LogEvent.WorkerResponseMalformed, { machine: machine.name, error: String(error) });
     }
-    machine.commands.nextAt = (accepted ? clock.now() : clock.now() + RETRY_DELAY) as Micros;
+    machine.commands.nextRequestAt = (accepted ? clock.now() : clock.now() + RETRY_DELAY) as Micros;
     if (this.repeatableCommands(machine).length > 0) this.context.scheduleCommands(machine);
   }
 
   private retryLater(machine: Machine): void {
     const { clock } = this.context;
-    machine.commands.nextAt = (clock.now() + RETRY_DELAY) as Micros;
+    machine.commands.nextRequestAt = (clock.now() + RETRY_DELAY) as Micros;
     clock.after(RETRY_DELAY, () => this.context.scheduleCommands(machine));
   }
 
@@ -264,11 +264,11 @@
   }
 
   /** Carries out the graceful evictions due on the machine: releases, keeps or stops its tasks. */
-  evict(machine: Machine): void {
+  applyEvictions(machine: Machine): void {
     for (const action of decideEvictions(machine, this.context.clock.now())) {
       switch (action.kind) {
         case "release":
-          this.heartbeats.taskGone(action.task);
+          this.heartbeats.releaseAbsentTask(action.task);
           break;
         case "keep":
           action.task.stopRequest = null;
--- a/src/coordination/workers/failure-attribution.ts
+++ b/src/coordination/workers/failure-attribution.ts
@@ -82,8 +82,8 @@
 const putOnProbation = (job: Job, machines: ReadonlyMap<string, Machine>, now: Micros): void => {
   // Failures of tasks that were already running when the back-off began are not a new trial.
   if (!job.onProbation || now >= job.retryAfter) {
-    job.failedProbes += 1;
-    const delay = Math.min(MAX_PROBATION_DELAY, MIN_PROBATION_DELAY * 2 ** Math.min(20, job.failedProbes - 1));
+    job.failedTrials += 1;
+    const delay = Math.min(MAX_PROBATION_DELAY, MIN_PROBATION_DELAY * 2 ** Math.min(20, job.failedTrials - 1));
     job.retryAfter = (now + delay) as Micros;
   }
   job.onProbation = true;
@@ -95,8 +95,8 @@
 };
 
 /** Clears the job's failure history and probation after one of its tasks has completed. */
-export const clearSuspicion = (job: Job): void => {
-  job.failedProbes = 0;
+export const clearFailureHistory = (job: Job): void => {
+  job.failedTrials = 0;
   job.failedMachines.clear();
   job.onProbation = false;
   job.longestFailedRun = 0 as Micros;
--- a/src/coordination/workers/failure-detector.ts
+++ b/src/coordination/workers/failure-detector.ts
@@ -44,7 +44,7 @@
 export interface FailureDetectorDependencies {
   readonly context: ShardContext;
   readonly commands: Pick<CommandDispatcher, "queryStatus" | "send">;
-  readonly heartbeats: Pick<HeartbeatProcessor, "leaseExpired">;
+  readonly heartbeats: Pick<HeartbeatProcessor, "handleLeaseExpiry">;
   readonly autoscaler: Pick<Autoscaler, "deleteMachines" | "unreachableZones">;
   readonly unreachableZones: Pick<UnreachableZones, "unansweredSince" | "markUnreachable">;
   readonly guard: (work: Promise<unknown>) => Promise<void>;
@@ -129,14 +129,14 @@
       if (machine.counters.incarnation === null) this.applyInheritedLeaseRenewal(machine);
       if (machine.lease.expired) {
         // The response to a start command that was in flight may have added a task since the expiry.
-        if (machine.tasks.size > 0) this.dependencies.heartbeats.leaseExpired(machine, LEASE_EXPIRY_REASON);
+        if (machine.tasks.size > 0) this.dependencies.heartbeats.handleLeaseExpiry(machine, LEASE_EXPIRY_REASON);
         continue;
       }
       if (now - machine.lease.renewedAt <= expiryTime) continue;
       machine.lease.expired = true;
       // A late heartbeat of the expired incarnation must not restore its tasks in the shard's state.
       if (machine.counters.incarnation !== null) machine.counters.expiredIncarnation = machine.counters.incarnation;
-      this.dependencies.heartbeats.leaseExpired(machine, LEASE_EXPIRY_REASON);
+      this.dependencies.heartbeats.handleLeaseExpiry(machine, LEASE_EXPIRY_REASON);
     }
   }
 
@@ -229,7 +229,7 @@
     const probedZones = new Set<string>();
     const recordProbe = (machine: Machine): void => {
       probes += 1;
-      machine.reachability.probedAt = now;
+      machine.reachability.statusQueriedAt = now;
       probedZones.add(machine.zone);
     };
     // Machines that send heartbeats but time out are probed repeatedly: a reply makes them reachable again.
@@ -240,13 +240,13 @@
     for (const machine of timedOut) {
       if (probes >= MAX_PROBES) break;
       const interval = isReachable(machine.reachability) ? PROBE_TIMEOUT : UNREACHABLE_PROBE_INTERVAL;
-      if (now - machine.reachability.probedAt < interval) continue;
+      if (now - machine.reachability.statusQueriedAt < interval) continue;
       recordProbe(machine);
       this.sendProbe(machine);
     }
     for (const machine of silent) {
       if (probes >= MAX_PROBES) break;
-      if (machine.reachability.probedAt >= machine.reachability.lastHeartbeatAt) continue;
+      if (machine.reachability.statusQueriedAt >= machine.reachability.lastHeartbeatAt) continue;
       recordProbe(machine);
       if (machine.counters.incarnation === null) this.queryStatus(machine);
       else this.sendProbe(machine);
@@ -272,9 +272,9 @@
     zonesWithOpenQueries: ReadonlySet<string>,
   ): readonly Machine[] {
     return silent.filter(({ reachability, zone }) => {
-      const { probedAt } = reachability;
-      if (probedAt < reachability.lastHeartbeatAt || now - probedAt <= PROBE_TIMEOUT) return false;
-      return up.length < MIN_ZONE_MACHINES || (lastHeartbeatAt > probedAt && !zonesWithOpenQueries.has(zone));
+      const { statusQueriedAt } = reachability;
+      if (statusQueriedAt < reachability.lastHeartbeatAt || now - statusQueriedAt <= PROBE_TIMEOUT) return false;
+      return up.length < MIN_ZONE_MACHINES || (lastHeartbeatAt > statusQueriedAt && !zonesWithOpenQueries.has(zone));
     });
   }
 
--- a/src/coordination/workers/heartbeat-processor.ts
+++ b/src/coordination/workers/heartbeat-processor.ts
@@ -2,7 +2,7 @@
 
 import { eventFieldsOf } from "../../cluster/events.js";
 import type { Machine } from "../../cluster/machine.js";
-import { mayRelease, mayStartLate, type Task } from "../../cluster/task.js";
+import { mayRelease, startMayBeInTransit, type Task } from "../../cluster/task.js";
 import type { Uint64 } from "../../protocol/json.js";
 import type { Heartbeat } from "../../protocol/worker.js";
 import { type Micros, seconds } from "../../transport/clock.js";
@@ -279,7 +279,7 @@
   }
 
   /** Releases all tasks of a machine that no longer exists; commands sent to it can no longer be delivered. */
-  machineLost(machine: Machine, why: string): void {
+  handleMachineLoss(machine: Machine, why: string): void {
     this.logLostTasks(machine, [...machine.tasks], why);
     for (const task of [...machine.tasks]) {
       task.unansweredStartAt = null;
@@ -294,10 +294,10 @@
    * task whose start command may still be delivered stays assigned to it until the machine is deleted, or sends
    * heartbeats again and starts the task.
    */
-  leaseExpired(machine: Machine, why: string): void {
+  handleLeaseExpiry(machine: Machine, why: string): void {
     this.markInheritedStartsUnanswered(machine);
     const now = this.context.clock.now();
-    const gone = [...machine.tasks].filter((task) => !mayStartLate(task, now));
+    const gone = [...machine.tasks].filter((task) => !startMayBeInTransit(task, now));
     this.logLostTasks(machine, gone, why);
     for (const task of gone) this.taskExits.releaseAbsentTask(task);
     for (const task of machine.tasks) this.resetToUnstarted(task);
@@ -311,7 +311,7 @@
   }
 
   /** Releases a task that is proved absent from its machine. */
-  taskGone(task: Task): void {
+  releaseAbsentTask(task: Task): void {
     this.taskExits.releaseAbsentTask(task);
   }
 }
--- a/src/coordination/workers/task-exit-handler.ts
+++ b/src/coordination/workers/task-exit-handler.ts
@@ -2,13 +2,13 @@
 
 import { eventFieldsOf } from "../../cluster/events.js";
 import type { Machine } from "../../cluster/machine.js";
-import { MAX_START_DELAY, type Task } from "../../cluster/task.js";
+import { MAX_START_TRANSIT_TIME, type Task } from "../../cluster/task.js";
 import type { ExitReason } from "../../protocol/worker.js";
 import { type Micros, seconds } from "../../transport/clock.js";
 import { exponentialBackoff, type ShardContext } from "../context.js";
 import type { TaskStateWriter } from "../jobs/task-state-writer.js";
 import { LogEvent } from "../log-events.js";
-import { attributeFailure, clearSuspicion, STABLE_RUN_TIME } from "./failure-attribution.js";
+import { attributeFailure, clearFailureHistory, STABLE_RUN_TIME } from "./failure-attribution.js";
 
 const MIN_RETRY_DELAY = seconds(0.5);
 const MAX_RETRY_DELAY = seconds(30);
@@ -41,7 +41,7 @@
     const { job, unansweredStartAt } = task;
     // Until then its earlier start command may still be delivered and run it on that machine.
     if (unansweredStartAt !== null)
-      task.earliestStart = Math.max(task.earliestStart, unansweredStartAt + MAX_START_DELAY) as Micros;
+      task.earliestStart = Math.max(task.earliestStart, unansweredStartAt + MAX_START_TRANSIT_TIME) as Micros;
     this.context.shard.releaseTask(task);
     this.context.scheduleRound();
     if (job.cancelled) this.taskStates.finishIfComplete(job);
@@ -64,13 +64,13 @@
     const { shard, clock, eventListener } = this.context;
     const { job } = task;
     const now = clock.now();
-    shard.rememberImageOf(machine, task);
+    shard.recordImageUseBy(machine, task);
     const ran = (task.runningSince === null ? 0 : now - task.runningSince) as Micros;
     eventListener?.({ kind: "task done", job: job.spec.id, index: task.index, ran });
     task.desired = { kind: "done" };
     shard.releaseTask(task);
     job.completedTasks += 1;
-    clearSuspicion(job);
+    clearFailureHistory(job);
     if (job.completedTasks >= job.spec.tasks || job.cancelled) this.taskStates.finishIfComplete(job);
     else this.taskStates.recordSoon(task.range);
     this.context.scheduleRound();
--- a/src/coordination/workers/task-list-reconciliation.ts
+++ b/src/coordination/workers/task-list-reconciliation.ts
@@ -1,13 +1,13 @@
 /** Reconciliation of a worker's list of tasks with the tasks that are placed on its machine. */
 
 import { isBeingEmptied, type Machine } from "../../cluster/machine.js";
-import { attemptOf, mayRelease, mayStartLate, type Task } from "../../cluster/task.js";
+import { attemptOf, mayRelease, startMayBeInTransit, type Task } from "../../cluster/task.js";
 import type { Uint64 } from "../../protocol/json.js";
 import type { Heartbeat, TaskStatus } from "../../protocol/worker.js";
 import type { ShardContext } from "../context.js";
 import { fencingTokenOf } from "../fencing-token.js";
 import { LogEvent } from "../log-events.js";
-import { zoneAllowed, zoneCounts } from "../scheduling/eligibility.js";
+import { placedTasksByZone, zoneAllowed } from "../scheduling/eligibility.js";
 import { markInheritedStartUnanswered } from "./inherited-starts.js";
 import { isReachable } from "./reachability.js";
 import type { TaskExitHandler } from "./task-exit-handler.js";
@@ -32,7 +32,7 @@
 /** Whether the zone rules of its job allow the task in the zone, given where the job's other tasks may be. */
 const satisfiesZoneRules = ({ job }: Task, { zone }: Machine): boolean => {
   if (!job.spec.spread && !job.spec.singleZone) return true;
-  const counts = zoneCounts(job);
+  const counts = placedTasksByZone(job);
   counts.set(zone, (counts.get(zone) ?? 0) - 1);
   return zoneAllowed(job.spec, counts, zone);
 };
@@ -138,7 +138,7 @@
     return (
       !task.job.cancelled &&
       task.stopRequest === null &&
-      (isReachable(machine.reachability) || mayStartLate(task, this.context.clock.now())) &&
+      (isReachable(machine.reachability) || startMayBeInTransit(task, this.context.clock.now())) &&
       this.context.shard.withinLimit(task.job.spec, 0) &&
       satisfiesZoneRules(task, machine)
     );
@@ -163,7 +163,7 @@
     }
     if (status.state === "running" && task.state !== "running") {
       task.runningSince = clock.now();
-      shard.rememberImageOf(machine, task);
+      shard.recordImageUseBy(machine, task);
     }
     shard.setReportedState(task, status.state);
   }
--- a/src/coordination/workers/unreachable-machine-removal.ts
+++ b/src/coordination/workers/unreachable-machine-removal.ts
@@ -2,7 +2,7 @@
 
 import { eventFieldsOf } from "../../cluster/events.js";
 import type { Machine } from "../../cluster/machine.js";
-import { mayStartLate } from "../../cluster/task.js";
+import { startMayBeInTransit } from "../../cluster/task.js";
 import type { Micros } from "../../transport/clock.js";
 import type { Autoscaler } from "../autoscaling/autoscaler.js";
 import type { DeletionPriority } from "../autoscaling/machine-deletion-queue.js";
@@ -69,7 +69,7 @@
   removeExpired(silent: readonly Machine[], fleetSize: number): void {
     const now = this.dependencies.context.clock.now();
     const lateStarts = (machine: Machine): number =>
-      [...machine.tasks].filter((task) => mayStartLate(task, now)).length;
+      [...machine.tasks].filter((task) => startMayBeInTransit(task, now)).length;
     const removals = silent
       .filter((machine) => machine.lease.expired && !machine.lifecycle.deleting && lateStarts(machine) > 0)
       .sort((a, b) => lateStarts(b) - lateStarts(a))
@@ -78,12 +78,12 @@
   }
 
   private isRemovable({ reachability }: Machine, now: Micros, minUnreachableTime: number): boolean {
-    const { unreachableSince, probedAt } = reachability;
+    const { unreachableSince, statusQueriedAt } = reachability;
     if (unreachableSince === null || (!isOneWay(reachability) && responsesArrive(reachability))) return false;
     // No need to wait if responses are lost but queries are answered: the replies have already proven the loss.
     if (commandsArrive(reachability)) return true;
     // A recent probe is required: the first check after a pause of the detector would act on stale state.
-    const sinceProbe = now - probedAt;
+    const sinceProbe = now - statusQueriedAt;
     return (
       now - unreachableSince > minUnreachableTime &&
       sinceProbe > PROBE_TIMEOUT &&
--- a/src/coordination/workers/unreachable-zones.ts
+++ b/src/coordination/workers/unreachable-zones.ts
@@ -26,7 +26,7 @@
  *
  * Safety argument: `since` is no earlier than the last response, by any leader, that can have renewed a lease in the
  * zone. While a zone may be on record (from before the write is sent until a write without the zone is confirmed), no
- * worker there gets a response and no task is started there: `mayAnswer` returns false. If a leader fails without a
+ * worker there gets a response and no task is started there: `mayRespond` returns false. If a leader fails without a
  * confirmed write, the stored record stays as it is; a late write fails on the version of the shard's lease. The next
  * leader treats the recorded zones as on record from its start. `since` is wall-clock time, which every controller
  * knows within the error bound of the settings; the errors of both clocks are allowed for.
@@ -82,7 +82,7 @@
   }
 
   /** Whether workers in the zone may be sent responses and start commands. */
-  mayAnswer(zone: string): boolean {
+  mayRespond(zone: string): boolean {
     return !this.recordedZones.has(zone);
   }
 
@@ -109,7 +109,7 @@
   }
 
   /** Takes the zone off the record after a heartbeat from it; responses resume once that write is confirmed. */
-  markReachable(zone: string): void {
+  recordHeartbeatFrom(zone: string): void {
     this.lastHeartbeatAt.set(zone, this.services.clock.now());
     if (!this.recordedZones.has(zone)) return;
     this.desiredZones = new Set([...this.desiredZones].filter((other) => other !== zone));
--- a/src/graphs/description/compile.ts
+++ b/src/graphs/description/compile.ts
@@ -6,11 +6,11 @@
 import type { TriggerRule } from "../run/rules.js";
 import type { GraphDocument } from "./document.js";
 import { type FlatTask, flatten } from "./flatten.js";
-import { sortTasks } from "./order.js";
 import { paramsOf } from "./params.js";
 import { GraphError, type Problem } from "./problem.js";
-import { unsatisfiableSteps } from "./reach.js";
 import { TemplateError, Templates, type TemplateVariables, withoutPrototypes } from "./templates.js";
+import { sortTasks } from "./topological-order.js";
+import { unsatisfiableSteps } from "./unsatisfiable-rules.js";
 
 /** The parameters of one run of a definition. */
 export interface RunContext {
--- a/src/graphs/description/requests.ts
+++ b/src/graphs/description/requests.ts
@@ -49,7 +49,7 @@
 });
 
 /** Text for the user about the request body that the given validator has just refused. */
-export const whyNot = (validate: typeof isSubmission | typeof isPart | typeof isClear): string => {
+export const validationMessage = (validate: typeof isSubmission | typeof isPart | typeof isClear): string => {
   const [error] = validate.errors ?? [];
   const missing: unknown = error?.params.missingProperty;
   if (typeof missing === "string") return `${missing}: missing`;
--- a/src/graphs/index.ts
+++ b/src/graphs/index.ts
@@ -5,33 +5,33 @@
   Problem,
   RunContext,
 } from "./description/index.js";
-export { DagRun, firstAttempt, NO_PAST, type Outcome, type Past } from "./run/dag-run.js";
+export { DagRun, firstAttempt, NO_STORED_ATTEMPTS, type Outcome, type StoredAttempts } from "./run/dag-run.js";
+export { distinctJobs } from "./run/job-specs.js";
 export { DEFAULT_STEP, decodePlan, downstreamOf, encodePlan, type Plan, type Step } from "./run/plan.js";
 export { type Limits, limitsOf, planLimits } from "./run/retry.js";
 export { TRIGGER_RULES, type TriggerRule } from "./run/rules.js";
-export { distinctJobs } from "./run/spec.js";
-export { FINALS, type FinalState, isFinal } from "./run/states.js";
-export { ownOrder } from "./run/weights.js";
-export { describing } from "./service/describing.js";
-export { graphsWith } from "./service/extension.js";
+export { FINAL_STATES, type FinalState, isFinal } from "./run/states.js";
+export { startOrder } from "./run/weights.js";
+export { graphExtension } from "./service/extension.js";
+export { loadDescription } from "./service/load-description.js";
 export {
-  type Ended,
+  type EndedRun,
   endedKey,
   graphKey,
-  graphOfKey,
-  type Header,
   isRunId,
   jobIdOf,
   lastRunKey,
+  parseStepJobId,
   partKey,
   partPrefix,
-  partsOfJobId,
   planKey,
+  type RunHeader,
   readEnded,
   readHeader,
   readSegment,
   readSegments,
   readUpload,
+  runIdOfKey,
   type Segment,
   segmentKey,
   segmentPrefix,
@@ -45,5 +45,5 @@
   writeSegments,
   writeUpload,
 } from "./service/records.js";
-export { drawingOf, MOST_DRAWN } from "./show/drawing.js";
+export { drawingOf, MAX_DRAWN_TASKS } from "./show/drawing.js";
 export { outline, treeOf } from "./show/outline.js";
--- a/src/graphs/run/dag-run.ts
+++ b/src/graphs/run/dag-run.ts
@@ -14,26 +14,26 @@
 
 /** An attempt's number holds the clearing that the step last went through and the try since: clearing * 64 + try. */
 export const TRIES_PER_CLEARING = 64;
-export const MOST_CLEARINGS = 15;
+export const MAX_CLEARINGS = 15;
 export const firstAttempt = (clearing: number): number => clearing * TRIES_PER_CLEARING + 1;
 export const tryOf = (attempt: number): number => attempt % TRIES_PER_CLEARING;
 
 /** The stored attempts of the run's steps, read when a run is loaded or a step starts. */
-export interface Past {
+export interface StoredAttempts {
   /** Null: no end of this attempt is on record. */
   outcome(step: number, attempt: number): Outcome | null;
   /** Whether the attempt's job is accepted and not on record as ended. */
   isOpen(step: number, attempt: number): boolean;
 }
 
-export const NO_PAST: Past = { outcome: () => null, isOpen: () => false };
+export const NO_STORED_ATTEMPTS: StoredAttempts = { outcome: () => null, isOpen: () => false };
 
 /** Whether earlier runs of the same DAG let a step with `depends_on_past` start: now, later, or never. */
-export type PastRun = "go" | "wait" | "never";
+export type PastRunPermission = "go" | "wait" | "never";
 
 export interface RunSetup {
   readonly plan: Plan;
-  /** Rank of each step in the graph's own order, from `ownOrder`; the lowest starts first. */
+  /** Rank of each step in the graph's own order, from `startOrder`; the lowest starts first. */
   readonly order: Uint32Array;
   readonly limits: readonly Limits[];
   /**
@@ -43,8 +43,8 @@
   readonly frozen: ReadonlyMap<number, FinalState>;
   /** Number of the last clearing of each cleared step. */
   readonly clearings: ReadonlyMap<number, number>;
-  readonly past: Past;
-  readonly pastRun: (step: Step) => PastRun;
+  readonly storedAttempts: StoredAttempts;
+  readonly pastRun: (step: Step) => PastRunPermission;
   /** Called when a step enters `up_for_retry`; the caller calls `retryDue` after the given delay. */
   readonly onRetry: (step: number, after: Micros) => void;
 }
@@ -89,7 +89,7 @@
   private unfinished: number;
   private halted = false;
   /** Number of downstream steps visited so far; a measure of the work done. */
-  looks = 0;
+  visitedSteps = 0;
 
   constructor(private readonly setup: RunSetup) {
     const { plan } = setup;
@@ -192,7 +192,7 @@
     const step = this.plan.steps[at];
     const cutsDownstream = state === "skipped" && this.appliedCuts[at] === CUT_WITH_DOWNSTREAM;
     for (const down of this.downstream[at] ?? []) {
-      this.looks += 1;
+      this.visitedSteps += 1;
       counts[down] = (counts[down] ?? 0) + 1;
       if (step?.setup === true && state === "success") this.setupSuccess[down] = (this.setupSuccess[down] ?? 0) + 1;
       if (step?.setup === true && state === "skipped") this.setupSkipped[down] = (this.setupSkipped[down] ?? 0) + 1;
@@ -272,7 +272,7 @@
 
   /** Replays a step's stored attempts. Returns its final state; null: it is open, awaits a retry, or is scheduled. */
   private replayAttempts(at: number): FinalState | null {
-    const { past, clearings } = this.setup;
+    const { storedAttempts: past, clearings } = this.setup;
     const clearing = clearings.get(at) ?? 0;
     let attempt = firstAttempt(clearing);
     for (let outcome = past.outcome(at, attempt); outcome !== null; outcome = past.outcome(at, attempt)) {
@@ -306,7 +306,7 @@
   /** The latest attempt from before the clearing whose job is still open; 0: none. */
   private openAttemptBefore(at: number, clearing: number): number {
     for (let attempt = firstAttempt(clearing) - 1; attempt > 0; attempt -= 1) {
-      if (this.setup.past.isOpen(at, attempt)) return attempt;
+      if (this.setup.storedAttempts.isOpen(at, attempt)) return attempt;
     }
     return 0;
   }
@@ -328,15 +328,15 @@
   }
 
   /** Step and number of each open attempt from before a clearing; the cleared step starts after the attempt's end. */
-  outdated(): Iterable<readonly [number, number]> {
+  openAttemptsBeforeClearing(): Iterable<readonly [number, number]> {
     return this.openBeforeClearing;
   }
 
   /**
    * Removes and returns the first scheduled step, in the graph's own order, whose pool has a free slot; null: none, or
-   * the run is halted. The caller submits its job and calls `submitted`, or calls `putBack`.
+   * the run is halted. The caller submits its job and calls `submitted`, or calls `requeue`.
    */
-  take(hasRoom: (pool: string) => boolean): number | null {
+  takeNext(hasRoom: (pool: string) => boolean): number | null {
     if (this.halted) return null;
     const { order } = this.setup;
     let best: { queue: TinyQueue<number>; place: number } | null = null;
@@ -363,21 +363,21 @@
     return undefined;
   }
 
-  /** Whether `take` would return a step if all pools had free slots. */
+  /** Whether `takeNext` would return a step if all pools had free slots. */
   get hasReady(): boolean {
     if (this.halted) return false;
     for (const queue of this.ready.values()) if (this.firstScheduled(queue) !== undefined) return true;
     return false;
   }
 
-  /** Number of the next attempt of a step returned by `take`. */
+  /** Number of the next attempt of a step returned by `takeNext`. */
   nextAttempt(at: number): number {
     const first = firstAttempt(this.setup.clearings.get(at) ?? 0);
     return Math.max(first, this.attemptOf(at) + 1);
   }
 
-  /** Queues a step again that `take` returned and whose job could not be submitted. */
-  putBack(at: number): void {
+  /** Queues a step again that `takeNext` returned and whose job could not be submitted. */
+  requeue(at: number): void {
     if (this.stateOf(at) === "scheduled") this.enqueue(at);
   }
 
@@ -417,7 +417,7 @@
   }
 
   /** Checks steps that wait for earlier runs of the DAG once more, after one of those runs changed. */
-  lookAtPast(): void {
+  recheckPastRuns(): void {
     const waiting = [...this.waitingForPast].sort((a, b) => a - b);
     this.waitingForPast.clear();
     for (const at of waiting) {
--- a/src/graphs/run/states.ts
+++ b/src/graphs/run/states.ts
@@ -13,10 +13,10 @@
 ] as const;
 export type StepState = (typeof STATES)[number];
 
-export const FINALS = ["success", "failed", "upstream_failed", "skipped", "removed"] as const;
-export type FinalState = (typeof FINALS)[number];
+export const FINAL_STATES = ["success", "failed", "upstream_failed", "skipped", "removed"] as const;
+export type FinalState = (typeof FINAL_STATES)[number];
 
-const finalStates: ReadonlySet<StepState> = new Set(FINALS);
+const finalStates: ReadonlySet<StepState> = new Set(FINAL_STATES);
 export const isFinal = (state: StepState): state is FinalState => finalStates.has(state);
 
 /** Number of steps in each state, without states that no step is in. */
--- a/src/graphs/run/weights.ts
+++ b/src/graphs/run/weights.ts
@@ -47,7 +47,7 @@
  * Rank of each step in the start order of its own graph: by Airflow's priority weight, then by critical path. It orders
  * steps of one graph only, never a step against jobs outside the graph.
  */
-export const ownOrder = (plan: Plan): Uint32Array => {
+export const startOrder = (plan: Plan): Uint32Array => {
   const { steps } = plan;
   const paths = criticalPaths(plan);
   const weights = new Float64Array(steps.length);
--- a/src/graphs/service/extension.ts
+++ b/src/graphs/service/extension.ts
@@ -4,7 +4,7 @@
 import type { JobSpec } from "../../protocol/job-spec.js";
 import type { GraphOptions } from "../../settings/graph-options.js";
 import type { HttpRequest, HttpResponse } from "../../transport/http.js";
-import { GraphApi } from "./door.js";
+import { GraphApi } from "./graph-api.js";
 import { graphKey, isStopped, readHeader } from "./records.js";
 import { Runner } from "./runner.js";
 
@@ -45,7 +45,7 @@
     };
   }
 
-  isWithdrawn(spec: JobSpec): boolean {
+  isCancelledWithRun(spec: JobSpec): boolean {
     if (spec.origin === undefined) return false;
     const entry = this.services.cache.entries.get(graphKey(spec.origin.graph));
     return entry !== undefined && isStopped(readHeader(entry.value));
@@ -53,7 +53,7 @@
 }
 
 /** Creates the factory of the extension that runs DAGs. */
-export const graphsWith =
+export const graphExtension =
   (options: GraphOptions): ExtensionFactory =>
   (services, types) =>
     new GraphExtension(services, types, options);
--- a/src/graphs/service/door.ts
+++ b/src/graphs/service/graph-api.ts
@@ -1,5 +1,5 @@
 import type { Services } from "../../coordination/context.js";
-import { neverRuns } from "../../coordination/scheduling/eligibility.js";
+import { infeasibilityReason } from "../../coordination/scheduling/eligibility.js";
 import type { MachineType } from "../../protocol/cloud.js";
 import { jobSpecCodec } from "../../protocol/job-spec.js";
 import { asArray, MalformedMessageError, parseJson, type Uint64 } from "../../protocol/json.js";
@@ -10,44 +10,30 @@
 import { GraphError, problemText } from "../description/problem.js";
 import type { Submission } from "../description/requests.js";
 import { closure } from "../run/closure.js";
-import { MOST_CLEARINGS, tryOf } from "../run/dag-run.js";
+import { MAX_CLEARINGS, tryOf } from "../run/dag-run.js";
+import { distinctJobs } from "../run/job-specs.js";
 import { encodePlan, type Plan } from "../run/plan.js";
-import { distinctJobs } from "../run/spec.js";
 import { countsOf, type FinalState, type StepState } from "../run/states.js";
-import {
-  BUSY_RETRY_AFTER_S,
-  digestOf,
-  errorResponse,
-  type FailedLookup,
-  failedLookupResponse,
-  isFailedLookup,
-  jsonResponse,
-  MAX_WRITE_DELAY,
-  MAX_WRITE_TRIES,
-  type RunLookup,
-  retryLater,
-} from "./answers.js";
-import { describing } from "./describing.js";
-import { RunSnapshots, type RunStates } from "./glimpses.js";
+import { loadDescription } from "./load-description.js";
 import { loadPlan, loadSavedStates } from "./loading.js";
-import { PartUploads } from "./parts.js";
+import { PartUploads } from "./part-uploads.js";
 import {
   clearedSegments,
-  type Ended,
+  type EndedRun,
   endedKey,
   endedPrefix,
   type FinalPhase,
   graphKey,
-  graphOfKey,
-  type Header,
   isRunId,
   jobIdOf,
   lastRunKey,
   planKey,
+  type RunHeader,
   readEnded,
   readHeader,
   readSegments,
   readUpload,
+  runIdOfKey,
   segmentSize,
   segmentWrites,
   summaryKey,
@@ -56,6 +42,20 @@
   writeHeader,
   writeUpload,
 } from "./records.js";
+import {
+  BUSY_RETRY_AFTER_S,
+  digestOf,
+  errorResponse,
+  type FailedLookup,
+  failedLookupResponse,
+  isFailedLookup,
+  jsonResponse,
+  MAX_WRITE_DELAY,
+  MAX_WRITE_TRIES,
+  type RunLookup,
+  retryLater,
+} from "./responses.js";
+import { RunSnapshots, type RunStates } from "./run-snapshots.js";
 import { LARGE_RUN_STEPS } from "./run-writes.js";
 
 /** Plans of up to this many characters are stored in the run's header, which every controller's watch cache holds. */
@@ -130,11 +130,11 @@
 
   private async handleSubmission(body: string): Promise<HttpResponse> {
     const value = parseJson(body);
-    const { isPart, isSubmission, whyNot } = await describing();
+    const { isPart, isSubmission, validationMessage } = await loadDescription();
     if (typeof value === "object" && value !== null && "part" in value) {
-      return isPart(value) ? this.partUploads.receive(value) : errorResponse(400, whyNot(isPart));
+      return isPart(value) ? this.partUploads.receive(value) : errorResponse(400, validationMessage(isPart));
     }
-    return isSubmission(value) ? this.submit(value) : errorResponse(400, whyNot(isSubmission));
+    return isSubmission(value) ? this.submit(value) : errorResponse(400, validationMessage(isSubmission));
   }
 
   /** `partKeys`: keys of the stored parts that the submission was assembled from; deleted once the run is accepted. */
@@ -150,10 +150,10 @@
     if (loadShedder.atLeast("saturated")) return retryLater("overloaded", BUSY_RETRY_AFTER_S);
     if (transactions.userWriteDelay > MAX_WRITE_DELAY) return retryLater("busy", BUSY_RETRY_AFTER_S);
     let activeRuns = 0;
-    for (const key of cache.entries.keys()) if (graphOfKey(key) !== null) activeRuns += 1;
+    for (const key of cache.entries.keys()) if (runIdOfKey(key) !== null) activeRuns += 1;
     if (activeRuns >= this.options.mostRuns)
       return retryLater(`${activeRuns} graphs are under way, which is the limit`, RUN_LIMIT_RETRY_AFTER_S);
-    const { compile, readDocument } = await describing();
+    const { compile, readDocument } = await loadDescription();
     const document = readDocument(graph);
     const plan = compile(document, { id, ds: ds ?? this.today(), params }, this.options);
     const reason = this.unrunnableReason(plan);
@@ -173,7 +173,7 @@
       if (JSON.stringify(jobSpecCodec.encode(spec)).length + 400 > this.services.settings.store.valueBytes) {
         return `step ${step.id}: its job is too large for a record`;
       }
-      const reason = neverRuns(spec, this.services.settings, this.types);
+      const reason = infeasibilityReason(spec, this.services.settings, this.types);
       if (reason !== null) return `step ${step.id}: ${reason}`;
     }
     return null;
@@ -199,7 +199,7 @@
       conditions.set(key, last.kind === "ok" ? last.value.version : 0);
       writes.push({ kind: "put", key, value: id });
     }
-    const header: Header = {
+    const header: RunHeader = {
       digest,
       request,
       dag: plan.dagId,
@@ -293,7 +293,7 @@
     return jsonResponse(200, { ref: id, phase, dag_id: header.dag, owner: header.owner, steps: header.steps, counts });
   }
 
-  private async counts(id: string, header: Header): Promise<Readonly<Record<string, number>> | null> {
+  private async counts(id: string, header: RunHeader): Promise<Readonly<Record<string, number>> | null> {
     const liveRun = this.liveStates(id);
     const summary = this.services.cache.entries.get(summaryKey(id));
     if (liveRun === null && header.steps >= LARGE_RUN_STEPS) {
@@ -327,7 +327,7 @@
 
   private async endedStates(
     id: string,
-    { header, states }: Ended,
+    { header, states }: EndedRun,
   ): Promise<{ plan: Plan; finals: ReadonlyMap<number, FinalState>; clearings: ReadonlyMap<number, number> } | null> {
     const { store } = this.services;
     const plan = await loadPlan(store, id, header);
@@ -349,7 +349,7 @@
       });
       return jsonResponse(200, { graphs, next: reply.value.more ? (graphs.at(-1)?.ref ?? null) : null });
     }
-    const ids = [...cache.entries.keys()].flatMap((key) => graphOfKey(key) ?? []).sort();
+    const ids = [...cache.entries.keys()].flatMap((key) => runIdOfKey(key) ?? []).sort();
     const page = ids.filter((id) => id > from).slice(0, RUNS_PAGE_SIZE);
     const graphs = page.map((id) => {
       const { dag, owner, aborted, steps } = readHeader(cache.entries.get(graphKey(id))?.value);
@@ -368,7 +368,7 @@
       if (isFailedLookup(found)) return failedLookupResponse(found);
       if (found.kind === "ended") return jsonResponse(200, { ref: id, phase: found.ended.phase });
       if (found.header.aborted) return jsonResponse(200, { ref: id, phase: "withdrawn" });
-      const value: Header = { ...found.header, aborted: true, clear: null };
+      const value: RunHeader = { ...found.header, aborted: true, clear: null };
       const result = await transactions.submit(
         new Map([[graphKey(id), found.version]]),
         [{ kind: "put", key: graphKey(id), value: writeHeader(value) }],
@@ -382,16 +382,16 @@
 
   private async clear(id: string, body: string): Promise<HttpResponse> {
     const value = parseJson(body);
-    const { isClear, whyNot } = await describing();
-    if (!isClear(value)) return errorResponse(400, whyNot(isClear));
+    const { isClear, validationMessage } = await loadDescription();
+    if (!isClear(value)) return errorResponse(400, validationMessage(isClear));
     const { step, downstream = true } = value;
     for (let tries = 0; tries < MAX_WRITE_TRIES; tries += 1) {
       const found = await this.lookUp(id);
       if (isFailedLookup(found)) return failedLookupResponse(found);
       const header = found.kind === "current" ? found.header : found.ended.header;
       if (header.aborted) return errorResponse(409, `${id} was withdrawn`);
-      if (header.round >= MOST_CLEARINGS)
-        return errorResponse(409, `${id} was cleared ${MOST_CLEARINGS} times: run it anew`);
+      if (header.round >= MAX_CLEARINGS)
+        return errorResponse(409, `${id} was cleared ${MAX_CLEARINGS} times: run it anew`);
       if (header.clear !== null) return retryLater("an earlier clearing is under way");
       const plan = await loadPlan(this.services.store, id, header);
       if (plan === null) return retryLater("state service unavailable");
@@ -411,9 +411,9 @@
   private async clearCurrent(
     id: string,
     { header, version }: Extract<RunLookup, { kind: "current" }>,
-    clear: Header["clear"],
+    clear: RunHeader["clear"],
   ): Promise<HttpResponse | null> {
-    const value: Header = { ...header, clear };
+    const value: RunHeader = { ...header, clear };
     const result = await this.services.transactions.submit(
       new Map([[graphKey(id), version]]),
       [{ kind: "put", key: graphKey(id), value: writeHeader(value) }],
@@ -428,7 +428,7 @@
     id: string,
     { ended, version }: Extract<RunLookup, { kind: "ended" }>,
     plan: Plan,
-    clear: NonNullable<Header["clear"]>,
+    clear: NonNullable<RunHeader["clear"]>,
   ): Promise<HttpResponse | null> {
     const states = await this.endedStates(id, ended);
     if (states === null) return retryLater("state service unavailable");
@@ -436,7 +436,7 @@
     const cleared = closure(plan, clear.steps, clear.downstream);
     const round = header.round + 1;
     const acceptedMs = Math.round(this.services.wallClock?.() ?? 0);
-    const next: Header = { ...header, round, clear: null, timedOut: false, acceptedMs };
+    const next: RunHeader = { ...header, round, clear: null, timedOut: false, acceptedMs };
     const segments = clearedSegments(header, states.finals, states.clearings, cleared, round);
     const result = await this.services.transactions.submit(
       new Map<string, Uint64>([
--- a/src/graphs/service/live-run.ts
+++ b/src/graphs/service/live-run.ts
@@ -3,12 +3,12 @@
 import type { DagRun } from "../run/dag-run.js";
 import type { Limits } from "../run/retry.js";
 import type { LoadedRun } from "./loading.js";
-import type { Header } from "./records.js";
+import type { RunHeader } from "./records.js";
 
 /** In-memory state of an active run at its shard leader; discarded when the lease is lost. */
 export interface LiveRun {
   readonly id: string;
-  header: Header;
+  header: RunHeader;
   version: Uint64;
   /** Whether its steps may start: at most `max_active_runs` runs of its DAG are active. */
   active: boolean;
@@ -41,9 +41,9 @@
 }
 
 /** Key of the run's DAG for `max_active_runs`; DAGs of different owners are distinct even if their ids are equal. */
-export const dagKey = ({ owner, dag }: Header): string => JSON.stringify([owner, dag]);
+export const dagKey = ({ owner, dag }: RunHeader): string => JSON.stringify([owner, dag]);
 
-export const newRun = (id: string, header: Header, version: Uint64, now: Micros): LiveRun => ({
+export const newRun = (id: string, header: RunHeader, version: Uint64, now: Micros): LiveRun => ({
   id,
   header,
   version,
--- a/src/graphs/service/loading.ts
+++ b/src/graphs/service/loading.ts
@@ -1,14 +1,14 @@
 import type { KeyValueStore } from "../../storage/key-value-store.js";
 import { jobKey, outcomeKey } from "../../storage/keys.js";
 import { decodeOutcomeRecord } from "../../storage/outcome-records.js";
-import type { Outcome, Past } from "../run/dag-run.js";
+import type { Outcome, StoredAttempts } from "../run/dag-run.js";
 import { decodePlan, type Plan } from "../run/plan.js";
 import {
-  type Header,
   jobIdOf,
   jobPrefix,
   outcomeOf,
   planKey,
+  type RunHeader,
   readSegment,
   readSegments,
   type SavedStates,
@@ -26,7 +26,7 @@
 const noSavedStates = (): SavedStates => ({ finals: new Map(), clearings: new Map() });
 
 /** Null if the state service did not answer, or if a chunk of the plan is missing. */
-export const loadPlan = async (store: KeyValueStore, id: string, header: Header): Promise<Plan | null> => {
+export const loadPlan = async (store: KeyValueStore, id: string, header: RunHeader): Promise<Plan | null> => {
   if ("text" in header.plan) return decodePlan(header.plan.text);
   let text = "";
   for (let chunk = 0; chunk < header.plan.chunks; chunk += 1) {
@@ -41,7 +41,7 @@
 export const loadSavedStates = async (
   store: KeyValueStore,
   id: string,
-  header: Header,
+  header: RunHeader,
 ): Promise<SavedStates | null> => {
   const reply = await store.list(segmentPrefix(id));
   if (reply.kind !== "ok") return null;
@@ -56,7 +56,7 @@
 export const loadRun = async (
   store: KeyValueStore,
   id: string,
-  header: Header,
+  header: RunHeader,
   knownPlan: Plan | null,
 ): Promise<LoadedRun | null> => {
   const plan = knownPlan ?? (await loadPlan(store, id, header));
@@ -75,10 +75,10 @@
 /** State of the run's attempts by their stored records. `isCurrent`: whether the watch cache holds the job record. */
 export const recordedAttempts = (
   id: string,
-  header: Header,
+  header: RunHeader,
   outcomes: ReadonlyMap<string, Outcome>,
   isCurrent: (key: string) => boolean,
-): Past => {
+): StoredAttempts => {
   const jobOf = (step: number, attempt: number): string => jobIdOf(id, header.digest, step, attempt);
   return {
     outcome: (step, attempt) => outcomes.get(jobOf(step, attempt)) ?? null,
--- a/src/graphs/service/parts.ts
+++ b/src/graphs/service/part-uploads.ts
@@ -5,18 +5,7 @@
 import type { HttpResponse } from "../../transport/http.js";
 import { describeError } from "../../transport/log.js";
 import type { Part, Submission } from "../description/requests.js";
-import {
-  BUSY_RETRY_AFTER_S,
-  digestOf,
-  errorResponse,
-  type FailedLookup,
-  jsonResponse,
-  MAX_WRITE_DELAY,
-  MAX_WRITE_TRIES,
-  type RunLookup,
-  retryLater,
-} from "./answers.js";
-import { describing } from "./describing.js";
+import { loadDescription } from "./load-description.js";
 import {
   endedKey,
   graphKey,
@@ -28,6 +17,17 @@
   uploadKey,
   writeUpload,
 } from "./records.js";
+import {
+  BUSY_RETRY_AFTER_S,
+  digestOf,
+  errorResponse,
+  type FailedLookup,
+  jsonResponse,
+  MAX_WRITE_DELAY,
+  MAX_WRITE_TRIES,
+  type RunLookup,
+  retryLater,
+} from "./responses.js";
 
 /** Maximum length of a compressed part in base64, since a part is stored in one transaction. */
 const MAX_COMPRESSED_PART_CHARS = 48 * 1_024;
@@ -136,8 +136,8 @@
       definition += gunzipSync(Buffer.from(text, "base64"), { maxOutputLength: left + 65_536 }).toString("utf8");
     }
     const submission = parseJson(definition);
-    const { isSubmission, whyNot } = await describing();
-    if (!isSubmission(submission)) return errorResponse(400, whyNot(isSubmission));
+    const { isSubmission, validationMessage } = await loadDescription();
+    if (!isSubmission(submission)) return errorResponse(400, validationMessage(isSubmission));
     if (submission.ref !== id) return errorResponse(400, "ref: differs between the parts and what they hold");
     log.info("graph complete", { run: id, parts, bytes: definition.length });
     return this.api.submit(
--- a/src/graphs/service/past-runs.ts
+++ b/src/graphs/service/previous-runs.ts
@@ -1,9 +1,9 @@
 import type { KeyValueStore } from "../../storage/key-value-store.js";
-import type { DagRun, PastRun } from "../run/dag-run.js";
+import type { DagRun, PastRunPermission } from "../run/dag-run.js";
 import type { Plan } from "../run/plan.js";
 import type { StepState } from "../run/states.js";
 import { loadPlan, loadSavedStates } from "./loading.js";
-import { endedKey, type Header, readEnded, readSegments } from "./records.js";
+import { endedKey, type RunHeader, readEnded, readSegments } from "./records.js";
 
 const MAX_CACHED_RUNS = 64;
 
@@ -23,7 +23,7 @@
   }
 
   /** Loads the previous run's final states for `decide` if it has ended; false if the state service did not answer. */
-  async prepare(plan: Plan, { before }: Header): Promise<boolean> {
+  async prepare(plan: Plan, { before }: RunHeader): Promise<boolean> {
     if (before === null || !plan.steps.some(({ dependsOnPast }) => dependsOnPast)) return true;
     if (this.finalStates.has(before) || this.isActive(before)) return true;
     const reply = await this.store.get(endedKey(before));
@@ -54,7 +54,7 @@
    * As in Airflow: the step of the same name in the previous run must have succeeded or been skipped; a step that the
    * previous run does not have blocks nothing.
    */
-  decide({ before }: Header, step: string): PastRun {
+  decide({ before }: RunHeader, step: string): PastRunPermission {
     if (before === null) return "go";
     const states = this.finalStates.get(before);
     if (states !== undefined) {
--- a/src/graphs/service/records.ts
+++ b/src/graphs/service/records.ts
@@ -7,7 +7,7 @@
 import { RecordCodec, type ValueCodec } from "../../protocol/record-codec.js";
 import type { OutcomeRecord } from "../../storage/outcome-records.js";
 import type { Outcome } from "../run/dag-run.js";
-import { FINALS, type FinalState } from "../run/states.js";
+import { FINAL_STATES, type FinalState } from "../run/states.js";
 
 /**
  * Keys and stored forms of DAG runs. While a run is active its header is stored below `c/`, so that every controller's
@@ -15,7 +15,7 @@
  * prefix, and stay there when the run ends.
  */
 export const graphKey = (id: string): string => `c/graph/${id}`;
-export const graphOfKey = (key: string): string | null =>
+export const runIdOfKey = (key: string): string | null =>
   key.startsWith("c/graph/") ? key.slice("c/graph/".length) : null;
 /** Key of a large run's counts of steps by state, for controllers that do not lead its shard. */
 export const summaryKey = (id: string): string => `c/gsum/${id}`;
@@ -52,7 +52,7 @@
 export const jobPrefix = (run: string, digest: string): string => `wk-${run}.${digest.slice(0, 8)}.`;
 
 /** Step and attempt of a step's job; null if the job id does not have that form. */
-export const partsOfJobId = (id: string): { readonly step: number; readonly attempt: number } | null => {
+export const parseStepJobId = (id: string): { readonly step: number; readonly attempt: number } | null => {
   const [, step, attempt] = /\.([0-9a-z]{4})\.(\d+)$/.exec(id) ?? [];
   if (step === undefined || attempt === undefined) return null;
   return { step: Number.parseInt(step, INDEX_RADIX), attempt: Number(attempt) };
@@ -76,7 +76,7 @@
   readonly downstream: boolean;
 }
 
-export interface Header {
+export interface RunHeader {
   /** Digest of the plan. */
   readonly digest: string;
   /** Digest of the user's request: distinguishes a repeated submission from another run with the same id. */
@@ -103,13 +103,13 @@
 }
 
 /** Whether the run was aborted or timed out: its jobs are cancelled and no step starts any more. */
-export const isStopped = ({ aborted, timedOut }: Header): boolean => aborted || timedOut;
+export const isStopped = ({ aborted, timedOut }: RunHeader): boolean => aborted || timedOut;
 
 export type FinalPhase = "success" | "failed" | "withdrawn";
 
 /** Record of a run that has ended: its last header, its final phase, and when it ended (wall clock). */
-export interface Ended {
-  readonly header: Header;
+export interface EndedRun {
+  readonly header: RunHeader;
   readonly phase: FinalPhase;
   readonly counts: Readonly<Record<string, number>>;
   readonly endedMs: number;
@@ -174,7 +174,7 @@
 
 /** Saved states after a clear: cleared steps lose their state and number their attempts anew, others keep theirs. */
 export const clearedSegments = (
-  { steps, segment }: Header,
+  { steps, segment }: RunHeader,
   finals: Iterable<readonly [number, FinalState]>,
   clearings: ReadonlyMap<number, number>,
   cleared: ReadonlySet<number>,
@@ -200,7 +200,7 @@
   const clearings = new Map<number, number>();
   for (const [number, segment] of segments.entries()) {
     if (segment === undefined) continue;
-    for (const state of FINALS) {
+    for (const state of FINAL_STATES) {
       const text = segment.finals[state];
       if (text === undefined) continue;
       const set = new TypedFastBitSet();
@@ -248,7 +248,7 @@
   decode: readPlanLocation,
 };
 const clearForm = new RecordCodec<ClearRequest>({ steps: "steps", downstream: "downstream" });
-const headerForm = new RecordCodec<Header>({
+const headerForm = new RecordCodec<RunHeader>({
   digest: "digest",
   request: "request",
   dag: "dag",
@@ -266,9 +266,9 @@
   before: "before",
 });
 
-export const writeHeader = (header: Header): JsonObject => headerForm.encode(header);
+export const writeHeader = (header: RunHeader): JsonObject => headerForm.encode(header);
 
-export const readHeader = (value: unknown): Header => {
+export const readHeader = (value: unknown): RunHeader => {
   const fields = asObject(value, "graph");
   return {
     digest: readString(fields, "digest"),
@@ -295,7 +295,7 @@
 export const readSegment = (value: unknown): Segment => segmentForm.decode(asObject(value, "segment"));
 export const writeSegment = (segment: Segment): JsonObject => segmentForm.encode(segment);
 
-const endedForm = new RecordCodec<Ended>({
+const endedForm = new RecordCodec<EndedRun>({
   header: { name: "header", codec: headerForm },
   phase: "phase",
   counts: "counts",
@@ -303,9 +303,9 @@
   states: { name: "states", codec: segmentForm },
 });
 
-export const writeEnded = (ended: Ended): JsonObject => endedForm.encode(ended);
+export const writeEnded = (ended: EndedRun): JsonObject => endedForm.encode(ended);
 
-export const readEnded = (value: unknown): Ended => {
+export const readEnded = (value: unknown): EndedRun => {
   const fields = asObject(value, "ended");
   const phase = readString(fields, "phase");
   return {
--- a/src/graphs/service/answers.ts
+++ b/src/graphs/service/responses.ts
@@ -5,7 +5,7 @@
 import { formatJson, type Uint64 } from "../../protocol/json.js";
 import { ms } from "../../transport/clock.js";
 import type { HttpResponse } from "../../transport/http.js";
-import type { Ended, Header } from "./records.js";
+import type { EndedRun, RunHeader } from "./records.js";
 
 /** If user writes wait longer than this for the write budget, submissions are answered 503 with a Retry-After. */
 export const MAX_WRITE_DELAY = ms(1_500);
@@ -27,8 +27,8 @@
 
 /** Result of looking up a run's records. `missing`: no such run; `unavailable`: the state service did not answer. */
 export type RunLookup =
-  | { readonly kind: "current"; readonly header: Header; readonly version: Uint64 }
-  | { readonly kind: "ended"; readonly ended: Ended; readonly version: Uint64 }
+  | { readonly kind: "current"; readonly header: RunHeader; readonly version: Uint64 }
+  | { readonly kind: "ended"; readonly ended: EndedRun; readonly version: Uint64 }
   | FailedLookup;
 
 export type FailedLookup = { readonly kind: "missing" } | { readonly kind: "unavailable" };
--- a/src/graphs/service/glimpses.ts
+++ b/src/graphs/service/run-snapshots.ts
@@ -5,7 +5,7 @@
 import type { Plan } from "../run/plan.js";
 import { planLimits } from "../run/retry.js";
 import { loadRun, recordedAttempts } from "./loading.js";
-import type { Header } from "./records.js";
+import type { RunHeader } from "./records.js";
 
 /** The part of a run's states that status queries need. */
 export type RunStates = Pick<DagRun, "plan" | "stateOf" | "attemptOf" | "count">;
@@ -32,7 +32,7 @@
   ) {}
 
   /** Null if the state service did not answer. */
-  get(id: string, header: Header): Promise<RunStates | null> {
+  get(id: string, header: RunHeader): Promise<RunStates | null> {
     const cached = this.snapshots.get(id);
     const { clock } = this.services;
     if (cached !== undefined && cached.round === header.round && clock.now() - cached.takenAt < MAX_SNAPSHOT_AGE) {
@@ -45,7 +45,7 @@
     return snapshot;
   }
 
-  private async read(id: string, header: Header, knownPlan: Plan | null): Promise<RunStates | null> {
+  private async read(id: string, header: RunHeader, knownPlan: Plan | null): Promise<RunStates | null> {
     const { store, cache, clock } = this.services;
     const at = clock.now();
     const loaded = await loadRun(store, id, header, knownPlan);
@@ -57,7 +57,7 @@
       limits: planLimits(plan, this.options),
       frozen: saved.finals,
       clearings: saved.clearings,
-      past: recordedAttempts(id, header, outcomes, (key) => cache.entries.has(key)),
+      storedAttempts: recordedAttempts(id, header, outcomes, (key) => cache.entries.has(key)),
       // Only the shard leader knows whether an earlier run blocks a step: here the step appears as about to start.
       pastRun: () => "go",
       onRetry: () => undefined,
--- a/src/graphs/service/run-writes.ts
+++ b/src/graphs/service/run-writes.ts
@@ -4,17 +4,17 @@
 import { ms, seconds } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import { closure } from "../run/closure.js";
-import { type DagRun, MOST_CLEARINGS } from "../run/dag-run.js";
+import { type DagRun, MAX_CLEARINGS } from "../run/dag-run.js";
 import { countsOf, STATES } from "../run/states.js";
 import type { LiveRun } from "./live-run.js";
 import {
   type ClearRequest,
   clearedSegments,
-  type Ended,
+  type EndedRun,
   endedKey,
   type FinalPhase,
   graphKey,
-  type Header,
+  type RunHeader,
   type Segment,
   segmentWrites,
   summaryKey,
@@ -78,7 +78,7 @@
       const [only] = segments;
       const isSingle = segments.length === 1 && only !== undefined;
       if (!isSingle && !(await this.writeSegments(run, segments))) return;
-      const ended: Ended = { header, phase, counts, endedMs: this.nowMs(), states: isSingle ? only : null };
+      const ended: EndedRun = { header, phase, counts, endedMs: this.nowMs(), states: isSingle ? only : null };
       const writes: WriteOperation[] = [
         { kind: "put", key: endedKey(run.id), value: writeEnded(ended) },
         { kind: "delete", key: graphKey(run.id) },
@@ -130,9 +130,9 @@
     try {
       const { header } = run;
       const cleared = closure(engine.plan, clear.steps, clear.downstream);
-      const round = Math.min(MOST_CLEARINGS, header.round + 1);
+      const round = Math.min(MAX_CLEARINGS, header.round + 1);
       const segments = clearedSegments(header, engine.finals(), run.loaded.saved.clearings, cleared, round);
-      const next: Header = { ...header, round, clear: null };
+      const next: RunHeader = { ...header, round, clear: null };
       const value = writeHeader(next);
       const writes: readonly WriteOperation[] = [
         ...segmentWrites(run.id, segments),
@@ -160,7 +160,7 @@
       now > 0 && header.acceptedMs > 0 ? now - header.acceptedMs : (this.context.clock.now() - run.firstSeenAt) / 1_000;
     if (elapsedMs < timeoutS * 1_000) return;
     run.writing = true;
-    const next: Header = { ...header, timedOut: true };
+    const next: RunHeader = { ...header, timedOut: true };
     const value = writeHeader(next);
     const write: WriteOperation = { kind: "put", key: graphKey(run.id), value };
     void this.logFailure(
--- a/src/graphs/service/runner.ts
+++ b/src/graphs/service/runner.ts
@@ -11,19 +11,19 @@
 import { type Micros, ms } from "../../transport/clock.js";
 import { describeError } from "../../transport/log.js";
 import { DagRun, tryOf } from "../run/dag-run.js";
+import { specOf } from "../run/job-specs.js";
 import type { Plan } from "../run/plan.js";
 import { planLimits } from "../run/retry.js";
-import { specOf } from "../run/spec.js";
 import { isOpen } from "../run/states.js";
-import { ownOrder } from "../run/weights.js";
-import { JobRecordUpdates } from "./job-notes.js";
+import { startOrder } from "../run/weights.js";
+import { JobRecordUpdates } from "./job-record-updates.js";
 import { dagKey, type LiveRun, newRun } from "./live-run.js";
 import { loadRun, recordedAttempts } from "./loading.js";
-import { PreviousRuns } from "./past-runs.js";
 import { Pools } from "./pools.js";
-import { graphKey, graphOfKey, isStopped, jobIdOf, outcomeOf, partsOfJobId, readHeader } from "./records.js";
+import { PreviousRuns } from "./previous-runs.js";
+import { graphKey, isStopped, jobIdOf, outcomeOf, parseStepJobId, readHeader, runIdOfKey } from "./records.js";
 import { RunWrites } from "./run-writes.js";
-import { UploadCleanup } from "./uploads.js";
+import { UploadCleanup } from "./upload-cleanup.js";
 
 const TICK_PERIOD = ms(500);
 /** Maximum number of concurrent step submissions, as a multiple of the writes that one transaction takes. */
@@ -76,7 +76,7 @@
     });
     this.tickedAt = context.clock.now();
     for (const [key, entry] of context.cache.entries) {
-      const id = graphOfKey(key);
+      const id = runIdOfKey(key);
       if (id !== null) this.headerChanged(id, entry.value, entry.version);
     }
     if (this.runs.size > 0) {
@@ -109,7 +109,7 @@
 
   onChange(change: KeyChange): void {
     if (this.stopped) return;
-    const id = graphOfKey(change.key);
+    const id = runIdOfKey(change.key);
     if (id === null) this.jobChanged(change);
     else if (change.kind === "delete") this.removeRun(id);
     else {
@@ -126,7 +126,7 @@
   private cancelJobsIfStopped(id: string): void {
     const run = this.runs.get(id);
     if (run === undefined || !isStopped(run.header)) return;
-    this.controls.cancelWithdrawnJobs(run.openJobs.values());
+    this.controls.cancelJobsOfCancelledRuns(run.openJobs.values());
   }
 
   /** A submission whose response was lost may become visible here long afterwards. */
@@ -135,7 +135,7 @@
     if (job === null || change.kind !== "put" || !job.startsWith("wk-dr-")) return;
     const { spec } = decodeJobRecord(change.value);
     const run = this.runOf(spec);
-    const parts = partsOfJobId(job);
+    const parts = parseStepJobId(job);
     if (run === null || run.engine === null || parts === null || run.submitting.has(parts.step)) return;
     this.adoptJob(run, run.engine, parts.step, parts.attempt, job);
   }
@@ -149,7 +149,7 @@
 
   onJobEnded(spec: JobSpec, end: Parameters<ShardExtension["onJobEnded"]>[1]): void {
     const run = this.runOf(spec);
-    const parts = partsOfJobId(spec.id);
+    const parts = parseStepJobId(spec.id);
     this.jobUpdates.forget(spec.id);
     if (run === null || parts === null) return;
     const outcome = outcomeOf(end);
@@ -166,7 +166,7 @@
 
   onTaskFailed(spec: JobSpec, index: number, reason: ExitReason): void {
     const run = this.runOf(spec);
-    const parts = partsOfJobId(spec.id);
+    const parts = parseStepJobId(spec.id);
     if (run === null || parts === null) return;
     const limits = run.limits[parts.step];
     if (limits === undefined || !limits.counts.has(reason)) return;
@@ -307,7 +307,7 @@
     const { plan, saved } = loaded;
     run.loaded = loaded;
     run.limits = planLimits(plan, this.options);
-    run.order = ownOrder(plan);
+    run.order = startOrder(plan);
     run.hasStepTimeouts = run.limits.some(({ timeout }) => timeout !== null);
     run.runTimes.clear();
     run.submitting.clear();
@@ -318,7 +318,7 @@
       limits: run.limits,
       frozen: saved.finals,
       clearings: saved.clearings,
-      past: recordedAttempts(id, header, loaded.outcomes, (key) => cache.entries.has(key)),
+      storedAttempts: recordedAttempts(id, header, loaded.outcomes, (key) => cache.entries.has(key)),
       pastRun: (step) => this.previousRuns.decide(run.header, step.id),
       onRetry: (step, after) => {
         clock.after(after, () => {
@@ -343,7 +343,7 @@
   /** Cancels jobs of attempts from before a clear; their steps start again only once these have ended. */
   private cancelClearedAttempts(run: LiveRun, engine: DagRun): void {
     const { cache } = this.context;
-    for (const [step, attempt] of engine.outdated()) {
+    for (const [step, attempt] of engine.openAttemptsBeforeClearing()) {
       const job = jobIdOf(run.id, run.header.digest, step, attempt);
       if (cache.entries.has(jobKey(job))) this.jobUpdates.cancel(job, "cleared");
     }
@@ -355,7 +355,7 @@
       .prepare(run.engine.plan, run.header)
       .then(() => {
         if (run.engine === null || this.stopped) return;
-        run.engine.lookAtPast();
+        run.engine.recheckPastRuns();
         this.advance(run);
       })
       .catch((error: unknown) => this.context.log.error("past not read", { error: describeError(error) }));
@@ -370,7 +370,7 @@
     else if (engine.result !== null) void this.logFailure(this.writes.finish(run, engine));
     if (engine.hasReady) this.readyRuns.add(run);
     const next = this.nextRuns.get(run.id);
-    next?.engine?.lookAtPast();
+    next?.engine?.recheckPastRuns();
     if (next?.engine?.hasReady === true) this.readyRuns.add(next);
     this.submitReadySteps();
   }
@@ -420,7 +420,7 @@
       this.readyRuns.delete(run);
       const { engine } = run;
       if (engine === null || run.header.clear !== null || !this.mayOpenStep(run, engine)) continue;
-      const step = engine.take((pool) => this.pools.hasFreeSlot(pool));
+      const step = engine.takeNext((pool) => this.pools.hasFreeSlot(pool));
       if (engine.hasReady) this.pools.enqueue(run, engine);
       if (step === null) continue;
       if (engine.hasReady) this.readyRuns.add(run);
@@ -476,7 +476,7 @@
   private requeueStep(run: LiveRun, engine: DagRun, step: number): void {
     if (run.engine !== engine || this.stopped) return;
     this.pools.release(run, step);
-    engine.putBack(step);
+    engine.requeue(step);
     this.advance(run);
   }
 
@@ -491,7 +491,7 @@
     run.openJobs.set(step, job);
     this.traceDependencies(run, engine, step, attempt, job);
     // The run was aborted or timed out during the submission: the job exists, so it is cancelled like the others.
-    if (isStopped(run.header)) this.controls.cancelWithdrawnJobs([job]);
+    if (isStopped(run.header)) this.controls.cancelJobsOfCancelledRuns([job]);
     if (engine.hasReady) this.readyRuns.add(run);
   }
 
--- a/src/graphs/show/drawing.ts
+++ b/src/graphs/show/drawing.ts
@@ -3,7 +3,7 @@
 import { labelOf, outline } from "./outline.js";
 
 /** Larger graphs are unreadable as a drawing and take minutes to lay out. */
-export const MOST_DRAWN = 1_500;
+export const MAX_DRAWN_TASKS = 1_500;
 
 const SHAPES: Readonly<Record<string, string>> = {
   job: "box",
--- a/src/main.ts
+++ b/src/main.ts
@@ -3,7 +3,7 @@
 import { readFileSync } from "node:fs";
 import { Command, CommanderError } from "commander";
 import { CommandError, EXIT_FAILURE, EXIT_MISUSE, EXIT_SUCCESS } from "./commands/cli.js";
-import { addClientCommands, addControllerCommands } from "./commands/site.js";
+import { addClientCommands, addControllerCommands } from "./commands/controller-commands.js";
 
 const version = (): string => {
   const text = readFileSync(new URL("../package.json", import.meta.url), "utf8");
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -113,7 +113,7 @@
    * Forwards a worker's heartbeat that was sent to this controller, if the shard leader is cut off from its workers.
    * The leader's response; null: redirect the worker to the leader.
    */
-  relayHeartbeat(leader: string, request: HttpRequest): Promise<HttpResponse | null> {
+  forwardHeartbeat(leader: string, request: HttpRequest): Promise<HttpResponse | null> {
     return this.forwarder.forward(leader, request);
   }
 
--- a/src/model/cloud-service.ts
+++ b/src/model/cloud-service.ts
@@ -1,9 +1,9 @@
 import type { HttpRequest, HttpResponse } from "../transport/http.js";
+import type { HostInfo, MachineObserver } from "./machine-observer.js";
 import { json } from "./network.js";
 import type { NamedRandom, Random } from "./random.js";
+import { S, type Timeline } from "./simulation.js";
 import { type CapacitySpec, catalogOf, type SiteSpec, type TypeSpec } from "./site-spec.js";
-import type { HostInfo, Witness } from "./witness.js";
-import { S, type Timeline } from "./world.js";
 
 /** Worker emulation on a machine that is up; implemented by `Worker` and by `FastMachine`. */
 export interface MachineWorker {
@@ -13,7 +13,7 @@
   /** Suspends the machine for `forUs` microseconds. */
   hang(forUs: number): void;
   /** Makes the machine faulty: every task that it starts from now on fails. */
-  sicken(): void;
+  makeFaulty(): void;
   /** Restarts the worker process within a fraction of a second, without its tasks; `keepCounters` as in `Worker`. */
   restart(keepCounters: boolean): void;
   /** Ends the machine with all its tasks. */
@@ -90,7 +90,7 @@
     private readonly namedRandom: NamedRandom,
     private readonly site: SiteSpec,
     private readonly startWorker: (info: HostInfo, type: TypeSpec) => MachineWorker,
-    private readonly witness: Witness,
+    private readonly witness: MachineObserver,
     private readonly room: Room,
   ) {}
 
--- a/src/model/executor.ts
+++ b/src/model/executor.ts
@@ -1,8 +1,8 @@
+import { type Behaviour, type GangMember, type GroundTruth, jobOf } from "./ground-truth.js";
+import type { EndCause, HostInfo, MachineObserver } from "./machine-observer.js";
 import type { NamedRandom } from "./random.js";
+import { S, type Timeline } from "./simulation.js";
 import type { TypeSpec } from "./site-spec.js";
-import { type Behaviour, type GangMember, type GroundTruth, jobOf } from "./truth.js";
-import type { EndCause, HostInfo, Witness } from "./witness.js";
-import { S, type Timeline } from "./world.js";
 
 /** Gang timeouts, in microseconds. */
 export interface GangTimings {
@@ -16,7 +16,7 @@
 export interface ExecutorEnvironment {
   readonly timeline: Timeline;
   readonly namedRandom: NamedRandom;
-  readonly witness: Witness;
+  readonly witness: MachineObserver;
   readonly truth: GroundTruth;
   readonly times: GangTimings;
 }
--- a/src/model/fast-machine.ts
+++ b/src/model/fast-machine.ts
@@ -1,10 +1,10 @@
 import { type Heartbeat, taskStatusOf } from "../protocol/worker.js";
 import type { MachineWorker } from "./cloud-service.js";
 import { Executor, type ExecutorEnvironment } from "./executor.js";
-import { NETWORK_LATENCY_US } from "./fast-writer.js";
+import { NETWORK_LATENCY_US } from "./fast-write-queue.js";
+import type { HostInfo } from "./machine-observer.js";
+import { S } from "./simulation.js";
 import type { TypeSpec } from "./site-spec.js";
-import type { HostInfo } from "./witness.js";
-import { S } from "./world.js";
 
 /** Minimum time between two heartbeats. */
 const MIN_HEARTBEAT_GAP_US = S / 2;
@@ -85,7 +85,7 @@
     this.executor.hang(forUs);
   }
 
-  sicken(): void {
+  makeFaulty(): void {
     this.executor.faulty = true;
   }
 
--- a/src/model/fast-site.ts
+++ b/src/model/fast-site.ts
@@ -11,10 +11,10 @@
 import type { ShardLease } from "../coordination/context.js";
 import { DependencyTracker } from "../coordination/jobs/dependency-tracker.js";
 import { LoadShedder } from "../coordination/overload/load-shedder.js";
-import { neverRuns } from "../coordination/scheduling/eligibility.js";
+import { infeasibilityReason } from "../coordination/scheduling/eligibility.js";
 import { decideRound, newRoundState } from "../coordination/scheduling/placement-round.js";
 import { applyAction, type RoundAction } from "../coordination/scheduling/round-action.js";
-import { MAX_PREEMPTION_SEARCHES } from "../coordination/scheduling/scheduler.js";
+import { MAX_VICTIM_SEARCHES } from "../coordination/scheduling/scheduler.js";
 import type { SchedulerSnapshot } from "../coordination/scheduling/scheduler-snapshot.js";
 import { decideEvictions } from "../coordination/workers/graceful-eviction.js";
 import { HeartbeatProcessor } from "../coordination/workers/heartbeat-processor.js";
@@ -28,18 +28,18 @@
 import type { Micros } from "../transport/clock.js";
 import type { Log } from "../transport/log.js";
 import { RateLimiter } from "../transport/rate-limiter.js";
-import { jobBehaviour } from "./behaviour.js";
 import { CloudService, fixedCapacity } from "./cloud-service.js";
 import type { ExecutorEnvironment } from "./executor.js";
 import { FastMachine, FENCING_TOKEN } from "./fast-machine.js";
-import { NETWORK_LATENCY_US, WriteQueue } from "./fast-writer.js";
+import { NETWORK_LATENCY_US, WriteQueue } from "./fast-write-queue.js";
+import { type Behaviour, GroundTruth } from "./ground-truth.js";
+import { jobBehaviour } from "./job-behaviour.js";
+import type { HostInfo, MachineObserver } from "./machine-observer.js";
 import { NamedRandom, Random } from "./random.js";
+import { HostClock, S, Simulation } from "./simulation.js";
 import { simulatedAddresses } from "./site.js";
 import { catalogOf, type SiteSpec, settingsOf } from "./site-spec.js";
-import { type Behaviour, GroundTruth } from "./truth.js";
-import type { Hearing, Submission } from "./users.js";
-import type { HostInfo, Witness } from "./witness.js";
-import { HostClock, S, World } from "./world.js";
+import type { Submission, UserObserver } from "./users.js";
 
 /** Durations of a cloud call and of a takeover in microseconds, as in the full simulation. */
 const CLOUD_CALL_US = 100_000;
@@ -72,7 +72,7 @@
   readonly spec: SiteSpec;
   readonly options: OperatorOptions;
   readonly seed: number;
-  readonly watch: (world: World) => { readonly witness: Witness; readonly hearing: Hearing };
+  readonly watch: (world: Simulation) => { readonly witness: MachineObserver; readonly hearing: UserObserver };
 }
 
 /**
@@ -81,7 +81,7 @@
  * heartbeats. See docs/whatif.md for its limitations.
  */
 export class FastSite {
-  readonly world = new World();
+  readonly world = new Simulation();
   readonly truth = new GroundTruth();
   readonly cloud: CloudService;
   readonly shard: ShardState;
@@ -91,7 +91,7 @@
   private readonly writeQueue: WriteQueue;
   private readonly heartbeatProcessor: HeartbeatProcessor;
   private readonly workers = new Map<string, FastMachine>();
-  private readonly userObserver: Hearing;
+  private readonly userObserver: UserObserver;
   private readonly roundState = newRoundState();
   private readonly demandHistory = new DemandHistory();
   private readonly capacityBackoff = new CapacityBackoff();
@@ -127,7 +127,7 @@
     this.types = new Map(decodeMachineTypes(catalogOf(spec.types)).map((type) => [type.name, type]));
     const rangeSize = Math.max(
       1,
-      Math.min(MAX_TASKS_PER_RANGE, Math.floor(this.settings.store.layoutBytes / LAYOUT_BYTES_PER_TASK)),
+      Math.min(MAX_TASKS_PER_RANGE, Math.floor(this.settings.store.currentValueBytes / LAYOUT_BYTES_PER_TASK)),
     );
     this.shard = new ShardState(this.clock, rangeSize, this.settings.teams, () => this.types);
     const { store } = this.settings;
@@ -213,7 +213,7 @@
       this.userObserver.dropped(job.ref, 400);
       return;
     }
-    if (neverRuns(spec, this.settings, this.types) !== null) {
+    if (infeasibilityReason(spec, this.settings, this.types) !== null) {
       this.userObserver.dropped(job.ref, 422);
       return;
     }
@@ -278,7 +278,7 @@
     this.terminalPhases.set(job.spec.id, "withdrawn");
     for (const task of [...job.placedTasks]) {
       const machine = task.machine;
-      if (task.startCommand.kind === "none") this.heartbeatProcessor.taskGone(task);
+      if (task.startCommand.kind === "none") this.heartbeatProcessor.releaseAbsentTask(task);
       if (machine !== null) this.scheduleCommands(machine);
     }
     this.finishIfComplete(job);
@@ -420,7 +420,7 @@
       if (!stops || !this.shard.machines.has(machine.name)) this.drainingMachines.delete(machine);
       else if (this.canDecide) {
         for (const action of decideEvictions(machine, this.clock.now())) {
-          if (action.kind === "release") this.heartbeatProcessor.taskGone(action.task);
+          if (action.kind === "release") this.heartbeatProcessor.releaseAbsentTask(action.task);
           else if (action.kind === "stop") action.task.stopRequest = { graceS: action.graceS };
         }
         if ([...machine.tasks].some(({ stopRequest }) => stopRequest !== null)) this.scheduleCommands(machine);
@@ -447,7 +447,7 @@
     const machine = this.shard.machines.get(name);
     if (machine === undefined) return;
     machine.state = "deleted";
-    this.heartbeatProcessor.machineLost(machine, "deleted");
+    this.heartbeatProcessor.handleMachineLoss(machine, "deleted");
     this.shard.machines.delete(name);
     this.replanNeeded = true;
   }
@@ -472,7 +472,7 @@
 
   /** Makes a machine faulty: every task that it starts from now on fails. */
   faulty(name: string): void {
-    this.workers.get(name)?.sicken();
+    this.workers.get(name)?.makeFaulty();
   }
 
   /** Suspends cloud calls. */
@@ -538,10 +538,10 @@
       settings: this.settings,
       options: this.setup.options,
       heartbeatTimeout: Number.POSITIVE_INFINITY,
-      maxPreemptionSearches: MAX_PREEMPTION_SEARCHES,
+      maxVictimSearches: MAX_VICTIM_SEARCHES,
       recordBudget: { urgent: Number.POSITIVE_INFINITY, normal: Number.POSITIVE_INFINITY },
       guaranteesOvercommitted: this.roundState.guaranteesOvercommitted,
-      firstFencingToken: FENCING_TOKEN,
+      minFencingToken: FENCING_TOKEN,
       inspection: this.inspectionCounter,
     };
   }
--- a/src/model/fast-writer.ts
+++ b/src/model/fast-write-queue.ts
@@ -1,5 +1,5 @@
 import { RateLimiter } from "../transport/rate-limiter.js";
-import type { HostClock, World } from "./world.js";
+import type { HostClock, Simulation } from "./simulation.js";
 
 /** One-way network latency in microseconds, as in the full simulation. */
 export const NETWORK_LATENCY_US = 1_000;
@@ -23,7 +23,7 @@
   pausedUntil = 0;
 
   constructor(
-    private readonly world: World,
+    private readonly world: Simulation,
     clock: HostClock,
     perSecond: number,
     private readonly maxBatchWrites: number,
--- a/src/model/behaviour.ts
+++ b/src/model/job-behaviour.ts
@@ -1,6 +1,6 @@
-import type { Behaviour } from "./truth.js";
+import type { Behaviour } from "./ground-truth.js";
+import { S } from "./simulation.js";
 import type { Submission } from "./users.js";
-import { S } from "./world.js";
 
 /** Behaviour of a job that runs exactly as estimated; services run until they are stopped. */
 export const jobBehaviour = (job: Submission): Behaviour => ({
--- a/src/model/local-site.ts
+++ b/src/model/local-site.ts
@@ -7,17 +7,17 @@
 import { decodeJobRecord } from "../storage/job-records.js";
 import { jobKey } from "../storage/keys.js";
 import { ms } from "../transport/clock.js";
-import { jobBehaviour } from "./behaviour.js";
 import { CloudService, fixedCapacity, RELIABLE_BOOTS } from "./cloud-service.js";
+import { type Behaviour, GroundTruth } from "./ground-truth.js";
+import { jobBehaviour } from "./job-behaviour.js";
 import { Loopback, PortError, RealTime } from "./loopback.js";
+import type { MachineObserver } from "./machine-observer.js";
 import { NamedRandom, Random } from "./random.js";
+import { S } from "./simulation.js";
 import { type Addresses, labelOf, type SiteSpec, settingsText } from "./site-spec.js";
 import { StateService } from "./state-service.js";
-import { type Behaviour, GroundTruth } from "./truth.js";
-import { type Hearing, PLAIN_USERS, type Submission, Users } from "./users.js";
-import type { Witness } from "./witness.js";
+import { PLAIN_USERS, type Submission, type UserObserver, Users } from "./users.js";
 import { Worker, type WorkerEnvironment } from "./worker.js";
-import { S } from "./world.js";
 
 /** Configuration of a site on real sockets. */
 export interface LocalSetup {
@@ -32,7 +32,7 @@
   readonly evenBoots: boolean;
   /** Path of the program, which is started as a controller with `serve`. */
   readonly program: string;
-  readonly watch: (timeline: RealTime) => { readonly witness: Witness; readonly hearing: Hearing };
+  readonly watch: (timeline: RealTime) => { readonly witness: MachineObserver; readonly hearing: UserObserver };
   readonly onError: (what: string) => void;
 }
 
@@ -75,7 +75,7 @@
   readonly users: Users;
   private readonly children: (ChildProcess | null)[] = [];
   private stopped = false;
-  private readonly watch: { readonly witness: Witness; readonly hearing: Hearing };
+  private readonly watch: { readonly witness: MachineObserver; readonly hearing: UserObserver };
 
   private constructor(
     private readonly setup: LocalSetup,
--- a/src/model/loopback.ts
+++ b/src/model/loopback.ts
@@ -3,7 +3,7 @@
 import { NetHttpClient, splitAddress } from "../transport/http-client.js";
 import { HttpServer, type ServerLimits } from "../transport/http-server.js";
 import type { Host, Net } from "./network.js";
-import type { Timeline } from "./world.js";
+import type { Timeline } from "./simulation.js";
 
 /** Real time since construction, as a timeline. */
 export class RealTime implements Timeline {
@@ -35,7 +35,7 @@
   keepConnections: 4_096,
   requestTimeout: seconds(10),
   idleTimeout: seconds(120),
-  maxBusy: 4_096,
+  maxConcurrentRequests: 4_096,
 };
 
 /** A port is not available or a controller is not ready. The message is one line, with the address if known. */
--- a/src/model/witness.ts
+++ b/src/model/machine-observer.ts
@@ -13,7 +13,7 @@
  * Observer of the emulated machines: receives the ground truth, independent of any controller's view. Used by the
  * invariant checker of the tests and by the what-if accounting; it has no influence on the simulation.
  */
-export interface Witness {
+export interface MachineObserver {
   /** The task starts on the machine; fetching its image took `fetchUs` microseconds from the start command on. */
   taskOn(task: string, machine: HostInfo, attempt: number, fetchUs: number): void;
   /** The task is no longer on the machine. */
@@ -30,13 +30,13 @@
   /** A provisioning request was not granted in full, for lack of capacity. */
   refused(type: string, zone: string, spot: boolean): void;
   /** The worker's lease expired, which killed this number of tasks. */
-  leaseOver(machine: HostInfo, tasks: number): void;
+  leaseExpired(machine: HostInfo, tasks: number): void;
 }
 
 const nothing = (): void => undefined;
 
 /** Observer that ignores everything; a base for partial observers. */
-export const nobody: Witness = {
+export const noopObserver: MachineObserver = {
   taskOn: nothing,
   taskOff: nothing,
   taskEnded: nothing,
@@ -45,11 +45,11 @@
   machineUp: nothing,
   machineGone: nothing,
   refused: nothing,
-  leaseOver: nothing,
+  leaseExpired: nothing,
 };
 
 /** Combines several observers into one. */
-export const both = (witnesses: readonly Witness[]): Witness => ({
+export const combineObservers = (witnesses: readonly MachineObserver[]): MachineObserver => ({
   taskOn: (task, machine, attempt, fetchUs) => {
     for (const witness of witnesses) witness.taskOn(task, machine, attempt, fetchUs);
   },
@@ -74,7 +74,7 @@
   refused: (type, zone, spot) => {
     for (const witness of witnesses) witness.refused(type, zone, spot);
   },
-  leaseOver: (machine, tasks) => {
-    for (const witness of witnesses) witness.leaseOver(machine, tasks);
+  leaseExpired: (machine, tasks) => {
+    for (const witness of witnesses) witness.leaseExpired(machine, tasks);
   },
 });
--- a/src/model/network.ts
+++ b/src/model/network.ts
@@ -1,8 +1,8 @@
 import type { Clock, Micros } from "../transport/clock.js";
 import type { HttpClient, HttpOutcome, HttpRequest, HttpResponse } from "../transport/http.js";
-import type { ProcessModel } from "./door.js";
+import type { ProcessModel } from "./process-model.js";
 import type { Random } from "./random.js";
-import { type HostClock, S, type World } from "./world.js";
+import { type HostClock, S, type Simulation } from "./simulation.js";
 
 /** A response with a JSON body. */
 export const json = (status: number, body: unknown): HttpResponse => ({ status, body: JSON.stringify(body) });
@@ -90,7 +90,7 @@
   onRequest: ((from: string, to: string, request: HttpRequest) => void) | null = null;
 
   constructor(
-    private readonly world: World,
+    private readonly world: Simulation,
     private readonly random: Random,
   ) {}
 
--- a/src/model/curious.ts
+++ b/src/model/probing-users.ts
@@ -1,6 +1,6 @@
 import type { Random } from "./random.js";
+import { S, type Timeline } from "./simulation.js";
 import type { Users } from "./users.js";
-import { S, type Timeline } from "./world.js";
 
 /** Status queries to each controller after each event, spread over `WITHIN` microseconds. */
 const QUERIES_PER_CONTROLLER = 3;
@@ -8,10 +8,10 @@
 const ODD_REQUEST_PERIOD_US = S / 2;
 
 /** Users that probe consistency: they query all controllers right after each change, and send unusual requests. */
-export class Curious {
+export class ProbingUsers {
   /** Number of probes sent: status queries, repeated submissions and cancellations. */
   looks = 0;
-  /** Number of rounds of `sendOdd`. */
+  /** Number of rounds of `sendUnusualRequests`. */
   odd = 0;
 
   constructor(
@@ -25,14 +25,15 @@
    * Queries all controllers repeatedly within 8 ms after a job was accepted or has ended, submits it again, and cancels
    * a share of the jobs.
    */
-  lookClosely(forUs: number, cancels: number): void {
+  probeAfterChanges(forUs: number, cancels: number): void {
     const until = this.timeline.now + forUs;
     const before = this.users.onNews;
     this.users.onNews = (id) => {
       before(id);
       if (this.timeline.now > until) return;
       for (const node of this.controllers) {
-        for (let look = 0; look < QUERIES_PER_CONTROLLER; look += 1) this.sendSoon(() => this.users.askOnce(id, node));
+        for (let look = 0; look < QUERIES_PER_CONTROLLER; look += 1)
+          this.sendSoon(() => this.users.queryOnce(id, node));
         this.sendSoon(() => {
           const job = this.users.known().all.find(({ ref }) => ref === id);
           if (job !== undefined) void this.users.resubmit(job, node);
@@ -48,7 +49,7 @@
   }
 
   /** Sends unusual requests: resubmissions of open jobs, cancellations of ended ones, and invalid submissions. */
-  sendOdd(forUs: number): void {
+  sendUnusualRequests(forUs: number): void {
     const until = this.timeline.now + forUs;
     const next = (): void => {
       if (this.timeline.now > until) return;
--- a/src/model/door.ts
+++ b/src/model/process-model.ts
@@ -1,6 +1,6 @@
 import type { ProcessLoad } from "../coordination/overload/load-shedder.js";
 import type { Micros } from "../transport/clock.js";
-import type { Timeline } from "./world.js";
+import type { Timeline } from "./simulation.js";
 
 /** Resource limits and cost model of a controller's process. Times in microseconds of one core. */
 export interface Bounds {
--- a/src/model/sample.ts
+++ b/src/model/sample-site.ts
@@ -1,7 +1,7 @@
 import { Random } from "./random.js";
+import { S } from "./simulation.js";
 import type { SiteSpec } from "./site-spec.js";
 import type { Submission } from "./users.js";
-import { S } from "./world.js";
 
 /** A small site with short times for local trials: two zones, two types, spot and on-demand machines. */
 export const sampleSite = (machines: number): SiteSpec => {
--- a/src/model/wires.ts
+++ b/src/model/simulated-transports.ts
@@ -1,6 +1,6 @@
 import type { FrameConnection, FrameTransport } from "../mesh/index.js";
 import type { Network } from "./network.js";
-import type { HostClock, World } from "./world.js";
+import type { HostClock, Simulation } from "./simulation.js";
 
 const nothing = (): void => undefined;
 const CONNECT_TIMEOUT_US = 1_000_000;
@@ -91,7 +91,7 @@
   onSend: ((from: string, to: string, data: Buffer) => void) | null = null;
 
   constructor(
-    readonly world: World,
+    readonly world: Simulation,
     readonly network: Network,
     /** Controller address, as partitions use it, by mesh address. */
     private readonly controllerByMeshAddress: ReadonlyMap<string, string>,
--- a/src/model/world.ts
+++ b/src/model/simulation.ts
@@ -12,7 +12,7 @@
   cancelled: boolean;
 }
 
-/** Reference time and event scheduling: simulated (`World`) or real time (`RealTime`). */
+/** Reference time and event scheduling: simulated (`Simulation`) or real time (`RealTime`). */
 export interface Timeline {
   /** Microseconds since the start. */
   readonly now: number;
@@ -33,7 +33,7 @@
 const eventLoopTurn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 /** Discrete-event simulation: the simulated clock and its event queue. */
-export class World implements Timeline {
+export class Simulation implements Timeline {
   now = 0;
   /** Number of events processed. */
   count = 0;
--- a/src/model/site.ts
+++ b/src/model/site.ts
@@ -6,19 +6,19 @@
 import type { OperatorOptions } from "../settings/options.js";
 import type { Settings } from "../settings/settings.js";
 import type { Log, LogFields } from "../transport/log.js";
-import { jobBehaviour } from "./behaviour.js";
 import { CloudService, fixedCapacity, type Room } from "./cloud-service.js";
-import { type Bounds, ProcessModel, type Usage } from "./door.js";
+import { type Behaviour, GroundTruth } from "./ground-truth.js";
+import { jobBehaviour } from "./job-behaviour.js";
+import type { MachineObserver } from "./machine-observer.js";
 import { type Host, type MessageDirection, Network } from "./network.js";
+import { type Bounds, ProcessModel, type Usage } from "./process-model.js";
 import { NamedRandom, Random } from "./random.js";
+import { SimulatedTransports } from "./simulated-transports.js";
+import { HostClock, S, Simulation } from "./simulation.js";
 import { type Addresses, CLOCK_ERROR_MS, labelOf, type SiteSpec, settingsOf } from "./site-spec.js";
 import { StateService } from "./state-service.js";
-import { type Behaviour, GroundTruth } from "./truth.js";
-import { type Hearing, PLAIN_USERS, type Quirks, type Submission, Users } from "./users.js";
-import { SimulatedTransports } from "./wires.js";
-import type { Witness } from "./witness.js";
+import { PLAIN_USERS, type Quirks, type Submission, type UserObserver, Users } from "./users.js";
 import { Worker, type WorkerEnvironment } from "./worker.js";
-import { HostClock, S, World } from "./world.js";
 
 /** A controller's host with the process that currently runs on it; `starts` counts its processes. */
 interface ControllerHost {
@@ -31,8 +31,8 @@
 
 /** Observers of a simulated site. */
 export interface SiteWatch {
-  readonly witness: Witness;
-  readonly hearing: Hearing;
+  readonly witness: MachineObserver;
+  readonly hearing: UserObserver;
   log(level: "error" | "info", controller: number, event: string, fields: LogFields): void;
   /** Receives the cluster events that the controllers would record in a trace. */
   readonly sink?: (event: ClusterEvent) => void;
@@ -44,7 +44,7 @@
   readonly seed: number;
   /** Seed of sequential draws (delays, drift, choice of controller), `seed` by default; draws by name use `seed`. */
   readonly turnSeed?: number;
-  readonly watch: (world: World) => SiteWatch;
+  readonly watch: (world: Simulation) => SiteWatch;
   /** Settings of each controller; derived from `spec` by default. */
   readonly settings?: (index: number, addresses: Addresses) => Settings;
   /** Free capacity of the cloud; the limits of `spec` by default. */
@@ -73,7 +73,7 @@
 
 /** Full simulation of a site: the controllers' real code and an emulated environment on one simulated clock. */
 export class Site {
-  readonly world = new World();
+  readonly world = new Simulation();
   readonly random: Random;
   readonly network: Network;
   readonly state: StateService;
@@ -307,13 +307,13 @@
   }
 
   /** One-way loss towards these machines: heartbeats arrive; commands, responses to heartbeats or both are dropped. */
-  deafen(addresses: ReadonlySet<string>, forUs: number, swallows: readonly MessageDirection[]): void {
+  dropToMachines(addresses: ReadonlySet<string>, forUs: number, swallows: readonly MessageDirection[]): void {
     const from = (address: string): boolean => this.isController(address);
     this.network.lose({ from, to: (address) => addresses.has(address), drops: swallows }, forUs);
   }
 
-  /** As `deafen` for all machines, including those that boot later. */
-  deafenAll(forUs: number, swallows: readonly MessageDirection[]): void {
+  /** As `dropToMachines` for all machines, including those that boot later. */
+  dropToAllMachines(forUs: number, swallows: readonly MessageDirection[]): void {
     const { controllers, state, cloud } = this.addresses;
     const others = new Set([...controllers, state, cloud, "user"]);
     const from = (address: string): boolean => this.isController(address);
@@ -321,7 +321,7 @@
   }
 
   /** One-way loss from these machines: their heartbeats are dropped; commands and status queries are answered. */
-  mute(addresses: ReadonlySet<string>, forUs: number): void {
+  dropFromMachines(addresses: ReadonlySet<string>, forUs: number): void {
     const to = (address: string): boolean => this.isController(address);
     this.network.lose({ from: (address) => addresses.has(address), to, drops: ["requests"] }, forUs);
   }
--- a/src/model/state-service.ts
+++ b/src/model/state-service.ts
@@ -1,7 +1,7 @@
 import type { HttpRequest, HttpResponse } from "../transport/http.js";
 import { json } from "./network.js";
 import type { Random } from "./random.js";
-import { S, type Timeline } from "./world.js";
+import { S, type Timeline } from "./simulation.js";
 
 /** A stored key: `stamp` is the revision of its last change, `hold` the id of its lease. */
 interface Item {
@@ -44,9 +44,9 @@
   received = 0;
   private writeBacklog = 0;
   /** Number of writes requested, including those of refused transactions. */
-  asked = 0;
+  requestedWrites = 0;
   /** Number of transactions that were applied without a response to the writer. */
-  unheard = 0;
+  appliedWithoutResponse = 0;
   /** Called with the written keys after each applied transaction; a test may crash a controller there. */
   onApplied: (keys: readonly string[]) => void = () => undefined;
   /** Called for each transaction that was answered: applied, or rejected because a condition failed. */
@@ -197,7 +197,7 @@
       const [minDelay, maxDelay] = this.unansweredDelayRange ?? [0, this.random.chance(0.5) ? 0 : 20 * S];
       const delay = this.random.int(minDelay, maxDelay);
       this.timeline.after(delay, () => {
-        if (!this.isUnavailable(from) && this.apply(body).status === 200) this.unheard += 1;
+        if (!this.isUnavailable(from) && this.apply(body).status === 200) this.appliedWithoutResponse += 1;
       });
       return new Promise(() => undefined);
     }
@@ -213,7 +213,7 @@
       return json(400, {});
     }
     this.writeBacklog += writes.length;
-    this.asked += writes.length;
+    this.requestedWrites += writes.length;
     if (this.writeBacklog > this.limits.writeRps) return json(429, {});
     for (const write of writes) {
       if (!("set" in write)) continue;
--- a/src/model/users.ts
+++ b/src/model/users.ts
@@ -2,7 +2,7 @@
 import type { HttpOutcome, HttpRequest } from "../transport/http.js";
 import type { Net } from "./network.js";
 import type { Random } from "./random.js";
-import { HostClock, S, type Timeline } from "./world.js";
+import { HostClock, S, type Timeline } from "./simulation.js";
 
 /** A job submission with the field names of the protocol. */
 export interface Submission {
@@ -30,7 +30,7 @@
 }
 
 /** Observer of the users' requests and of the responses that they receive. */
-export interface Hearing {
+export interface UserObserver {
   /** `askedAt`: when the request was sent; responses may arrive out of order. `status` is 0 without a response. */
   submitted(id: string, status: number, phase: string | null, askedAt: number): void;
   /** Result of a status query; `status` is null without a response. */
@@ -40,11 +40,11 @@
   /** A submission was abandoned: refused permanently, or not accepted within the users' retry period. */
   dropped(id: string, status: number | null): void;
   /** Response to an invalid submission. */
-  oddAnswered?(why: Odd, status: number, detail: string): void;
+  oddAnswered?(why: SubmissionFault, status: number, detail: string): void;
 }
 
 /** Fault of an invalid submission, which no controller may accept. */
-export type Odd = "fits no machine" | "lacks a field";
+export type SubmissionFault = "fits no machine" | "lacks a field";
 
 /** Shares of jobs submitted again after acceptance (`repeats`), and of polls continued after the end (`lingers`). */
 export interface Quirks {
@@ -81,7 +81,7 @@
     private readonly net: Net,
     private readonly random: Random,
     private readonly controllers: readonly string[],
-    private readonly observer: Hearing,
+    private readonly observer: UserObserver,
     private readonly quirks: Quirks,
   ) {
     this.clock = new HostClock(timeline, 1, 0);
@@ -161,13 +161,13 @@
   }
 
   /** Starts another series of polls every 5 s for ever, whether or not the job has ended. */
-  keepAsking(id: string): void {
+  pollForever(id: string): void {
     this.poll(id);
-    this.timeline.after(5 * S, () => this.keepAsking(id));
+    this.timeline.after(5 * S, () => this.pollForever(id));
   }
 
   /** Sends one status query to `node` or else to a random controller; the job need not have been submitted. */
-  askOnce(id: string, node?: string): void {
+  queryOnce(id: string, node?: string): void {
     const askedAt = this.timeline.now;
     void this.send("GET", `/v2/runs/${id}`, "", REQUEST_TIMEOUT_US, node).then((outcome) =>
       this.observer.polled(id, outcome.kind === "answer" ? outcome.status : null, phaseIn(outcome), askedAt),
@@ -175,7 +175,7 @@
   }
 
   /** Registers a job as accepted before the run. */
-  heardOf(job: Submission): void {
+  registerAccepted(job: Submission): void {
     this.accepted.set(job.ref, job);
   }
 
@@ -204,7 +204,7 @@
   }
 
   /** Sends an invalid submission; the response must be a refusal or state that it cannot be decided now. */
-  submitOdd(job: Submission, why: Odd): void {
+  submitOdd(job: Submission, why: SubmissionFault): void {
     const body = why === "lacks a field" ? { ...job, cpus: undefined } : { ...job, cpus: 100_000 };
     void this.send("POST", "/v2/runs", JSON.stringify(body)).then((outcome) => {
       if (outcome.kind === "answer") this.observer.oddAnswered?.(why, outcome.status, outcome.body);
--- a/src/model/worker.ts
+++ b/src/model/worker.ts
@@ -1,11 +1,11 @@
 import type { Micros } from "../transport/clock.js";
 import type { HttpRequest, HttpResponse } from "../transport/http.js";
 import { Executor, type ExecutorEnvironment, type GangTimings } from "./executor.js";
+import type { HostInfo } from "./machine-observer.js";
 import { type Host, json, type Net } from "./network.js";
 import type { Random } from "./random.js";
+import { HostClock, S } from "./simulation.js";
 import type { TypeSpec } from "./site-spec.js";
-import type { HostInfo } from "./witness.js";
-import { HostClock, S } from "./world.js";
 
 /** Timing parameters of workers, in microseconds. */
 export interface WorkerTimings extends GangTimings {
@@ -76,7 +76,7 @@
   }
 
   /** Makes the machine faulty: every task that it starts from now on fails. */
-  sicken(): void {
+  makeFaulty(): void {
     this.executor.faulty = true;
   }
 
@@ -122,7 +122,7 @@
     if (this.ended) return;
     // The lease also expires while the machine hangs: its tasks are gone when it resumes.
     if (timeline.now - this.leaseStart > times.leaseUs) {
-      this.environment.witness.leaseOver(
+      this.environment.witness.leaseExpired(
         this.info,
         [...this.executor.list()].filter(({ phase }) => phase !== "exited").length,
       );
--- a/src/settings/cancellation.ts
+++ b/src/settings/cancellation.ts
@@ -31,7 +31,7 @@
   /** Sum of the three intervals. */
   readonly total: Micros;
   /** `cancel_s` minus `total`. */
-  readonly left: Micros;
+  readonly margin: Micros;
 }
 
 /** Computes the terms for a shard lease of this duration. */
@@ -43,7 +43,7 @@
     startCommand: START_COMMAND_FENCING_DELAY,
     workerLease,
     total,
-    left: (workers.cancellationBound - total) as Micros,
+    margin: (workers.cancellationBound - total) as Micros,
   };
 };
 
@@ -67,6 +67,6 @@
     startS: inSeconds(terms.startCommand),
     workerLeaseS: inSeconds(terms.workerLease),
     totalS: inSeconds(terms.total),
-    leftS: inSeconds(terms.left),
+    leftS: inSeconds(terms.margin),
   };
 };
--- a/src/settings/connections.ts
+++ b/src/settings/connections.ts
@@ -17,17 +17,17 @@
   /** Most incoming connections. */
   readonly incoming: number;
   /** Most incoming connections that are kept open between requests. */
-  readonly kept: number;
+  readonly keepAlive: number;
   /** Most incoming connections with a response held back by a long poll (coordination/workers/long-polls.ts). */
-  readonly waiting: number;
+  readonly longPolls: number;
   /** Most outgoing connections that are kept open between requests. */
-  readonly idle: number;
+  readonly idleOutgoing: number;
 }
 
 /** Divides `limit` connections; each use but long polls has a minimum, also where `limit` is too small for all. */
 export const allocateConnections = (limit: number): ConnectionAllocation => ({
   incoming: Math.max(MIN_INCOMING, Math.floor(limit * INCOMING_SHARE)),
-  kept: Math.max(MIN_KEEP_ALIVE, Math.floor(limit * KEEP_ALIVE_SHARE)),
-  waiting: Math.floor(limit * LONG_POLL_SHARE),
-  idle: Math.max(MIN_IDLE_OUTGOING, Math.floor(limit * IDLE_OUTGOING_SHARE)),
+  keepAlive: Math.max(MIN_KEEP_ALIVE, Math.floor(limit * KEEP_ALIVE_SHARE)),
+  longPolls: Math.floor(limit * LONG_POLL_SHARE),
+  idleOutgoing: Math.max(MIN_IDLE_OUTGOING, Math.floor(limit * IDLE_OUTGOING_SHARE)),
 });
--- a/src/settings/parse-settings.ts
+++ b/src/settings/parse-settings.ts
@@ -144,7 +144,7 @@
     transactionWrites: next.has("txn_ops")
       ? Math.min(transactionWrites, readNextTransactionWrites(next))
       : transactionWrites,
-    layoutBytes: Math.floor(valueKb * BYTES_PER_KB),
+    currentValueBytes: Math.floor(valueKb * BYTES_PER_KB),
   };
 };
 
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -49,7 +49,7 @@
    * The current limit on values, also if a lower one is announced. The size of task ranges is not stored: every version
    * of the program derives it from this limit.
    */
-  readonly layoutBytes: number;
+  readonly currentValueBytes: number;
 }
 
 /** Limits of the cloud. */
--- a/src/settings/shard-lease.ts
+++ b/src/settings/shard-lease.ts
@@ -29,7 +29,7 @@
   );
   const longestLease = Math.floor(remaining - margin);
   const lease = Math.min(longestLease, MAX_SHARD_LEASE) as Micros;
-  if (longestLease < MIN_SHARD_LEASE || cancellationTerms(workers, lease).left <= 0) {
+  if (longestLease < MIN_SHARD_LEASE || cancellationTerms(workers, lease).margin <= 0) {
     const remainingSeconds = remaining / MICROS_PER_SECOND;
     throw new SettingsError(
       `deployment.workers.cancel_s: leaves ${remainingSeconds} s beyond lease_s, too little for a lease`,
--- a/src/storage/transaction-batcher.ts
+++ b/src/storage/transaction-batcher.ts
@@ -125,7 +125,7 @@
   }
 
   /** Removes the queued deferred transaction that writes this key, if any, and resolves it as refused. */
-  cancelPending(key: string): void {
+  cancelDeferred(key: string): void {
     this.queues.removeDeferred(key)?.resolve({ kind: "refused" });
   }
 }
--- a/src/storage/watch-cache.ts
+++ b/src/storage/watch-cache.ts
@@ -88,7 +88,7 @@
    * called with the first of them. Meant for derived state that other listeners read: without this order, a leader that
    * acquired its shard while a list was being delivered found jobs without their dependencies, and never started them.
    */
-  onChangeFirst(listener: ChangeListener): void {
+  onChangeBeforeOthers(listener: ChangeListener): void {
     this.firstListeners.push(listener);
   }
 
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -19,7 +19,7 @@
   /** A connection is closed after being idle for this time since its last response. */
   readonly idleTimeout: Micros;
   /** Most requests handled concurrently over all connections; further ones are shed with status 503. */
-  readonly maxBusy: number;
+  readonly maxConcurrentRequests: number;
 }
 
 /** Length of the queue of connections waiting to be accepted. */
@@ -88,7 +88,7 @@
   }
 
   private async handle(request: HttpRequest): Promise<HttpResponse> {
-    if (this.requestsInProgress >= this.limits.maxBusy) return OVERLOADED;
+    if (this.requestsInProgress >= this.limits.maxConcurrentRequests) return OVERLOADED;
     this.requestsInProgress += 1;
     try {
       return await this.handler(request);
--- a/src/whatif/conduct.ts
+++ b/src/whatif/conduct.ts
@@ -1,4 +1,4 @@
-import type { CloudService, HostInfo, SiteSpec, Witness, World } from "../model/index.js";
+import type { CloudService, HostInfo, MachineObserver, Simulation, SiteSpec } from "../model/index.js";
 import { S } from "../model/index.js";
 import type { OperatorOptions } from "../settings/options.js";
 import type { TraceEvent, TraceHeader } from "./format.js";
@@ -25,7 +25,7 @@
   /** Told now and then how far it has come. */
   readonly progress?: (nowUs: number, ledger: Ledger) => void;
   /** Told what truly happens, beside the ledger: a checker, or a recorder. */
-  readonly witness?: (now: () => number) => Witness;
+  readonly witness?: (now: () => number) => MachineObserver;
   readonly onPlayed?: (event: TraceEvent, on: HostInfo | null) => void;
 }
 
@@ -72,7 +72,7 @@
 
 /** A model as far as a replay needs it: both have the same parts, and differ in how their world runs. */
 interface Played {
-  readonly world: World;
+  readonly world: Simulation;
   readonly cloud: CloudService;
   readonly submit: Stage["submit"];
   readonly others: Omit<Stage, "now" | "after" | "submit" | "machines" | "refuse">;
--- a/src/whatif/faithful.ts
+++ b/src/whatif/faithful.ts
@@ -1,4 +1,4 @@
-import { both, nobody, Site } from "../model/index.js";
+import { combineObservers, noopObserver, Site } from "../model/index.js";
 import { conduct, type ReplayRequest } from "./conduct.js";
 import { Ledger } from "./ledger.js";
 import type { Outcome } from "./outcome.js";
@@ -24,7 +24,7 @@
       const ledger = new Ledger(now, spec);
       books.push(ledger);
       return {
-        witness: both([ledger, request.witness?.(now) ?? nobody]),
+        witness: combineObservers([ledger, request.witness?.(now) ?? noopObserver]),
         hearing: ledger,
         log: (level, controller, event, fields) => {
           if (level === "error") errors.push(`controller ${controller}: ${event} ${JSON.stringify(fields, plain)}`);
--- a/src/whatif/fast.ts
+++ b/src/whatif/fast.ts
@@ -1,4 +1,4 @@
-import { both, FastSite, nobody } from "../model/index.js";
+import { combineObservers, FastSite, noopObserver } from "../model/index.js";
 import { conduct, type ReplayRequest } from "./conduct.js";
 import { Ledger } from "./ledger.js";
 import type { Outcome } from "./outcome.js";
@@ -15,7 +15,7 @@
       const now = (): number => world.now;
       const ledger = new Ledger(now, spec);
       books.push(ledger);
-      return { witness: both([ledger, request.witness?.(now) ?? nobody]), hearing: ledger };
+      return { witness: combineObservers([ledger, request.witness?.(now) ?? noopObserver]), hearing: ledger };
     },
   });
   const [ledger] = books;
--- a/src/whatif/graph-cost.ts
+++ b/src/whatif/graph-cost.ts
@@ -1,12 +1,12 @@
 import {
   DagRun,
   decodePlan,
-  describing,
   encodePlan,
-  NO_PAST,
-  ownOrder,
+  loadDescription,
+  NO_STORED_ATTEMPTS,
   type Plan,
   planLimits,
+  startOrder,
 } from "../graphs/index.js";
 import { type GraphLoadSpec, graphFor, LOAD_OPTIONS } from "./graph-load.js";
 
@@ -40,18 +40,18 @@
 const runOf = (plan: Plan): DagRun =>
   new DagRun({
     plan,
-    order: ownOrder(plan),
+    order: startOrder(plan),
     limits: planLimits(plan, LOAD_OPTIONS),
     frozen: new Map(),
     clearings: new Map(),
-    past: NO_PAST,
+    storedAttempts: NO_STORED_ATTEMPTS,
     pastRun: () => "go",
     onRetry: () => undefined,
   });
 
 const playThrough = (run: DagRun): void => {
   while (run.result === null) {
-    const at = run.take(() => true);
+    const at = run.takeNext(() => true);
     if (at === null) throw new Error("nothing to take");
     run.submitted(at, 1);
     run.ended(at, 1, "done");
@@ -59,7 +59,7 @@
 };
 
 export const graphCost = async (spec: GraphLoadSpec): Promise<GraphCost> => {
-  const { compile, readDocument } = await describing();
+  const { compile, readDocument } = await loadDescription();
   const [plan, compileUs] = timed(() =>
     compile(readDocument(graphFor(spec)), { id: "dr-0", ds: "2026-01-01", params: {} }, LOAD_OPTIONS),
   );
@@ -79,6 +79,6 @@
     planBytes: text.length,
     heapBytes: before === null || after === null ? null : after - before,
     stepUs: playUs / steps,
-    looksPerStep: runs.reduce((sum, run) => sum + run.looks, 0) / steps,
+    looksPerStep: runs.reduce((sum, run) => sum + run.visitedSteps, 0) / steps,
   };
 };
--- a/src/whatif/graph-load.ts
+++ b/src/whatif/graph-load.ts
@@ -1,17 +1,17 @@
 import { build, type Histogram } from "hdr-histogram-js";
-import { call, graphBodies } from "../client.js";
-import { describing, downstreamOf, graphsWith, type Plan, partsOfJobId } from "../graphs/index.js";
+import { graphRequestBodies, sendRequest } from "../client.js";
+import { downstreamOf, graphExtension, loadDescription, type Plan, parseStepJobId } from "../graphs/index.js";
 import {
   type Behaviour,
   HostClock,
   jobBehaviour,
   LocalSite,
-  nobody,
+  type MachineObserver,
+  noopObserver,
   S,
   Site,
   type SiteSpec,
   type Submission,
-  type Witness,
 } from "../model/index.js";
 import { encodeSubmission } from "../protocol/job-messages.js";
 import { DEFAULT_GRAPHS, type GraphOptions } from "../settings/graph-options.js";
@@ -156,12 +156,12 @@
 
   private graphOf(task: string): { readonly graph: string; readonly step: number } | null {
     const ref = task.slice(0, task.lastIndexOf("/"));
-    const parts = partsOfJobId(ref);
+    const parts = parseStepJobId(ref);
     return parts === null ? null : { graph: ref.split(".")[0] ?? "", step: parts.step };
   }
 
-  readonly witness: Witness = {
-    ...nobody,
+  readonly witness: MachineObserver = {
+    ...noopObserver,
     taskOn: (task) => {
       const of = this.graphOf(task);
       if (of === null || this.begun.has(task)) return;
@@ -205,7 +205,7 @@
   ref: string,
   at: number,
 ): Promise<void> => {
-  const bodies = graphBodies(ref, text);
+  const bodies = graphRequestBodies(ref, text);
   for (const [part, body] of bodies.entries()) {
     for (;;) {
       const { status, retryAfterS } = await ask((at + part) % 3, body);
@@ -225,7 +225,7 @@
 ): Promise<GraphLoadResult> => {
   const graph = graphFor(spec);
   const ids = Array.from({ length: spec.graphs }, (_, at) => `dr-${at}`);
-  const { compile, readDocument } = await describing();
+  const { compile, readDocument } = await loadDescription();
   const plan = compile(readDocument(graph), { id: "dr-0", ds: "2026-01-01", params: {} }, LOAD_OPTIONS);
   const textOf = (ref: string): string => JSON.stringify({ ref, ds: "2026-01-01", graph });
   const described = (value: unknown): Behaviour | null => {
@@ -282,7 +282,7 @@
     spec: siteOf(spec),
     options: { ...DEFAULT_OPTIONS, graphs: LOAD_OPTIONS },
     seed: spec.seed,
-    extension: graphsWith(LOAD_OPTIONS),
+    extension: graphExtension(LOAD_OPTIONS),
     watch: (world) => {
       const watch = new Watch(plan, () => world.now);
       books.push(watch);
@@ -352,7 +352,7 @@
     if (watch === undefined) throw new Error("no watch");
     site.state.onApplied = (keys) => watch.written(keys, (key) => site.state.value(key) !== undefined);
     const ask: Ask = async (server, body) => {
-      const reply = await call(site.addresses.controllers[server] ?? "", {
+      const reply = await sendRequest(site.addresses.controllers[server] ?? "", {
         method: "POST",
         target: "/v2/graphs",
         body,
--- a/src/whatif/ledger.ts
+++ b/src/whatif/ledger.ts
@@ -1,12 +1,12 @@
 import hdr, { type Histogram } from "hdr-histogram-js";
 import {
   type EndCause,
-  type Hearing,
   type HostInfo,
   jobOf,
+  type MachineObserver,
   type SiteSpec,
   type Submission,
-  type Witness,
+  type UserObserver,
 } from "../model/index.js";
 import type { AimOutcome, DelayCause, JobOutcome, JobPhase, Outcome, Sample, ServedGroups, Waits } from "./outcome.js";
 
@@ -56,7 +56,7 @@
 const rounded = (value: number): number => Math.round(value * 1e6) / 1e6;
 
 /** Keeps the books of a replay from what truly happened; the policy under test is not asked anything. */
-export class Ledger implements Witness, Hearing {
+export class Ledger implements MachineObserver, UserObserver {
   private readonly accounts = new Map<string, Account>();
   private readonly stays = new Map<string, Stay>();
   private readonly upAt = new Map<string, number>();
@@ -274,7 +274,7 @@
     this.refusals += 1;
   }
 
-  leaseOver(): void {
+  leaseExpired(): void {
     // What it ended is told task by task.
   }
 
--- a/src/whatif/load.ts
+++ b/src/whatif/load.ts
@@ -1,14 +1,14 @@
 import {
   type Bounds,
-  type Hearing,
+  type MachineObserver,
   MEASURED,
-  nobody,
+  noopObserver,
   S,
   Site,
   type SiteSpec,
   type Submission,
   type Usage,
-  type Witness,
+  type UserObserver,
 } from "../model/index.js";
 import { allocateConnections } from "../settings/connections.js";
 import { DEFAULT_OPTIONS } from "../settings/options.js";
@@ -108,7 +108,7 @@
 };
 
 const boundsOf = ({ controller, bounded }: LoadSpec): Bounds => {
-  const { incoming, kept } = allocateConnections(controller.connections);
+  const { incoming, keepAlive: kept } = allocateConnections(controller.connections);
   return {
     cpuShare: controller.cpuShare,
     maxConnections: incoming,
@@ -185,8 +185,8 @@
   submissions = 0;
   turnedAway = 0;
 
-  readonly witness: Witness = {
-    ...nobody,
+  readonly witness: MachineObserver = {
+    ...noopObserver,
     taskOn: () => {
       this.starts += 1;
       this.running += 1;
@@ -202,12 +202,12 @@
     machineGone: () => {
       this.up -= 1;
     },
-    leaseOver: (_, tasks) => {
+    leaseExpired: (_, tasks) => {
       this.killed += tasks;
     },
   };
 
-  readonly hearing: Hearing = {
+  readonly hearing: UserObserver = {
     submitted: (_, status) => {
       this.submissions += 1;
       if (status === 503) this.turnedAway += 1;
@@ -283,7 +283,7 @@
   for (let now = LOOK; now <= spec.untilUs; now += LOOK) {
     await site.world.run(now, () => undefined);
     counts.ended += site.endOversized();
-    writes.read(now, site.state.asked);
+    writes.read(now, site.state.requestedWrites);
     calls.read(now, site.cloud.calls);
     progress(now);
   }
--- a/src/whatif/on-loopback.ts
+++ b/src/whatif/on-loopback.ts
@@ -1,4 +1,4 @@
-import { both, LocalSite, nobody, S } from "../model/index.js";
+import { combineObservers, LocalSite, noopObserver, S } from "../model/index.js";
 import { type ReplayRequest, standUp } from "./conduct.js";
 import { Ledger } from "./ledger.js";
 import type { JobOutcome, Outcome } from "./outcome.js";
@@ -36,7 +36,7 @@
       now = () => Math.max(0, Math.round(timeline.now - zero));
       const ledger = new Ledger(() => now(), spec);
       books.push(ledger);
-      return { witness: both([ledger, request.witness?.(() => now()) ?? nobody]), hearing: ledger };
+      return { witness: combineObservers([ledger, request.witness?.(() => now()) ?? noopObserver]), hearing: ledger };
     },
   });
   request.onSite?.(site);
--- a/src/whatif/recording.ts
+++ b/src/whatif/recording.ts
@@ -1,4 +1,4 @@
-import { type HostInfo, nobody, type Witness } from "../model/index.js";
+import { type HostInfo, type MachineObserver, noopObserver } from "../model/index.js";
 import type { TraceEvent, TraceHeader } from "./format.js";
 
 /** Records a replay as a trace of its own: what was played, on which machines, and which machines came and went. */
@@ -15,10 +15,10 @@
     this.events.push(event);
   };
 
-  witness(now: () => number): Witness {
+  witness(now: () => number): MachineObserver {
     const of = ({ name, type, zone, spot }: HostInfo) => ({ machine: name, type, zone, spot });
     return {
-      ...nobody,
+      ...noopObserver,
       machineUp: (machine) => {
         this.events.push({ at: Math.round(now()), event: "machine_up", ...of(machine) });
       },
--- a/src/whatif/stage.ts
+++ b/src/whatif/stage.ts
@@ -35,7 +35,7 @@
   take: (machine, why) => site.cloud.take(machine, why),
   notice: (machine, withinUs) => site.cloud.machines.get(machine)?.worker?.notice(withinUs),
   silent: (machine, forUs) => site.cloud.machines.get(machine)?.worker?.hang(forUs),
-  faulty: (machine) => site.cloud.machines.get(machine)?.worker?.sicken(),
+  faulty: (machine) => site.cloud.machines.get(machine)?.worker?.makeFaulty(),
   cloudOutage: (forUs) => {
     site.cloud.outageUntil = Math.max(site.cloud.outageUntil, timeline.now + forUs);
   },
--- a/test/answered-starts.test.ts
+++ b/test/answered-starts.test.ts
@@ -6,10 +6,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { ShardState } from "../src/cluster/shard-state.js";
-import { MAX_START_DELAY, type Task } from "../src/cluster/task.js";
+import { MAX_START_TRANSIT_TIME, type Task } from "../src/cluster/task.js";
 import type { Services, ShardLease } from "../src/coordination/context.js";
 import { AnsweredStarts } from "../src/coordination/workers/answered-starts.js";
-import { HostClock, S, World } from "../src/model/index.js";
+import { HostClock, S, Simulation } from "../src/model/index.js";
 import type { KeyValueEntry, WriteOperation } from "../src/protocol/key-value-store.js";
 import { decodeAnsweredStarts } from "../src/storage/answered-starts-record.js";
 import { answeredStartsKey } from "../src/storage/keys.js";
@@ -36,7 +36,7 @@
 
 /** Simulates the key-value store with recorded placements, and successive leaders. */
 class LeaderSimulation {
-  readonly world = new World();
+  readonly world = new Simulation();
   readonly entries = new Map<string, KeyValueEntry>();
   readonly placements: Placement[] = [];
   revision = 1;
@@ -151,7 +151,7 @@
   assert.equal(isAnswered(simulation.electLeader(), placement), false);
   const third = simulation.electLeader();
   third.unconfirmedStarts.add(placement.task);
-  await simulation.run(MAX_START_DELAY);
+  await simulation.run(MAX_START_TRANSIT_TIME);
   await simulation.publish(third);
   assert.equal(isAnswered(simulation.electLeader(), placement), true);
 });
@@ -217,7 +217,7 @@
   observe(placement);
   const { unansweredStartAt } = placement.task;
   if (unansweredStartAt !== null)
-    placement.lateUntil = Math.min(placement.lateUntil, unansweredStartAt + MAX_START_DELAY);
+    placement.lateUntil = Math.min(placement.lateUntil, unansweredStartAt + MAX_START_TRANSIT_TIME);
 };
 
 /** Sends a direct start, with or without a response. */
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -3,7 +3,7 @@
 import { S } from "../src/model/index.js";
 import type { Cluster } from "./sim/cluster.js";
 import { CANCELLATION_BOUND, submitLongJobs } from "./sim/fault-combinations.js";
-import { assertRecovered, type Fault, machinesWithTasks, playFaultyDay } from "./sim/faulty-day.js";
+import { assertRecovered, type Fault, playFaultyDay, runningMachineAddresses } from "./sim/faulty-day.js";
 
 const REFUSAL_TIME = 14 * S;
 /** Longer than `cancel_s`. */
@@ -21,15 +21,16 @@
 
 const FAILOVERS: Readonly<Record<string, Fault>> = {
   "no failover": () => undefined,
-  "a failover before": (c) => c.crash(c.holder(), 20 * S),
-  "a failover during": (c) => c.world.after(30 * S, () => c.crash(c.holder(), 5 * S)),
-  "a failover after": (c) => c.world.after(16 * S + OUTAGE_TIME, () => c.crash(c.holder(), 0.2 * S)),
+  "a failover before": (c) => c.crash(c.shardLeader(), 20 * S),
+  "a failover during": (c) => c.world.after(30 * S, () => c.crash(c.shardLeader(), 5 * S)),
+  "a failover after": (c) => c.world.after(16 * S + OUTAGE_TIME, () => c.crash(c.shardLeader(), 0.2 * S)),
 };
 
 const NETWORK_FAULTS: Readonly<Record<string, Fault>> = {
   "no other fault": () => undefined,
-  "stop commands lost": (c) => c.site.deafen(machinesWithTasks(c, 99), 120 * S, ["requests"]),
-  "machines receive nothing": (c) => c.site.deafen(machinesWithTasks(c, 4), 60 * S, ["requests", "answers"]),
+  "stop commands lost": (c) => c.site.dropToMachines(runningMachineAddresses(c, 99), 120 * S, ["requests"]),
+  "machines receive nothing": (c) =>
+    c.site.dropToMachines(runningMachineAddresses(c, 4), 60 * S, ["requests", "answers"]),
   "commands delayed": (c) => c.site.holdUpCommands("requests", 0.5, 9 * S, 60 * S),
 };
 
@@ -52,10 +53,10 @@
   };
   const refusalAndOutage: Fault = (c) =>
     c.world.after(12 * S, () => {
-      refusal(c, c.holder());
+      refusal(c, c.shardLeader());
       c.world.after(2 * S, () => c.state.outage(OUTAGE_TIME));
     });
-  return playFaultyDay({ ...setup, more }, ...otherFaults, refusalAndOutage);
+  return playFaultyDay({ ...setup, submitExtraJobs: more }, ...otherFaults, refusalAndOutage);
 };
 
 /** Manual runs: RAINRIDGE_MEETINGS=all runs each combination with the mesh on and off; otherwise the two alternate. */
@@ -75,10 +76,10 @@
         test(`cancelled tasks end in time: the store ${refusal} the leader's requests, then an outage, ${failover}, ${networkFault}, mesh ${mesh ? "on" : "off"}`, async () => {
           const cluster = await runRefusalAndOutage({ mesh }, refuse, crash, breakNetwork);
           await cluster.run(14 * S);
-          const confirmed = CANCELLED.filter((id) => cluster.checker.finalOf(id) === "withdrawn");
+          const confirmed = CANCELLED.filter((id) => cluster.checker.terminalPhaseOf(id) === "withdrawn");
           if (failover !== "a failover before") assert.ok(confirmed.length > 0, "no cancellation was confirmed");
           await cluster.run(OUTAGE_TIME + 10 * S);
-          cluster.checker.calmFrom = cluster.world.now + 120 * S;
+          cluster.checker.faultsEndedAt = cluster.world.now + 120 * S;
           await cluster.run(200 * S);
           const { longestUs, tasks } = cluster.checker.afterCancelled;
           assert.ok(
@@ -120,24 +121,28 @@
     (payload) => payload && { ...payload, orders: payload.orders.filter(({ verb }) => verb !== "halt") },
   );
   const networkAndCloudFault: Fault = (c) => {
-    c.site.deafen(machinesWithTasks(c, 99), 120 * S, ["requests"]);
+    c.site.dropToMachines(runningMachineAddresses(c, 99), 120 * S, ["requests"]);
     c.cloud.outageUntil = c.world.now + 120 * S;
   };
-  const cluster = await playFaultyDay({ mesh: false, more: submitLongJobs }, withoutStops, networkAndCloudFault);
+  const cluster = await playFaultyDay(
+    { mesh: false, submitExtraJobs: submitLongJobs },
+    withoutStops,
+    networkAndCloudFault,
+  );
   await assert.rejects(cluster.run(100 * S), /ran_cancelled/);
 });
 
 test("no shard leader renews a lease without the stop command, even before its fencing token is confirmed", async () => {
   // The cloud cannot delete machines, commands to the worker are lost, and it gets one response from each new shard
   // leader. If these responses renew its lease without the stop command, tasks of a cancelled job run past `cancel_s`.
-  const cluster = await playFaultyDay({ mesh: false, more: submitLongJobs });
-  const [task] = cluster.begun.filter(({ task }) => task.startsWith("wk-800004/"));
+  const cluster = await playFaultyDay({ mesh: false, submitExtraJobs: submitLongJobs });
+  const [task] = cluster.taskStarts.filter(({ task }) => task.startsWith("wk-800004/"));
   assert.ok(task !== undefined);
-  const machine = cluster.cloud.running().find(({ ref }) => cluster.checker.placesOf(task.task).includes(ref));
+  const machine = cluster.cloud.running().find(({ ref }) => cluster.checker.machinesOf(task.task).includes(ref));
   const address = machine?.worker?.host.address ?? "";
   assert.notEqual(address, "");
   cluster.cloud.outageUntil = cluster.world.now + 120 * S;
-  cluster.site.deafen(new Set([address]), 120 * S, ["requests"]);
+  cluster.site.dropToMachines(new Set([address]), 120 * S, ["requests"]);
   let open = false;
   const answeredAt: number[] = [];
   cluster.network.cut((a, b) => !open && a === address && b !== address, 120 * S, "reset");
@@ -162,6 +167,6 @@
   await cluster.run(110 * S);
   // Each shard leader renewed the lease, well before the renewal by the previous one expired.
   assert.ok(answeredAt.length >= 8, `${answeredAt.length} responses`);
-  assert.equal(cluster.checker.finalOf("wk-800004"), "withdrawn");
-  assert.deepEqual(cluster.checker.placesOf(task.task), []);
+  assert.equal(cluster.checker.terminalPhaseOf("wk-800004"), "withdrawn");
+  assert.deepEqual(cluster.checker.machinesOf(task.task), []);
 });
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -2,10 +2,10 @@
 import { test } from "node:test";
 import { json, S } from "../src/model/index.js";
 import type { HttpRequest, HttpResponse } from "../src/transport/http.js";
-import { BrokenRule, Checker, type Rule } from "./sim/checker.js";
+import { Checker, type Rule, RuleViolation } from "./sim/checker.js";
 import { Cluster, plainJob, type Submission, trueJob } from "./sim/cluster.js";
 import { hangCancelledMachines } from "./sim/fault-combinations.js";
-import { machinesWithTasks } from "./sim/faulty-day.js";
+import { runningMachineAddresses } from "./sim/faulty-day.js";
 
 type Tamper = (from: string, to: string, request: HttpRequest, response: HttpResponse) => HttpResponse;
 
@@ -20,7 +20,7 @@
     await cluster.run(150 * S);
   } catch (error) {
     const cause = (error as Error).cause;
-    if (cause instanceof BrokenRule) return cause.rule;
+    if (cause instanceof RuleViolation) return cause.rule;
     throw error;
   }
   return null;
@@ -42,7 +42,7 @@
     cluster.submit(plainJob("wk-000001"));
     cluster.submit(plainJob("wk-000002", { shape: "daemon", rank: "prod", spread: true, shards: 2 }));
     cluster.world.at(40 * S, () => cluster.users.cancel("wk-000002"));
-    cluster.world.at(20 * S, () => cluster.users.askOnce("wk-900000"));
+    cluster.world.at(20 * S, () => cluster.users.queryOnce("wk-900000"));
   });
   assert.equal(rule, null);
 });
@@ -121,9 +121,9 @@
       cluster.network.tamper = (from, _to, request, response) =>
         from === "user" ? (lie(request, cluster.world.now) ?? response) : response;
       cluster.submit(plainJob("wk-000001"), { runUs: 5 * S });
-      cluster.users.keepAsking("wk-000001");
+      cluster.users.pollForever("wk-000001");
       cluster.world.at(50 * S, () => cluster.submit(plainJob("wk-000001"), { runUs: 5 * S }));
-      cluster.world.at(20 * S, () => cluster.users.askOnce("wk-900000"));
+      cluster.world.at(20 * S, () => cluster.users.queryOnce("wk-900000"));
     });
     assert.equal(rule, expected);
   }
@@ -140,7 +140,7 @@
       for (let at = 1; at < 5; at += 1) cluster.submit(plainJob(`wk-00000${at}`), { runUs: 300 * S });
       if (calm)
         cluster.world.at(50 * S, () => {
-          cluster.checker.calmFrom = cluster.world.now;
+          cluster.checker.faultsEndedAt = cluster.world.now;
         });
     });
   assert.equal(await silence(true), "forgotten");
@@ -148,7 +148,7 @@
   assert.equal(await silence(false), null);
 });
 
-/** Feeds the checker 18 small and 2 large jobs of one class; `begins` gives the second in which each runs, or null. */
+/** Feeds the checker 18 small and 2 large jobs of one class; `startSecond` gives the second in which each runs, or null. */
 const playDay = (startSecond: (at: number) => number | null): Checker => {
   let now = 0;
   const checker = new Checker(() => now, new Map(), 45 * S);
@@ -175,15 +175,15 @@
 
 test("the checker reports the largest jobs of a class as starved or as started too late", () => {
   assert.deepEqual(playDay(() => 10).starved(), []);
-  assert.deepEqual(playDay(() => 10).lateLargest(), []);
+  assert.deepEqual(playDay(() => 10).lateLargestJobs(), []);
   // The large jobs never run, while nine tenths of the class as a whole complete.
   const passed = playDay((at) => (at < 18 ? 10 : null));
   assert.deepEqual(passed.starved(), ["largest of batch"]);
-  assert.deepEqual(passed.lateLargest(), ["wk-000018", "wk-000019"]);
+  assert.deepEqual(passed.lateLargestJobs(), ["wk-000018", "wk-000019"]);
   const late = playDay((at) => (at < 18 ? 10 : 241));
   assert.deepEqual(late.starved(), []);
-  assert.deepEqual(late.lateLargest(), ["wk-000018", "wk-000019"]);
-  assert.deepEqual(playDay((at) => (at < 18 ? 10 : 239)).lateLargest(), []);
+  assert.deepEqual(late.lateLargestJobs(), ["wk-000018", "wk-000019"]);
+  assert.deepEqual(playDay((at) => (at < 18 ? 10 : 239)).lateLargestJobs(), []);
 });
 
 test("the checker reports a start that follows a confirmed cancellation by more than the bound for starts", () => {
@@ -215,7 +215,7 @@
         if (request.target !== "/hello" || response.status !== 200) return response;
         return { ...response, body: JSON.stringify({ ...(JSON.parse(response.body) as object), orders: [] }) };
       };
-      cluster.site.deafen(machinesWithTasks(cluster, 99), 200 * S, ["requests"]);
+      cluster.site.dropToMachines(runningMachineAddresses(cluster, 99), 200 * S, ["requests"]);
       // Otherwise the machine is deleted, and the task ends with it.
       cluster.cloud.outageUntil = cluster.world.now + 200 * S;
     });
@@ -233,7 +233,7 @@
       cluster.network.tamper = (from, _to, request, response) =>
         from === "user" && request.body.includes("wk-odd") ? (lie(request) ?? response) : response;
       cluster.submit(plainJob("wk-000001"));
-      cluster.world.at(20 * S, () => cluster.curious.sendOdd(20 * S));
+      cluster.world.at(20 * S, () => cluster.curious.sendUnusualRequests(20 * S));
     });
     assert.equal(rule, "odd");
   }
@@ -246,12 +246,12 @@
     const job = plainJob("wk-000001", { owner: team });
     checker.jobs.set(job.ref, trueJob(job));
     checker.submitted(job.ref, 201, "pending");
-    checker.calmFrom = 0;
+    checker.faultsEndedAt = 0;
     checker.hasRoom = () => room;
     try {
       for (now = S; now < 130 * S; now += S) checker.tick();
     } catch (error) {
-      if (error instanceof BrokenRule) return error.rule;
+      if (error instanceof RuleViolation) return error.rule;
       throw error;
     }
     return null;
--- a/test/client.test.ts
+++ b/test/client.test.ts
@@ -2,7 +2,7 @@
 import { connect, createServer, type Socket } from "node:net";
 import { test } from "node:test";
 import { abortJob, ClientError, showJob, submitJob } from "../src/client.js";
-import { linksText, troublesIn } from "../src/commands/links.js";
+import { linksText, linkTroubles } from "../src/commands/links-text.js";
 import { type Micros, seconds, systemClock } from "../src/transport/clock.js";
 import { HttpServer } from "../src/transport/http-server.js";
 
@@ -19,7 +19,13 @@
   const requests: string[] = [];
   const server = new HttpServer(
     systemClock,
-    { maxConnections: 10, keepConnections: 10, requestTimeout: seconds(5), idleTimeout: seconds(5), maxBusy: 10 },
+    {
+      maxConnections: 10,
+      keepConnections: 10,
+      requestTimeout: seconds(5),
+      idleTimeout: seconds(5),
+      maxConcurrentRequests: 10,
+    },
     async (request) => {
       requests.push(`${request.method} ${request.target}`);
       if (request.target.endsWith("/abort")) return { status: 503, body: "{}", retryAfterS: 2 };
@@ -67,7 +73,13 @@
   });
   const server = new HttpServer(
     systemClock,
-    { maxConnections: 3, keepConnections: 3, requestTimeout: seconds(1), idleTimeout: seconds(0.2), maxBusy: 1 },
+    {
+      maxConnections: 3,
+      keepConnections: 3,
+      requestTimeout: seconds(1),
+      idleTimeout: seconds(0.2),
+      maxConcurrentRequests: 1,
+    },
     async (request) => {
       if (request.target === "/held") {
         markEntered();
@@ -118,7 +130,13 @@
   };
   const server = new HttpServer(
     clock,
-    { maxConnections: 3, keepConnections: 3, requestTimeout: seconds(10), idleTimeout: seconds(60), maxBusy: 1 },
+    {
+      maxConnections: 3,
+      keepConnections: 3,
+      requestTimeout: seconds(10),
+      idleTimeout: seconds(60),
+      maxConcurrentRequests: 1,
+    },
     async () => ({ status: 200, body: "{}" }),
     (error) => assert.fail(String(error)),
   );
@@ -165,7 +183,7 @@
     siblings: { "ctl-1": "not reached" },
     machines: { ...healthy.machines, heardNotReached: machineNames, mayAct: false, roomKeptFor: "wk-1" },
   };
-  assert.deepEqual(troublesIn(degraded), [
+  assert.deepEqual(linkTroubles(degraded), [
     "state service: refused to me",
     "controller ctl-1: not reached",
     "holds the machines without the right to act: no word of the state service",
@@ -173,5 +191,5 @@
     "room that comes free is kept for wk-1",
   ]);
   // The controller leads no shard, and there is no mesh.
-  assert.deepEqual(troublesIn({ machines: null }), []);
+  assert.deepEqual(linkTroubles({ machines: null }), []);
 });
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -25,16 +25,16 @@
   const cluster = randomDay(seed, { chains: CHAINS, harshFaults: HARSH_FAULTS, combinations: COMBINATIONS });
   await cluster.run(BUSY_PERIOD);
   await cluster.run(LONGEST_FAULT);
-  cluster.checker.calmFrom = cluster.world.now;
+  cluster.checker.faultsEndedAt = cluster.world.now;
   await cluster.run(400 * S - LONGEST_FAULT);
   assert.deepEqual(cluster.errors, [], `seed ${seed}: errors logged`);
   const unfinished = cluster.unfinished();
-  assert.deepEqual(unfinished, [], `seed ${seed}: never finished\n${cluster.story(unfinished[0] ?? "-")}`);
+  assert.deepEqual(unfinished, [], `seed ${seed}: never finished\n${cluster.describeJob(unfinished[0] ?? "-")}`);
   const missing = cluster.missingReplicas();
   const jobId = missing[0]?.split("/")[0] ?? "-";
-  assert.deepEqual(missing, [], `seed ${seed}: replicas missing at the end\n${cluster.story(jobId)}`);
+  assert.deepEqual(missing, [], `seed ${seed}: replicas missing at the end\n${cluster.describeJob(jobId)}`);
   assert.deepEqual(cluster.checker.starved(), [], `seed ${seed}: less than half served`);
-  assert.deepEqual(cluster.checker.lateLargest(), [], `seed ${seed}: largest jobs started too late`);
+  assert.deepEqual(cluster.checker.lateLargestJobs(), [], `seed ${seed}: largest jobs started too late`);
   assert.ok(cluster.checker.starts > 20, `seed ${seed}: hardly anything ran`);
 };
 
@@ -54,8 +54,8 @@
 const runLargeDay = async (seed: number, scheduleFaults: (cluster: Cluster) => void): Promise<Cluster> => {
   const cluster = new Cluster(seed, {}, withLargeSettings);
   const random = new Random(seed + 500);
-  cluster.rooms.spot = 80;
-  cluster.rooms.ordinary = 80;
+  cluster.machineCapacity.spot = 80;
+  cluster.machineCapacity.ordinary = 80;
   for (let number = 0; number < 70; number += 1) {
     const service = number % 2 === 0;
     const job = plainJob(`wk-${String(number).padStart(6, "0")}`, {
--- a/test/command-dispatcher.test.ts
+++ b/test/command-dispatcher.test.ts
@@ -3,12 +3,12 @@
 import type { Machine } from "../src/cluster/machine.js";
 import { CommandDispatcher } from "../src/coordination/workers/command-dispatcher.js";
 import { HeartbeatProcessor } from "../src/coordination/workers/heartbeat-processor.js";
-import { makeShard, placedTask, report, SPEC } from "./shard-fixtures.js";
+import { JOB_SPEC, makeHeartbeat, makeShard, placeTask } from "./shard-fixtures.js";
 
 const setUp = () => {
   const { shard, context, taskStates } = makeShard(1);
   const machine = [...shard.machines.values()][0] as Machine;
-  const task = placedTask(shard, machine);
+  const task = placeTask(shard, machine);
   const heartbeats = new HeartbeatProcessor(context, taskStates);
   return { machine, task, dispatcher: new CommandDispatcher(context, heartbeats, { end: () => false }) };
 };
@@ -49,12 +49,12 @@
   // an outage and a failover all of them were started, and the team exceeded its limit (random day 2297).
   const { shard, context, taskStates } = makeShard(1);
   const machine = [...shard.machines.values()][0] as Machine;
-  const job = shard.addJob({ ...SPEC, team: "capped", tasks: 6 }, 1, false);
+  const job = shard.addJob({ ...JOB_SPEC, team: "capped", tasks: 6 }, 1, false);
   const records = Array.from({ length: 6 }, () => [1, machine.name]);
   shard.restoreTaskRange(job, 0, 1, { t: records }, 65_535);
   // The limit allows four tasks of 4 CPUs.
   assert.equal(shard.teamUsage("capped").cpu, 24_000);
-  new HeartbeatProcessor(context, taskStates).process(machine, report({ sequence: 2 }), { kind: "heartbeat" });
+  new HeartbeatProcessor(context, taskStates).process(machine, makeHeartbeat({ sequence: 2 }), { kind: "heartbeat" });
   assert.equal(shard.teamUsage("capped").cpu, 16_000);
   assert.deepEqual([job.placedTasks.size, job.waitingTasks.size], [4, 2]);
 });
@@ -65,14 +65,14 @@
   for (const rule of [{ singleZone: true }, { spread: true, shape: "service" as const }]) {
     const { shard, context, taskStates } = makeShard(2);
     const [east, west] = [...shard.machines.values()] as [Machine, Machine];
-    const job = shard.addJob({ ...SPEC, ...rule, tasks: 130, demand: { cpu: 100, gpu: 0, ram: 1 } }, 1, false);
+    const job = shard.addJob({ ...JOB_SPEC, ...rule, tasks: 130, demand: { cpu: 100, gpu: 0, ram: 1 } }, 1, false);
     const at = (machine: Machine, count: number) => ({ t: Array.from({ length: count }, () => [1, machine.name]) });
     // Spread evenly over both zones, except for the second range.
     const first = "singleZone" in rule ? at(west, 128) : { t: [...at(east, 65).t, ...at(west, 63).t] };
     shard.restoreTaskRange(job, 0, 1, first, 65_535);
     shard.restoreTaskRange(job, 1, 1, at(east, 2), 65_535);
     const heartbeats = new HeartbeatProcessor(context, taskStates);
-    heartbeats.process(east, report({ sequence: 2 }), { kind: "heartbeat" });
+    heartbeats.process(east, makeHeartbeat({ sequence: 2 }), { kind: "heartbeat" });
     const inEast = [...job.placedTasks].filter(({ machine }) => machine === east).length;
     assert.equal(inEast, "singleZone" in rule ? 0 : 65);
   }
--- a/test/eligibility.test.ts
+++ b/test/eligibility.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Machine } from "../src/cluster/machine.js";
-import { neverRuns, type UnreadyReason, unready } from "../src/coordination/scheduling/eligibility.js";
+import { infeasibilityReason, type UnreadyReason, unreadyReason } from "../src/coordination/scheduling/eligibility.js";
 import { decodeSubmission } from "../src/protocol/job-messages.js";
 import type { JobSpec } from "../src/protocol/job-spec.js";
 import type { Micros } from "../src/transport/clock.js";
@@ -25,7 +25,7 @@
   for (const [change, reason] of cases) {
     const { machine, snapshot, add, round } = makeSchedulingFixture(1);
     change(machine);
-    assert.equal(unready(machine, snapshot()), reason);
+    assert.equal(unreadyReason(machine, snapshot()), reason);
     add({ shards: 1 }, "wk-1");
     assert.equal(
       round().some(({ kind }) => kind === "place"),
@@ -39,7 +39,7 @@
   const { settings } = makeSchedulingFixture(0);
   const types = new Map([[TYPE.name, TYPE]]);
   const reasonFor = (fields: Parameters<typeof plainJob>[1]): string | null =>
-    neverRuns(decodeSubmission(plainJob("wk-1", fields)) as JobSpec, settings, types);
+    infeasibilityReason(decodeSubmission(plainJob("wk-1", fields)) as JobSpec, settings, types);
   assert.equal(reasonFor({}), null);
   assert.equal(reasonFor({ owner: "nobody" }), "unknown team");
   assert.equal(reasonFor({ cpus: 17 }), "a task fits no allowed machine type");
