--- a/test/failure-attribution.test.ts
+++ b/test/failure-attribution.test.ts
@@ -5,17 +5,21 @@
 import type { Task } from "../src/cluster/task.js";
 import { LogEvent } from "../src/coordination/log-events.js";
 import { waitingJobs } from "../src/coordination/scheduling/job-order.js";
-import { allowedStarts, attributeFailure, clearSuspicion } from "../src/coordination/workers/failure-attribution.js";
+import {
+  allowedStarts,
+  attributeFailure,
+  clearFailureHistory,
+} from "../src/coordination/workers/failure-attribution.js";
 import { S } from "../src/model/index.js";
 import { type Micros, seconds } from "../src/transport/clock.js";
-import { makeShard, SPEC } from "./shard-fixtures.js";
+import { JOB_SPEC, makeShard } from "./shard-fixtures.js";
 import { Cluster, plainJob } from "./sim/cluster.js";
 
 const makeFixture = (machines: number) => {
   const { shard, world, context } = makeShard(machines);
   const all = [...shard.machines.values()];
   const add = (id: string, tasks: number): Job => {
-    const job = shard.addJob({ ...SPEC, id, tasks }, 1, false);
+    const job = shard.addJob({ ...JOB_SPEC, id, tasks }, 1, false);
     shard.createNextTaskRange(job);
     return job;
   };
@@ -93,7 +97,7 @@
   advance(11);
   assert.equal(last.state, "running");
   assert.equal(allowedStarts(job, now()), Number.POSITIVE_INFINITY);
-  clearSuspicion(job);
+  clearFailureHistory(job);
   assert.equal(job.onProbation, false);
   assert.equal(shard.jobs.size, 1);
 });
@@ -131,7 +135,7 @@
 
 test("broken jobs make no machine faulty, are rarely restarted, and do not prevent other jobs from completing", async () => {
   const cluster = new Cluster(21);
-  cluster.rooms.ordinary = 20;
+  cluster.machineCapacity.ordinary = 20;
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0 };
   const job = (at: number): string => `wk-0000${String(at).padStart(2, "0")}`;
   for (let at = 0; at < 6; at += 1) cluster.submit(plainJob(job(at), { shards: 8 }), { runUs: 200 * S });
@@ -145,8 +149,8 @@
   assert.equal(cluster.logged(LogEvent.MachineFaulty), false);
   assert.equal(cluster.logged(LogEvent.JobOnProbation), true);
   const starts = (from: number, to: number, after: number): number =>
-    cluster.begun.filter(({ task, at }) => task >= job(from) && task < job(to) && at > after * S).length;
+    cluster.taskStarts.filter(({ task, at }) => task >= job(from) && task < job(to) && at > after * S).length;
   // Almost two minutes of four jobs; the first burst of at most eighty starts is over by then.
   assert.ok(starts(10, 20, 80) <= 4 * 12, `${starts(10, 20, 80)} starts of jobs that always fail`);
-  for (const at of [20, 21, 22]) assert.equal(cluster.checker.finalOf(job(at)), "done", job(at));
+  for (const at of [20, 21, 22]) assert.equal(cluster.checker.terminalPhaseOf(job(at)), "done", job(at));
 });
--- a/test/failure-detector.test.ts
+++ b/test/failure-detector.test.ts
@@ -3,7 +3,7 @@
 import { FailureDetector } from "../src/coordination/workers/failure-detector.js";
 import { S } from "../src/model/index.js";
 import type { Micros } from "../src/transport/clock.js";
-import { makeShard, nothing } from "./shard-fixtures.js";
+import { makeShard, noop } from "./shard-fixtures.js";
 
 test("a zone that shrinks to one machine while queries to it are unanswered does not stay cut off for ever", () => {
   // Zones with fewer than three machines are not queried, so no reply could end an open query, and no machines were
@@ -18,8 +18,8 @@
     context,
     autoscaler,
     commands: { queryStatus: async () => undefined, send: async () => undefined },
-    heartbeats: { leaseExpired: nothing },
-    unreachableZones: { unansweredSince: () => null, markUnreachable: nothing },
+    heartbeats: { handleLeaseExpiry: noop },
+    unreachableZones: { unansweredSince: () => null, markUnreachable: noop },
     guard: async () => undefined,
     onUnreachable: async () => undefined,
   });
--- a/test/fault-combinations.test.ts
+++ b/test/fault-combinations.test.ts
@@ -10,7 +10,7 @@
   submitLongJobs,
   submitSmallJobs,
 } from "./sim/fault-combinations.js";
-import { assertRecovered, type Fault, machinesWithTasks, playFaultyDay } from "./sim/faulty-day.js";
+import { assertRecovered, type Fault, playFaultyDay, runningMachineAddresses } from "./sim/faulty-day.js";
 
 /**
  * Combinations of faults that once violated a rule of the checker. Each test also asserts that its combination really
@@ -20,7 +20,7 @@
 
 const runUntilRecovered = async (cluster: Cluster, faultsUs = 70 * S, recoveryUs = 170 * S): Promise<void> => {
   await cluster.run(faultsUs);
-  cluster.checker.calmFrom = cluster.world.now;
+  cluster.checker.faultsEndedAt = cluster.world.now;
   await cluster.run(recoveryUs);
   assertRecovered(cluster);
 };
@@ -35,11 +35,11 @@
 
 const countRunningOfCappedTeam = (c: Cluster): number =>
   Array.from({ length: 24 }, (_, number) => `wk-8400${String(number).padStart(2, "0")}/0`).filter((task) =>
-    c.checker.isOn(task),
+    c.checker.isRunning(task),
   ).length;
 
 const countCancelled = (c: Cluster, ids: readonly string[]): number =>
-  ids.filter((id) => c.checker.finalOf(id) === "withdrawn").length;
+  ids.filter((id) => c.checker.terminalPhaseOf(id) === "withdrawn").length;
 
 const testCombination = (
   name: string,
@@ -52,7 +52,7 @@
       const cluster = await playFaultyDay({
         mesh: seed % 2 === 1,
         seed,
-        ...(setup === undefined ? {} : { more: setup }),
+        ...(setup === undefined ? {} : { submitExtraJobs: setup }),
       });
       await play(cluster);
       await runUntilRecovered(cluster, faultsUs);
@@ -66,7 +66,7 @@
   async (c) => {
     const before = c.takeovers;
     for (let at = 0; at < 12; at += 1) {
-      c.world.after(at * 11 * S, () => c.crash(c.holder(), 3 * S));
+      c.world.after(at * 11 * S, () => c.crash(c.shardLeader(), 3 * S));
       if (at === 5) c.world.after(at * 11 * S + S, () => c.state.outage(25 * S));
       c.world.after(at * 11 * S + 4 * S, () => c.users.cancel(`wk-80000${at % 5}`));
     }
@@ -81,13 +81,13 @@
   async (c) => {
     assert.equal(countRunningOfCappedTeam(c), 16);
     const victims = Array.from({ length: 6 }, (_, number) => `wk-8400${String(number).padStart(2, "0")}`);
-    const places = new Set(victims.flatMap((id) => c.checker.placesOf(`${id}/0`)));
+    const places = new Set(victims.flatMap((id) => c.checker.machinesOf(`${id}/0`)));
     for (const { info, worker } of c.cloud.running()) {
       if (places.has(info.name)) c.site.cutMachine(worker?.host.address ?? "", 50 * S, "hold");
     }
     for (const id of victims) c.users.cancel(id);
     const before = c.takeovers;
-    c.world.after(2 * S, () => c.crash(c.holder(), 5 * S));
+    c.world.after(2 * S, () => c.crash(c.shardLeader(), 5 * S));
     await c.run(20 * S);
     assert.ok(
       c.takeovers > before && countCancelled(c, victims) === 6,
@@ -103,7 +103,7 @@
     assert.equal(countRunningOfCappedTeam(c), 16);
     const before = c.takeovers;
     const ids = [...hangCancelledMachines(c, 15 * S), ...hangCancelledMachines(c, 60 * S)];
-    c.world.after(S, () => c.crash(c.holder(), 5 * S));
+    c.world.after(S, () => c.crash(c.shardLeader(), 5 * S));
     await c.run(20 * S);
     assert.ok(
       c.takeovers > before && ids.length > 0 && countCancelled(c, ids) > 0,
@@ -117,14 +117,14 @@
   undefined,
   async (c) => {
     const ids = submitSmallJobs(c, 4, 120 * S);
-    const writesBefore = c.state.asked;
+    const writesBefore = c.state.requestedWrites;
     await c.run(120 * S);
-    const perJob = (c.state.asked - writesBefore) / ids.length;
+    const perJob = (c.state.requestedWrites - writesBefore) / ids.length;
     assert.ok(ids.length > 470, `${ids.length} jobs`);
     // The store admits 40 writes/s. A job needs writes for acceptance, placement, outcome and replacing records.
     assert.ok(perJob < 7, `${perJob} writes per job`);
     await c.run(12 * S);
-    const open = ids.filter((id) => c.checker.finalOf(id) === null).length;
+    const open = ids.filter((id) => c.checker.terminalPhaseOf(id) === null).length;
     assert.ok(open < 20, `${open} of ${ids.length} jobs not finished 12 s after the last submission`);
     assert.ok(countCancelled(c, ids) > 60, "too few jobs were cancelled before they completed");
   },
@@ -135,7 +135,7 @@
   submitLongJobs,
   async (c) => {
     const copies = delayHeartbeatCopies(c, 0.5, 40 * S);
-    for (const at of [5, 14, 26]) c.world.after(at * S, () => c.crash(c.holder(), 4 * S));
+    for (const at of [5, 14, 26]) c.world.after(at * S, () => c.crash(c.shardLeader(), 4 * S));
     await c.run(45 * S);
     assert.ok(copies.delivered > 30, `${copies.delivered} copies`);
   },
@@ -149,7 +149,7 @@
     c.world.after(6 * S, () => {
       for (const { worker } of c.cloud.running().slice(0, 4)) worker?.restart(c.random.chance(0.5));
     });
-    for (const at of [7, 18]) c.world.after(at * S, () => c.crash(c.holder(), 0.3 * S));
+    for (const at of [7, 18]) c.world.after(at * S, () => c.crash(c.shardLeader(), 0.3 * S));
     await c.run(45 * S);
     assert.ok(copies.delivered > 30, `${copies.delivered} copies`);
   },
@@ -158,7 +158,7 @@
 testCombination("jobs are cancelled during failover", submitLongJobs, async (c) => {
   let at = 0;
   const before = c.takeovers;
-  for (const wait of [0, 14, 28]) c.world.after(wait * S, () => c.crash(c.holder(), 6 * S));
+  for (const wait of [0, 14, 28]) c.world.after(wait * S, () => c.crash(c.shardLeader(), 6 * S));
   // One cancellation every half second, throughout all failovers.
   for (; at < 80; at += 1) {
     const ref = `wk-8500${String(at).padStart(2, "0")}`;
@@ -173,7 +173,7 @@
   const startsBefore = c.checker.starts;
   for (const at of [0, 1, 2]) c.crash(at, 26 * S);
   await c.run(25 * S);
-  assert.equal(c.checker.isOn("wk-900001/0"), false, "its worker's lease should have expired");
+  assert.equal(c.checker.isRunning("wk-900001/0"), false, "its worker's lease should have expired");
   c.users.cancel("wk-800004");
   await c.run(15 * S);
   assert.ok(c.checker.starts > startsBefore, "no task was started after the outage");
@@ -183,21 +183,21 @@
   "workers cannot reach any controller, while direct commands reach the workers",
   submitLongJobs,
   async (c) => {
-    const muted = machinesWithTasks(c, 4);
+    const muted = runningMachineAddresses(c, 4);
     let commands = 0;
     c.network.onRequest = (_, to, { target }) => {
       if (muted.has(to) && target === "/orders") commands += 1;
     };
-    c.site.mute(muted, 45 * S);
+    c.site.dropFromMachines(muted, 45 * S);
     const ids = hangCancelledMachines(c, 0);
-    c.world.after(15 * S, () => c.crash(c.holder(), 5 * S));
+    c.world.after(15 * S, () => c.crash(c.shardLeader(), 5 * S));
     await c.run(46 * S);
     assert.ok(commands > 0 && ids.length > 0, `${commands} commands to workers that reach no controller`);
   },
 );
 
 testCombination("leases expire when no worker reaches a controller", submitLongJobs, async (c) => {
-  c.site.mute(machinesWithTasks(c, 999), 45 * S);
+  c.site.dropFromMachines(runningMachineAddresses(c, 999), 45 * S);
   c.users.cancel("wk-800004");
   await c.run(46 * S);
   // The leases expire although commands still reach the workers.
@@ -212,7 +212,7 @@
     const machinesBefore = c.cloud.running().length;
     bootInstantly(c);
     c.state.lateWrites(0.3, 25 * S);
-    for (const at of [3, 8, 16]) c.world.after(at * S, () => c.crash(c.holder(), 0.5 * S));
+    for (const at of [3, 8, 16]) c.world.after(at * S, () => c.crash(c.shardLeader(), 0.5 * S));
     for (let at = 1; at < 12; at += 1) {
       c.world.after(at * S, () => {
         extraMachines = Math.max(extraMachines, c.cloud.running().length - machinesBefore);
@@ -220,8 +220,8 @@
     }
     await c.run(30 * S);
     assert.ok(
-      extraMachines > 0 && c.state.unheard > 0,
-      `${extraMachines} machines, ${c.state.unheard} delayed transactions`,
+      extraMachines > 0 && c.state.appliedWithoutResponse > 0,
+      `${extraMachines} machines, ${c.state.appliedWithoutResponse} delayed transactions`,
     );
   },
 );
@@ -231,7 +231,7 @@
   undefined,
   async (c) => {
     c.cancelOnCompletion(0.6, 60 * S);
-    c.curious.lookClosely(60 * S, 0);
+    c.curious.probeAfterChanges(60 * S, 0);
     submitSmallJobs(c, 2, 50 * S);
     await c.run(60 * S);
     assert.ok(
@@ -246,13 +246,13 @@
   submitLongJobs,
   async (c) => {
     c.state.loseAnswers(0.3, 40 * S);
-    c.curious.lookClosely(50 * S, 0.2);
+    c.curious.probeAfterChanges(50 * S, 0.2);
     c.cancelOnCompletion(0.3, 40 * S);
-    c.world.after(20 * S, () => c.crash(c.holder(), 0.5 * S));
+    c.world.after(20 * S, () => c.crash(c.shardLeader(), 0.5 * S));
     await c.run(50 * S);
     assert.ok(
-      c.state.unheard > 15 && c.curious.looks > 200,
-      `${c.state.unheard} lost responses, ${c.curious.looks} status queries`,
+      c.state.appliedWithoutResponse > 15 && c.curious.looks > 200,
+      `${c.state.appliedWithoutResponse} lost responses, ${c.curious.looks} status queries`,
     );
   },
 );
@@ -261,10 +261,10 @@
   "users query all controllers within milliseconds, resubmit and cancel, while the leader changes",
   submitLongJobs,
   async (c) => {
-    c.curious.lookClosely(60 * S, 0.3);
+    c.curious.probeAfterChanges(60 * S, 0.3);
     submitSmallJobs(c, 2, 40 * S);
     c.site.slowState(0.3, 2 * S, 40 * S);
-    for (const at of [10, 30]) c.world.after(at * S, () => c.crash(c.holder(), 0.5 * S));
+    for (const at of [10, 30]) c.world.after(at * S, () => c.crash(c.shardLeader(), 0.5 * S));
     await c.run(60 * S);
     assert.ok(c.curious.looks > 1_000, `${c.curious.looks} status queries`);
   },
@@ -274,9 +274,9 @@
   "invalid requests are refused correctly while the key-value store is slow and the leader changes",
   submitLongJobs,
   async (c) => {
-    c.curious.sendOdd(60 * S);
+    c.curious.sendUnusualRequests(60 * S);
     c.site.slowState(0.4, 3 * S, 30 * S);
-    c.world.after(10 * S, () => c.crash(c.holder(), 5 * S));
+    c.world.after(10 * S, () => c.crash(c.shardLeader(), 5 * S));
     await c.run(60 * S);
     assert.ok(c.checker.invalidRefused > 20, `${c.checker.invalidRefused} refused`);
   },
@@ -289,13 +289,13 @@
     c.submit(plainJob(ref, { shards: 5, cpus: 1, sizeGb: 0.1, guessS: 40, ...zone }), { runUs: 40 * S });
   }
   await c.run(8 * S);
-  const machineNames = Array.from({ length: 8 }, (_, number) => c.checker.placesOf(`wk-86000${number}/0`)[0] ?? "");
+  const machineNames = Array.from({ length: 8 }, (_, number) => c.checker.machinesOf(`wk-86000${number}/0`)[0] ?? "");
   assert.ok(
     machineNames.some((name) => name !== ""),
     "none of the jobs has started",
   );
   for (const name of new Set(machineNames.slice(0, 4))) if (name !== "") c.cloud.take(name);
-  c.world.after(2 * S, () => c.crash(c.holder(), 3 * S));
+  c.world.after(2 * S, () => c.crash(c.shardLeader(), 3 * S));
   await c.run(20 * S);
 });
 
@@ -308,7 +308,7 @@
       c.cloud.running().flatMap(({ info, worker }) => (info.zone === "east" && worker ? [worker.host.address] : [])),
     );
     // The shard leader is inside. Hosts inside the partition reach each other and no other host.
-    inside.add(controllers[c.holder()] ?? "");
+    inside.add(controllers[c.shardLeader()] ?? "");
     const before = c.takeovers;
     c.network.cut((a, b) => inside.has(a) !== inside.has(b) && a !== "user" && b !== "user", 45 * S, "hold");
     c.world.after(S, () => c.users.cancel("wk-800004"));
@@ -319,8 +319,8 @@
 
 test("jobs of all priorities exceed the capacity while the key-value store is slow and the leader changes", async () => {
   const c = new Cluster(91, { mesh: true });
-  c.rooms.ordinary = 3;
-  c.rooms.spot = 2;
+  c.machineCapacity.ordinary = 3;
+  c.machineCapacity.spot = 2;
   for (let number = 0; number < 60; number += 1) {
     const rank = (["prod", "high", "normal", "best_effort"] as const)[number % 4] ?? "high";
     const ref = `wk-8700${String(number).padStart(2, "0")}`;
@@ -329,11 +329,11 @@
     );
   }
   c.world.at(5 * S, () => c.site.slowState(0.2, 2 * S, 60 * S));
-  for (const at of [25, 45]) c.world.at(at * S, () => c.crash(c.holder(), 4 * S));
+  for (const at of [25, 45]) c.world.at(at * S, () => c.crash(c.shardLeader(), 4 * S));
   await c.run(65 * S);
   const waiting = c.unfinished().length;
   assert.ok(waiting > 10, `only ${waiting} jobs wait: capacity is not exhausted`);
-  c.checker.calmFrom = c.world.now;
+  c.checker.faultsEndedAt = c.world.now;
   await c.run(400 * S);
   assert.deepEqual(c.unfinished(), []);
   assert.deepEqual(c.checker.starved(), []);
@@ -351,7 +351,7 @@
     c.submit(job, { runUs: 300 * S });
   }
   await c.run(30 * S);
-  const machineName = c.checker.placesOf("wk-880000/0")[0];
+  const machineName = c.checker.machinesOf("wk-880000/0")[0];
   const host = c.cloud.running().find(({ info }) => info.name === machineName)?.worker?.host.address ?? "";
   // The cloud outage prevents deletions, the fast proof of loss; expiry of the worker lease remains.
   c.cloud.outageUntil = c.world.now + 60 * S;
@@ -380,7 +380,7 @@
   for (const crashAfterS of [1.5, 2, 2.5, 3]) {
     await playDelayedStart(17, (c) =>
       c.world.after(crashAfterS * S, () => {
-        c.crash(c.holder(), 15 * S);
+        c.crash(c.shardLeader(), 15 * S);
       }),
     );
   }
@@ -393,19 +393,19 @@
   c.cloud.boots = { never: 0, late: 0, early: 0 };
   c.submit(plainJob("wk-890000", { shards: 1, cpus: 2, area: "east", guessS: 300 }), { runUs: 300 * S });
   await c.run(30 * S);
-  const first = c.checker.placesOf("wk-890000/0")[0];
+  const first = c.checker.machinesOf("wk-890000/0")[0];
   const worker = c.cloud.running().find(({ info }) => info.name === first)?.worker;
   assert.ok(worker, "the first job has not started");
   const { address } = worker.host;
   c.network.keep((to) => to === address, 1, 60 * S);
   c.submit(plainJob("wk-890001", { shards: 1, cpus: 1, area: "east", guessS: 300, sizeGb: 0.1 }), { runUs: 300 * S });
   await c.run(20 * S);
-  assert.deepEqual(c.checker.placesOf("wk-890001/0"), [first]);
+  assert.deepEqual(c.checker.machinesOf("wk-890001/0"), [first]);
   // The termination notice moves its tasks to other machines.
   worker.notice(60 * S);
   await c.run(40 * S);
-  assert.notDeepEqual(c.checker.placesOf("wk-890001/0"), [first]);
-  assert.ok(c.checker.isOn("wk-890001/0"));
+  assert.notDeepEqual(c.checker.machinesOf("wk-890001/0"), [first]);
+  assert.ok(c.checker.isRunning("wk-890001/0"));
   worker.restart(false);
   assert.ok(c.network.release([address]) > 0, "no command was duplicated");
   await c.run(30 * S);
--- a/test/fault-pairs.test.ts
+++ b/test/fault-pairs.test.ts
@@ -1,31 +1,32 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { troublesIn } from "../src/commands/links.js";
+import { linkTroubles } from "../src/commands/links-text.js";
 import { LogEvent } from "../src/coordination/log-events.js";
 import { HostClock, S } from "../src/model/index.js";
 import type { Micros } from "../src/transport/clock.js";
 import { Random } from "./random.js";
 import { Cluster, randomJob } from "./sim/cluster.js";
-import { assertRecovered, FAULT_DURATION, type Fault, machinesWithTasks, playFaults } from "./sim/faulty-day.js";
+import { assertRecovered, FAULT_DURATION, type Fault, playFaults, runningMachineAddresses } from "./sim/faulty-day.js";
 
 /** Faults, each tested together with every entry of `CONCURRENT_FAULTS`. A "holder" is the shard leader. */
 const FAULTS: Readonly<Record<string, Fault>> = {
   "a machine heard but not reached": (cluster) =>
-    cluster.site.deafen(machinesWithTasks(cluster, 2), FAULT_DURATION, ["requests", "answers"]),
+    cluster.site.dropToMachines(runningMachineAddresses(cluster, 2), FAULT_DURATION, ["requests", "answers"]),
   "a machine that commands do not reach": (cluster) =>
-    cluster.site.deafen(machinesWithTasks(cluster, 2), FAULT_DURATION, ["requests"]),
+    cluster.site.dropToMachines(runningMachineAddresses(cluster, 2), FAULT_DURATION, ["requests"]),
   "a machine that answers do not reach": (cluster) =>
-    cluster.site.deafen(machinesWithTasks(cluster, 2), FAULT_DURATION, ["answers"]),
+    cluster.site.dropToMachines(runningMachineAddresses(cluster, 2), FAULT_DURATION, ["answers"]),
   "all machines heard and none reached": (cluster) =>
-    cluster.site.deafenAll(FAULT_DURATION / 2, ["requests", "answers"]),
+    cluster.site.dropToAllMachines(FAULT_DURATION / 2, ["requests", "answers"]),
   "copies of reports up to three leases late": (cluster) => cluster.site.copyReports(0.5, 60 * S, FAULT_DURATION),
   "requests carried out a second time, up to half a minute later": (cluster) =>
     cluster.site.repeatRequests(0.3, 30 * S, FAULT_DURATION),
-  "a lone holder": (cluster) => cluster.site.cutAllButWorkers(cluster.holder(), 40 * S, "reset"),
+  "a lone holder": (cluster) => cluster.site.cutAllButWorkers(cluster.shardLeader(), 40 * S, "reset"),
   "a lone holder whose messages are held back": (cluster) =>
-    cluster.site.cutAllButWorkers(cluster.holder(), 40 * S, "hold", true),
+    cluster.site.cutAllButWorkers(cluster.shardLeader(), 40 * S, "hold", true),
   "a holder back within a fraction of a second, again and again": (cluster) => {
-    for (let at = 0; at < 4; at += 1) cluster.world.after(at * 0.7 * S, () => cluster.crash(cluster.holder(), 0.2 * S));
+    for (let at = 0; at < 4; at += 1)
+      cluster.world.after(at * 0.7 * S, () => cluster.crash(cluster.shardLeader(), 0.2 * S));
   },
   "all controllers back within a fraction of a second": (cluster) => {
     for (let round = 0; round < 3; round += 1) {
@@ -43,7 +44,7 @@
 /** Faults injected at the same time as those of `FAULTS`, or a few seconds later. */
 const CONCURRENT_FAULTS: Readonly<Record<string, Fault>> = {
   "by itself": () => undefined,
-  "with a takeover": (cluster) => cluster.world.after(4 * S, () => cluster.crash(cluster.holder(), 15 * S)),
+  "with a takeover": (cluster) => cluster.world.after(4 * S, () => cluster.crash(cluster.shardLeader(), 15 * S)),
   "with a restart of all": (cluster) =>
     cluster.world.after(5 * S, () => {
       for (const at of [0, 1, 2]) cluster.crash(at);
@@ -57,7 +58,7 @@
     test(`${name}, ${concurrentName}`, async () => {
       const cluster = await playFaults(true, fault, concurrentFault);
       await cluster.run(FAULT_DURATION);
-      cluster.checker.calmFrom = cluster.world.now;
+      cluster.checker.faultsEndedAt = cluster.world.now;
       await cluster.run(150 * S);
       assertRecovered(cluster);
     });
@@ -71,12 +72,12 @@
 const assertTasksMove = async (lostMessages: readonly ("requests" | "answers")[], restart: Fault): Promise<Cluster> => {
   const cluster = await playFaults(
     false,
-    (c) => c.site.deafen(machinesWithTasks(c, 2), 600 * S, lostMessages),
+    (c) => c.site.dropToMachines(runningMachineAddresses(c, 2), 600 * S, lostMessages),
     restart,
   );
   // Well before the machines become reachable again, all their tasks have been moved to other machines.
   await cluster.run(110 * S);
-  cluster.checker.calmFrom = cluster.world.now;
+  cluster.checker.faultsEndedAt = cluster.world.now;
   await cluster.run(90 * S);
   assertRecovered(cluster);
   return cluster;
@@ -123,7 +124,7 @@
 test("machines are not deleted one after another while all send heartbeats but none can be reached", async () => {
   // Each machine in turn was detected as silent and did not respond; six of seven were deleted, with all their tasks.
   for (const mesh of [false, true]) {
-    const cluster = await playFaults(mesh, (c) => c.site.deafenAll(14 * S, ["requests", "answers"]));
+    const cluster = await playFaults(mesh, (c) => c.site.dropToAllMachines(14 * S, ["requests", "answers"]));
     const before = cluster.log.length;
     await cluster.run(14 * S);
     const deletions = cluster.log.slice(before).filter(reportsDeletion);
@@ -132,7 +133,7 @@
     assertRecovered(cluster);
   }
   // The fault lasts longer than the leases: after it ended, two machines were deleted for messages missed during it.
-  const cluster = await playFaults(true, (c) => c.site.deafenAll(30 * S, ["requests", "answers"]));
+  const cluster = await playFaults(true, (c) => c.site.dropToAllMachines(30 * S, ["requests", "answers"]));
   const before = cluster.log.length;
   await cluster.run(100 * S);
   const deletions = cluster.log.slice(before).filter(reportsDeletion);
@@ -140,7 +141,9 @@
 });
 
 test("a machine that only responses do not reach is detected at its second heartbeat to the leader, and its tasks move", async () => {
-  const cluster = await playFaults(false, (c) => c.site.deafen(machinesWithTasks(c, 1), 200 * S, ["answers"]));
+  const cluster = await playFaults(false, (c) =>
+    c.site.dropToMachines(runningMachineAddresses(c, 1), 200 * S, ["answers"]),
+  );
   await cluster.run(60 * S);
   const detected = cluster.log.find((line) => line.includes(LogEvent.WorkerUnreachable));
   assert.match(detected ?? "", /"commands":true,"answers":false/);
@@ -153,16 +156,24 @@
   const shownTroubles = async (cluster: Cluster): Promise<string> => {
     const response = cluster.network
       .client("user", new HostClock(cluster.world, 1, 0))
-      .call(cluster.site.nodeAddress(cluster.holder()), { method: "GET", target: "/links", body: "" }, S as Micros);
+      .call(
+        cluster.site.nodeAddress(cluster.shardLeader()),
+        { method: "GET", target: "/links", body: "" },
+        S as Micros,
+      );
     await cluster.run(S / 2);
     const outcome = await response;
-    return outcome.kind === "answer" ? troublesIn(JSON.parse(outcome.body)).join("; ") : outcome.kind;
+    return outcome.kind === "answer" ? linkTroubles(JSON.parse(outcome.body)).join("; ") : outcome.kind;
   };
   const cases: readonly (readonly [Fault, number, RegExp])[] = [
-    [(c) => c.site.deafen(machinesWithTasks(c, 99), 40 * S, ["requests"]), 9, /machines heard, but not reached: n-\d+/],
+    [
+      (c) => c.site.dropToMachines(runningMachineAddresses(c, 99), 40 * S, ["requests"]),
+      9,
+      /machines heard, but not reached: n-\d+/,
+    ],
     [(c) => c.site.cutZone("west", 30 * S, "hold"), 9, /zones cut off: west/],
-    [(c) => c.site.cutFromState(c.holder(), 20 * S, "reset"), 5, /state service: away for me only/],
-    [(c) => c.state.refuse(c.site.nodeAddress(c.holder()), 20 * S), 5, /state service: refused to me/],
+    [(c) => c.site.cutFromState(c.shardLeader(), 20 * S, "reset"), 5, /state service: away for me only/],
+    [(c) => c.state.refuse(c.site.nodeAddress(c.shardLeader()), 20 * S), 5, /state service: refused to me/],
     [(c) => c.state.outage(20 * S), 15, /without the right to act/],
   ];
   for (const [fault, afterS, expected] of cases) {
--- a/test/graph-days.test.ts
+++ b/test/graph-days.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { describing, type Outcome, type Plan, partsOfJobId, planLimits } from "../src/graphs/index.js";
+import { loadDescription, type Outcome, type Plan, parseStepJobId, planLimits } from "../src/graphs/index.js";
 import { Random, S } from "../src/model/index.js";
 import { randomPlan } from "./graph-fixtures.js";
-import { bruteForce } from "./graph-rules.js";
+import { expectedFinalStates } from "./graph-rules.js";
 import { plainJob } from "./sim/cluster.js";
 import { GRAPH_OPTIONS, GraphSite, JOB_FIELDS } from "./sim/graph-site.js";
 import { injectFault } from "./sim/random-faults.js";
 
-const { compile, GraphError, readDocument } = await describing();
+const { compile, GraphError, readDocument } = await loadDescription();
 
 /** Number of seeds; RAINRIDGE_GRAPH_SEEDS=1000 runs many more by hand (docs/results.md). */
 const SEED_COUNT = Number(process.env.RAINRIDGE_GRAPH_SEEDS ?? 12);
@@ -85,7 +85,7 @@
   constructor(readonly seed: number) {
     this.site = new GraphSite(seed);
     this.site.stepBehaviour = (job) => {
-      const parts = partsOfJobId(job);
+      const parts = parseStepJobId(job);
       const graph = Number(/^wk-dr-(\d+)/.exec(job)?.[1] ?? 0);
       const fails = parts !== null && fixedOutcomes(seed, graph)(parts.step, parts.attempt) === "error";
       return { failsAlways: fails, runUs: (1 + ((parts?.step ?? 0) % 4)) * S };
@@ -110,13 +110,13 @@
   private checkNotEarly(key: string): void {
     const { seed, site } = this;
     const graph = this.graphs.find(({ id }) => key.startsWith(`c/job/wk-${id}.`));
-    const parts = partsOfJobId(key);
+    const parts = parseStepJobId(key);
     const step = parts === null ? undefined : graph?.plan.steps[parts.step];
     if (graph !== undefined && this.clearings.has(graph.id)) return;
     if (graph === undefined || step === undefined || step.rule === "always" || step.rule.startsWith("one_")) return;
     const limits = planLimits(graph.plan, GRAPH_OPTIONS);
     const outcomeOf = fixedOutcomes(seed, Number(graph.id.slice(3)));
-    const expected = bruteForce(graph.plan, outcomeOf, (at) => limits[at]?.attempts ?? 1);
+    const expected = expectedFinalStates(graph.plan, outcomeOf, (at) => limits[at]?.attempts ?? 1);
     for (const up of step.upstream) {
       if (graph.plan.steps[up]?.kind !== "job" || !["success", "failed"].includes(expected[up] ?? "")) continue;
       const index = up.toString(36).padStart(4, "0");
@@ -196,7 +196,7 @@
       const originalOutcomeOf = fixedOutcomes(seed, Number(id.slice(3)));
       const outcomeOf = (at: number, attempt: number): Outcome =>
         originalOutcomeOf(at, (clearing?.get(at) ?? 0) * 64 + attempt);
-      const expected = bruteForce(plan, outcomeOf, attempts);
+      const expected = expectedFinalStates(plan, outcomeOf, attempts);
       const steps = await site.steps(id, true);
       const lines = (): string =>
         site.log
@@ -219,7 +219,7 @@
         if (clearing !== undefined) break;
         // A step that ran made as many attempts as its outcomes and job class imply, and each was submitted once.
         const submissions = [...this.created].filter(([key]) => {
-          const parts = partsOfJobId(key);
+          const parts = parseStepJobId(key);
           return key.startsWith(`c/job/wk-${id}.`) && parts?.step === at;
         });
         assert.ok(
@@ -279,7 +279,8 @@
     scenario.site.world.at(4 * S, () => {
       scenario.site.state.unanswered = 0.4;
     });
-    for (const at of [30, 60, 90]) scenario.site.world.at(at * S, () => scenario.site.crash(scenario.site.holder()));
+    for (const at of [30, 60, 90])
+      scenario.site.world.at(at * S, () => scenario.site.crash(scenario.site.shardLeader()));
     scenario.site.world.at(150 * S, () => {
       scenario.site.state.unanswered = 0;
     });
@@ -299,21 +300,21 @@
     let posted = 0;
     while (posted !== 200 && posted !== 201) {
       const graph = { dag_id: "d", owner: "open", default_args: { job: JOB_FIELDS }, tasks };
-      ({ status: posted } = await site.ask("POST", "/v2/graphs", { ref: "dr-1", ds: "2026-01-01", graph }));
+      ({ status: posted } = await site.request("POST", "/v2/graphs", { ref: "dr-1", ds: "2026-01-01", graph }));
     }
     await site.run((seed % 5) * 0.2 * S);
-    while ((await site.ask("POST", "/v2/graphs/dr-1/abort")).status !== 200) await site.run(S);
+    while ((await site.request("POST", "/v2/graphs/dr-1/abort")).status !== 200) await site.run(S);
     const abortedAt = site.world.now;
     // New writes succeed from now on; earlier ones are still in flight, and the run ends before the last is applied.
     site.state.unanswered = 0;
-    if (seed % 3 === 0) site.crash(site.holder());
+    if (seed % 3 === 0) site.crash(site.shardLeader());
     await site.run(45 * S);
-    const begun = site.begun.length;
+    const begun = site.taskStarts.length;
     await site.run(60 * S);
-    assert.equal(site.begun.length, begun, `seed ${seed}: started after the abort of ${abortedAt / S} s`);
-    await site.until("dr-1", ["withdrawn"], 200);
-    const on = [...site.checker.jobs.keys()].filter((job) => site.checker.isOn(`${job}/0`));
-    assert.deepEqual(on, [], `seed ${seed}: still running\n${site.story(on[0] ?? "-")}`);
+    assert.equal(site.taskStarts.length, begun, `seed ${seed}: started after the abort of ${abortedAt / S} s`);
+    await site.waitForPhase("dr-1", ["withdrawn"], 200);
+    const on = [...site.checker.jobs.keys()].filter((job) => site.checker.isRunning(`${job}/0`));
+    assert.deepEqual(on, [], `seed ${seed}: still running\n${site.describeJob(on[0] ?? "-")}`);
     await site.run(60 * S);
     assert.deepEqual(site.state.keys("c/job/"), [], `seed ${seed}`);
     assert.equal(site.state.value("c/graph/dr-1"), undefined);
@@ -343,7 +344,7 @@
       if (applied !== crashAfter) return;
       // Crashes before a response to the write can arrive.
       if (crashAfter % 2 === 0) for (const at of [0, 1, 2]) site.crash(at);
-      else site.crash(site.holder());
+      else site.crash(site.shardLeader());
     };
     await site.run(3 * S);
     scenario.submit({ id: "dr-1", body, plan }, 3 * S);
--- a/test/graph-description.test.ts
+++ b/test/graph-description.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { decodePlan, describing, encodePlan, type Plan } from "../src/graphs/index.js";
+import { decodePlan, encodePlan, loadDescription, type Plan } from "../src/graphs/index.js";
 
-const { compile, GraphError, placedText, readDocument, readText, TemplateError, Templates } = await describing();
+const { compile, GraphError, placedText, readDocument, readText, TemplateError, Templates } = await loadDescription();
 
 const BOUNDS = { mostSteps: 20_000, pools: { gate: 2 } };
 const HEAD = `dag_id: night
--- a/test/graph-rules.ts
+++ b/test/graph-rules.ts
@@ -40,7 +40,7 @@
 };
 
 /** Final state of each step of a run without clearing or halt. `outcome`: end of a step's n-th try, counted from 1. */
-export const bruteForce = (
+export const expectedFinalStates = (
   plan: Plan,
   outcome: (step: number, attempt: number) => Outcome,
   attempts: (step: number) => number,
--- a/test/graph-run.test.ts
+++ b/test/graph-run.test.ts
@@ -6,22 +6,22 @@
   firstAttempt,
   isFinal,
   limitsOf,
-  NO_PAST,
+  NO_STORED_ATTEMPTS,
   type Outcome,
-  ownOrder,
-  type Past,
   type Plan,
   planLimits,
+  type StoredAttempts,
+  startOrder,
 } from "../src/graphs/index.js";
 import { Random } from "../src/model/index.js";
 import { DEFAULT_GRAPHS } from "../src/settings/graph-options.js";
 import { CLASS, planOf, randomPlan, stepOf } from "./graph-fixtures.js";
-import { bruteForce } from "./graph-rules.js";
+import { expectedFinalStates } from "./graph-rules.js";
 
 const OPTIONS = { ...DEFAULT_GRAPHS, otherClasses: CLASS };
 
 interface RunOptions {
-  readonly past?: Past;
+  readonly past?: StoredAttempts;
   readonly onRetry?: (step: number) => void;
   readonly frozen?: ReadonlyMap<number, FinalState>;
   readonly clearings?: ReadonlyMap<number, number>;
@@ -30,11 +30,11 @@
 const runOf = (plan: Plan, options: RunOptions = {}): DagRun =>
   new DagRun({
     plan,
-    order: ownOrder(plan),
+    order: startOrder(plan),
     limits: planLimits(plan, OPTIONS),
     frozen: options.frozen ?? new Map(),
     clearings: options.clearings ?? new Map(),
-    past: options.past ?? NO_PAST,
+    storedAttempts: options.past ?? NO_STORED_ATTEMPTS,
     pastRun: () => "go",
     onRetry: options.onRetry ?? (() => undefined),
   });
@@ -42,7 +42,7 @@
 const statesOf = (run: DagRun): readonly string[] => run.plan.steps.map((_, at) => run.stateOf(at));
 
 /** The stored jobs of a run, as the key-value store has them. */
-class AttemptRecords implements Past {
+class AttemptRecords implements StoredAttempts {
   readonly ended = new Map<string, Outcome>();
   readonly opened = new Set<string>();
   /** Number of submissions of each attempt. */
@@ -93,7 +93,7 @@
     const action = random.int(0, 5);
     if (action === 0) run = newEngine();
     else if (action <= 2) {
-      const at = run.take(() => true);
+      const at = run.takeNext(() => true);
       if (at !== null) {
         const attempt = run.nextAttempt(at);
         records.submit(at, attempt);
@@ -136,7 +136,7 @@
     const outcomeOf = seededOutcomes(seed);
     const limits = planLimits(plan, OPTIONS);
     const run = runToEnd(plan, random, outcomeOf);
-    const expected = bruteForce(plan, outcomeOf, (at) => limits[at]?.attempts ?? 1);
+    const expected = expectedFinalStates(plan, outcomeOf, (at) => limits[at]?.attempts ?? 1);
     assert.deepEqual(statesOf(run), expected, `seed ${seed}`);
   }
 });
@@ -148,7 +148,7 @@
     const broken = { ...plan, steps: plan.steps.map((step) => ({ ...step, rule: "all_done" as const })) };
     const outcomeOf = seededOutcomes(seed);
     const ends = statesOf(runToEnd(broken, new Random(seed), outcomeOf));
-    if (JSON.stringify(ends) !== JSON.stringify(bruteForce(plan, outcomeOf, () => 3))) detected += 1;
+    if (JSON.stringify(ends) !== JSON.stringify(expectedFinalStates(plan, outcomeOf, () => 3))) detected += 1;
   }
   assert.ok(detected > 20, `${detected}`);
 });
@@ -161,9 +161,9 @@
     ]).flat();
     const run = runOf(planOf(steps));
     run.submitted(0, 1);
-    const before = run.looks;
+    const before = run.visitedSteps;
     run.ended(0, 1, "done");
-    return run.looks - before;
+    return run.visitedSteps - before;
   };
   assert.equal(visitsOf(10), 1);
   assert.equal(visitsOf(5_000), 1);
@@ -210,7 +210,7 @@
   const run = runOf(planOf(steps), { onRetry: (step) => retries.push(step) });
   const end = (at: number, outcome: Outcome): void => {
     assert.equal(
-      run.take(() => true),
+      run.takeNext(() => true),
       at,
     );
     const attempt = run.nextAttempt(at);
@@ -242,14 +242,14 @@
   const steps = [stepOf({ id: "short" }), stepOf({ id: "long", pool: "gate" }), stepOf({ id: "tail", upstream: [1] })];
   const run = runOf(planOf(steps));
   assert.equal(
-    run.take(() => false),
+    run.takeNext(() => false),
     0,
   );
   assert.equal(
-    run.take(() => true),
+    run.takeNext(() => true),
     1,
   );
-  const own = ownOrder(planOf([...steps, stepOf({ id: "heavy", weight: 9, weightRule: "absolute" })]));
+  const own = startOrder(planOf([...steps, stepOf({ id: "heavy", weight: 9, weightRule: "absolute" })]));
   assert.equal(own[3], 0);
 });
 
@@ -258,7 +258,7 @@
   const steps = Array.from({ length: 20_000 }, (_, at) =>
     stepOf({ id: `s${at}`, upstream: at === 0 ? [] : [at - 1], weight: 2 }),
   );
-  const order = ownOrder(planOf(steps));
+  const order = startOrder(planOf(steps));
   assert.deepEqual([order[0], order[1], order[19_999]], [0, 1, 19_999]);
 });
 
@@ -267,7 +267,7 @@
   run.submitted(0, 1);
   run.halt();
   assert.equal(
-    run.take(() => true),
+    run.takeNext(() => true),
     null,
   );
   assert.equal(run.result, null);
@@ -284,12 +284,12 @@
     clearings: new Map([[0, 1]]),
   });
   assert.equal(
-    run.take(() => true),
+    run.takeNext(() => true),
     null,
   );
   run.ended(0, 1, "aborted");
   assert.equal(
-    run.take(() => true),
+    run.takeNext(() => true),
     0,
   );
   assert.equal(run.nextAttempt(0), firstAttempt(1));
--- a/test/graph-trace.test.ts
+++ b/test/graph-trace.test.ts
@@ -47,9 +47,9 @@
     { task_id: "joint", upstream: ["slow", "quick"], empty: true },
     { task_id: "last", upstream: ["joint"] },
   ];
-  assert.equal((await site.post("dr-a", tasks)).status, 201);
-  await site.until("dr-a", ["success"]);
-  const recorded = site.seen.flatMap(({ at, event }): TraceEvent[] => {
+  assert.equal((await site.submitGraph("dr-a", tasks)).status, 201);
+  await site.waitForPhase("dr-a", ["success"]);
+  const recorded = site.recordedEvents.flatMap(({ at, event }): TraceEvent[] => {
     const translated = traceEventOf(event, Math.round(at));
     // The replay uses another site: machine events are left out, and jobs belong to one of that site's teams.
     if (translated.event === "submit") {
--- a/test/heartbeat-freshness.test.ts
+++ b/test/heartbeat-freshness.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import type { Machine } from "../src/cluster/machine.js";
 import { fencingTokenOf } from "../src/coordination/fencing-token.js";
-import { unready } from "../src/coordination/scheduling/eligibility.js";
+import { unreadyReason } from "../src/coordination/scheduling/eligibility.js";
 import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
 import {
   classifyHeartbeat,
@@ -17,7 +17,7 @@
   responsesArrive,
 } from "../src/coordination/workers/reachability.js";
 import type { Micros } from "../src/transport/clock.js";
-import { makeShard, placedTask, report } from "./shard-fixtures.js";
+import { makeHeartbeat, makeShard, placeTask } from "./shard-fixtures.js";
 import { ACTIONS, explore, PREFIXES, resetToUnknown, Scenario } from "./sim/event-orders.js";
 
 const HEARTBEAT = { kind: "heartbeat" } as const;
@@ -50,16 +50,16 @@
   world.now += 20_000_000;
   // Sent before the failover. Taken as current, it marked the machine as up with a recent heartbeat, and its reclaim
   // notice drained a machine that no longer had one.
-  assert.equal(heartbeats.process(machine, report({ token: 7, reclaimNoticeS: 10 }), HEARTBEAT), "unverified");
+  assert.equal(heartbeats.process(machine, makeHeartbeat({ token: 7, reclaimNoticeS: 10 }), HEARTBEAT), "unverified");
   assert.equal(machine.state, "booting");
   assert.equal(machine.reachability.lastHeartbeatAt, before);
   assert.equal(machine.lifecycle.reclaimAt, null);
   const snapshot = {
     now: context.clock.now(),
     heartbeatTimeout: 1e9,
-    firstFencingToken: TOKEN,
+    minFencingToken: TOKEN,
   } as unknown as SchedulerSnapshot;
-  assert.notEqual(unready(machine, snapshot), null);
+  assert.notEqual(unreadyReason(machine, snapshot), null);
 });
 
 test("a worker's lease counts in full from the first verified message of an incarnation known from unverified heartbeats", () => {
@@ -68,10 +68,13 @@
   // elsewhere.
   const { machine, heartbeats, world, context } = setUp();
   resetToUnknown(machine);
-  heartbeats.process(machine, report({ incarnation: 2, sequence: 5, token: 7 }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ incarnation: 2, sequence: 5, token: 7 }), HEARTBEAT);
   world.now += 19_000_000;
   const reply = { kind: "status-reply", requestedAt: context.clock.now() } as const;
-  assert.equal(heartbeats.process(machine, report({ incarnation: 2, sequence: 9, token: 7 }), reply), "verified");
+  assert.equal(
+    heartbeats.process(machine, makeHeartbeat({ incarnation: 2, sequence: 9, token: 7 }), reply),
+    "verified",
+  );
   assert.equal(machine.lease.renewedAt, context.clock.now());
 });
 
@@ -101,14 +104,14 @@
 
 test("a delayed copy of a heartbeat changes nothing once newer counters are known", () => {
   const { machine, heartbeats } = setUp();
-  heartbeats.process(machine, report({ incarnation: 2, sequence: 40 }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ incarnation: 2, sequence: 40 }), HEARTBEAT);
   const before = structuredClone(machine);
   for (const old of [
     { incarnation: 2, sequence: 39, reclaimNoticeS: 5 },
     { incarnation: 1, sequence: 90 },
     { incarnation: 2, sequence: 40 },
   ]) {
-    const freshness = heartbeats.process(machine, report(old), HEARTBEAT);
+    const freshness = heartbeats.process(machine, makeHeartbeat(old), HEARTBEAT);
     assert.ok(freshness === "stale" || freshness === "suspect", freshness);
   }
   assert.deepEqual(withoutSuspectCounts(machine), withoutSuspectCounts(before));
@@ -116,47 +119,52 @@
 
 test("a task is not tied forever to a machine whose incarnation changed after its start command was lost", () => {
   const { shard, machine, heartbeats } = setUp();
-  heartbeats.process(machine, report({ sequence: 1 }), HEARTBEAT);
-  const task = placedTask(shard, machine);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 1 }), HEARTBEAT);
+  const task = placeTask(shard, machine);
   task.startCommand = { kind: "uncertain", token: TOKEN };
   // No response is delivered, so the worker's token never rises; the task waited for that forever.
-  for (let sequence = 2; sequence < 5; sequence += 1) heartbeats.process(machine, report({ sequence }), HEARTBEAT);
+  for (let sequence = 2; sequence < 5; sequence += 1)
+    heartbeats.process(machine, makeHeartbeat({ sequence }), HEARTBEAT);
   assert.equal(task.machine, machine);
-  heartbeats.process(machine, report({ incarnation: 2, sequence: 5 }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ incarnation: 2, sequence: 5 }), HEARTBEAT);
   assert.equal(task.machine, null);
 });
 
 test("a task on a machine that commands do not reach is released once its lost start can no longer be delivered", () => {
   const { shard, machine, heartbeats } = setUp();
-  heartbeats.process(machine, report({ sequence: 1 }), HEARTBEAT);
-  const task = placedTask(shard, machine);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 1 }), HEARTBEAT);
+  const task = placeTask(shard, machine);
   task.startCommand = { kind: "uncertain", token: TOKEN };
   machine.reachability.consecutiveTimeouts = 2;
   // Responses to heartbeats are delivered, so the token rises. The start was retried on the same machine while commands
   // failed.
-  heartbeats.process(machine, report({ sequence: 2, token: TOKEN + 1 }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 2, token: TOKEN + 1 }), HEARTBEAT);
   assert.equal(task.machine, null);
 });
 
 test("a worker whose counters are reset is queried and fenced before its task list is trusted", () => {
   const { shard, context, machine, queried, announced, heartbeats, world } = setUp();
-  heartbeats.process(machine, report({ incarnation: 3, sequence: 80 }), HEARTBEAT);
-  const task = placedTask(shard, machine);
+  heartbeats.process(machine, makeHeartbeat({ incarnation: 3, sequence: 80 }), HEARTBEAT);
+  const task = placeTask(shard, machine);
   task.startCommand = { kind: "observed" };
   // Two heartbeats that look old; without a status query, all later ones were dropped as well.
-  for (const sequence of [1, 2]) heartbeats.process(machine, report({ incarnation: 1, sequence, token: 0 }), HEARTBEAT);
+  for (const sequence of [1, 2])
+    heartbeats.process(machine, makeHeartbeat({ incarnation: 1, sequence, token: 0 }), HEARTBEAT);
   assert.deepEqual(queried, [machine]);
   world.now += 10;
   const reply = { kind: "status-reply", requestedAt: context.clock.now() } as const;
-  assert.equal(heartbeats.process(machine, report({ incarnation: 1, sequence: 3, token: 0 }), reply), "counters-reset");
+  assert.equal(
+    heartbeats.process(machine, makeHeartbeat({ incarnation: 1, sequence: 3, token: 0 }), reply),
+    "counters-reset",
+  );
   assert.deepEqual(announced, [machine]);
   // An earlier start may still be executed: the incarnation number is the same, and any token is accepted.
   assert.equal(task.machine, machine);
-  heartbeats.process(machine, report({ incarnation: 1, sequence: 4, token: TOKEN }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ incarnation: 1, sequence: 4, token: TOKEN }), HEARTBEAT);
   assert.equal(task.machine, machine);
   heartbeats.process(
     machine,
-    report({ incarnation: 1, sequence: 5, token: fencingTokenOf(context.lease, machine) }),
+    makeHeartbeat({ incarnation: 1, sequence: 5, token: fencingTokenOf(context.lease, machine) }),
     HEARTBEAT,
   );
   assert.equal(task.startCommand.kind, "none");
@@ -166,8 +174,11 @@
   const { machine, heartbeats, world, context } = setUp();
   const requestedAt = context.clock.now();
   world.now += 1_000;
-  heartbeats.process(machine, report({ sequence: 9 }), HEARTBEAT);
-  assert.equal(heartbeats.process(machine, report({ sequence: 8 }), { kind: "status-reply", requestedAt }), "stale");
+  heartbeats.process(machine, makeHeartbeat({ sequence: 9 }), HEARTBEAT);
+  assert.equal(
+    heartbeats.process(machine, makeHeartbeat({ sequence: 8 }), { kind: "status-reply", requestedAt }),
+    "stale",
+  );
   assert.equal(machine.counters.sequence, 9);
 });
 
--- a/test/job-api.test.ts
+++ b/test/job-api.test.ts
@@ -3,7 +3,7 @@
 import { DependencyGraph } from "../src/cluster/dependency-graph.js";
 import { JobApi } from "../src/coordination/api/job-api.js";
 import type { Services } from "../src/coordination/context.js";
-import { HostClock, S, World } from "../src/model/index.js";
+import { HostClock, S, Simulation } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job-messages.js";
 import type { KeyValueEntry } from "../src/protocol/key-value-store.js";
 import { parseSettings } from "../src/settings/parse-settings.js";
@@ -18,7 +18,7 @@
  * `storeUnavailable`: the watch cache cannot be synchronized with the key-value store.
  */
 const makeJobApi = (ended: Readonly<Record<string, unknown>>, { storeUnavailable = false } = {}) => {
-  const world = new World();
+  const world = new Simulation();
   const entries = new Map<string, KeyValueEntry>();
   const put = (key: string, value: unknown): void => {
     entries.set(key, { key, value, version: 7 });
@@ -43,7 +43,7 @@
   const jobApi = new JobApi(services, types, {
     taskCounts: () => null,
     isLeader: () => false,
-    isWithdrawn: () => false,
+    isCancelledIndirectly: () => false,
   });
   /** Advances the simulated time until the response arrives, because outcome lookups are rate-limited by the clock. */
   const handle = async (method: string, target: string, body = ""): Promise<HttpResponse> => {
--- a/test/job-dependencies.test.ts
+++ b/test/job-dependencies.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { DependencyGraph } from "../src/cluster/dependency-graph.js";
-import { FastSite, jobBehaviour, nobody, S, sampleSite } from "../src/model/index.js";
+import { FastSite, jobBehaviour, noopObserver, S, sampleSite } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job-messages.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
 import { encodeJobRecord } from "../src/storage/job-records.js";
@@ -47,7 +47,7 @@
   await cluster.run(120 * S);
   assert.deepEqual(cluster.unfinished(), []);
   const first = (number: number): number =>
-    cluster.begun.find(({ task }) => task.startsWith(`${idOf(number)}/`))?.at ?? 0;
+    cluster.taskStarts.find(({ task }) => task.startsWith(`${idOf(number)}/`))?.at ?? 0;
   // 4 s instead of 5 s: machines differ in speed by 10 %.
   assert.ok(first(1) > first(0) + 4 * S && first(3) > Math.max(first(1), first(2)) + 4 * S);
   assert.deepEqual(cluster.errors, []);
@@ -84,11 +84,11 @@
   cluster.users.cancel(idOf(1));
   await cluster.run(8 * S);
   // Every controller reports the cancellation at once, before all outcomes are recorded.
-  for (const node of cluster.site.addresses.controllers) cluster.users.askOnce(idOf(42), node);
+  for (const node of cluster.site.addresses.controllers) cluster.users.queryOnce(idOf(42), node);
   await cluster.run(2 * S);
-  assert.equal(cluster.checker.finalOf(idOf(42)), "withdrawn");
+  assert.equal(cluster.checker.terminalPhaseOf(idOf(42)), "withdrawn");
   await cluster.run(60 * S);
-  assert.equal(cluster.checker.finalOf(idOf(0)), "done");
+  assert.equal(cluster.checker.terminalPhaseOf(idOf(0)), "done");
   for (let at = 1; at < 43; at += 1) assert.notEqual(cluster.state.value(outcomeKey(idOf(at))), undefined, idOf(at));
 });
 
@@ -102,7 +102,7 @@
   submitInTurn(cluster, [dependentJob(2, [0]), dependentJob(3, [1]), dependentJob(4, [2, 3])]);
   await cluster.run(50 * S);
   assert.deepEqual(
-    [2, 3, 4].map((number) => cluster.checker.finalOf(idOf(number))),
+    [2, 3, 4].map((number) => cluster.checker.terminalPhaseOf(idOf(number))),
     ["withdrawn", "done", "withdrawn"],
   );
 });
@@ -114,7 +114,10 @@
   cluster.submit(dependentJob(1, [0]), { runUs: 30 * S });
   cluster.users.cancel(idOf(0));
   await cluster.run(60 * S);
-  assert.deepEqual([cluster.checker.finalOf(idOf(0)), cluster.checker.finalOf(idOf(1))], ["done", "done"]);
+  assert.deepEqual(
+    [cluster.checker.terminalPhaseOf(idOf(0)), cluster.checker.terminalPhaseOf(idOf(1))],
+    ["done", "done"],
+  );
 });
 
 const submitDirectly = async (cluster: Cluster, body: object, node = 0): Promise<readonly [number, string]> => {
@@ -163,7 +166,7 @@
     // All dependencies except the one submitted below ended earlier.
     cluster.state.put(outcomeKey(idOf(number)), { phase: "done", done: 2 });
     cluster.checker.jobs.set(idOf(number), { ...endedJob, id: idOf(number) });
-    cluster.users.heardOf(dependentJob(number, []));
+    cluster.users.registerAccepted(dependentJob(number, []));
     for (const at of [0, 1]) cluster.checker.taskDone(`${idOf(number)}/${at}`);
   }
   cluster.submit(dependentJob(count, []), { runUs: 60 * S });
@@ -176,9 +179,9 @@
   for (const key of cluster.state.keys("c/awaits/")) {
     assert.ok(JSON.stringify(cluster.state.value(key)).length <= 8 * 1_024);
   }
-  cluster.crash(cluster.holder(), 2 * S);
+  cluster.crash(cluster.shardLeader(), 2 * S);
   await cluster.run(100 * S);
-  assert.equal(cluster.checker.finalOf(idOf(2_000)), "done");
+  assert.equal(cluster.checker.terminalPhaseOf(idOf(2_000)), "done");
   await cluster.run(30 * S);
   assert.equal(parts(), 0);
   assert.equal(cluster.state.value(jobKey(idOf(2_000))), undefined);
@@ -236,7 +239,7 @@
     60 * S,
   );
   await cluster.run(20 * S);
-  const job = (number: number) => cluster.site.controllerAt(cluster.holder())?.findJob(idOf(number));
+  const job = (number: number) => cluster.site.controllerAt(cluster.shardLeader())?.findJob(idOf(number));
   assert.deepEqual([job(0)?.effectiveRank, job(1)?.effectiveRank, job(2)?.effectiveRank], [1, 1, 1]);
   const [first, second, last] = [0, 1, 2].map((number) => job(number)?.effectiveDeadline ?? 0);
   assert.ok(first === (second ?? 0) - 30 * S && second === (last ?? 0) - 10 * S, `${first} ${second} ${last}`);
@@ -254,7 +257,7 @@
     seed: 5,
     watch: (world) => ({
       witness: {
-        ...nobody,
+        ...noopObserver,
         taskOn: (task) => {
           const id = task.slice(0, task.lastIndexOf("/"));
           if (!began.has(id)) began.set(id, world.now);
@@ -304,16 +307,16 @@
     const [status, text] = await submitDirectly(cluster, job, node);
     assert.deepEqual([status, (JSON.parse(text) as { phase: string }).phase], [200, "pending"]);
   }
-  cluster.users.heardOf(job);
+  cluster.users.registerAccepted(job);
   cluster.users.cancel(job.ref);
   await cluster.run(10 * S);
-  assert.equal(cluster.checker.finalOf(job.ref), "withdrawn");
+  assert.equal(cluster.checker.terminalPhaseOf(job.ref), "withdrawn");
   assert.equal(cluster.checker.starts, 0);
 });
 
 test("after a failover with hundreds of resolved dependencies, starts do not wait for lookups, which read pages", async () => {
   const cluster = new Cluster(41);
-  cluster.rooms.ordinary = 40;
+  cluster.machineCapacity.ordinary = 40;
   const pairs = 300;
   const addRecordedJob = (job: Submission): void => {
     cluster.state.put(jobKey(job.ref), encodeJobRecord({ spec: decodeSubmission(job), shard: 0, cancelled: false }));
@@ -332,11 +335,11 @@
   cluster.network.onRequest = (_, __, { target }) => {
     if (target.startsWith("/kv/e/") || target.startsWith("/kv?under=e/")) lookups += 1;
   };
-  for (let at = 0; at < 300 && cluster.begun.length === 0; at += 1) await cluster.run(S / 10);
+  for (let at = 0; at < 300 && cluster.taskStarts.length === 0; at += 1) await cluster.run(S / 10);
   // Single reads would be 900 lookups: 300 outcomes on each of three controllers.
-  assert.ok(cluster.begun.length > 0 && lookups <= 60, `${lookups} lookups before the first start`);
+  assert.ok(cluster.taskStarts.length > 0 && lookups <= 60, `${lookups} lookups before the first start`);
   await cluster.run(120 * S);
-  const begun = new Set(cluster.begun.map(({ task }) => task.split("/")[0]));
+  const begun = new Set(cluster.taskStarts.map(({ task }) => task.split("/")[0]));
   assert.equal(begun.size, pairs + 1);
   assert.deepEqual(cluster.errors, []);
 });
--- a/test/key-value-store.test.ts
+++ b/test/key-value-store.test.ts
@@ -1,17 +1,17 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { HostClock, World } from "../src/model/index.js";
+import { HostClock, Simulation } from "../src/model/index.js";
 import { KeyValueStore, type StoreBudget } from "../src/storage/key-value-store.js";
 import type { Micros } from "../src/transport/clock.js";
 import type { HttpClient, HttpOutcome } from "../src/transport/http.js";
 import type { Log, LogFields } from "../src/transport/log.js";
-import { nothing } from "./shard-fixtures.js";
+import { noop } from "./shard-fixtures.js";
 
 const answer = (status: number, body: string): HttpOutcome => ({ kind: "answer", status, body, retryAfterS: null });
 
 /** A store whose requests get these outcomes in turn, the last one repeatedly; requests and log lines are recorded. */
 const makeStore = (outcomes: readonly HttpOutcome[], budget: Partial<StoreBudget> = {}) => {
-  const world = new World();
+  const world = new Simulation();
   const requests: { readonly target: string; readonly at: number }[] = [];
   const logged: [string, LogFields | undefined][] = [];
   const http: HttpClient = {
@@ -100,15 +100,15 @@
 test("reads are limited to the request rate, and lease renewals are sent without waiting", async () => {
   const { world, store, requests } = makeStore([answer(404, "")]);
   for (let count = 0; count < 30; count += 1) void store.get(`c/${count}`);
-  world.after(0, nothing);
-  await world.run(1, nothing);
+  world.after(0, noop);
+  await world.run(1, noop);
   assert.equal(requests.length, 10, "a burst of one second's budget");
   void store.renewLease(1);
   assert.equal(requests.at(-1)?.target, "/grants/1/touch");
-  world.after(0, nothing);
-  await world.run(1_000_000, nothing);
+  world.after(0, noop);
+  await world.run(1_000_000, noop);
   assert.ok(requests.length <= 21, `${requests.length} in the first second`);
-  await world.run(3_000_000, nothing);
+  await world.run(3_000_000, noop);
   assert.equal(requests.length, 31);
 });
 
@@ -116,10 +116,10 @@
   const { world, store, requests } = makeStore([answer(429, ""), answer(404, "")]);
   assert.deepEqual(await store.get("c/a"), { kind: "refused" });
   void store.get("c/b");
-  world.after(0, nothing);
-  await world.run(100_000, nothing);
+  world.after(0, noop);
+  await world.run(100_000, noop);
   assert.equal(requests.length, 1);
-  await world.run(1_000_000, nothing);
+  await world.run(1_000_000, noop);
   assert.equal(requests.length, 2);
   assert.ok((requests[1]?.at ?? 0) >= 125_000);
 });
--- a/test/late-starts.test.ts
+++ b/test/late-starts.test.ts
@@ -7,7 +7,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Machine } from "../src/cluster/machine.js";
-import { MAX_START_DELAY, mayStartLate, type Task } from "../src/cluster/task.js";
+import { MAX_START_TRANSIT_TIME, startMayBeInTransit, type Task } from "../src/cluster/task.js";
 import type { CloudClient } from "../src/coordination/autoscaling/cloud-client.js";
 import { type DeletionPriority, MachineDeletionQueue } from "../src/coordination/autoscaling/machine-deletion-queue.js";
 import { chooseScaleIn } from "../src/coordination/autoscaling/scale-in.js";
@@ -18,7 +18,7 @@
 import type { TaskStatus } from "../src/protocol/worker.js";
 import type { Micros } from "../src/transport/clock.js";
 import type { HttpOutcome } from "../src/transport/http.js";
-import { makeShard, placedTask, report, SPEC } from "./shard-fixtures.js";
+import { JOB_SPEC, makeHeartbeat, makeShard, placeTask } from "./shard-fixtures.js";
 import { DirectStartDispatcher } from "./sim/direct-start-dispatcher.js";
 
 const HEARTBEAT = { kind: "heartbeat" } as const;
@@ -32,8 +32,8 @@
   const machine = [...shard.machines.values()][0] as Machine;
   const heartbeats = new HeartbeatProcessor(context, taskStates);
   const dispatcher = new CommandDispatcher(context, heartbeats, NO_LONG_POLLS);
-  heartbeats.process(machine, report({ sequence: 1 }), HEARTBEAT);
-  const task = placedTask(shard, machine);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 1 }), HEARTBEAT);
+  const task = placeTask(shard, machine);
   shard.unconfirmedStarts.add(task);
   await new DirectStartDispatcher(context, heartbeats).send(machine);
   return { shard, context, world, machine, heartbeats, dispatcher, task };
@@ -47,13 +47,13 @@
 test("neither lease expiry nor a higher token nor a new incarnation releases a task whose start command had no response", async () => {
   const { machine, heartbeats, task } = await setUpLostStart();
   assert.deepEqual(task.startCommand, { kind: "uncertain", token: TOKEN });
-  heartbeats.leaseExpired(machine, "worker lease over");
+  heartbeats.handleLeaseExpiry(machine, "worker lease over");
   assertHeld(task, machine);
-  heartbeats.process(machine, report({ sequence: 2, token: TOKEN + 1 }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 2, token: TOKEN + 1 }), HEARTBEAT);
   assertHeld(task, machine);
-  heartbeats.process(machine, report({ incarnation: 2, sequence: 3, token: TOKEN + 1 }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ incarnation: 2, sequence: 3, token: TOKEN + 1 }), HEARTBEAT);
   assertHeld(task, machine);
-  heartbeats.machineLost(machine, "deleted");
+  heartbeats.handleMachineLoss(machine, "deleted");
   assert.equal(task.machine, null);
   assert.equal(task.earliestStart, 0);
 });
@@ -63,17 +63,17 @@
   const machine = [...shard.machines.values()][0] as Machine;
   const heartbeats = new HeartbeatProcessor(context, taskStates);
   const dispatcher = new CommandDispatcher(context, heartbeats, NO_LONG_POLLS);
-  const task = placedTask(shard, machine);
-  heartbeats.process(machine, report({ sequence: 1 }), HEARTBEAT);
+  const task = placeTask(shard, machine);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 1 }), HEARTBEAT);
   const start = [{ op: "start", task: task.name, attempt: 1 }];
   assert.deepEqual(dispatcher.startsForResponse(machine), start);
   // The response was lost: the next one repeats the start, and the task is neither released nor placed elsewhere.
-  heartbeats.process(machine, report({ sequence: 2 }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 2 }), HEARTBEAT);
   assertHeld(task, machine);
   assert.deepEqual(dispatcher.startsForResponse(machine), start);
   assertHeld(task, machine);
   // A worker drops a late response, so none can take effect after a reset of its counters.
-  heartbeats.leaseExpired(machine, "worker lease over");
+  heartbeats.handleLeaseExpiry(machine, "worker lease over");
   assert.equal(task.machine, null);
   assert.equal(task.earliestStart, 0);
 });
@@ -89,8 +89,8 @@
   Object.assign(context, { http: { call } });
   const heartbeats = new HeartbeatProcessor(context, taskStates);
   const dispatcher = new CommandDispatcher(context, heartbeats, NO_LONG_POLLS);
-  heartbeats.process(machine, report({ sequence: 1 }), HEARTBEAT);
-  placedTask(shard, machine);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 1 }), HEARTBEAT);
+  placeTask(shard, machine);
   machine.reported.unexpectedTasks = new Map([["wk-9/7", 1]]);
   for (let at = 0; at < 4; at += 1) {
     world.now += 60_000_000;
@@ -105,10 +105,10 @@
   const start = [{ op: "start", task: task.name, attempt: 1 }];
   assert.deepEqual(dispatcher.startsForResponse(machine), start, "a repeated start is harmless on the same machine");
   machine.reachability.consecutiveTimeouts = 2;
-  heartbeats.process(machine, report({ sequence: 2, token: TOKEN + 1 }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 2, token: TOKEN + 1 }), HEARTBEAT);
   assert.deepEqual(dispatcher.startsForResponse(machine), start);
   // The worker did not execute that response's start: the next one repeats it.
-  heartbeats.process(machine, report({ sequence: 3, token: TOKEN + 1 }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 3, token: TOKEN + 1 }), HEARTBEAT);
   assert.deepEqual(dispatcher.startsForResponse(machine), start);
   const sent: string[] = [];
   const call = async (_: string, { body }: { body: string }): Promise<HttpOutcome> => {
@@ -119,7 +119,7 @@
   await dispatcher.send(machine, true);
   assert.ok(sent.length === 1 && !sent[0]?.includes("launch"), sent[0]);
   const tasks: TaskStatus[] = [{ task: task.name, attempt: 1, state: "running", reason: null }];
-  heartbeats.process(machine, report({ sequence: 4, token: TOKEN + 1, tasks }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 4, token: TOKEN + 1, tasks }), HEARTBEAT);
   assert.equal(task.startCommand.kind, "observed");
   assert.deepEqual(dispatcher.startsForResponse(machine), []);
 });
@@ -129,11 +129,11 @@
   const sentAt = task.unansweredStartAt as Micros;
   world.now += 5_000_000;
   const exited: TaskStatus[] = [{ task: task.name, attempt: 1, state: "exited", reason: "stopped" }];
-  heartbeats.process(machine, report({ sequence: 2, token: TOKEN + 1, tasks: exited }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 2, token: TOKEN + 1, tasks: exited }), HEARTBEAT);
   assert.equal(task.machine, null);
-  assert.equal(task.earliestStart, sentAt + MAX_START_DELAY);
+  assert.equal(task.earliestStart, sentAt + MAX_START_TRANSIT_TIME);
   // The exited task no longer counts against its team's limit.
-  assert.equal(shard.teamUsage(SPEC.team).cpu, 0);
+  assert.equal(shard.teamUsage(JOB_SPEC.team).cpu, 0);
 });
 
 test("silent machines with an expired lease and held tasks are deleted first, at most a tenth of the fleet within a lease", () => {
@@ -156,7 +156,7 @@
   const silent = machines.slice(0, 20);
   for (const [at, machine] of silent.entries()) {
     machine.lease.expired = true;
-    if (at % 2 === 0) Object.assign(placedTask(shard, machine), { unansweredStartAt: context.clock.now() });
+    if (at % 2 === 0) Object.assign(placeTask(shard, machine), { unansweredStartAt: context.clock.now() });
     shard.jobs.clear();
   }
   const check = (): number => {
@@ -176,7 +176,7 @@
   for (const machine of silent)
     assert.equal(
       names.has(machine.name),
-      [...machine.tasks].some((task) => mayStartLate(task, context.clock.now())),
+      [...machine.tasks].some((task) => startMayBeInTransit(task, context.clock.now())),
     );
 });
 
@@ -204,7 +204,7 @@
 /** The worker shows a token above the start's, and does not list the task. */
 const showHigherToken = ({ machine, heartbeats }: LostStartFixture): void => {
   const reclaimNoticeS = machine.lifecycle.reclaimAt === null ? null : 20;
-  heartbeats.process(machine, report({ sequence: 2, token: TOKEN + 1, reclaimNoticeS }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 2, token: TOKEN + 1, reclaimNoticeS }), HEARTBEAT);
 };
 
 const scaleInCandidates = ({ shard, context }: LostStartFixture): readonly Machine[] => {
@@ -228,12 +228,12 @@
       if (order === "before") drain(fixture);
       showHigherToken(fixture);
       if (order === "after") drain(fixture);
-      dispatcher.evict(machine);
+      dispatcher.applyEvictions(machine);
       assertHeld(task, machine);
       machine.reachability.consecutiveTimeouts = 2;
       assert.deepEqual(dispatcher.startsForResponse(machine), [], "nothing more is started there");
       assert.deepEqual(scaleInCandidates(fixture), [machine], "only the machine's deletion releases the task");
-      heartbeats.machineLost(machine, "deleted");
+      heartbeats.handleMachineLoss(machine, "deleted");
       assert.equal(task.machine, null);
       assert.equal(task.earliestStart, 0);
     });
@@ -258,7 +258,7 @@
     if (order === "before") task.stopRequest = { graceS: 0 };
     showHigherToken(fixture);
     if (order === "after") task.stopRequest = { graceS: 0 };
-    dispatcher.evict(machine);
+    dispatcher.applyEvictions(machine);
     assertHeld(task, machine);
     assert.equal(task.stopRequest, null);
     machine.reachability.consecutiveTimeouts = 2;
--- a/test/late-writes.test.ts
+++ b/test/late-writes.test.ts
@@ -71,7 +71,7 @@
     const cluster = await playFaultyDay({
       mesh,
       seed: mesh ? 72 : 73,
-      more: (c) => {
+      submitExtraJobs: (c) => {
         effects = watchLateEffects(c);
         const random = new Random(5);
         for (let number = 0; number < 30; number += 1) {
@@ -82,7 +82,7 @@
         }
       },
     });
-    cluster.crash(cluster.holder(), 0.2 * S);
+    cluster.crash(cluster.shardLeader(), 0.2 * S);
     await cluster.run(20 * S);
     cluster.state.outage(12 * S);
     await cluster.run(20 * S);
@@ -90,7 +90,7 @@
     await cluster.run(10 * S);
     for (const at of [0, 1, 2]) cluster.crash(at);
     await cluster.run(40 * S);
-    cluster.crash(cluster.holder(), 20 * S);
+    cluster.crash(cluster.shardLeader(), 20 * S);
     await cluster.run(90 * S);
     assert.deepEqual(harmfulEffects(effects), []);
     assert.deepEqual(cluster.errors, []);
@@ -100,7 +100,10 @@
 test("transactions without their conditions are detected to change something when applied late", async () => {
   let effects: LateEffects = new Map();
   const withoutConditions = (body: string): string => JSON.stringify({ ...(JSON.parse(body) as object), if: [] });
-  const cluster = await playFaultyDay({ mesh: false, more: (c) => (effects = watchLateEffects(c, withoutConditions)) });
+  const cluster = await playFaultyDay({
+    mesh: false,
+    submitExtraJobs: (c) => (effects = watchLateEffects(c, withoutConditions)),
+  });
   await cluster.run(30 * S);
   const kinds = [...effects.keys()];
   for (const kind of ["c/job", "c/range"])
@@ -116,12 +119,12 @@
   const site = new GraphSite(31);
   const effects = watchLateEffects(site);
   await site.run(10 * S);
-  await site.post("dr-a", [step("a"), step("b", { upstream: ["a"] })]);
-  await site.post("dr-b", [step("a"), step("b", { upstream: ["a"] })]);
+  await site.submitGraph("dr-a", [step("a"), step("b", { upstream: ["a"] })]);
+  await site.submitGraph("dr-b", [step("a"), step("b", { upstream: ["a"] })]);
   await site.run(4 * S);
-  await site.ask("POST", "/v2/graphs/dr-b/abort");
-  await site.until("dr-a", ["success", "failed"]);
-  await site.ask("POST", "/v2/graphs/dr-a/clear", { step: "b" });
+  await site.request("POST", "/v2/graphs/dr-b/abort");
+  await site.waitForPhase("dr-a", ["success", "failed"]);
+  await site.request("POST", "/v2/graphs/dr-a/clear", { step: "b" });
   const tasks = Array.from({ length: 900 }, (_, at) =>
     step(`step-with-a-rather-long-name-${at}`, { job: { guessS: at % 7 } }),
   );
@@ -132,17 +135,17 @@
   });
   const size = Math.ceil(text.length / 3);
   for (const part of [1, 0, 2]) {
-    await site.ask("POST", "/v2/graphs", {
+    await site.request("POST", "/v2/graphs", {
       ref: "dr-c",
       part,
       parts: 3,
       text: text.slice(part * size, (part + 1) * size),
     });
   }
-  site.crash(site.holder(), 0.2 * S);
+  site.crash(site.shardLeader(), 0.2 * S);
   await site.run(60 * S);
   // An incomplete upload is deleted after a while.
-  await site.ask("POST", "/v2/graphs", { ref: "dr-d", part: 0, parts: 2, text: "half" });
+  await site.request("POST", "/v2/graphs", { ref: "dr-d", part: 0, parts: 2, text: "half" });
   await site.run(40 * S);
   assert.deepEqual(harmfulEffects(effects), []);
 });
--- a/test/links.test.ts
+++ b/test/links.test.ts
@@ -10,7 +10,7 @@
 /** Runs a cluster with spare machines under a steady stream of short jobs; `injectFault` is called at 60 s. */
 const runWithFault = async (seed: number, mesh: boolean, injectFault: (cluster: Cluster, leader: number) => void) => {
   const cluster = new Cluster(seed, { mesh, idleReturnS: 600 });
-  cluster.rooms.ordinary = 12;
+  cluster.machineCapacity.ordinary = 12;
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0 };
   cluster.submit(plainJob("wk-900001", { shape: "daemon", rank: "prod", shards: 6, cpus: 4, flavors: ["big"] }));
   cluster.submit(plainJob("wk-900002", { shards: 24, cpus: 2, flavors: ["big"], rank: "best_effort" }), {
@@ -26,10 +26,10 @@
   cluster.world.after(40 * S, submitNext);
   await cluster.run(60 * S);
   const before = cluster.log.length;
-  injectFault(cluster, cluster.holder());
+  injectFault(cluster, cluster.shardLeader());
   await cluster.run(FAULT_RUN_S * S);
   // The longest time without a task start during the fault, in seconds.
-  const startTimes = cluster.begun
+  const startTimes = cluster.taskStarts
     .map((start) => start.at)
     .filter((time) => time >= 58 * S && time <= (60 + FAULT_RUN_S) * S);
   let gap = 0;
--- a/test/load-shedding.test.ts
+++ b/test/load-shedding.test.ts
@@ -8,7 +8,7 @@
   type ProcessLoad,
 } from "../src/coordination/overload/load-shedder.js";
 import { ConcurrencyPools } from "../src/coordination/workers/concurrency-pools.js";
-import { HostClock, World } from "../src/model/index.js";
+import { HostClock, Simulation } from "../src/model/index.js";
 import { MalformedMessageError } from "../src/protocol/json.js";
 import { decodeHeartbeatText } from "../src/protocol/worker.js";
 import { type Micros, seconds, systemClock } from "../src/transport/clock.js";
@@ -22,7 +22,7 @@
  * A load shedder on a simulated clock whose timers fire `lateUs` late; `seen` lists the logged load levels in order.
  */
 const makeLoadShedder = () => {
-  const world = new World();
+  const world = new Simulation();
   const state = { lateUs: 0, memory: 0.3, sockets: 0.3 };
   const clock = new HostClock(world, 1, 0, (delay, run) => world.after(delay + state.lateUs, run));
   const seen: LoadLevel[] = [];
@@ -87,7 +87,7 @@
 });
 
 test("a thousand pending requests use a bounded number of slots, and slow machines use none of the others' slots", async () => {
-  const world = new World();
+  const world = new Simulation();
   const clock = new HostClock(world, 1, 0);
   const running = { responsive: 0, silent: 0, mostResponsive: 0, mostSilent: 0 };
   const runsByItem = new Map<number, number>();
@@ -185,7 +185,13 @@
 test("beyond a number of open connections, the server closes each connection after its response so that all clients get served", async () => {
   const server = new HttpServer(
     systemClock,
-    { maxConnections: 8, keepConnections: 4, requestTimeout: seconds(5), idleTimeout: seconds(5), maxBusy: 8 },
+    {
+      maxConnections: 8,
+      keepConnections: 4,
+      requestTimeout: seconds(5),
+      idleTimeout: seconds(5),
+      maxConcurrentRequests: 8,
+    },
     async () => ({ status: 200, body: "{}" }),
     noop,
   );
--- a/test/long-polls.test.ts
+++ b/test/long-polls.test.ts
@@ -10,7 +10,7 @@
 import type { TaskStatus } from "../src/protocol/worker.js";
 import type { Micros } from "../src/transport/clock.js";
 import type { HttpOutcome } from "../src/transport/http.js";
-import { makeShard, nothing, placedTask, report } from "./shard-fixtures.js";
+import { makeHeartbeat, makeShard, noop, placeTask } from "./shard-fixtures.js";
 
 const HEARTBEAT = { kind: "heartbeat" } as const;
 const MAX_WAIT = 3_000_000;
@@ -28,7 +28,7 @@
   const heartbeats = new HeartbeatProcessor(context, taskStates);
   const longPolls = new LongPolls(context.clock, 2);
   const dispatcher = new CommandDispatcher(context, heartbeats, longPolls);
-  heartbeats.process(machine, report({ sequence: 1 }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 1 }), HEARTBEAT);
   return { shard, context, world, machine, heartbeats, longPolls, dispatcher, sent };
 };
 
@@ -37,7 +37,7 @@
   const now = context.clock.now();
   const time = (backlog: boolean): number => longPollTime(machine, now, backlog);
   assert.equal(time(true), MAX_WAIT, "an idle machine has nothing to report");
-  const task = placedTask(shard, machine);
+  const task = placeTask(shard, machine);
   assert.equal(time(true), MAX_WAIT, "its placement is about to be on record");
   task.startCommand = { kind: "observed" };
   assert.equal(time(false), MAX_WAIT, "the next job may be placed in its free capacity");
@@ -74,13 +74,13 @@
   wait("newer", machine, 1_000_000);
   wait("other", others[1] as Machine, MAX_WAIT);
   wait("beyond", others[2] as Machine, MAX_WAIT);
-  await world.run(world.now + 10, nothing);
+  await world.run(world.now + 10, noop);
   assert.deepEqual(ends.splice(0), ["first: ended", "beyond: ended"]);
-  await world.run(world.now + 1_100_000, nothing);
+  await world.run(world.now + 1_100_000, noop);
   assert.deepEqual(ends.splice(0), ["newer: time passed"]);
   assert.equal(longPolls.end(machine), false);
   longPolls.endAll();
-  await world.run(world.now + 10, nothing);
+  await world.run(world.now + 10, noop);
   assert.deepEqual(ends, ["other: ended"]);
   assert.ok(context.clock.now() > 0);
 });
@@ -91,7 +91,7 @@
   void longPolls.wait(machine, MAX_WAIT as Micros).then(() => {
     ended = true;
   });
-  const task = placedTask(shard, machine);
+  const task = placeTask(shard, machine);
   world.now += 60_000_000;
   await dispatcher.send(machine);
   await Promise.resolve();
@@ -102,7 +102,7 @@
 
 test("if no response is held, a raised token triggers a heartbeat, once per half of a lease", async () => {
   const { shard, machine, heartbeats, dispatcher, sent, world, context } = setUp();
-  placedTask(shard, machine);
+  placeTask(shard, machine);
   await dispatcher.send(machine);
   assert.deepEqual(sent, [], "the worker has just reported a higher token");
   world.now += context.settings.workers.lease / 2 + 200_000;
@@ -111,13 +111,13 @@
   world.now += 5_000_000;
   await dispatcher.send(machine);
   assert.equal(sent.length, 1, "the worker would not report another raise yet");
-  heartbeats.process(machine, report({ sequence: 2, token: 65_537 }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 2, token: 65_537 }), HEARTBEAT);
   const [start] = dispatcher.startsForResponse(machine);
   assert.ok(start?.op === "start");
   world.now += 60_000_000;
   await dispatcher.send(machine);
   assert.equal(sent.length, 1, "a start sent in a response is repeated by the next response");
   const tasks: TaskStatus[] = [{ task: start.task, attempt: 1, state: "running", reason: null }];
-  heartbeats.process(machine, report({ sequence: 3, token: 65_537, tasks }), HEARTBEAT);
+  heartbeats.process(machine, makeHeartbeat({ sequence: 3, token: 65_537, tasks }), HEARTBEAT);
   assert.deepEqual(dispatcher.startsForResponse(machine), []);
 });
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -2,12 +2,12 @@
 import { test } from "node:test";
 import type { Services, ShardLease } from "../src/coordination/context.js";
 import { Membership } from "../src/coordination/leadership/membership.js";
-import { HostClock, S, World } from "../src/model/index.js";
+import { HostClock, S, Simulation } from "../src/model/index.js";
 import type { KeyValueEntry } from "../src/protocol/key-value-store.js";
 import { parseSettings } from "../src/settings/parse-settings.js";
 import { memberKey, shardKey } from "../src/storage/keys.js";
 import { settingsText } from "./fixtures.js";
-import { nothing, quiet } from "./shard-fixtures.js";
+import { noop, silentLog } from "./shard-fixtures.js";
 
 const settings = parseSettings(settingsText(0));
 const [MEMBER_KEY, SHARD_KEY] = [memberKey(settings.label), shardKey(0)];
@@ -16,7 +16,7 @@
   // The response to the first join is lost, and the second join succeeds. At the end of an outage the second join's key is
   // deleted, and the first join is applied late. Shards assigned to that member end with the first lease, while their
   // validity would be computed from renewals of the second one.
-  const world = new World();
+  const world = new Simulation();
   const clock = new HostClock(world, 1, 1_000_000);
   const entries = new Map<string, KeyValueEntry>();
   let grants = 0;
@@ -33,7 +33,7 @@
     },
     renewLease: async () => ({ kind: "ok", value: true }),
   };
-  let notifyChange: () => void = nothing;
+  let notifyChange: () => void = noop;
   const cache = {
     entries,
     loaded: true,
@@ -46,14 +46,14 @@
     sync: async () => true,
   };
   const acquired: ShardLease[] = [];
-  const services = { clock, log: quiet, settings, store, cache } as unknown as Services;
+  const services = { clock, log: silentLog, settings, store, cache } as unknown as Services;
   const membership = new Membership(services, "inc-1", {
     shardAcquired: (lease) => acquired.push(lease),
-    shardReleased: nothing,
+    shardReleased: noop,
   });
   void membership.run();
   await new Promise(setImmediate);
-  await world.run(2 * S, nothing);
+  await world.run(2 * S, noop);
   assert.equal(grants, 2);
   const put = (key: string, value: unknown, version: number): void => {
     entries.set(key, { key, value, version });
--- a/test/mesh.test.ts
+++ b/test/mesh.test.ts
@@ -19,7 +19,7 @@
   TcpFrameTransport,
   type UpstreamLinks,
 } from "../src/mesh/index.js";
-import { HostClock, World } from "../src/model/index.js";
+import { HostClock, Simulation } from "../src/model/index.js";
 import type { Micros } from "../src/transport/clock.js";
 import { RainridgeError } from "../src/transport/errors.js";
 import type { HttpOutcome } from "../src/transport/http.js";
@@ -210,7 +210,7 @@
 
 /** A mesh with one peer, simulated by the test. `peerResponds`: the peer sends a hello and periodic heartbeats. */
 const meshWithOnePeer = (peerResponds: boolean) => {
-  const world = new World();
+  const world = new Simulation();
   const clock = new HostClock(world, 1, 0);
   const connections: { at: number; connection: FrameConnection; closed: () => boolean; sent: MeshFrame[] }[] = [];
   const called: string[] = [];
--- a/test/object-shapes.test.ts
+++ b/test/object-shapes.test.ts
@@ -10,14 +10,14 @@
 import { createMachine, type Machine } from "../src/cluster/machine.js";
 import { newBin } from "../src/coordination/autoscaling/capacity-bins.js";
 import type { Micros } from "../src/transport/clock.js";
-import { TYPES } from "./shard-fixtures.js";
+import { MACHINE_TYPES } from "./shard-fixtures.js";
 
 setFlagsFromString("--allow-natives-syntax");
 const haveSameHiddenClass = runInThisContext("(a, b) => %HaveSameMap(a, b)") as (a: object, b: object) => boolean;
 
 const makeMachine = (number: number): Machine =>
   createMachine(
-    { name: `n-${number}`, typeName: "big", type: TYPES[0] ?? null, zone: "east", spot: number % 2 === 0 },
+    { name: `n-${number}`, typeName: "big", type: MACHINE_TYPES[0] ?? null, zone: "east", spot: number % 2 === 0 },
     (number * 1_000_000) as Micros,
   );
 
@@ -34,7 +34,7 @@
 });
 
 test("all capacity bins of a scaling plan share one hidden class", () => {
-  const type = TYPES[0];
+  const type = MACHINE_TYPES[0];
   assert.ok(type !== undefined);
   const bins = Array.from({ length: 20 }, (_, number) => newBin({ type, zone: `z-${number}`, spot: false }));
   for (const bin of bins) assert.ok(haveSameHiddenClass(bins[0] as object, bin));
--- a/test/overlapping-faults.test.ts
+++ b/test/overlapping-faults.test.ts
@@ -29,7 +29,7 @@
  */
 const runToRecovery = async (cluster: Cluster): Promise<void> => {
   await cluster.run(65 * S);
-  cluster.checker.calmFrom = cluster.world.now;
+  cluster.checker.faultsEndedAt = cluster.world.now;
   await cluster.run(170 * S);
   const { longestUs } = cluster.checker.afterCancelled;
   assert.ok(longestUs <= CANCELLATION_BOUND, `${longestUs / S} of ${CANCELLATION_BOUND / S} s`);
@@ -40,7 +40,7 @@
   for (const mesh of [false, true]) {
     test(`${name}, mesh ${mesh ? "on" : "off"}`, async () => {
       for (const seed of SEEDS) {
-        const cluster = await playFaultyDay({ mesh, seed, more: submitLongJobs }, ...faults);
+        const cluster = await playFaultyDay({ mesh, seed, submitExtraJobs: submitLongJobs }, ...faults);
         await cluster.run(45 * S);
         await runToRecovery(cluster);
       }
@@ -53,7 +53,7 @@
   for (const offset of OFFSETS) {
     for (const seed of SEEDS) {
       test(`${first}; ${offset} s later: ${second} (seed ${seed})`, async () => {
-        const cluster = await playFaultyDay({ mesh: seed % 2 === 1, seed, more: submitLongJobs });
+        const cluster = await playFaultyDay({ mesh: seed % 2 === 1, seed, submitExtraJobs: submitLongJobs });
         FAULTS[first]?.(cluster);
         await cluster.run(offset * S);
         FAULTS[second]?.(cluster);
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -8,7 +8,7 @@
 import { decideRound, newRoundState } from "../src/coordination/scheduling/placement-round.js";
 import { applyAction, type RoundAction } from "../src/coordination/scheduling/round-action.js";
 import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
-import { HostClock, World } from "../src/model/index.js";
+import { HostClock, Simulation } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job-messages.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
 import { parseSettings } from "../src/settings/parse-settings.js";
@@ -24,7 +24,7 @@
 
 /** Machines, teams and a clock. Actions take effect at once; preempted tasks are gone at the next `advance`. */
 class SimulatedShard {
-  readonly world = new World();
+  readonly world = new Simulation();
   readonly shard: ShardState;
   readonly preemptions = new Map<string, number>();
   private readonly settings;
@@ -62,7 +62,7 @@
     return cpu / 1_000;
   }
 
-  /** Runs one round; `check` is called with each action after it was applied. */
+  /** Runs one round; `onAction` is called with each action after it was applied. */
   round(onAction: (action: RoundAction) => void = () => undefined): void {
     const snapshot: SchedulerSnapshot = {
       now: this.clock.now(),
@@ -70,10 +70,10 @@
       settings: this.settings,
       options: DEFAULT_OPTIONS,
       heartbeatTimeout: seconds(5),
-      maxPreemptionSearches: 24,
+      maxVictimSearches: 24,
       recordBudget: { urgent: Number.POSITIVE_INFINITY, normal: Number.POSITIVE_INFINITY },
       guaranteesOvercommitted: this.roundState.guaranteesOvercommitted,
-      firstFencingToken: TOKEN,
+      minFencingToken: TOKEN,
       inspection: { count: 0 },
     };
     for (const action of decideRound(snapshot, this.roundState)) {
--- a/test/replay.test.ts
+++ b/test/replay.test.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { test } from "node:test";
-import { HostClock, jobOf, nobody, S, Site, type Witness, World } from "../src/model/index.js";
+import { HostClock, jobOf, type MachineObserver, noopObserver, S, Simulation, Site } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job-messages.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
 import {
@@ -28,7 +28,7 @@
   writeTrace,
 } from "../src/whatif/index.js";
 import { Random } from "./random.js";
-import { BrokenRule, Checker } from "./sim/checker.js";
+import { Checker, RuleViolation } from "./sim/checker.js";
 import { plainJob, trueJob } from "./sim/cluster.js";
 import { requestFor, smallDay, smallSite, submitted } from "./whatif-fixtures.js";
 
@@ -39,14 +39,14 @@
 const replayed = async (model: Model, request: ReplayRequest): Promise<Outcome> => {
   let checker: Checker | null = null;
   const limits = new Map(request.site.teams.flatMap(({ name, cpusMax }) => (cpusMax > 0 ? [[name, cpusMax]] : [])));
-  const witness = (now: () => number): Witness => {
+  const witness = (now: () => number): MachineObserver => {
     const rules = new Checker(now, limits, request.site.workers.cancelUs);
     checker = rules;
     for (const event of request.events) {
       if (event.event !== "submit") continue;
       rules.jobs.set(event.job.ref, trueJob(event.job));
     }
-    const told = request.witness?.(now) ?? nobody;
+    const told = request.witness?.(now) ?? noopObserver;
     return {
       ...told,
       taskOn: (task, machine) => rules.taskOn(task, machine),
@@ -59,7 +59,7 @@
   try {
     return model === "fast" ? replayFast(watched, check) : await replayFaithfully(watched, check);
   } catch (error) {
-    if (error instanceof BrokenRule) throw new Error(`${model}: ${error.message}`, { cause: error });
+    if (error instanceof RuleViolation) throw new Error(`${model}: ${error.message}`, { cause: error });
     throw error;
   }
 };
@@ -371,7 +371,7 @@
     cancelAnswered: nothing,
     dropped: nothing,
   };
-  const watch = () => ({ witness: nobody, hearing, log: nothing });
+  const watch = () => ({ witness: noopObserver, hearing, log: nothing });
   const site = new Site({ spec, options: DEFAULT_OPTIONS, seed: 3, watch });
   const clock = new HostClock(site.world, 1, 0);
   const seen: string[] = [];
@@ -441,7 +441,7 @@
     seed: 5,
     watch: (world) => ({
       witness: {
-        ...nobody,
+        ...noopObserver,
         taskDone: (task) => {
           const job = jobOf(task);
           left.set(job, (left.get(job) ?? 0) - 1);
@@ -485,7 +485,7 @@
 
 test("an event's promises are all kept before the next event, however long their chain", async () => {
   // The queue used to wait for a turn of the event loop after each event, which took most of a run.
-  const world = new World();
+  const world = new Simulation();
   const order: number[] = [];
   for (let at = 1; at <= 3; at += 1) {
     world.at(at, () => {
--- a/test/retry-slots.test.ts
+++ b/test/retry-slots.test.ts
@@ -3,7 +3,7 @@
 import { JobApi } from "../src/coordination/api/job-api.js";
 import type { Services } from "../src/coordination/context.js";
 import { LoadShedder } from "../src/coordination/overload/load-shedder.js";
-import { HostClock, World } from "../src/model/index.js";
+import { HostClock, Simulation } from "../src/model/index.js";
 import { parseSettings } from "../src/settings/parse-settings.js";
 import type { HttpRequest } from "../src/transport/http.js";
 import { bigType, settingsText } from "./fixtures.js";
@@ -13,7 +13,7 @@
   // The first batches of three controllers together exceed the store's write limit, which at once cuts each one's rate
   // to a tenth. Retry times computed from the reduced rate were all ten seconds later, and a third of the writes went
   // unused until then.
-  const clock = new HostClock(new World(), 1, 0);
+  const clock = new HostClock(new Simulation(), 1, 0);
   const log = { error: () => undefined, info: () => undefined, debug: () => undefined };
   const services = {
     clock,
@@ -27,7 +27,7 @@
   const jobApi = new JobApi(services, new Map([[type.name, type]]), {
     taskCounts: () => null,
     isLeader: () => false,
-    isWithdrawn: () => false,
+    isCancelledIndirectly: () => false,
   });
   const waits: number[] = [];
   for (let at = 0; at < 40; at += 1) {
--- a/test/scenarios.test.ts
+++ b/test/scenarios.test.ts
@@ -8,7 +8,7 @@
   // In a zone with a single ordinary (non-spot) machine, the services of two teams preempted each other every few
   // seconds without end.
   const cluster = new Cluster(3);
-  cluster.rooms.ordinary = 1;
+  cluster.machineCapacity.ordinary = 1;
   const service = { shape: "daemon", rank: "prod", area: "west", flavors: ["small"] } as const;
   cluster.submit(plainJob("wk-000001", { ...service, shards: 2, owner: "open" }));
   cluster.world.at(40 * S, () => cluster.submit(plainJob("wk-000002", { ...service, shards: 1, owner: "capped" })));
@@ -21,7 +21,7 @@
   // In a zone with a single ordinary (non-spot) machine filled by jobs that could run elsewhere, the second
   // replicas of spread jobs waited without end.
   const cluster = new Cluster(4);
-  cluster.rooms.ordinary = 1;
+  cluster.machineCapacity.ordinary = 1;
   const service = { shape: "daemon", rank: "prod", flavors: ["big"] } as const;
   for (let at = 1; at <= 4; at += 1) {
     cluster.submit(plainJob(`wk-00000${at}`, { ...service, shards: 1, cpus: 4, area: at === 1 ? "east" : null }));
@@ -51,15 +51,15 @@
   // again each time the back-off ended.
   const cluster = new Cluster(8);
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0 };
-  cluster.rooms.ordinary = 1;
+  cluster.machineCapacity.ordinary = 1;
   const service = { shape: "daemon", rank: "prod", flavors: ["big"], area: "east", cpus: 1 } as const;
   cluster.submit(plainJob("wk-000001", { ...service, shards: 4 }));
   await cluster.run(50 * S);
-  for (const { worker } of cluster.cloud.running()) worker?.sicken();
+  for (const { worker } of cluster.cloud.running()) worker?.makeFaulty();
   cluster.submit(plainJob("wk-000002", { ...service, shards: 2 }));
   await cluster.run(150 * S);
   // Another machine becomes available only now, when the back-off is longer than failures count against this machine.
-  cluster.rooms.ordinary = 8;
+  cluster.machineCapacity.ordinary = 8;
   await cluster.run(120 * S);
   assert.deepEqual(cluster.missingReplicas(), []);
 });
@@ -97,7 +97,7 @@
   await cluster.run(60 * S);
   const started = cluster.checker.starts;
   assert.equal(started, 24);
-  cluster.site.cutFromWorkers(cluster.holder(), 60 * S, "reset");
+  cluster.site.cutFromWorkers(cluster.shardLeader(), 60 * S, "reset");
   await cluster.run(100 * S);
   // All tasks kept running: no machine was deleted, and no lease expired.
   assert.equal(cluster.checker.starts, started);
@@ -110,10 +110,10 @@
   cluster.submit(gang, { runUs: 60 * S });
   await cluster.run(50 * S);
   const tasks = [0, 1, 2, 3, 4, 5].map((at) => `wk-000001/${at}`);
-  assert.ok(tasks.every((task) => cluster.checker.isOn(task)));
+  assert.ok(tasks.every((task) => cluster.checker.isRunning(task)));
   cluster.cloud.take(cluster.cloud.running()[0]?.ref ?? "");
   await cluster.run(200 * S);
-  assert.equal(cluster.checker.finalOf("wk-000001"), "done");
+  assert.equal(cluster.checker.terminalPhaseOf("wk-000001"), "done");
 });
 
 test("a job of 100,000 tasks is accepted, placed gradually and cancelled", async () => {
@@ -124,8 +124,8 @@
   assert.ok(cluster.checker.starts > 200, `${cluster.checker.starts} starts`);
   cluster.users.cancel("wk-000001");
   await cluster.run(90 * S);
-  assert.equal(cluster.checker.finalOf("wk-000001"), "withdrawn");
-  assert.equal(cluster.checker.finalOf("wk-000002"), "done");
+  assert.equal(cluster.checker.terminalPhaseOf("wk-000001"), "withdrawn");
+  assert.equal(cluster.checker.terminalPhaseOf("wk-000002"), "done");
   assert.deepEqual(cluster.errors, []);
 });
 
--- a/test/scheduling-fixtures.ts
+++ b/test/scheduling-fixtures.ts
@@ -5,7 +5,7 @@
 import { decideRound, newRoundState } from "../src/coordination/scheduling/placement-round.js";
 import type { RoundAction } from "../src/coordination/scheduling/round-action.js";
 import type { SchedulerSnapshot } from "../src/coordination/scheduling/scheduler-snapshot.js";
-import { HostClock, World } from "../src/model/index.js";
+import { HostClock, Simulation } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job-messages.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
 import { parseSettings } from "../src/settings/parse-settings.js";
@@ -20,7 +20,7 @@
 
 /** A shard with idle machines of one type, and rounds whose placements take effect at once. */
 export const makeSchedulingFixture = (machines: number) => {
-  const world = new World();
+  const world = new Simulation();
   world.now = 1_000_000_000;
   const clock = new HostClock(world, 1, 0);
   const settings = parseSettings(settingsText(0));
@@ -40,10 +40,10 @@
     settings,
     options: DEFAULT_OPTIONS,
     heartbeatTimeout: seconds(5),
-    maxPreemptionSearches: 24,
+    maxVictimSearches: 24,
     recordBudget: { urgent: Number.POSITIVE_INFINITY, normal: Number.POSITIVE_INFINITY },
     guaranteesOvercommitted: false,
-    firstFencingToken: TOKEN,
+    minFencingToken: TOKEN,
     inspection: { count: 0 },
   });
   const add = (fields: Parameters<typeof plainJob>[1], ref: string): Job =>
--- a/test/scheduling-rounds.test.ts
+++ b/test/scheduling-rounds.test.ts
@@ -5,7 +5,7 @@
 import { Scheduler } from "../src/coordination/scheduling/scheduler.js";
 import type { JobSpec } from "../src/protocol/job-spec.js";
 import type { Micros } from "../src/transport/clock.js";
-import { makeShard, SPEC } from "./shard-fixtures.js";
+import { JOB_SPEC, makeShard } from "./shard-fixtures.js";
 
 test("placements run no further ahead of their records than the write budget, whatever else is queued", () => {
   const { shard, context, taskStates } = makeShard(200);
@@ -24,7 +24,7 @@
       },
     } as unknown as TaskStateWriter,
   );
-  for (let at = 0; at < 60; at += 1) shard.addJob({ ...SPEC, id: `wk-${at}`, tasks: 20 }, 1, false);
+  for (let at = 0; at < 60; at += 1) shard.addJob({ ...JOB_SPEC, id: `wk-${at}`, tasks: 20 }, 1, false);
   scheduler.runRound();
   assert.equal(placedJobs.length, 20, "the writes of two seconds");
   // Each range is placed as a whole: one write carries all its placements.
@@ -43,7 +43,7 @@
     const service = at % 4 === 0;
     shard.addJob(
       {
-        ...SPEC,
+        ...JOB_SPEC,
         id: `wk-${at}`,
         tasks: service ? 9 : 150,
         image: `img-${at % 5}`,
@@ -58,9 +58,9 @@
   const placed = [...shard.jobs.values()].reduce((sum, job) => sum + job.placedTasks.size, 0);
   assert.ok(placed > 10_000, `${placed} placed`);
   // Inspecting each machine for each task would take 17 million inspections.
-  assert.ok(scheduler.inspection.count < 1_500_000, `${scheduler.inspection.count} inspections`);
-  const before = scheduler.inspection.count;
+  assert.ok(scheduler.inspectionCounter.count < 1_500_000, `${scheduler.inspectionCounter.count} inspections`);
+  const before = scheduler.inspectionCounter.count;
   scheduler.runRound();
-  const idle = scheduler.inspection.count - before;
+  const idle = scheduler.inspectionCounter.count - before;
   assert.ok(idle < 100_000, `${idle} inspections in a round with nothing to place`);
 });
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -54,10 +54,13 @@
       shardLeaseDuration(settings) + settings.workers.lease * 1.001 + 300_000 < settings.workers.cancellationBound,
     );
     // Including a start command that was in flight when the shard lease expired.
-    const { shardLease, startCommand, workerLease, total, left } = cancellationTerms(
-      settings.workers,
-      shardLeaseDuration(settings),
-    );
+    const {
+      shardLease,
+      startCommand,
+      workerLease,
+      total,
+      margin: left,
+    } = cancellationTerms(settings.workers, shardLeaseDuration(settings));
     assert.equal(shardLease + startCommand + workerLease, total);
     assert.ok(startCommand >= 1_800_000 && workerLease > settings.workers.lease);
     assert.equal(total + left, settings.workers.cancellationBound);
--- a/test/shard-fixtures.ts
+++ b/test/shard-fixtures.ts
@@ -5,7 +5,7 @@
 import type { ShardContext } from "../src/coordination/context.js";
 import type { TaskStateWriter } from "../src/coordination/jobs/task-state-writer.js";
 import { LoadShedder } from "../src/coordination/overload/load-shedder.js";
-import { HostClock, World } from "../src/model/index.js";
+import { HostClock, Simulation } from "../src/model/index.js";
 import { decodeMachineTypes } from "../src/protocol/cloud.js";
 import type { JobSpec } from "../src/protocol/job-spec.js";
 import type { Heartbeat } from "../src/protocol/worker.js";
@@ -19,12 +19,12 @@
  */
 
 /** A log that discards all entries. */
-export const quiet = { error: () => undefined, info: () => undefined, debug: () => undefined };
+export const silentLog = { error: () => undefined, info: () => undefined, debug: () => undefined };
 /** A callback that does nothing. */
-export const nothing = (): undefined => undefined;
+export const noop = (): undefined => undefined;
 
 /** The cloud's machine types: one, named `big`. */
-export const TYPES = decodeMachineTypes({
+export const MACHINE_TYPES = decodeMachineTypes({
   flavors: ["big"].map((sku) => ({
     sku,
     cpus: 32,
@@ -40,7 +40,7 @@
 });
 
 /** A job array of three tasks without dependencies or zone rules. */
-export const SPEC: JobSpec = {
+export const JOB_SPEC: JobSpec = {
   id: "wk-1",
   jobClass: "batch",
   team: "open",
@@ -68,13 +68,18 @@
  * double. `responses` are the workers' responses to HTTP requests, in order; further requests are not sent.
  */
 export const makeShard = (machines: number, responses: HttpOutcome[] = []) => {
-  const world = new World();
+  const world = new Simulation();
   const clock = new HostClock(world, 1, 1_000_000);
-  const shard = new ShardState(clock, 128, settings.teams, () => new Map(TYPES.map((type) => [type.name, type])));
+  const shard = new ShardState(
+    clock,
+    128,
+    settings.teams,
+    () => new Map(MACHINE_TYPES.map((type) => [type.name, type])),
+  );
   for (let at = 0; at < machines; at += 1) {
     const zone = at % 2 === 0 ? "east" : "west";
     const machine = createMachine(
-      { name: `n-${at}`, typeName: "big", type: TYPES[0] ?? null, zone, spot: at % 3 === 0 },
+      { name: `n-${at}`, typeName: "big", type: MACHINE_TYPES[0] ?? null, zone, spot: at % 3 === 0 },
       clock.now(),
     );
     Object.assign(machine, { state: "up", address: "10.1.0.1:9000" });
@@ -83,35 +88,35 @@
   }
   const context = {
     clock,
-    log: quiet,
+    log: silentLog,
     settings,
     options: DEFAULT_OPTIONS,
     shard,
     random: () => 0.5,
-    loadShedder: new LoadShedder(clock, quiet, null),
+    loadShedder: new LoadShedder(clock, silentLog, null),
     onInspected: null,
     transactions: { writesPerSecond: 1e9, maxValueBytes: 1e9, maxWritesPerTransaction: 12, pendingCount: () => 0 },
     wallClock: null,
     mayStartTasks: () => true,
     http: { call: async () => responses.shift() ?? { kind: "unsent" } },
     lease: { shard: 0, epoch: 1, key: "c/block/0", version: 1, isValid: () => true },
-    scheduleRound: nothing,
-    scheduleCommands: nothing,
-    queryStatus: nothing,
-    onFenced: nothing,
-    onInconsistent: nothing,
+    scheduleRound: noop,
+    scheduleCommands: noop,
+    queryStatus: noop,
+    onFenced: noop,
+    onInconsistent: noop,
   } as unknown as ShardContext;
   const taskStates = {
-    recordPlacement: nothing,
-    recordSoon: nothing,
-    finishIfComplete: nothing,
+    recordPlacement: noop,
+    recordSoon: noop,
+    finishIfComplete: noop,
   } as unknown as TaskStateWriter;
   return { world, shard, context, taskStates };
 };
 
-/** The first task of a new job of `SPEC`, recorded as placed on the machine with attempt 1. */
-export const placedTask = (shard: ShardState, machine: Machine): Task => {
-  const job = shard.addJob(SPEC, 1, false);
+/** The first task of a new job of `JOB_SPEC`, recorded as placed on the machine with attempt 1. */
+export const placeTask = (shard: ShardState, machine: Machine): Task => {
+  const job = shard.addJob(JOB_SPEC, 1, false);
   shard.createNextTaskRange(job);
   const task = [...job.waitingTasks][0];
   assert.ok(task !== undefined);
@@ -122,7 +127,7 @@
 };
 
 /** A heartbeat of the shard's first machine; `fields` override the defaults. */
-export const report = (fields: Partial<Heartbeat> = {}): Heartbeat => ({
+export const makeHeartbeat = (fields: Partial<Heartbeat> = {}): Heartbeat => ({
   machine: "n-0",
   address: "10.1.0.1:9000",
   type: "big",
--- a/test/sim/checker.ts
+++ b/test/sim/checker.ts
@@ -2,7 +2,7 @@
  * Checks the protocol's rules against the actual tasks on machines and the responses that users received, independently
  * of the controllers' state.
  */
-import type { Hearing, Odd } from "../../src/model/index.js";
+import type { SubmissionFault, UserObserver } from "../../src/model/index.js";
 
 /** A submitted job, as far as the rules concern it. */
 export interface TrueJob {
@@ -47,7 +47,7 @@
   | "left_waiting";
 
 /** A violation; the message is the rule and the job, task or team concerned. */
-export class BrokenRule extends Error {
+export class RuleViolation extends Error {
   constructor(
     readonly rule: Rule,
     detail: string,
@@ -100,14 +100,14 @@
   /** Tasks that ended after their cancellation was confirmed, and the longest time from confirmation to end. */
   readonly afterCancelled = { longestUs: 0, tasks: 0 };
   /** When the last fault ended, in microseconds; set by the test that injects the faults. */
-  calmFrom = Number.POSITIVE_INFINITY;
+  faultsEndedAt = Number.POSITIVE_INFINITY;
   /** When a task of each job was first on a machine. */
   private readonly firstPlacedAt = new Map<string, number>();
   /** When each job was last seen with a task on a machine after the faults ended. */
   private readonly lastPlacedAt = new Map<string, number>();
   /** Since when each look has found free capacity for a job that has waited for long. */
   private readonly freeCapacitySince = new Map<string, number>();
-  private violation: BrokenRule | null = null;
+  private violation: RuleViolation | null = null;
 
   constructor(
     private readonly now: () => number,
@@ -119,7 +119,7 @@
 
   /** Records the violation for the next tick: most events arrive in callbacks, where an exception would be lost. */
   private recordViolation(rule: Rule, detail: string): void {
-    this.violation ??= new BrokenRule(rule, detail);
+    this.violation ??= new RuleViolation(rule, detail);
   }
 
   private viewOf(id: string): UserView {
@@ -182,12 +182,12 @@
     this.finished.set(id, done);
   }
 
-  isOn(task: string): boolean {
+  isRunning(task: string): boolean {
     return this.machinesByTask.has(task);
   }
 
   /** Names of the machines that the task is on. */
-  placesOf(task: string): readonly string[] {
+  machinesOf(task: string): readonly string[] {
     return [...(this.machinesByTask.get(task) ?? [])].map(({ name }) => name);
   }
 
@@ -235,13 +235,13 @@
   /** Checks that, after the faults ended, no job waits for long while there is free capacity for it. */
   private checkWaitingJobs(): void {
     const now = this.now();
-    if (now < this.nextCheckAt || now < this.calmFrom + MAX_WAIT_US) return;
+    if (now < this.nextCheckAt || now < this.faultsEndedAt + MAX_WAIT_US) return;
     this.nextCheckAt = now + CHECK_INTERVAL_US;
     for (const id of this.accepted()) {
       const job = this.jobs.get(id);
       const view = this.viewOf(id);
       if (job === undefined || view.cancelAsked || view.final !== null) continue;
-      if ((job.awaits ?? []).some((needed) => this.finalOf(needed) !== "done")) continue;
+      if ((job.awaits ?? []).some((needed) => this.terminalPhaseOf(needed) !== "done")) continue;
       // Jobs with zone constraints, gangs and services need more than free capacity for one task.
       if (job.service || job.spread || job.together || job.gang === true) continue;
       if ((this.finished.get(id)?.size ?? 0) >= job.tasks) continue;
@@ -250,7 +250,12 @@
       );
       if (placed) this.lastPlacedAt.set(id, now);
       const dependenciesDoneAt = (job.awaits ?? []).map((needed) => this.views.get(needed)?.finalAt ?? 0);
-      const since = Math.max(this.calmFrom, view.submittedAt, this.lastPlacedAt.get(id) ?? 0, ...dependenciesDoneAt);
+      const since = Math.max(
+        this.faultsEndedAt,
+        view.submittedAt,
+        this.lastPlacedAt.get(id) ?? 0,
+        ...dependenciesDoneAt,
+      );
       const waits = !placed && now - since > MAX_WAIT_US;
       const limit = this.limits.get(job.team);
       const belowQuota = limit === undefined || this.cpusUsed(job.team) + job.cpus <= limit;
@@ -283,7 +288,7 @@
   }
 
   /** Receives the requests of the emulator's users and the responses to them. */
-  readonly hearing: Hearing = {
+  readonly hearing: UserObserver = {
     submitted: (id, status, phase, askedAt) => this.submitted(id, status, phase, askedAt),
     polled: (id, status, phase, askedAt) => this.polled(id, status, phase, askedAt),
     cancelAsked: (id) => this.cancelAsked(id),
@@ -295,7 +300,7 @@
   /** Invalid submissions that received a final response. */
   invalidRefused = 0;
 
-  oddAnswered(why: Odd, status: number, detail: string): void {
+  oddAnswered(why: SubmissionFault, status: number, detail: string): void {
     if (status === 429 || status === 503) return;
     const expectedStatus = why === "lacks a field" ? 400 : 422;
     const namesField = why !== "lacks a field" || detail.includes("cpus");
@@ -332,7 +337,7 @@
           this.recordViolation("orphaned", `${id} is ${phase} past the cancellation bound of a dependency`);
       }
       if (phase !== null) this.checkPhase(id, view, phase);
-    } else if (view.accepted && now - Math.max(view.lastAnsweredAt, this.calmFrom) > LOST_AFTER_US) {
+    } else if (view.accepted && now - Math.max(view.lastAnsweredAt, this.faultsEndedAt) > LOST_AFTER_US) {
       this.recordViolation("forgotten", `${id}: no status response for 75 s after the faults ended`);
     } else if (view.accepted && now - view.lastAnsweredAt > 90_000_000) {
       const others = this.polls.filter((poll) => poll.job !== id);
@@ -414,7 +419,7 @@
   }
 
   /** The largest jobs of each class of which no task was on a machine within `MAX_START_DELAY_US`. */
-  lateLargest(): string[] {
+  lateLargestJobs(): string[] {
     return this.uncancelledJobs()
       .filter(({ job, view, largest }) => {
         const begun = this.firstPlacedAt.get(job.id) ?? this.now();
@@ -469,7 +474,7 @@
     return [...this.views].filter(([, view]) => view.accepted).map(([id]) => id);
   }
 
-  finalOf(id: string): string | null {
+  terminalPhaseOf(id: string): string | null {
     return this.views.get(id)?.final ?? null;
   }
 }
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -1,22 +1,22 @@
 /** The simulated cluster of the tests: an emulated site, real controllers and the checker of the protocol's rules. */
 import type { ClusterEvent } from "../../src/cluster/events.js";
 import { LogEvent, type LogEventText } from "../../src/coordination/log-events.js";
-import { graphsWith } from "../../src/graphs/index.js";
+import { graphExtension } from "../../src/graphs/index.js";
 import {
   type Behaviour,
   type Bounds,
-  Curious,
   HostClock,
   jobBehaviour,
+  type MachineObserver,
   MEASURED,
-  nobody,
+  noopObserver,
+  ProbingUsers,
   Random,
   S,
   Site,
   type SiteSpec,
   type Submission,
   type TypeSpec,
-  type Witness,
 } from "../../src/model/index.js";
 import { encodeSubmission } from "../../src/protocol/job-messages.js";
 import { cancellationTerms } from "../../src/settings/cancellation.js";
@@ -27,7 +27,7 @@
 import { jobKey } from "../../src/storage/keys.js";
 import type { Micros } from "../../src/transport/clock.js";
 import { settingsText } from "../fixtures.js";
-import { BrokenRule, Checker, type TrueJob } from "./checker.js";
+import { Checker, RuleViolation, type TrueJob } from "./checker.js";
 
 export type { Submission } from "../../src/model/index.js";
 
@@ -107,7 +107,7 @@
 const MAX_FETCH_US = 25 * S;
 
 /** Controllers with too few connections and so little CPU that a burst of requests delays them by seconds. */
-export const SMALL: Bounds = {
+export const UNDERSIZED_CONTROLLERS: Bounds = {
   cpuShare: 0.02,
   maxConnections: 30,
   keepConnections: 12,
@@ -122,7 +122,7 @@
   readonly random: Random;
   readonly checker: Checker;
   readonly errors: string[] = [];
-  readonly curious: Curious;
+  readonly curious: ProbingUsers;
   /** Called with the index of a controller when it has acquired the shard. */
   onShardAcquired: (controller: number) => void = () => undefined;
   /** Number of times that a controller acquired the shard. */
@@ -132,11 +132,11 @@
   private completionCancellation = { share: 0, until: 0 };
   readonly log: string[] = [];
   /** Events that controllers emit for recording; only on sites with graphs. */
-  readonly seen: { readonly at: number; readonly event: ClusterEvent }[] = [];
+  readonly recordedEvents: { readonly at: number; readonly event: ClusterEvent }[] = [];
   /** Every start of a task, in order of time; `at` in microseconds. */
-  readonly begun: { readonly task: string; readonly at: number }[] = [];
+  readonly taskStarts: { readonly task: string; readonly at: number }[] = [];
   /** Most machines of each purchase model in one zone, over all types. */
-  readonly rooms = { spot: 6, ordinary: 8 };
+  readonly machineCapacity = { spot: 6, ordinary: 8 };
 
   constructor(
     seed: number,
@@ -159,22 +159,22 @@
       seed,
       settings: (index) => parseSettings(settingsAt(index, alter)),
       quirks: { repeats: 0.2, lingers: 0.5 },
-      ...(options.graphs ? { extension: graphsWith(options.graphs) } : {}),
+      ...(options.graphs ? { extension: graphExtension(options.graphs) } : {}),
       stateLog: 300,
       ...(bounds === undefined ? {} : { bounds }),
       room: (_type, zone, spot, cloud) => {
         const present = TYPES.reduce((sum, { name }) => sum + cloud.count(name, zone, spot), 0);
-        return (spot ? this.rooms.spot : this.rooms.ordinary) - present;
+        return (spot ? this.machineCapacity.spot : this.machineCapacity.ordinary) - present;
       },
       watch: (world) => {
         // A start may follow a confirmed cancellation by a shard lease and the command time, and then fetches an image.
         const { shardLease, startCommand } = cancellationTerms(settings.workers, shardLeaseDuration(settings));
         checker = new Checker(() => world.now, limits, spec.workers.cancelUs, shardLease + startCommand + MAX_FETCH_US);
         const { hearing } = checker;
-        const witness: Witness = {
-          ...nobody,
+        const witness: MachineObserver = {
+          ...noopObserver,
           taskOn: (task, machine) => {
-            this.begun.push({ task, at: world.now });
+            this.taskStarts.push({ task, at: world.now });
             checker?.taskOn(task, machine);
           },
           taskOff: (task, machine) => checker?.taskOff(task, machine),
@@ -186,7 +186,9 @@
         return {
           witness,
           hearing,
-          ...(options.graphs ? { sink: (event: ClusterEvent) => this.seen.push({ at: world.now, event }) } : {}),
+          ...(options.graphs
+            ? { sink: (event: ClusterEvent) => this.recordedEvents.push({ at: world.now, event }) }
+            : {}),
           log: (level, at, event, fields) => {
             const text = JSON.stringify(fields, (_, value: unknown) =>
               typeof value === "bigint" ? String(value) : value,
@@ -205,7 +207,7 @@
     if (checker === null) throw new Error("the site has not called watch: no checker");
     this.checker = checker;
     this.checker.hasRoom = (job) => this.hasRoom(job);
-    this.curious = new Curious(this.users, this.world, new Random(seed + 77), this.site.addresses.controllers);
+    this.curious = new ProbingUsers(this.users, this.world, new Random(seed + 77), this.site.addresses.controllers);
     // Emulated workers derive the behaviour of a graph step's job from its stored job record.
     this.site.truth.lookUp = (id) => this.behaviourFromRecord(id);
   }
@@ -271,7 +273,7 @@
   }
 
   /** Index of the controller that acquired the shard last. */
-  holder(): number {
+  shardLeader(): number {
     const taken = this.log.filter((line) => line.includes(` ${LogEvent.ShardAcquired} `));
     return Number(/ctl-(\d)/.exec(taken.at(-1) ?? "")?.[1] ?? 0);
   }
@@ -280,7 +282,7 @@
     try {
       await this.world.run(this.world.now + forUs, () => this.checker.tick());
     } catch (error) {
-      if (!(error instanceof BrokenRule)) throw error;
+      if (!(error instanceof RuleViolation)) throw error;
       const tail = this.log.slice(-40).join("\n");
       throw new Error(`${error.message}\nat ${this.world.now / S} s, seed ${this.random.seed}\n${tail}`, {
         cause: error,
@@ -289,7 +291,7 @@
   }
 
   /** Stored records and log lines of a job, for the message of a failed assertion. */
-  story(id: string): string {
+  describeJob(id: string): string {
     const records = [`c/job/${id}`, `c/range/${id}/0`, `e/${id}`].map(
       (key) => `${key}: ${JSON.stringify(this.state.value(key))}`,
     );
@@ -332,15 +334,17 @@
   missingReplicas(): string[] {
     return this.checker.accepted().flatMap((id) => {
       const job = this.checker.jobs.get(id);
-      if (job === undefined || !job.service || this.checker.finalOf(id) !== null) return [];
-      return Array.from({ length: job.tasks }, (_, at) => `${id}/${at}`).filter((task) => !this.checker.isOn(task));
+      if (job === undefined || !job.service || this.checker.terminalPhaseOf(id) !== null) return [];
+      return Array.from({ length: job.tasks }, (_, at) => `${id}/${at}`).filter(
+        (task) => !this.checker.isRunning(task),
+      );
     });
   }
 
   unfinished(): string[] {
     return this.checker.accepted().filter((id) => {
       const job = this.checker.jobs.get(id);
-      return job !== undefined && !job.service && this.checker.finalOf(id) === null;
+      return job !== undefined && !job.service && this.checker.terminalPhaseOf(id) === null;
     });
   }
 }
--- a/test/sim/direct-start-dispatcher.ts
+++ b/test/sim/direct-start-dispatcher.ts
@@ -74,7 +74,7 @@
     const { clock, http, lease } = this.shardContext;
     const { address, counters, commands } = machine;
     if (address === null || counters.incarnation === null || commands.inFlight || !lease.isValid()) return;
-    if (!probe && (machine.state !== "up" || machine.lease.expired || clock.now() < commands.nextAt)) return;
+    if (!probe && (machine.state !== "up" || machine.lease.expired || clock.now() < commands.nextRequestAt)) return;
     const tasks = this.tasksToStart(machine, "command");
     const orders = [...this.repeatableCommands(machine), ...tasks.map(startCommandOf)];
     if (orders.length === 0 && !probe) return;
@@ -86,14 +86,14 @@
     commands.inFlight = true;
     const outcome = await http.call(address, { method: "POST", target: "/orders", body }, WORKER_REQUEST_TIMEOUT);
     commands.inFlight = false;
-    commands.nextAt = (clock.now() + RETRY_DELAY) as Micros;
+    commands.nextRequestAt = (clock.now() + RETRY_DELAY) as Micros;
     if (outcome.kind === "unsent") return;
     if (outcome.kind === "lost") {
       this.markStartsUnanswered(machine, token, tasks);
       return;
     }
     recordResponse(machine.reachability, clock.now());
-    if (outcome.status === 200) commands.nextAt = clock.now();
+    if (outcome.status === 200) commands.nextRequestAt = clock.now();
     for (const [task, startCommand] of previous)
       if (task.machine === machine) task.startCommand = outcome.status === 200 ? { kind: "observed" } : startCommand;
     this.processor.process(machine, decodeHeartbeat(parseJson(outcome.body)), { kind: "status-reply", requestedAt });
--- a/test/sim/event-orders.ts
+++ b/test/sim/event-orders.ts
@@ -12,7 +12,7 @@
 import type { Heartbeat, TaskStatus } from "../../src/protocol/worker.js";
 import type { Micros } from "../../src/transport/clock.js";
 import type { HttpOutcome } from "../../src/transport/http.js";
-import { makeShard, placedTask, report } from "../shard-fixtures.js";
+import { makeHeartbeat, makeShard, placeTask } from "../shard-fixtures.js";
 import { DirectStartDispatcher } from "./direct-start-dispatcher.js";
 
 const HEARTBEAT = { kind: "heartbeat" } as const;
@@ -64,7 +64,7 @@
     const tasks = [...this.attempts].map(([task, state]): TaskStatus => {
       return { task, attempt: 1, state, reason: state === "exited" ? "stopped" : null };
     });
-    return report({ incarnation: this.incarnation, sequence: this.sequence, token: this.token, tasks });
+    return makeHeartbeat({ incarnation: this.incarnation, sequence: this.sequence, token: this.token, tasks });
   }
 
   execute(request: CommandRequest): boolean {
@@ -158,7 +158,7 @@
     this.context = context;
     this.machine = [...shard.machines.values()][0] as Machine;
     resetToUnknown(this.machine);
-    this.task = placedTask(shard, this.machine);
+    this.task = placeTask(shard, this.machine);
     this.task.startCommand = startCommand ?? { kind: "none" };
     // According to the records it has been placed elsewhere since.
     if (this.released) shard.releaseTask(this.task);
@@ -269,11 +269,11 @@
         break;
       case "failover": {
         this.startLeader({ kind: "uncertain", token: firstFencingToken(this.context.lease) + 65_535 });
-        if (this.answeredOnRecord) this.context.shard.confirmStart(this.task);
+        if (this.answeredOnRecord) this.context.shard.markStartsAnswered(this.task);
       }
     }
     if (this.onRecord === "up to date" && isStartAnswered(this.task, this.now as Micros)) {
-      this.context.shard.confirmStart(this.task);
+      this.context.shard.markStartsAnswered(this.task);
       this.answeredOnRecord = true;
     }
     if (this.task.machine === null && this.task.earliestStart <= this.now) {
--- a/test/sim/fault-combinations.ts
+++ b/test/sim/fault-combinations.ts
@@ -5,7 +5,7 @@
 import { shardLeaseDuration } from "../../src/settings/shard-lease.js";
 import { settingsText } from "../fixtures.js";
 import { type Cluster, plainJob } from "./cluster.js";
-import { type Fault, machinesWithTasks } from "./faulty-day.js";
+import { type Fault, runningMachineAddresses } from "./faulty-day.js";
 
 const { workers } = parseSettings(settingsText(0));
 /** Longest time from a confirmed cancellation until the last task of the job has ended, in microseconds. */
@@ -35,12 +35,12 @@
 export const hangCancelledMachines = (c: Cluster, forUs: number): readonly string[] => {
   const chosen = c.checker
     .accepted()
-    .filter((id) => c.checker.jobs.get(id)?.service === false && c.checker.finalOf(id) === null)
-    .filter((id) => c.checker.isOn(`${id}/0`))
+    .filter((id) => c.checker.jobs.get(id)?.service === false && c.checker.terminalPhaseOf(id) === null)
+    .filter((id) => c.checker.isRunning(`${id}/0`))
     .slice(0, 3);
   for (const id of chosen) {
     c.users.cancel(id);
-    const places = c.checker.placesOf(`${id}/0`);
+    const places = c.checker.machinesOf(`${id}/0`);
     for (const { info, worker } of c.cloud.running()) if (places.includes(info.name)) worker?.hang(forUs);
   }
   return chosen;
@@ -76,24 +76,25 @@
  * offsets up to a little over the worker lease. The order decides which fault a random number selects.
  */
 export const FAULTS: Readonly<Record<string, Fault>> = {
-  "key-value store refuses the shard leader": (c) => c.state.refuse(c.site.nodeAddress(c.holder()), 14 * S),
+  "key-value store refuses the shard leader": (c) => c.state.refuse(c.site.nodeAddress(c.shardLeader()), 14 * S),
   "key-value store down for longer than cancel_s": (c) => c.state.outage(50 * S),
   "key-value store slow": (c) => c.site.slowState(0.3, 4 * S, 30 * S),
   "transactions delayed": (c) => c.state.lateWrites(0.3, 30 * S),
-  "shard leader partitioned from the key-value store": (c) => c.site.cutFromState(c.holder(), 25 * S, "hold"),
-  "shard leader reaches only its workers": (c) => c.site.cutAllButWorkers(c.holder(), 25 * S, "hold"),
-  "shard leader partitioned from its workers": (c) => c.site.cutFromWorkers(c.holder(), 25 * S, "reset"),
-  "shard leader crashes": (c) => c.crash(c.holder(), 15 * S),
-  "shard leader crashes and restarts at once": (c) => c.crash(c.holder(), 0.2 * S),
+  "shard leader partitioned from the key-value store": (c) => c.site.cutFromState(c.shardLeader(), 25 * S, "hold"),
+  "shard leader reaches only its workers": (c) => c.site.cutAllButWorkers(c.shardLeader(), 25 * S, "hold"),
+  "shard leader partitioned from its workers": (c) => c.site.cutFromWorkers(c.shardLeader(), 25 * S, "reset"),
+  "shard leader crashes": (c) => c.crash(c.shardLeader(), 15 * S),
+  "shard leader crashes and restarts at once": (c) => c.crash(c.shardLeader(), 0.2 * S),
   "all controllers crash, one restarts at once": (c) => {
     for (const at of [0, 1, 2]) c.crash(at, at === 1 ? 0.3 * S : 20 * S);
   },
   "shard leader crashes four times within three seconds": (c) => {
-    for (let at = 0; at < 4; at += 1) c.world.after(at * 0.9 * S, () => c.crash(c.holder(), 0.4 * S));
+    for (let at = 0; at < 4; at += 1) c.world.after(at * 0.9 * S, () => c.crash(c.shardLeader(), 0.4 * S));
   },
   "workers receive neither commands nor responses": (c) =>
-    c.site.deafen(machinesWithTasks(c, 3), 40 * S, bothDirections),
-  "workers receive commands but no responses": (c) => c.site.deafen(machinesWithTasks(c, 3), 40 * S, ["answers"]),
+    c.site.dropToMachines(runningMachineAddresses(c, 3), 40 * S, bothDirections),
+  "workers receive commands but no responses": (c) =>
+    c.site.dropToMachines(runningMachineAddresses(c, 3), 40 * S, ["answers"]),
   "commands delayed": (c) => c.site.holdUpCommands("requests", 0.3, 9 * S, 30 * S),
   "responses to commands delayed": (c) => c.site.holdUpCommands("answers", 0.3, 9 * S, 30 * S),
   "workers hang": (c) => {
@@ -109,15 +110,15 @@
   },
   "responses to transactions lost, status queried": (c) => {
     c.state.loseAnswers(0.3, 30 * S);
-    c.curious.lookClosely(30 * S, 0.1);
+    c.curious.probeAfterChanges(30 * S, 0.1);
   },
   "old heartbeats reach the next shard leader": (c) => {
     delayHeartbeatCopies(c, 0.4, 40 * S);
   },
-  "workers cannot reach controllers": (c) => c.site.mute(machinesWithTasks(c, 3), 40 * S),
+  "workers cannot reach controllers": (c) => c.site.dropFromMachines(runningMachineAddresses(c, 3), 40 * S),
   "jobs cancelled as they complete": (c) => c.cancelOnCompletion(0.5, 40 * S),
-  "frequent status queries": (c) => c.curious.lookClosely(40 * S, 0.15),
-  "invalid and repeated requests": (c) => c.curious.sendOdd(30 * S),
+  "frequent status queries": (c) => c.curious.probeAfterChanges(40 * S, 0.15),
+  "invalid and repeated requests": (c) => c.curious.sendUnusualRequests(30 * S),
   "machines boot at once, writes delayed": (c) => {
     bootInstantly(c);
     c.state.lateWrites(0.3, 20 * S);
@@ -132,7 +133,7 @@
     submitSmallJobs(c, 4, 30 * S);
   },
   "failover every eleven seconds": (c) => {
-    for (let at = 0; at < 5; at += 1) c.world.after(at * 11 * S, () => c.crash(c.holder(), 4 * S));
+    for (let at = 0; at < 5; at += 1) c.world.after(at * 11 * S, () => c.crash(c.shardLeader(), 4 * S));
   },
   "all controllers down for longer than the lease": (c) => {
     for (const at of [0, 1, 2]) c.crash(at, 24 * S + at * S);
--- a/test/sim/faulty-day.ts
+++ b/test/sim/faulty-day.ts
@@ -12,7 +12,7 @@
 export type Fault = (cluster: Cluster) => void;
 
 /** Addresses of the first `count` running machines, in the order in which the cloud lists them. */
-export const machinesWithTasks = (cluster: Cluster, count: number): ReadonlySet<string> =>
+export const runningMachineAddresses = (cluster: Cluster, count: number): ReadonlySet<string> =>
   new Set(
     cluster.cloud
       .running()
@@ -24,16 +24,16 @@
   readonly mesh: boolean;
   readonly seed?: number;
   /** Submits further jobs together with the initial ones. */
-  readonly more?: Fault;
+  readonly submitExtraJobs?: Fault;
 }
 
 /** Submits services, a job array that spans the faults and a stream of small jobs, then injects the faults. */
 export const playFaultyDay = async (
-  { mesh, seed = 71, more }: FaultyDaySetup,
+  { mesh, seed = 71, submitExtraJobs: more }: FaultyDaySetup,
   ...faults: readonly Fault[]
 ): Promise<Cluster> => {
   const cluster = new Cluster(seed, { mesh });
-  cluster.rooms.ordinary = 12;
+  cluster.machineCapacity.ordinary = 12;
   cluster.cloud.boots = { ...cluster.cloud.boots, never: 0 };
   const service = { shape: "daemon", rank: "prod", jobclass: "web", cpus: 2, sizeGb: 0.1 } as const;
   cluster.submit(plainJob("wk-900001", { ...service, shards: 6, spread: true }));
@@ -60,10 +60,10 @@
 /** Asserts that all jobs have finished, all replicas run, no class or team was starved and no error was logged. */
 export const assertRecovered = (cluster: Cluster): void => {
   const open = cluster.unfinished();
-  assert.deepEqual(open, [], cluster.story(open[0] ?? "-"));
+  assert.deepEqual(open, [], cluster.describeJob(open[0] ?? "-"));
   const missing = cluster.missingReplicas();
-  assert.deepEqual(missing, [], cluster.story(missing[0]?.split("/")[0] ?? "-"));
+  assert.deepEqual(missing, [], cluster.describeJob(missing[0]?.split("/")[0] ?? "-"));
   assert.deepEqual(cluster.checker.starved(), []);
-  assert.deepEqual(cluster.checker.lateLargest(), []);
+  assert.deepEqual(cluster.checker.lateLargestJobs(), []);
   assert.deepEqual(cluster.errors, []);
 };
--- a/test/sim/graph-site.ts
+++ b/test/sim/graph-site.ts
@@ -1,4 +1,4 @@
-import { describing } from "../../src/graphs/index.js";
+import { loadDescription } from "../../src/graphs/index.js";
 import { HostClock, S } from "../../src/model/index.js";
 import { DEFAULT_GRAPHS, type GraphOptions } from "../../src/settings/graph-options.js";
 import type { Micros } from "../../src/transport/clock.js";
@@ -6,7 +6,7 @@
 import { Cluster } from "./cluster.js";
 
 // Loaded in advance, since simulated clocks do not wait for files to be read.
-await describing();
+await loadDescription();
 
 export const { owner: _owner, ...JOB_FIELDS } = JOB;
 export const GRAPH_OPTIONS: GraphOptions = { ...DEFAULT_GRAPHS, otherClasses: CLASS, pools: { gate: 2 } };
@@ -31,7 +31,7 @@
   }
 
   /** Sends a request and runs the simulation until the response arrives; status 0: there was none. */
-  async ask(method: string, target: string, body: unknown = "", node = 0): Promise<Answer> {
+  async request(method: string, target: string, body: unknown = "", node = 0): Promise<Answer> {
     const text = typeof body === "string" ? body : JSON.stringify(body);
     const answer = this.call(method, target, text, node);
     let responded = false;
@@ -80,19 +80,23 @@
   }
 
   /** Submits a graph, and retries as users do until it is accepted or permanently refused. */
-  async post(ref: string, tasks: readonly unknown[], more: Readonly<Record<string, unknown>> = {}): Promise<Answer> {
+  async submitGraph(
+    ref: string,
+    tasks: readonly unknown[],
+    more: Readonly<Record<string, unknown>> = {},
+  ): Promise<Answer> {
     const graph = { dag_id: "d", owner: "open", default_args: { job: JOB_FIELDS }, tasks, ...more };
     for (let tries = 0; ; tries += 1) {
-      const answer = await this.ask("POST", "/v2/graphs", { ref, graph, ds: "2026-01-01" }, tries % 3);
+      const answer = await this.request("POST", "/v2/graphs", { ref, graph, ds: "2026-01-01" }, tries % 3);
       if (tries > 30 || (answer.status !== 0 && answer.status !== 503)) return answer;
       await this.run(S);
     }
   }
 
   /** Polls the run until it is in one of the phases; throws after `mostS` polls a simulated second apart. */
-  async until(id: string, phases: readonly string[], mostS = 300): Promise<Answer> {
+  async waitForPhase(id: string, phases: readonly string[], mostS = 300): Promise<Answer> {
     for (let spent = 0; spent < mostS; spent += 1) {
-      const answer = await this.ask("GET", `/v2/graphs/${id}`, "", spent % 3);
+      const answer = await this.request("GET", `/v2/graphs/${id}`, "", spent % 3);
       if (answer.status === 200 && phases.includes(answer.body.phase ?? "")) return answer;
       await this.run(S);
     }
--- a/test/sim/random-day.ts
+++ b/test/sim/random-day.ts
@@ -1,10 +1,10 @@
 /** Random days: jobs of all kinds, job chains, cancellations and overlapping faults, all drawn from one seed. */
 import { S } from "../../src/model/index.js";
 import { Random } from "../random.js";
-import { Cluster, plainJob, randomJob, SMALL } from "./cluster.js";
+import { Cluster, plainJob, randomJob, UNDERSIZED_CONTROLLERS } from "./cluster.js";
 import { FAULTS } from "./fault-combinations.js";
 import { cutLinksAtRandom, injectFault, injectHarshFault } from "./random-faults.js";
-import { LOWER_LIMITS, playRollout, withAnnouncedLimits } from "./rollout.js";
+import { LOWER_LIMITS, startRollout, withAnnouncedLimits } from "./rollout.js";
 
 /** Time in which jobs are submitted and faults begin, in microseconds. */
 export const BUSY_PERIOD = 150 * S;
@@ -78,10 +78,10 @@
     seed,
     { mesh },
     hasUpgrade ? withAnnouncedLimits : undefined,
-    seed % 3 === 0 ? SMALL : undefined,
+    seed % 3 === 0 ? UNDERSIZED_CONTROLLERS : undefined,
   );
   if (hasUpgrade) {
-    const { upgrade } = playRollout(seed, mesh, withAnnouncedLimits, cluster);
+    const { upgrade } = startRollout(seed, mesh, withAnnouncedLimits, cluster);
     const upgradeTimes = [0, 1, 2].map((at) => (8 + chainRandom.int(0, 30) + at * chainRandom.int(1, 12)) * S);
     for (const [at, turn] of upgradeTimes.entries()) cluster.world.at(turn, () => upgrade(at));
     cluster.world.at(chainRandom.int(75, 140) * S, () => cluster.state.lower(LOWER_LIMITS));
@@ -96,7 +96,7 @@
     if (cancelled) cluster.world.at(at + random.int(0, 40 * S), () => cluster.users.cancel(job.ref));
   }
   for (let number = 0; number < 8; number += 1)
-    cluster.world.at(random.int(0, BUSY_PERIOD), () => cluster.users.askOnce("wk-900000"));
+    cluster.world.at(random.int(0, BUSY_PERIOD), () => cluster.users.queryOnce("wk-900000"));
   for (let number = random.int(3, 7); number > 0; number -= 1) {
     cluster.world.at(random.int(10 * S, BUSY_PERIOD), () => injectFault(cluster, random));
   }
--- a/test/sim/random-faults.ts
+++ b/test/sim/random-faults.ts
@@ -41,7 +41,7 @@
     case 0: {
       const chosen = machines.filter(() => random.chance(random.pick([0.1, 0.5, 1])));
       const lostDirections = random.pick([["requests", "answers"], ["requests"], ["answers"]] as const);
-      cluster.site.deafen(new Set(chosen.map(({ host }) => host.address)), forUs, lostDirections);
+      cluster.site.dropToMachines(new Set(chosen.map(({ host }) => host.address)), forUs, lostDirections);
       break;
     }
     case 1:
@@ -115,7 +115,7 @@
     case 9:
       if (machines.length > 0 && random.chance(0.5)) {
         const sickWorker = random.pick(machines).worker;
-        sickWorker?.sicken();
+        sickWorker?.makeFaulty();
       }
       break;
     case 10:
--- a/test/sim/rollout.ts
+++ b/test/sim/rollout.ts
@@ -30,7 +30,7 @@
 }
 
 /** Three old controllers, in a cluster whose new settings apply to each controller from its upgrade on. */
-export const playRollout = (
+export const startRollout = (
   seed: number,
   mesh: boolean,
   alterSettings = withAnnouncedLimits,
--- a/test/starvation.test.ts
+++ b/test/starvation.test.ts
@@ -6,7 +6,7 @@
 import { attemptOf, type Task } from "../src/cluster/task.js";
 import { decideRound, newRoundState } from "../src/coordination/scheduling/placement-round.js";
 import { applyAction } from "../src/coordination/scheduling/round-action.js";
-import { HostClock, World } from "../src/model/index.js";
+import { HostClock, Simulation } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job-messages.js";
 import { DEFAULT_OPTIONS } from "../src/settings/options.js";
 import { parseSettings } from "../src/settings/parse-settings.js";
@@ -23,7 +23,7 @@
 
 /** Jobs submitted at given times to a fixed number of machines; each placed task completes after its run time. */
 class SimulatedShard {
-  readonly world = new World();
+  readonly world = new Simulation();
   readonly clock = new HostClock(this.world, 1, 0);
   readonly settings = parseSettings(settingsText(0));
   readonly shard = new ShardState(this.clock, 128, this.settings.teams, () => new Map([[TYPE.name, TYPE]]));
@@ -84,10 +84,10 @@
       settings: this.settings,
       options: DEFAULT_OPTIONS,
       heartbeatTimeout: seconds(5),
-      maxPreemptionSearches: 24,
+      maxVictimSearches: 24,
       recordBudget: { urgent: Number.POSITIVE_INFINITY, normal: Number.POSITIVE_INFINITY },
       guaranteesOvercommitted: false,
-      firstFencingToken: TOKEN,
+      minFencingToken: TOKEN,
       inspection: { count: 0 },
     };
     for (const action of decideRound(snapshot, this.roundState)) {
--- a/test/status-polling.test.ts
+++ b/test/status-polling.test.ts
@@ -4,7 +4,7 @@
 import type { Services } from "../src/coordination/context.js";
 import { OutcomeReader } from "../src/coordination/jobs/outcome-reader.js";
 import { LogEvent } from "../src/coordination/log-events.js";
-import { HostClock, S, World } from "../src/model/index.js";
+import { HostClock, S, Simulation } from "../src/model/index.js";
 import { decodeSubmission } from "../src/protocol/job-messages.js";
 import type { KeyValueEntry } from "../src/protocol/key-value-store.js";
 import { encodeJobRecord } from "../src/storage/job-records.js";
@@ -12,7 +12,7 @@
 import { jobKey, taskRangeKey } from "../src/storage/keys.js";
 import { encodeTaskRange } from "../src/storage/task-range-records.js";
 import type { Micros } from "../src/transport/clock.js";
-import { Cluster, plainJob, SMALL } from "./sim/cluster.js";
+import { Cluster, plainJob, UNDERSIZED_CONTROLLERS } from "./sim/cluster.js";
 
 test("a flood of status requests stays within its share of key-value store requests, and submissions stay fast", async () => {
   const cluster = new Cluster(41);
@@ -30,7 +30,7 @@
     for (let user = 0; user < 10; user += 1) {
       const ref = `wk-0000${String(at).padStart(2, "0")}`;
       for (let half = 0; half < 40; half += 1)
-        cluster.world.after((half * 0.5 + user * 0.05) * S, () => cluster.users.askOnce(ref));
+        cluster.world.after((half * 0.5 + user * 0.05) * S, () => cluster.users.queryOnce(ref));
     }
   }
   const submitTimes: number[] = [];
@@ -87,7 +87,7 @@
   const jobApi = new JobApi(services, new Map(), {
     taskCounts: () => null,
     isLeader: () => false,
-    isWithdrawn: () => false,
+    isCancelledIndirectly: () => false,
   });
   const ask = async (): Promise<unknown> =>
     JSON.parse((await jobApi.handle({ method: "GET", target: `/v2/runs/${job.ref}`, body: "" })).body);
@@ -101,7 +101,7 @@
 });
 
 const createOutcomeReader = (storeAvailable: () => boolean) => {
-  const world = new World();
+  const world = new Simulation();
   const clock = new HostClock(world, 1, 0);
   const ended = new Set<string>();
   let requests = 0;
@@ -176,7 +176,7 @@
   }
   await cluster.run(30 * S);
   for (let at = 0; at < 12_000; at += 1) {
-    cluster.world.after(at * 2_500, () => cluster.users.askOnce(`wk-${900_000 + at}`));
+    cluster.world.after(at * 2_500, () => cluster.users.queryOnce(`wk-${900_000 + at}`));
   }
   for (let at = 10; at < 20; at += 1) {
     cluster.world.after(10 * S, () =>
@@ -185,14 +185,14 @@
   }
   await cluster.run(30 * S);
   assert.equal(cluster.logged(LogEvent.LeaseExpired), false);
-  cluster.checker.calmFrom = cluster.world.now;
+  cluster.checker.faultsEndedAt = cluster.world.now;
   await cluster.run(90 * S);
   assert.deepEqual(cluster.unfinished(), []);
 });
 
 const FAULTS_DURING_FLOOD: Readonly<Record<string, (cluster: Cluster) => void>> = {
   "without a fault": () => undefined,
-  "with a failover": (cluster) => cluster.crash(cluster.holder(), 15 * S),
+  "with a failover": (cluster) => cluster.crash(cluster.shardLeader(), 15 * S),
   "with a restart of all controllers": (cluster) => {
     for (const at of [0, 1, 2]) cluster.crash(at);
   },
@@ -201,7 +201,7 @@
 
 for (const [faultName, injectFault] of Object.entries(FAULTS_DURING_FLOOD)) {
   test(`after a flood of status requests, ${faultName}, every job's status is answered soon`, async () => {
-    const cluster = new Cluster(44, { mesh: true }, undefined, SMALL);
+    const cluster = new Cluster(44, { mesh: true }, undefined, UNDERSIZED_CONTROLLERS);
     const refs = Array.from({ length: 60 }, (_, at) => `wk-0000${String(at).padStart(2, "0")}`);
     for (const [at, ref] of refs.entries()) {
       cluster.world.at((1 + at / 4) * S, () =>
@@ -211,13 +211,13 @@
     await cluster.run(40 * S);
     // Several times what these controllers can answer; requests received are processed even if their callers time out.
     for (let at = 0; at < 12_000; at += 1) {
-      cluster.world.after(at * 2_500, () => cluster.users.askOnce(cluster.random.pick(refs)));
+      cluster.world.after(at * 2_500, () => cluster.users.queryOnce(cluster.random.pick(refs)));
     }
     cluster.world.after(8 * S, () => injectFault(cluster));
     await cluster.run(30 * S);
-    cluster.checker.calmFrom = cluster.world.now;
+    cluster.checker.faultsEndedAt = cluster.world.now;
     const from = cluster.world.now;
-    for (const [at, ref] of refs.entries()) cluster.world.after(at * 80_000, () => cluster.users.keepAsking(ref));
+    for (const [at, ref] of refs.entries()) cluster.world.after(at * 80_000, () => cluster.users.pollForever(ref));
     // Far below the 75 s after which the checker reports a job as forgotten.
     await cluster.run(40 * S);
     const accepted = cluster.checker.accepted();
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -10,25 +10,25 @@
 import {
   DEFAULT_STEP,
   decodePlan,
-  type Ended,
+  type EndedRun,
   encodePlan,
   endedKey,
-  FINALS,
+  FINAL_STATES,
   graphKey,
-  graphOfKey,
-  type Header,
   jobIdOf,
   lastRunKey,
   type Plan,
+  parseStepJobId,
   partKey,
   partPrefix,
-  partsOfJobId,
   planKey,
+  type RunHeader,
   readEnded,
   readHeader,
   readSegment,
   readSegments,
   readUpload,
+  runIdOfKey,
   type Segment,
   segmentKey,
   segmentPrefix,
@@ -186,7 +186,7 @@
   { kind: "waiting", attempt: 12 },
 ];
 
-const header: Header = {
+const header: RunHeader = {
   digest: "0123456789abcdef",
   request: "00112233445566778899aabbccddeeff",
   mostRuns: 16,
@@ -205,7 +205,7 @@
 };
 
 /** A run header with its fields in the order in which the acceptance of the run stores them. */
-const acceptedHeader: Header = {
+const acceptedHeader: RunHeader = {
   digest: header.digest,
   request: header.request,
   dag: header.dag,
@@ -223,7 +223,7 @@
   before: header.before,
 };
 
-const fullHeader: Header = {
+const fullHeader: RunHeader = {
   ...header,
   plan: { chunks: 3 },
   aborted: true,
@@ -237,12 +237,12 @@
 const segment: Segment = { finals: { success: "Y2AAAA==", upstream_failed: "YwAA" }, clearings: "Y2AEAA==" };
 const emptySegment: Segment = { finals: {}, clearings: null };
 
-const headers: Readonly<Record<string, Header>> = {
+const headers: Readonly<Record<string, RunHeader>> = {
   "graph/plain": header,
   "graph/full": fullHeader,
   "graph/clear": { ...header, clear: { steps: [], downstream: false } },
 };
-const endedRuns: Readonly<Record<string, Ended>> = {
+const endedRuns: Readonly<Record<string, EndedRun>> = {
   "ended/success": { header, phase: "success", counts: { success: 3 }, endedMs: 5, states: segment },
   "ended/failed": { header: fullHeader, phase: "failed", counts: {}, endedMs: 0, states: null },
   "ended/withdrawn": { header, phase: "withdrawn", counts: { none: 1 }, endedMs: 1, states: emptySegment },
@@ -366,7 +366,7 @@
 // bitmaps are decoded again.
 test("saved step states are decoded from their bitmaps", () => {
   const saved = readSegments(64, [readSegment(parseJson(records.text("segment/all states")))]);
-  const finals = FINALS.map((state, at) => [at * 3, state] as const);
+  const finals = FINAL_STATES.map((state, at) => [at * 3, state] as const);
   assert.deepEqual(
     [...saved.finals].sort(([a], [b]) => a - b),
     finals,
@@ -447,9 +447,9 @@
   assert.equal(jobOfKey(records.text("key/job")), "wk-1");
   assert.deepEqual(taskRangeOfKey(records.text("key/range")), { id: "wk-1", range: 12 });
   assert.equal(jobOfDependencyListKey(records.text("key/awaited")), "wk-1");
-  assert.equal(graphOfKey(records.text("key/graph")), "dr-1");
+  assert.equal(runIdOfKey(records.text("key/graph")), "dr-1");
   assert.equal(uploadOfKey(records.text("key/upload")), "dr-1");
-  assert.deepEqual(partsOfJobId(records.text("key/job of a step")), { step: 40, attempt: 2 });
+  assert.deepEqual(parseStepJobId(records.text("key/job of a step")), { step: 40, attempt: 2 });
 });
 
 const request = { method: "POST", target: "/orders?a=b", body: '{"baton":1}' };
--- a/test/transaction-batcher.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { HostClock, World } from "../src/model/index.js";
+import { HostClock, Simulation } from "../src/model/index.js";
 import type { Uint64 } from "../src/protocol/json.js";
 import type { WriteOperation } from "../src/protocol/key-value-store.js";
 import type { KeyValueStore } from "../src/storage/key-value-store.js";
@@ -8,13 +8,13 @@
 import { TransactionBatcher } from "../src/storage/transaction-batcher.js";
 import type { WritePriority } from "../src/storage/write-priority.js";
 import type { Micros } from "../src/transport/clock.js";
-import { nothing } from "./shard-fixtures.js";
+import { noop } from "./shard-fixtures.js";
 
 const put = (key: string, value: unknown = {}): WriteOperation => ({ kind: "put", key, value });
 const absent = (key: string): ReadonlyMap<string, Uint64> => new Map([[key, 0]]);
 
 test("three controllers sharing a rate limit complete all writes although batches are rejected as busy", async () => {
-  const world = new World();
+  const world = new Simulation();
   let tokens = 30;
   let last = 0;
   let written = 0;
@@ -46,13 +46,13 @@
     };
     submitWithRetries(10);
   }
-  await world.run(30_000_000, nothing);
+  await world.run(30_000_000, noop);
   assert.equal(written, 300, `${refused} refused`);
 });
 
 /** A batcher with a budget of ten writes per second and five per transaction; every transaction succeeds. */
 const makeTightBatcher = () => {
-  const world = new World();
+  const world = new Simulation();
   const store = {
     budget: { requestsPerS: 100, writesPerS: 10, writesPerTransaction: 5 },
     transact: async () => ({ kind: "ok", version: 1 }),
@@ -68,7 +68,7 @@
   };
   for (let count = 0; count < 60; count += 1) write(`c/job/wk-${count}`, "user");
   write("c/job/wk-old", "cancellation");
-  await world.run(500_000, nothing);
+  await world.run(500_000, noop);
   assert.ok(done.includes("c/job/wk-old"));
   assert.ok(done.length < 40, `${done.length} written within the budget`);
 });
@@ -80,16 +80,16 @@
     void batcher.submitDeferred(absent(key), [key], () => [put(key)], priority).then(() => done.push(key));
   };
   for (let count = 0; count < 200; count += 1) write(`c/range/wk-${count}/0`, "deferred");
-  await world.run(100_000, nothing);
+  await world.run(100_000, noop);
   write("c/range/wk-new/0", "normal");
   // A placement is added to a range whose deferred write is still queued: one write contains both, so it is promoted.
   batcher.promote("c/range/wk-190/0", "normal");
   batcher.promote("c/range/wk-none/0", "normal");
-  await world.run(900_000, nothing);
+  await world.run(900_000, noop);
   assert.ok(done.includes("c/range/wk-new/0"));
   assert.ok(done.includes("c/range/wk-190/0"));
   assert.ok(done.length < 40, `${done.length} written within the budget`);
-  await world.run(40_000_000, nothing);
+  await world.run(40_000_000, noop);
   assert.equal(new Set(done).size, 201);
   assert.equal(done.length, 201);
 });
@@ -102,15 +102,15 @@
   };
   for (let count = 0; count < 300; count += 1) write(`guest-${count}`, "normal");
   write("note", "deferred");
-  await world.run(1_000_000, nothing);
+  await world.run(1_000_000, noop);
   write("urgent", "urgent");
-  await world.run(2_000_000, nothing);
+  await world.run(2_000_000, noop);
   // In submission order, the urgent write would take half a minute.
   assert.ok((writtenAt.get("urgent") ?? Number.POSITIVE_INFINITY) < 1_500_000);
   // From here on, there are more user writes and urgent writes than the budget allows.
   for (let count = 0; count < 3_000; count += 1) write(`house-${count}`, count % 2 === 0 ? "user" : "urgent");
   const before = [...writtenAt.keys()].filter((key) => key.startsWith("guest")).length;
-  await world.run(60_000_000, nothing);
+  await world.run(60_000_000, noop);
   const after = [...writtenAt.keys()].filter((key) => key.startsWith("guest")).length;
   assert.ok(after - before > 45, `${after - before} normal writes in one minute`);
   assert.ok(writtenAt.has("note"), "an overdue deferred write");
@@ -127,7 +127,7 @@
 
 /** A batcher with an ample budget, for which `resultOf` gives the result of each batch. */
 const makeBatcher = (resultOf: (batch: SentBatch) => TransactionResult) => {
-  const world = new World();
+  const world = new Simulation();
   const sent: SentBatch[] = [];
   const store = {
     budget: { requestsPerS: 1_000, writesPerS: 1_000, writesPerTransaction: 8, valueBytes: 4_096 },
@@ -152,7 +152,7 @@
     keys.includes("b") ? { kind: "conflict", keys: ["b"] } : OK,
   );
   for (const key of ["a", "b", "c"]) submit(key);
-  await world.run(100_000, nothing);
+  await world.run(100_000, noop);
   assert.deepEqual(Object.fromEntries(results), { a: "ok", b: "conflict", c: "ok" });
   assert.deepEqual(
     sent.map(({ keys }) => keys),
@@ -168,7 +168,7 @@
   submit("a");
   void batcher.submit(new Map([["a", 1]]), [put("b")]).then(({ kind }) => results.set("b", kind));
   submit("c");
-  await world.run(100_000, nothing);
+  await world.run(100_000, noop);
   assert.deepEqual(
     sent.map(({ keys }) => keys),
     [["a", "c"], ["b"]],
@@ -180,7 +180,7 @@
   const { world, batcher, results, submit } = makeBatcher(({ keys }) => (keys.includes("large") ? tooLarge : OK));
   for (const key of ["a", "b", "c"]) submit(key);
   submit("large", "normal", "x".repeat(998));
-  await world.run(1_000_000, nothing);
+  await world.run(1_000_000, noop);
   assert.deepEqual(Object.fromEntries(results), { a: "ok", b: "ok", c: "ok", large: "too large" });
   assert.equal(batcher.maxValueBytes, 999);
   assert.ok(batcher.maxWritesPerTransaction <= 2);
@@ -189,7 +189,7 @@
 test("a transaction is resolved as refused after eight retries against a busy key-value store", async () => {
   const { world, sent, results, submit } = makeBatcher(() => ({ kind: "busy" }));
   submit("a");
-  await world.run(60_000_000, nothing);
+  await world.run(60_000_000, noop);
   assert.equal(results.get("a"), "refused");
   assert.equal(sent.length, 9);
 });
@@ -199,7 +199,7 @@
     const { world, sent, results, submit } = makeBatcher(() => ({ kind }));
     submit("a");
     submit("b");
-    await world.run(1_000_000, nothing);
+    await world.run(1_000_000, noop);
     assert.deepEqual(Object.fromEntries(results), { a: kind, b: kind });
     assert.equal(sent.length, 1);
   }
@@ -210,9 +210,9 @@
   submit("a", "deferred");
   submit("b", "deferred");
   assert.equal(batcher.pendingCount("deferred"), 2);
-  batcher.cancelPending("a");
-  batcher.cancelPending("none");
-  await world.run(100_000, nothing);
+  batcher.cancelDeferred("a");
+  batcher.cancelDeferred("none");
+  await world.run(100_000, noop);
   assert.deepEqual(Object.fromEntries(results), { a: "refused", b: "ok" });
   assert.deepEqual(
     sent.map(({ keys }) => keys),
@@ -227,7 +227,7 @@
   submit("c", "user");
   const none = { cancellation: 0, user: 0, urgent: 0, normal: 0, deferred: 0, maintenance: 0 };
   assert.deepEqual(batcher.takeSummary(), { sent: none, pendingCount: 3, perS: 1_000 });
-  await world.run(100_000, nothing);
+  await world.run(100_000, noop);
   assert.deepEqual(batcher.takeSummary(), { sent: { ...none, user: 2, normal: 1 }, pendingCount: 0, perS: 1_000 });
   assert.deepEqual(batcher.takeSummary().sent, none);
 });
--- a/test/unreachable-zones.test.ts
+++ b/test/unreachable-zones.test.ts
@@ -3,7 +3,7 @@
 import { createMachine, type Machine } from "../src/cluster/machine.js";
 import type { Services, ShardLease } from "../src/coordination/context.js";
 import { UnreachableZones } from "../src/coordination/workers/unreachable-zones.js";
-import { HostClock, S, World } from "../src/model/index.js";
+import { HostClock, S, Simulation } from "../src/model/index.js";
 import type { WriteOperation } from "../src/protocol/key-value-store.js";
 import { decodeUnreachableZones } from "../src/storage/unreachable-zones-record.js";
 import type { Micros } from "../src/transport/clock.js";
@@ -15,7 +15,7 @@
 
 /** A simulated key-value store with the record, and a sequence of leaders that read and write it. */
 class RecordFixture {
-  readonly world = new World();
+  readonly world = new Simulation();
   value: unknown = null;
   version = 0;
   private leaders = 0;
@@ -108,22 +108,22 @@
   const fixture = new RecordFixture();
   const machine = machineIn("west", fixture.monotonicTime(1));
   const unreachableZones = fixture.startLeader([machine]);
-  assert.equal(unreachableZones.mayAnswer("west"), true);
+  assert.equal(unreachableZones.mayRespond("west"), true);
   unreachableZones.markUnreachable(new Set(["west"]));
-  assert.equal(unreachableZones.mayAnswer("west"), false, "responses allowed while the write is in flight");
-  assert.equal(unreachableZones.mayAnswer("east"), true);
+  assert.equal(unreachableZones.mayRespond("west"), false, "responses allowed while the write is in flight");
+  assert.equal(unreachableZones.mayRespond("east"), true);
   await fixture.world.run(fixture.world.now + S, nothing);
   // The outcome of this write is unknown: the zone may still be on record.
   fixture.outcome = () => "lost";
-  unreachableZones.markReachable("west");
+  unreachableZones.recordHeartbeatFrom("west");
   await fixture.world.run(fixture.world.now + S, nothing);
-  assert.equal(unreachableZones.mayAnswer("west"), false);
+  assert.equal(unreachableZones.mayRespond("west"), false);
   fixture.outcome = () => "ok";
   for (let step = 0; step < 4; step += 1) {
     unreachableZones.markUnreachable(new Set());
     await fixture.world.run(fixture.world.now + S, nothing);
   }
-  assert.equal(unreachableZones.mayAnswer("west"), true);
+  assert.equal(unreachableZones.mayRespond("west"), true);
   assert.deepEqual(decodeUnreachableZones(fixture.value).unansweredSinceMs, {});
 });
 
@@ -140,7 +140,7 @@
   assert.deepEqual(Object.keys(decodeUnreachableZones(fixture.value).unansweredSinceMs), ["west"]);
   const second = fixture.startLeader([]);
   assert.equal(second.unansweredSince(""), null);
-  assert.equal(second.mayAnswer(""), true);
+  assert.equal(second.mayRespond(""), true);
 });
 
 test("a record is accepted only if the directly preceding leader wrote it", async () => {
@@ -153,12 +153,12 @@
   fixture.skipEpoch();
   const third = fixture.startLeader([]);
   assert.equal(third.unansweredSince("west"), null);
-  assert.equal(third.mayAnswer("west"), true);
+  assert.equal(third.mayRespond("west"), true);
   third.markUnreachable(new Set(["west"]));
   await fixture.world.run(fixture.world.now + S, nothing);
   const fourth = fixture.startLeader([]);
   assert.notEqual(fourth.unansweredSince("west"), null);
-  assert.equal(fourth.mayAnswer("west"), false);
+  assert.equal(fourth.mayRespond("west"), false);
   await fixture.world.run(fixture.world.now + S, nothing);
   // The fourth leader has rewritten the record under its own epoch by itself.
   assert.notEqual(fixture.startLeader([]).unansweredSince("west"), null);
@@ -172,8 +172,8 @@
     // The zone is silent apart from one new machine, which sends a heartbeat every three seconds.
     unreachableZones.markUnreachable(new Set(["west"]));
     if (step % 12 === 11) {
-      if (unreachableZones.mayAnswer("west")) responses += 1;
-      unreachableZones.markReachable("west");
+      if (unreachableZones.mayRespond("west")) responses += 1;
+      unreachableZones.recordHeartbeatFrom("west");
     }
     await fixture.world.run(fixture.world.now + 250_000, nothing);
   }
@@ -208,11 +208,11 @@
           if (cut) unreachableZones.markUnreachable(new Set(["west"]));
           else {
             unreachableZones.markUnreachable(new Set());
-            if (unreachableZones.mayAnswer("west")) {
+            if (unreachableZones.mayRespond("west")) {
               lastResponseAt = fixture.world.now;
               machine.state = "up";
               machine.lease.renewedAt = fixture.monotonicTime(leader) as Micros;
-            } else unreachableZones.markReachable("west");
+            } else unreachableZones.recordHeartbeatFrom("west");
           }
           await fixture.world.run(fixture.world.now + random.int(1, 2_000_000), nothing);
         }
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -12,7 +12,13 @@
 import { Cluster, plainJob } from "./sim/cluster.js";
 import { submitLongJobs } from "./sim/fault-combinations.js";
 import { assertRecovered, type Fault } from "./sim/faulty-day.js";
-import { LOWER_LIMITS, playRollout, type Rollout, submitDependencyChains, withAnnouncedLimits } from "./sim/rollout.js";
+import {
+  LOWER_LIMITS,
+  type Rollout,
+  startRollout,
+  submitDependencyChains,
+  withAnnouncedLimits,
+} from "./sim/rollout.js";
 
 // Records shared by both versions, as the old version writes them (docs/compatibility.md) ---------------------------
 
@@ -106,8 +112,8 @@
     for (const at of [0, 1, 2]) cluster.world.at((40 + at * 12) * S, () => upgrade(at));
   },
   "the leader first, then failovers from old to new and back": ({ cluster, upgrade, isNew }) => {
-    cluster.world.at(40 * S, () => upgrade(cluster.holder()));
-    for (const at of [50, 58]) cluster.world.at(at * S, () => cluster.crash(cluster.holder(), 2 * S));
+    cluster.world.at(40 * S, () => upgrade(cluster.shardLeader()));
+    for (const at of [50, 58]) cluster.world.at(at * S, () => cluster.crash(cluster.shardLeader(), 2 * S));
     for (const at of [0, 1, 2]) cluster.world.at((66 + at * 4) * S, () => (isNew(at) ? undefined : upgrade(at)));
   },
   "one crashes before its upgrade and restarts old, a store outage meanwhile": ({ cluster, upgrade }) => {
@@ -124,8 +130,8 @@
   "delayed writes": (c) => c.world.at(42 * S, () => c.state.lateWrites(0.2, 60 * S)),
   "a zone partitioned, the leader crashes": (c) => {
     c.world.at(60 * S, () => c.site.cutZone("west", 30 * S, "hold"));
-    c.world.at(100 * S, () => c.crash(c.holder(), 3 * S));
-    c.world.at(112 * S, () => c.crash(c.holder(), 0.5 * S));
+    c.world.at(100 * S, () => c.crash(c.shardLeader(), 3 * S));
+    c.world.at(112 * S, () => c.crash(c.shardLeader(), 0.5 * S));
   },
   "responses lost, a store outage during dependency chains": (c) => {
     c.world.at(95 * S, () => c.state.loseAnswers(0.3, 30 * S));
@@ -136,9 +142,9 @@
 for (const [upgradeIndex, [name, upgrade]] of Object.entries(UPGRADES).entries()) {
   for (const [faultIndex, [faultName, injectFault]] of Object.entries(FAULTS).entries()) {
     test(`both versions serve in one cluster: ${name}; ${faultName}; then dependency chains and lower limits`, async () => {
-      const rollout = playRollout(61 + upgradeIndex * 4 + faultIndex, (upgradeIndex + faultIndex) % 2 === 0);
+      const rollout = startRollout(61 + upgradeIndex * 4 + faultIndex, (upgradeIndex + faultIndex) % 2 === 0);
       const { cluster } = rollout;
-      cluster.rooms.ordinary = 12;
+      cluster.machineCapacity.ordinary = 12;
       submitLongJobs(cluster);
       submitJobStream(cluster, 5 * S, 140 * S);
       upgrade(rollout);
@@ -147,11 +153,11 @@
       cluster.world.at(105 * S, () => cluster.state.lower(LOWER_LIMITS));
       await cluster.run(160 * S);
       for (const node of [0, 1, 2]) assert.ok(rollout.isNew(node), "not all controllers are upgraded");
-      cluster.checker.calmFrom = cluster.world.now;
+      cluster.checker.faultsEndedAt = cluster.world.now;
       await cluster.run(170 * S);
       assertRecovered(cluster);
       assert.deepEqual(cluster.errors, []);
-      const finals = last.map((id) => cluster.checker.finalOf(id));
+      const finals = last.map((id) => cluster.checker.terminalPhaseOf(id));
       assert.ok(finals.includes("done") && finals.includes("withdrawn"), finals.join());
       assert.deepEqual(
         finals.filter((final) => final === null),
@@ -163,11 +169,11 @@
 }
 
 test("a task range of the old version above the new value limit is read, shrinks and is deleted as its job ends", async () => {
-  const rollout = playRollout(81, false, (text) =>
+  const rollout = startRollout(81, false, (text) =>
     withAnnouncedLimits(text).replace("value_kb = 2.0", "value_kb = 1.0"),
   );
   const { cluster, upgrade } = rollout;
-  cluster.rooms.ordinary = 60;
+  cluster.machineCapacity.ordinary = 60;
   cluster.cloud.boots = { never: 0, late: 0, early: 0 };
   const large = plainJob("wk-000001", { shards: 150, cpus: 1, sizeGb: 0.1, guessS: 60 });
   cluster.submit(large, { runUs: 60 * S });
@@ -183,13 +189,13 @@
   // The long job is cancelled while its record is too large to be rewritten.
   cluster.users.cancel("wk-000002");
   await cluster.run(120 * S);
-  for (const id of ["wk-000001", "wk-000003"]) assert.equal(cluster.checker.finalOf(id), "done", id);
-  assert.equal(cluster.checker.finalOf("wk-000002"), "withdrawn");
+  for (const id of ["wk-000001", "wk-000003"]) assert.equal(cluster.checker.terminalPhaseOf(id), "done", id);
+  assert.equal(cluster.checker.terminalPhaseOf("wk-000002"), "withdrawn");
   assert.equal(cluster.state.value("c/job/wk-000002"), undefined);
 });
 
 test("a job whose record is above the new value limit can be cancelled and queried, and ends", async () => {
-  const rollout = playRollout(83, false);
+  const rollout = startRollout(83, false);
   const { cluster, upgrade } = rollout;
   const flavors = ["big", ...Array.from({ length: 300 }, (_, at) => `none-${at}`)];
   cluster.submit(plainJob("wk-000001", { flavors, shards: 2, guessS: 300 }), { runUs: 300 * S });
@@ -201,7 +207,7 @@
   cluster.state.lower(LOWER_LIMITS);
   cluster.users.cancel("wk-000001");
   await cluster.run(80 * S);
-  const finals = ["wk-000001", "wk-000002"].map((id) => cluster.checker.finalOf(id));
+  const finals = ["wk-000001", "wk-000002"].map((id) => cluster.checker.terminalPhaseOf(id));
   assert.deepEqual([finals, cluster.state.tooLarge], [["withdrawn", "done"], 0]);
   // A repeated submission is answered with the job's state, although a new job of this size would be rejected.
   for (const job of cluster.users.known().all) void cluster.users.resubmit(job);
@@ -210,7 +216,7 @@
 
 test("limits lowered without announcement are detected, and oversized requests are not repeated unchanged", async () => {
   const cluster = new Cluster(82);
-  cluster.rooms.ordinary = 40;
+  cluster.machineCapacity.ordinary = 40;
   submitJobStream(cluster, 5 * S, 60 * S);
   cluster.submit(plainJob("wk-900001", { shards: 100, cpus: 1, sizeGb: 0.1, guessS: 30 }), { runUs: 30 * S });
   await cluster.run(15 * S);
@@ -228,7 +234,7 @@
     writesPerS: 28,
     valueBytes: 2_048,
     transactionWrites: 6,
-    layoutBytes: 8_192,
+    currentValueBytes: 8_192,
   });
   assert.equal(
     parseSettings(withAnnouncedLimits(settingsText(0)).replace("write_rps = 28.0", "write_rps = 90.0")).store
--- a/test/watch-cache.test.ts
+++ b/test/watch-cache.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { HostClock, World } from "../src/model/index.js";
+import { HostClock, Simulation } from "../src/model/index.js";
 import type { KeyChange, KeyValueEntry } from "../src/protocol/key-value-store.js";
 import type { EntryList, KeyValueStore } from "../src/storage/key-value-store.js";
 import type { StoreResult } from "../src/storage/store-results.js";
 import { WatchCache } from "../src/storage/watch-cache.js";
 import { ms, seconds } from "../src/transport/clock.js";
-import { nothing, quiet } from "./shard-fixtures.js";
+import { noop, silentLog } from "./shard-fixtures.js";
 
 const entryOf = (key: string, version = 5): KeyValueEntry => ({ key, value: {}, version });
 
@@ -17,7 +17,7 @@
   lists: readonly StoreResult<EntryList>[],
   watch: (from: unknown, wait: number) => Promise<unknown>,
 ) => {
-  const world = new World();
+  const world = new Simulation();
   const clock = new HostClock(world, 1, 0);
   let listCount = 0;
   const store = {
@@ -27,15 +27,22 @@
     },
     watch: (_: string, from: unknown, wait: number) => watch(from, wait),
   } as unknown as KeyValueStore;
-  const cache = new WatchCache({ store, prefix: "c/", clock, log: quiet, watchInterval: ms(1), syncInterval: ms(1) });
+  const cache = new WatchCache({
+    store,
+    prefix: "c/",
+    clock,
+    log: silentLog,
+    watchInterval: ms(1),
+    syncInterval: ms(1),
+  });
   return { world, cache, listCount: () => listCount };
 };
 
 /** Advances the simulation by `micros` microseconds, including all promises that resolve at its start or end. */
-const advance = async (world: World, micros: number): Promise<void> => {
-  world.after(0, nothing);
-  world.after(micros, nothing);
-  await world.run(world.now + micros, nothing);
+const advance = async (world: Simulation, micros: number): Promise<void> => {
+  world.after(0, noop);
+  world.after(micros, noop);
+  await world.run(world.now + micros, noop);
 };
 
 const unanswered = (): Promise<never> => new Promise(() => undefined);
@@ -58,7 +65,7 @@
   const { world, cache } = cacheOf([listOf([entryOf("c/a"), entryOf("c/b")])], unanswered);
   const calls: string[] = [];
   cache.onChange(({ key }) => calls.push(`other ${key}`));
-  cache.onChangeFirst(({ key }) => calls.push(`first ${key}`));
+  cache.onChangeBeforeOthers(({ key }) => calls.push(`first ${key}`));
   void cache.run();
   await advance(world, 1_000);
   assert.deepEqual(calls, ["first c/a", "first c/b", "other c/a", "other c/b"]);
--- a/test/wire-words.test.ts
+++ b/test/wire-words.test.ts
@@ -62,11 +62,6 @@
   { below: "src/coordination/autoscaling", texts: ["ask"], reason: "to be renamed" },
   { below: "src/coordination/api", texts: ["awaits"], reason: "to be renamed" },
   { below: "src/cluster", texts: ["awaits"], reason: "to be renamed" },
-  {
-    below: "src/coordination",
-    texts: ["isWithdrawn", "cancelWithdrawn", "cancelWithdrawnJobs"],
-    reason: "to be renamed",
-  },
 ];
 
 const sourceFilesBelow = (folder: string): readonly string[] =>
