--- a/src/cluster/job.ts
+++ b/src/cluster/job.ts
@@ -44,7 +44,7 @@
   /** Machines on which a task of this job has failed since a task of it last succeeded. */
   readonly failedMachines: Set<string>;
   /**
-   * It appears to fail on every machine, so one task at a time is started as a probe
+   * It appears to fail on every machine, so one task at a time is started as a trial
    * (coordination/workers/failure-attribution.ts).
    */
   onProbation: boolean;
@@ -52,6 +52,6 @@
   longestFailedRun: Micros;
   /** While on probation: earliest time at which the next task is started. */
   retryAfter: Micros;
-  /** Consecutive failed probe tasks while on probation. */
+  /** Consecutive failed trial tasks while on probation. */
   failedTrials: number;
 }
--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -34,7 +34,7 @@
   readonly random: () => number;
   readonly eventListener: ClusterEventListener;
   readonly loadShedder: LoadShedder;
-  /** Time of day in milliseconds, accurate within `settings.clockError`; null: no reliable clock is available. */
+  /** Wall-clock time in milliseconds, accurate within `settings.clockError`; null: no reliable clock is available. */
   readonly wallClock: (() => number) | null;
   /** Called after each round and scale plan with the number of machines and tasks it examined; null: no listener. */
   readonly onInspected: ((examined: number) => void) | null;
@@ -49,7 +49,7 @@
   readonly key: string;
   readonly version: Uint64;
   /**
-   * Whether the lease is valid by this process's steady clock, counted from before its last renewal request was sent.
+   * Whether the lease is valid by this process's monotonic clock, counted from before its last renewal request was sent.
    */
   isValid(): boolean;
 }
--- a/src/coordination/jobs/dependency-tracker.ts
+++ b/src/coordination/jobs/dependency-tracker.ts
@@ -26,7 +26,7 @@
     private readonly onReady: (job: Job) => void,
   ) {}
 
-  /** Adds a job of the shard. `acceptedMs`: time of day of its acceptance in milliseconds; null: not recorded. */
+  /** Adds a job of the shard. `acceptedMs`: wall-clock time of its acceptance in milliseconds; null: not recorded. */
   jobAdded(job: Job, acceptedMs: number | null): void {
     const { dependencies, clock, wallClock } = this.context;
     const { id, deadlineS } = job.spec;
--- a/src/coordination/leadership/controller-environment.ts
+++ b/src/coordination/leadership/controller-environment.ts
@@ -16,11 +16,11 @@
   readonly random: () => number;
   /** Receives the events of jobs and machines in the shards that this controller leads. */
   readonly eventListener?: ClusterEventListener;
-  /** Time of day in milliseconds, accurate to within `settings.clockError`. */
+  /** Wall-clock time in milliseconds, accurate to within `settings.clockError`. */
   readonly wallClock?: () => number;
   /** Reads how near this process is to its memory and socket limits, where these can be read. */
   readonly load?: LoadSource;
-  /** Receives the number of machines and tasks that each placement round and scaling plan inspected. */
+  /** Receives the number of machines and tasks that each placement round and scale plan inspected. */
   readonly onInspected?: (inspected: number) => void;
   /** Creates the extension, which submits jobs of its own; null or absent: disabled. */
   readonly extension?: ExtensionFactory | null;
--- a/src/coordination/leadership/lease-authority.ts
+++ b/src/coordination/leadership/lease-authority.ts
@@ -5,7 +5,7 @@
 import type { Micros } from "../../transport/clock.js";
 import type { HeartbeatFreshness } from "../workers/heartbeat-freshness.js";
 
-/** The inputs to a shard lease's validity; times by the controller's steady clock (docs/fault-combinations.md). */
+/** The inputs to a shard lease's validity; times by the controller's monotonic clock (docs/fault-combinations.md). */
 export interface LeaseState {
   /** According to the watch cache, this controller is the recorded leader, under the lease that it renews. */
   readonly isHolder: boolean;
--- a/src/coordination/leadership/membership.ts
+++ b/src/coordination/leadership/membership.ts
@@ -22,7 +22,7 @@
 /** Leaves the other members time to take over the shards. */
 const REJOIN_DELAY = seconds(8);
 const CACHE_POLL_INTERVAL = ms(10);
-/** Steady clocks drift by at most 0.05 %; the rest of the margin allows for late timers. */
+/** Monotonic clocks drift by at most 0.05 %; the rest of the margin allows for late timers. */
 const LEASE_SAFETY_MARGIN = seconds(0.5);
 
 interface MemberLease {
--- a/src/coordination/leadership/shard-leader.ts
+++ b/src/coordination/leadership/shard-leader.ts
@@ -11,7 +11,7 @@
 
 /** Leads a shard from construction to `stop`. All of its state is discarded with the lease. */
 export class ShardLeader {
-  /** When the shard was acquired, by this process's steady clock. */
+  /** When the shard was acquired, by this process's monotonic clock. */
   readonly acquiredAt: Micros;
   private readonly state: LeaderState = { stopped: false, extension: null };
   private readonly collaborators: ShardCollaborators;
--- a/src/coordination/scheduling/candidate-index.ts
+++ b/src/coordination/scheduling/candidate-index.ts
@@ -53,7 +53,7 @@
   images: new MachineImages(candidate.machine),
 });
 
-/** Machines of one type, zone and kind (spot or ordinary): a job may use either all of them or none. */
+/** Machines of one type, zone and kind (spot or on-demand): a job may use either all of them or none. */
 export interface MachinePool {
   readonly typeName: string;
   readonly zone: string;
--- a/src/coordination/scheduling/pool-summary.ts
+++ b/src/coordination/scheduling/pool-summary.ts
@@ -14,7 +14,7 @@
 }
 
 /**
- * Descriptions of pools by machine type, zone and kind (spot or ordinary), and numbers of waiting tasks by job class.
+ * Descriptions of pools by machine type, zone and kind (spot or on-demand), and numbers of waiting tasks by job class.
  */
 export interface PoolSummary {
   readonly pools: Record<string, string>;
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -43,7 +43,7 @@
 
   /**
    * The present input of scheduling decisions. `recordBudget` is used by rounds only and takes a walk over all jobs to
-   * compute, so scaling plans omit it.
+   * compute, so scale plans omit it.
    */
   snapshot(recordBudget: SchedulerSnapshot["recordBudget"] = { urgent: 0, normal: 0 }): SchedulerSnapshot {
     const { shard, clock, settings, options, lease, loadShedder } = this.context;
--- a/src/coordination/scheduling/task-placer.ts
+++ b/src/coordination/scheduling/task-placer.ts
@@ -18,7 +18,7 @@
 }
 
 /**
- * Jobs that may use spot machines prefer them: ordinary machines cost more and are the only ones that other jobs may
+ * Jobs that may use spot machines prefer them: on-demand machines cost more and are the only ones that other jobs may
  * use (the paper leaves the choice of S_i to the operator). Machines that run replicas are kept for long; filling them
  * first lets the other machines become empty and be scaled in.
  */
@@ -31,7 +31,7 @@
 ];
 
 /** Index of the first filter of jobs that may not use spot machines. */
-const FIRST_ORDINARY_FILTER = 2;
+const FIRST_ON_DEMAND_FILTER = 2;
 
 /** Chooses machines for the tasks of one job, one after the other. */
 export class TaskPlacer {
@@ -88,7 +88,7 @@
   }
 
   private firstFilterIndex(): number {
-    return this.job.spec.spot ? 0 : FIRST_ORDINARY_FILTER;
+    return this.job.spec.spot ? 0 : FIRST_ON_DEMAND_FILTER;
   }
 
   private restart(): void {
