--- a/src/cluster/machine.ts
+++ b/src/cluster/machine.ts
@@ -1,6 +1,6 @@
 /**
- * In-memory state of a machine, as held by the leader of its shard, with one type for each concern. All times are read
- * from the leader's own monotonic clock, in microseconds.
+ * In-memory state of a machine, as held by its shard leader, with one type for each concern. All times are read from
+ * the shard leader's own monotonic clock, in microseconds.
  */
 import type { MachineType } from "../protocol/cloud.js";
 import type { JobSpec } from "../protocol/job-spec.js";
@@ -30,15 +30,24 @@
   sequence: Uint64;
   /** Highest fencing token that the worker has reported. */
   highestToken: Uint64;
-  /** Messages of this or an earlier incarnation were sent before the worker's lease expired: stale; null: none. */
+  /**
+   * Messages of this incarnation and of earlier ones are stale: they were sent before the worker's lease expired. Null:
+   * no incarnation is stale.
+   */
   expiredIncarnation: Uint64 | null;
   /** When the counters were last updated from a message of the worker. */
   learnedAt: Micros;
   /** The counters come from a message that the worker sent in this leader's epoch. */
   verified: boolean;
-  /** Unless 0, the worker has reset its counters: only heartbeats that carry this token were sent after the reset. */
+  /**
+   * 0: no reset of the worker's counters is known. Otherwise the worker has reset them, and only heartbeats that carry
+   * this token were sent after the reset.
+   */
   resetToken: number;
-  /** Since when every heartbeat received may have been sent before this epoch; null: the last one was not. */
+  /**
+   * Start of the current series of heartbeats that may all have been sent before this epoch; null: no such series, as
+   * after a heartbeat that was certainly sent in this epoch.
+   */
   unverifiedSince: Micros | null;
   /** When a heartbeat last suggested that the worker had reset its counters. */
   suspectedAt: Micros;
@@ -105,8 +114,8 @@
   /** Attempt by task, for tasks that have exited and that the worker still lists. */
   exitedTasks: ReadonlyMap<string, Uint64>;
   /**
-   * JSON text of the task list. Null once local state has changed so that processing the same text again could give
-   * another result.
+   * JSON text of the task list. Null once local state has changed in a way that could give another result if the same
+   * text were processed again.
    */
   taskListText: string | null;
 }
@@ -120,7 +129,7 @@
   drainReason: DrainReason | null;
   deleting: boolean;
   quarantinedUntil: Micros;
-  /** By job: its failures on this machine within the retention period. */
+  /** Failures on this machine within the retention period, by job. */
   readonly recentFailures: Map<string, { readonly at: Micros; readonly count: number }>;
 }
 
@@ -156,10 +165,14 @@
 
 const NEVER = 0 as Micros;
 
-/** Creates a machine without a heartbeat so far. `now` is taken as the time of provisioning and of the last renewal. */
+/**
+ * Creates a machine that has sent no heartbeat yet. `now` is taken as the time of provisioning, of the last heartbeat
+ * and of the last lease renewal.
+ */
 export const createMachine = ({ name, typeName, type, zone, spot }: MachineDescription, now: Micros): Machine => ({
-  // Copies field by field instead of by spread: objects built by a spread each get a hidden class of their own, so that
-  // every property read of a machine misses the inline caches (50 % more CPU time for a leader of 1,151 machines).
+  // Copies field by field instead of by spread: each object built by a spread gets a hidden class of its own, so that
+  // every property read of a machine misses the inline caches (50 % more CPU time for a shard leader of 1,151
+  // machines).
   name,
   typeName,
   type,
@@ -215,7 +228,10 @@
 export const isBeingEmptied = ({ lifecycle }: Machine): boolean =>
   lifecycle.reclaimAt !== null || lifecycle.drainReason === "scale-in";
 
-/** Updates the machine's sums when a task is assigned (1) or released (-1); a sum over all tasks each time is slow. */
+/**
+ * Updates the machine's running sums when a task is assigned (`sign` 1) or released (-1), since summing over all tasks
+ * at each change is slow.
+ */
 export const addTaskUsage = (machine: Machine, spec: JobSpec, sign: 1 | -1): void => {
   const {
     load: { used: usedResources },
--- a/src/coordination/autoscaling/scale-plan.ts
+++ b/src/coordination/autoscaling/scale-plan.ts
@@ -14,9 +14,9 @@
 import { EndingCapacity } from "./ending-tasks.js";
 import { chooseScaleIn, type ScaleInChoice } from "./scale-in.js";
 
-/** Full bins are removed from the open bins after every this many jobs. */
+/** Number of jobs between two removals of full bins from the open bins. */
 const SWEEP_INTERVAL_JOBS = 16;
-/** The job size assumed for headroom where tasks are spread over zones. */
+/** Number of tasks assumed for a headroom job, for spreading its tasks over zones. */
 const HEADROOM_JOB_TASKS = 1_000;
 
 /** Machines of one offer that are to be provisioned. */
@@ -37,8 +37,8 @@
   const { spec, waitingTasks, ranges } = job;
   const tasksInRanges = ranges.reduce((sum, range) => sum + range.tasks.length, 0);
   const unplaced = waitingTasks.size + Math.max(0, spec.tasks - tasksInRanges);
-  // A job that fails wherever it is started is not given machines for all its tasks: they stayed empty until its user
-  // noticed the failures.
+  // A job that fails wherever it is started is not given machines for all its tasks: those machines would stay empty
+  // until its user noticed the failures.
   const allowed = Math.min(unplaced, allowedStarts(job, now));
   const limit = settings.teams.get(spec.team)?.limit.cpu ?? null;
   if (limit === null || spec.demand.cpu <= 0) return allowed;
@@ -48,7 +48,7 @@
 
 const packWaiting = (snapshot: SchedulerSnapshot, packer: BinPacker): void => {
   const endingCapacity = new EndingCapacity(snapshot);
-  // With thousands of waiting jobs and machines, iterating over full bins for each job took most of the planning time.
+  // With thousands of waiting jobs and machines, iterating over full bins for each job takes most of the planning time.
   let openBins = [...packer.bins];
   let packedJobs = 0;
   const jobs = waitingJobs(snapshot);
@@ -64,7 +64,7 @@
   }
 };
 
-/** Packs replacements for unreachable replicas, which start elsewhere as soon as their workers' leases expire. */
+/** Packs replacements for unreachable replicas; they start elsewhere as soon as the old workers' leases expire. */
 const packUnreachableZones = (
   snapshot: SchedulerSnapshot,
   unreachableZones: ReadonlySet<string>,
@@ -84,7 +84,7 @@
   }
 };
 
-/** Packs headroom for classes whose start objective is too short for a machine to boot. */
+/** Packs headroom for job classes whose start objective is shorter than the time a machine needs to boot. */
 const packHeadroom = (snapshot: SchedulerSnapshot, offers: CloudOffers, packer: BinPacker): void => {
   for (const demand of headroomDemand(snapshot, offers.demandHistory)) {
     const spec = { ...demand.spec, singleZone: false, tasks: HEADROOM_JOB_TASKS };
@@ -104,7 +104,7 @@
   return [...groups.values()];
 };
 
-/** Packs waiting and expected tasks into existing and requested machines, and into new ones as needed. */
+/** Packs waiting and expected tasks into machines that exist or are already requested, and into new ones as needed. */
 export const planScaling = (snapshot: SchedulerSnapshot, offers: CloudOffers): ScalePlan => {
   const packer = new BinPacker(snapshot, offers, existingBins(snapshot, offers));
   const existingCount = packer.bins.length;
--- a/src/coordination/scheduling/start-deadline.ts
+++ b/src/coordination/scheduling/start-deadline.ts
@@ -7,14 +7,14 @@
 /** Jobs with a start deadline no longer than this are urgent, whatever their rank. */
 const URGENT_START = seconds(30);
 /**
- * The share of its start deadline that a job may wait for capacity to become free by itself: until then preemption
- * for it must not cost more than it gains, and scale-out may count on that capacity.
+ * The share of its start deadline for which a job may wait for capacity that becomes free by itself. During that time
+ * preemption for the job must not cost more than it gains, and scale-out may count on such capacity.
  */
 export const MAX_QUEUE_TIME_SHARE = 0.5;
 
 /**
- * The shortest time within which the job's tasks are expected to start, in microseconds, by the objectives for its
- * class and, if its team has a guarantee, for guarantees; null without such objectives.
+ * The time within which the job's tasks are expected to start, in microseconds: the shortest among the wait objectives
+ * for its class and, if its team has a guarantee, the guarantee objectives. Null: no such objective.
  */
 export const startDeadline = (
   spec: JobSpec,
@@ -30,11 +30,14 @@
   return shortest;
 };
 
-/** How long the job's tasks may wait for capacity that becomes free by itself, in microseconds. */
+/**
+ * How long the job's tasks may wait for capacity that becomes free by itself, in microseconds; 0 without a start
+ * deadline.
+ */
 export const maxQueueTime = (spec: JobSpec, settings: Pick<Settings, "objectives" | "teams">): number =>
   (startDeadline(spec, settings) ?? 0) * MAX_QUEUE_TIME_SHARE;
 
-/** Jobs of this rank and above it (lower numbers) are urgent. */
+/** Jobs whose rank number is at most this are urgent: a lower number is a higher rank. */
 const HIGH_RANK = 1;
 
 /**
--- a/src/graphs/description/problem.ts
+++ b/src/graphs/description/problem.ts
@@ -22,18 +22,18 @@
   }
 }
 
-/** A path as `tasks[0].job.cpus`. */
+/** Text of a path, such as `tasks[0].job.cpus`. */
 export const pathText = (path: Path): string =>
   path.reduce<string>((text, part) => {
     if (typeof part === "number") return `${text}[${part}]`;
     return text === "" ? part : `${text}.${part}`;
   }, "");
 
-/** One line: the field, then the message. */
+/** Text of a problem in one line: the path, unless it is empty, then the message. */
 export const problemText = ({ path, message }: Problem): string =>
   path.length === 0 ? message : `${pathText(path)}: ${message}`;
 
-/** `file:line:column: problem`, without line and column where they are null. */
+/** Text of a problem as `file:line:column: problem`, without line and column if the line is null. */
 export const placedText = (file: string, problem: PlacedProblem): string => {
   const place = problem.line === null ? "" : `:${problem.line}:${problem.column ?? 1}`;
   return `${file}${place}: ${problemText(problem)}`;
--- a/src/storage/store-results.ts
+++ b/src/storage/store-results.ts
@@ -10,7 +10,8 @@
 import { LogEvent } from "./log-events.js";
 
 /**
- * `refused`: certainly not executed. `lost`: may have been executed, or may be later. `missing`: no such key or lease.
+ * `refused`: certainly not executed. `lost`: may have been executed, or may still be executed later. `missing`: no such
+ * key or lease; for a watch, the changes since its start revision are no longer stored.
  */
 export type StoreResult<T> =
   | { readonly kind: "ok"; readonly value: T }
@@ -28,8 +29,8 @@
    * limit of the key-value store.
    */
   | { readonly kind: "too large" }
-  /** `busy`: certainly not executed because a rate limit was exceeded; may be retried unchanged after a short pause. */
   | { readonly kind: "refused" | "lost" }
+  /** Certainly not executed because a rate limit was exceeded; may be retried unchanged after a short pause. */
   | { readonly kind: "busy" };
 
 type HttpResponse = Extract<HttpOutcome, { readonly kind: "answer" }>;
@@ -45,7 +46,7 @@
 
 /** A refusal's body is truncated to this many characters in the log. */
 const LOGGED_BODY_LENGTH = 200;
-/** Contained in the body of a refusal that is due to an expired lease. */
+/** The body of a refusal contains this text if the cause is an expired lease. */
 const LEASE_EXPIRED_TEXT = "no such lease";
 
 const decodeBody = <T>(response: HttpResponse, decode: (body: unknown) => T, log: Log): StoreResult<T> => {
@@ -59,7 +60,8 @@
 };
 
 /**
- * The result of any request other than a transaction. A response that can't be decoded is logged and counts as lost.
+ * The result of any request other than a transaction or watch. A response that can't be decoded is logged and counts
+ * as lost.
  */
 export const storeResultOf = <T>(outcome: HttpOutcome, decode: (body: unknown) => T, log: Log): StoreResult<T> => {
   if (outcome.kind === "unsent") return { kind: "refused" };
@@ -76,12 +78,14 @@
 };
 
 const conflictOf = (response: HttpResponse, log: Log): TransactionResult => {
+  // `decodeBody` accepts only status 200; here the status is known to be 409.
   const failed = decodeBody({ ...response, status: STATUS_OK }, decodeFailedKeys, log);
   return failed.kind === "ok" ? { kind: "conflict", keys: failed.value } : { kind: "lost" };
 };
 
 /**
- * Result of status 400: `refused` where the lease has expired, which is normal; otherwise the transaction is too large.
+ * Result of status 400: `refused` if the lease has expired, which is normal and not logged; otherwise the transaction
+ * counts as too large.
  */
 const badRequestResultOf = (response: HttpResponse, writeCount: number, log: Log): TransactionResult => {
   if (response.body.includes(LEASE_EXPIRED_TEXT)) return { kind: "refused" };
