--- a/src/coordination/autoscaling/provisioning-requests.ts
+++ b/src/coordination/autoscaling/provisioning-requests.ts
@@ -12,7 +12,7 @@
 import type { ScaleOutRequest } from "./scale-plan.js";
 
 const MAX_MACHINES_PER_REQUEST = 50;
-/** The maximum number of requests per offer in one plan; the next plan requests the machines that are still missing. */
+/** The maximum number of requests per offer and scale plan; the next plan requests the machines still missing. */
 const MAX_REQUESTS_PER_OFFER = 4;
 
 interface ProvisioningRequest {
@@ -62,7 +62,10 @@
     }
   }
 
-  /** Sends the pending requests one at a time and stops at the first failure. A refusal completes a request. */
+  /**
+   * Sends the pending requests one at a time and stops at the first failure; the failed request stays pending. A refusal
+   * by the cloud is not a failure: it completes the request without any machines.
+   */
   async send(): Promise<void> {
     const { lease } = this.context;
     for (const request of [...this.requests]) {
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -34,7 +34,10 @@
   "commands delayed": (c) => c.site.holdUpCommands("requests", 0.5, 9 * S, 60 * S),
 };
 
-/** Long-running jobs not cancelled before the refusal: enough that some cancellations reach other controllers. */
+/**
+ * Long-running jobs that are not cancelled before the refusal starts. There are enough of them that some cancellations
+ * reach controllers other than the shard leader.
+ */
 const CANCELLED = ["wk-800002", "wk-800003", "wk-800004", "wk-810003", "wk-810004"];
 
 /**
@@ -59,14 +62,17 @@
   return playFaultyDay({ ...setup, submitExtraJobs: more }, ...otherFaults, refusalAndOutage);
 };
 
-/** Manual runs: RAINRIDGE_MEETINGS=all runs each combination with the mesh on and off; otherwise the two alternate. */
+/**
+ * For manual runs: RAINRIDGE_MEETINGS=all runs every combination, each with the mesh on and off. Otherwise some
+ * combinations are left out, and the mesh is on and off by turns.
+ */
 const ALL = process.env.RAINRIDGE_MEETINGS === "all";
 
 for (const [refusalIndex, [refusal, refuse]] of Object.entries(REFUSALS).entries()) {
   for (const [failoverIndex, [failover, crash]] of Object.entries(FAILOVERS).entries()) {
     for (const [faultIndex, [networkFault, breakNetwork]] of Object.entries(NETWORK_FAULTS).entries()) {
       for (const mesh of ALL ? [false, true] : [(refusalIndex + failoverIndex + faultIndex) % 2 === 0]) {
-        // All combinations with a refusal; for the other two kinds, those that differ most.
+        // By default, `refuses` runs in all combinations, `resets` and `holds back` only in those that differ most.
         if (
           !ALL &&
           refusal !== "refuses" &&
@@ -93,7 +99,10 @@
   }
 }
 
-/** Alters the responses of controllers to heartbeats in transit. */
+/**
+ * Alters, in transit, the responses of controllers to heartbeats. `alter` receives null for a response whose status is
+ * not 200, and returns null to leave a response unchanged.
+ */
 const tampering =
   (alter: (payload: { baton: number; orders: { verb: string }[] } | null, machine: string) => unknown): Fault =>
   (c) => {
@@ -165,7 +174,7 @@
     });
   }
   await cluster.run(110 * S);
-  // Each shard leader renewed the lease, well before the renewal by the previous one expired.
+  // Enough shard leaders responded that each renewal came well before the one by the previous leader expired.
   assert.ok(answeredAt.length >= 8, `${answeredAt.length} responses`);
   assert.equal(cluster.checker.terminalPhaseOf("wk-800004"), "withdrawn");
   assert.deepEqual(cluster.checker.machinesOf(task.task), []);
--- a/test/direct-starts-throughout.test.ts
+++ b/test/direct-starts-throughout.test.ts
@@ -1,4 +1,7 @@
-/** Direct start commands may be delivered late: leaders of the previous version only, which send them. */
+/**
+ * Late delivery of direct start commands, which only leaders of the previous version send. In the explorations here, all
+ * leaders run that version.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Machine } from "../src/cluster/machine.js";
@@ -37,7 +40,10 @@
   assert.equal(runs, PREFIXES.length * ACTIONS.length ** 3);
 });
 
-/** Alters machine state before each message is processed, under leaders that start tasks by direct commands. */
+/**
+ * Creates scenarios in which `alter` may change the machine's state before each message is processed. All leaders start
+ * tasks by direct commands. If `alter` returns null, the source of the message stays as it is.
+ */
 const variantWith =
   (alter: (machine: Machine, heartbeat: Heartbeat) => Parameters<HeartbeatProcessor["process"]>[2] | null) =>
   (): Scenario => {
@@ -84,7 +90,10 @@
   });
 }
 
-/** Sends direct starts regardless of the record, but still relies on the record at each failover. */
+/**
+ * A faulty variant: the leader sends direct starts even for tasks whose starts are on record as answered, while the next
+ * leader still relies on that record after a failover.
+ */
 const startingDirectlyDespiteRecord = (): Scenario => {
   const wrapHeartbeats: HeartbeatWrapper = (heartbeats, machine, shard) => {
     const process = heartbeats.process.bind(heartbeats);
@@ -98,7 +107,8 @@
   return new Scenario(wrapHeartbeats, undefined, undefined, "all leaders");
 };
 
-// Guards against a direct start of a task whose starts are on record as answered, which the next leader would not hold.
+// Shows why a task whose starts are on record as answered must not be started directly: the next leader would release it
+// although a delayed start command may still run it.
 const RESTART_ORDER: readonly Action[] = [
   ...[
     "heartbeat",
--- a/test/direct-starts.test.ts
+++ b/test/direct-starts.test.ts
@@ -1,6 +1,6 @@
 /**
- * Direct start commands may be delivered late: a leader of this version after one of the previous version, which sends
- * them.
+ * Late delivery of direct start commands, which only leaders of the previous version send. Here the first leader runs
+ * that version, and a leader of this version follows it.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
