--- a/src/commands/graph-client.ts
+++ b/src/commands/graph-client.ts
@@ -17,7 +17,9 @@
   return `status ${status}`;
 };
 
-/** Sends a request, with a JSON body if there is one, and returns the response body. Retries like `requestWithRetries`. */
+/**
+ * Sends a request, with a JSON body if there is one, and returns the response body. Retries like `requestWithRetries`.
+ */
 export const requestJson = (server: string, method: string, target: string, body: unknown = null): Promise<string> =>
   requestWithRetries(server, method, target, body === null ? "" : JSON.stringify(body));
 
--- a/src/coordination/autoscaling/provisioning-requests.ts
+++ b/src/coordination/autoscaling/provisioning-requests.ts
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Sends the pending requests one at a time and stops at the first failure; the failed request stays pending. A refusal
-   * by the cloud is not a failure: it completes the request without any machines.
+   * Sends the pending requests one at a time and stops at the first failure; the failed request stays pending. A
+   * refusal by the cloud is not a failure: it completes the request without any machines.
    */
   async send(): Promise<void> {
     const { lease } = this.context;
--- a/src/coordination/context.ts
+++ b/src/coordination/context.ts
@@ -49,7 +49,8 @@
   readonly key: string;
   readonly version: Uint64;
   /**
-   * Whether the lease is valid by this process's monotonic clock, counted from before its last renewal request was sent.
+   * Whether the lease is valid by this process's monotonic clock, counted from before its last renewal request was
+   * sent.
    */
   isValid(): boolean;
 }
--- a/src/coordination/extension.ts
+++ b/src/coordination/extension.ts
@@ -23,15 +23,15 @@
 /** Operations on a shard that the scheduler core offers to an extension, in addition to transactions. */
 export interface ShardControls {
   /**
-   * Cancels those of the jobs for which `isCancelledWithRun` has become true. The extension has recorded this once for all, so
-   * that no write per job is needed.
+   * Cancels those of the jobs for which `isCancelledWithRun` has become true. The extension has recorded this once for
+   * all, so that no write per job is needed.
    */
   cancelJobsOfCancelledRuns(ids: Iterable<string>): void;
 }
 
 /**
- * A component that submits jobs of its own. The scheduler core treats them like all other jobs, but calls `isCancelledWithRun`
- * to find out whether a job was cancelled together with the graph run that it belongs to.
+ * A component that submits jobs of its own. The scheduler core treats them like all other jobs, but calls
+ * `isCancelledWithRun` to find out whether a job was cancelled together with the graph run that it belongs to.
  */
 export interface Extension {
   /** Handles a user's request; null: the path does not belong to the extension. */
--- a/src/coordination/workers/inherited-starts.ts
+++ b/src/coordination/workers/inherited-starts.ts
@@ -6,8 +6,8 @@
 
 /**
  * Treats a start command that an earlier leader may have sent as sent now without a response, unless it is on record as
- * answered. Must be called before any other conclusion about the task's start command: from then on `startMayBeInTransit`
- * decides whether the task may be released.
+ * answered. Must be called before any other conclusion about the task's start command: from then on
+ * `startMayBeInTransit` decides whether the task may be released.
  */
 export const markInheritedStartUnanswered = (
   { lease, clock }: Pick<ShardContext, "lease" | "clock">,
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -148,7 +148,9 @@
   assert.equal(await silence(false), null);
 });
 
-/** Feeds the checker 18 small and 2 large jobs of one class; `startSecond` gives the second in which each runs, or null. */
+/**
+ * Feeds the checker 18 small and 2 large jobs of one class; `startSecond` gives the second in which each runs, or null.
+ */
 const playDay = (startSecond: (at: number) => number | null): Checker => {
   let now = 0;
   const checker = new Checker(() => now, new Map(), 45 * S);
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -12,7 +12,9 @@
 /** Maximum number per day of one-way losses, late copies of messages and similar faults. */
 const HARSH_FAULTS = Number(process.env.RAINRIDGE_NIGHTS ?? 4);
 
-/** Maximum number per day of leader refusals, late transactions, slow responses, delayed commands and similar faults. */
+/**
+ * Maximum number per day of leader refusals, late transactions, slow responses, delayed commands and similar faults.
+ */
 const COMBINATIONS = Number(process.env.RAINRIDGE_MET ?? 3);
 
 /**
--- a/test/direct-starts-throughout.test.ts
+++ b/test/direct-starts-throughout.test.ts
@@ -1,6 +1,6 @@
 /**
- * Late delivery of direct start commands, which only leaders of the previous version send. In the explorations here, all
- * leaders run that version.
+ * Late delivery of direct start commands, which only leaders of the previous version send. In the explorations here,
+ * all leaders run that version.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -91,8 +91,8 @@
 }
 
 /**
- * A faulty variant: the leader sends direct starts even for tasks whose starts are on record as answered, while the next
- * leader still relies on that record after a failover.
+ * A faulty variant: the leader sends direct starts even for tasks whose starts are on record as answered, while the
+ * next leader still relies on that record after a failover.
  */
 const startingDirectlyDespiteRecord = (): Scenario => {
   const wrapHeartbeats: HeartbeatWrapper = (heartbeats, machine, shard) => {
@@ -107,8 +107,8 @@
   return new Scenario(wrapHeartbeats, undefined, undefined, "all leaders");
 };
 
-// Shows why a task whose starts are on record as answered must not be started directly: the next leader would release it
-// although a delayed start command may still run it.
+// Shows why a task whose starts are on record as answered must not be started directly: the next leader would release
+// it although a delayed start command may still run it.
 const RESTART_ORDER: readonly Action[] = [
   ...[
     "heartbeat",
--- a/test/documentation.test.ts
+++ b/test/documentation.test.ts
@@ -1,7 +1,7 @@
 /**
  * Guards against outdated pages: files and symbols named by docs/architecture.md exist, links between pages resolve,
- * files named in the glossary exist, and the runbook lists the log events that need attention, and no event that is never
- * logged.
+ * files named in the glossary exist, and the runbook lists the log events that need attention, and no event that is
+ * never logged.
  */
 import assert from "node:assert/strict";
 import { existsSync, readdirSync, readFileSync, statSync } from "node:fs";
--- a/test/heartbeat-freshness.test.ts
+++ b/test/heartbeat-freshness.test.ts
@@ -85,8 +85,8 @@
   for (let lost = 0; lost < 3; lost += 1) recordHeartbeat(reachability, TOKEN, true);
   assert.equal(isOneWay(reachability), true);
   recordResponse(reachability, 10 as Micros);
-  // Its responses are not confirmed yet, but it is neither unreachable nor due for deletion: it was deleted 10 s after a
-  // partition had ended.
+  // Its responses are not confirmed yet, but it is neither unreachable nor due for deletion: it was deleted 10 s after
+  // a partition had ended.
   assert.equal(isOneWay(reachability), false);
   assert.equal(responsesArrive(reachability), true);
   // If queries are answered all the time, heartbeats without the probe token keep counting.
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -13,9 +13,9 @@
 const [MEMBER_KEY, SHARD_KEY] = [memberKey(settings.label), shardKey(0)];
 
 test("a shard assigned to a member whose late join carries a lease that is not renewed is not acquired", async () => {
-  // The response to the first join is lost, and the second join succeeds. At the end of an outage the second join's key is
-  // deleted, and the first join is applied late. Shards assigned to that member end with the first lease, while their
-  // validity would be computed from renewals of the second one.
+  // The response to the first join is lost, and the second join succeeds. At the end of an outage the second join's key
+  // is deleted, and the first join is applied late. Shards assigned to that member end with the first lease, while
+  // their validity would be computed from renewals of the second one.
   const world = new Simulation();
   const clock = new HostClock(world, 1, 1_000_000);
   const entries = new Map<string, KeyValueEntry>();
--- a/test/sim/traffic-recorder.ts
+++ b/test/sim/traffic-recorder.ts
@@ -10,9 +10,9 @@
 export type LineListener = (line: string) => void;
 
 /**
- * Listens to the network, the connections between controllers and the key-value store of a cluster that has not run yet.
- * Each line is a JSON array: time in simulated microseconds, kind of record, then what is on the wire or in the store.
- * Log lines, names in the code and counters of the emulator are not recorded. Existing handlers still run.
+ * Listens to the network, the connections between controllers and the key-value store of a cluster that has not run
+ * yet. Each line is a JSON array: time in simulated microseconds, kind of record, then what is on the wire or in the
+ * store. Log lines, names in the code and counters of the emulator are not recorded. Existing handlers still run.
  */
 export class TrafficRecorder {
   constructor(
